--- a/packages/duties/src/refusals.ts
+++ b/packages/duties/src/refusals.ts
@@ -1,7 +1,7 @@
 import type { FencingToken } from './fencing-token.js';
 import { StoreUnavailableError } from './store.js';
 
-/** The part of a structured logger that the package uses. */
+/** The shard of a structured logger that the package uses. */
 export interface Log {
   info(fields: object, message: string): void;
   debug(fields: object, message: string): void;
--- a/packages/shares/src/index.ts
+++ b/packages/shares/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Moves of machines between parts while jobs run: a stored state machine, steps that are computed from it
+ * Moves of machines between shards while jobs run: a stored state machine, steps that are computed from it
  * without any input or output, and the choice of the machines.
  */
 export { advance, ends, isOver, missing, type MoverFacts } from './move.js';
@@ -10,7 +10,7 @@
   MOVE_PREFIX,
   moveKey,
   parseRequest,
-  partLockKey,
+  shardLockKey,
   requested,
   requestProblems,
   type MachineFilter,
--- a/packages/shares/src/move.ts
+++ b/packages/shares/src/move.ts
@@ -1,6 +1,6 @@
 import type { Move } from './records.js';
 
-/** The part that gives machines away now, and the one that gets them. */
+/** The shard that gives machines away now, and the one that gets them. */
 export const ends = ({ direction, from, to }: Move): { source: number; target: number } =>
   direction === 'forth' ? { source: from, target: to } : { source: to, target: from };
 
@@ -15,7 +15,7 @@
 export interface MoverFacts {
   /** time of day, ms */
   readonly nowMs: number;
-  /** why no step may be taken now, or null: a node that does not know moves, a part without a living owner */
+  /** why no step may be taken now, or null: a node that does not know moves, a shard without a living owner */
   readonly obstacle: string | null;
 }
 
--- a/packages/shares/src/records.ts
+++ b/packages/shares/src/records.ts
@@ -1,9 +1,9 @@
 import * as z from 'zod';
 
-/** What the store holds of moves of machines between parts. */
+/** What the store holds of moves of machines between shards. */
 
 const name = z.string().regex(/^[\w.-]{1,40}$/, 'must be 1 to 40 letters, digits, dots, dashes');
-const partIndex = z.number().int().nonnegative();
+const shardIndex = z.number().int().nonnegative();
 const timeOfDayMs = z.number().nonnegative();
 
 const filterSchema = z
@@ -17,8 +17,8 @@
 const requestSchema = z
   .object({
     id: name,
-    from: partIndex,
-    to: partIndex,
+    from: shardIndex,
+    to: shardIndex,
     count: z.number().int().positive(),
     filter: filterSchema.prefault({}),
     deadlineMs: timeOfDayMs,
@@ -87,8 +87,8 @@
 export const MOVE_PREFIX = 'shares/moves/';
 export const moveKey = (id: string): string => `${MOVE_PREFIX}${id}`;
 
-/** Names the move that holds a part: one move at a time touches it. */
-export const partLockKey = (part: number): string => `shares/parts/${part}`;
+/** Names the move that holds a shard: one move at a time touches it. */
+export const shardLockKey = (part: number): string => `shares/parts/${part}`;
 const lockSchema = z.object({ move: z.string() });
 /** The id of the move that a lock names; null if the value is no lock. */
 export const decodeLock = (value: unknown): string | null =>
--- a/packages/shares/src/selection.ts
+++ b/packages/shares/src/selection.ts
@@ -1,7 +1,7 @@
 import { missing } from './move.js';
 import type { MachineFilter, Move } from './records.js';
 
-/** A machine of the source part, as its owner knows it. */
+/** A machine of the source shard, as its owner knows it. */
 export interface Candidate {
   readonly name: string;
   readonly type: string;
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -9,8 +9,8 @@
 import type { Authorization, RecordedIntent } from '@sumacstep/duties';
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { MachineType } from '../core/model.js';
-import { CborClient, NoAnswer, type Answer } from '../http.js';
-import { TokenBucket } from '../tokens.js';
+import { CborClient, NoAnswer, type Answer } from '../transport/http.js';
+import { TokenBucket } from '../transport/token-bucket.js';
 import {
   machineList,
   machineTypes,
--- a/src/commands/duties.ts
+++ b/src/commands/duties.ts
@@ -8,9 +8,9 @@
 } from '@sumacstep/duties';
 import type { PlatformConfig } from '../config/platform.js';
 import { DUTY_NAMES, dutyView } from '../duties/duty-controller.js';
-import { CALL } from '../state/client.js';
-import { key } from '../state/keys.js';
-import type { WatchCache } from '../state/watch-cache.js';
+import { CALL } from '../store/store-client.js';
+import { key } from '../store/keys.js';
+import type { WatchCache } from '../store/watch-cache.js';
 import { CommandError, EXIT } from './exit-codes.js';
 import { StoreAccess } from './store-access.js';
 import { table } from './table.js';
@@ -18,7 +18,7 @@
 /** tries of a request that meets another one at the same moment */
 const TRIES = 3;
 
-/** A part's ownership, which carries the duty of renting and returning its machines. */
+/** A shard's ownership, which carries the duty of renting and returning its machines. */
 export interface PartStatus {
   readonly duty: string;
   readonly holder: string;
@@ -36,7 +36,7 @@
   [...tables['parts/']].map(([index, { value }]) => {
     const living = tables['nodes/'].has(`${value.owner}/${value.incarnation}`);
     return {
-      duty: key.part(Number(index)),
+      duty: key.shard(Number(index)),
       holder: value.owner,
       incarnation: value.incarnation,
       token: value.term,
--- a/src/commands/shares.ts
+++ b/src/commands/shares.ts
@@ -6,18 +6,18 @@
   matches,
   moveKey,
   parseRequest,
-  partLockKey,
+  shardLockKey,
   requested,
   requestProblems,
   type Move,
   type MoveRequest,
 } from '@sumacstep/shares';
 import type { PlatformConfig } from '../config/platform.js';
-import { hasGuarantee, hasLimit, partOfTeam } from '../core/jobs.js';
+import { hasGuarantee, hasLimit, shardOfTeam } from '../core/jobs/jobs.js';
 import type { MachineRecord } from '../core/model.js';
 import { movesIn, obstacleOf } from '../shares/mover.js';
-import { CALL } from '../state/client.js';
-import type { WatchCache } from '../state/watch-cache.js';
+import { CALL } from '../store/store-client.js';
+import type { WatchCache } from '../store/watch-cache.js';
 import { CommandError, EXIT } from './exit-codes.js';
 import { StoreAccess } from './store-access.js';
 import { table } from './table.js';
@@ -29,7 +29,7 @@
 /** bytes of a machine's name in a move, which may stand among the chosen and among the moved ones */
 const NAME_BYTES = 40;
 
-/** Machines of one kind in a part. */
+/** Machines of one kind in a shard. */
 interface KindCount {
   readonly type: string;
   readonly zone: string;
@@ -37,7 +37,7 @@
   readonly machines: number;
 }
 
-/** One part's share of the machines. */
+/** One shard's share of the machines. */
 export interface Share {
   readonly part: number;
   readonly owner: string | null;
@@ -55,17 +55,17 @@
 /** What a move would do, told before anything happens. */
 export interface PlanOutput {
   readonly request: MoveRequest;
-  /** machines of the part that match, by their records; as many as `count` of them move */
+  /** machines of the shard that match, by their records; as many as `count` of them move */
   readonly matching: readonly string[];
   /** fewer machines match than are asked for: the rest would be waited for until the deadline */
   readonly lacking: number;
-  /** the target's part would get a newer term: what waits there starts again once its machines have answered */
+  /** the target's shard would get a newer term: what waits there starts again once its machines have answered */
   readonly renewsTerm: boolean;
-  /** teams that live whole in the source's part, since they have a limit or a guarantee */
+  /** teams that live whole in the source's shard, since they have a limit or a guarantee */
   readonly teamsOfSource: readonly string[];
-  /** jobs with tasks in the source's part; no task is stopped for the move */
+  /** jobs with tasks in the source's shard; no task is stopped for the move */
   readonly jobsInSource: number;
-  /** a move that holds one of the parts now */
+  /** a move that holds one of the shards now */
   readonly heldBy: string | null;
   /** what would have to be waited for first */
   readonly obstacle: string | null;
@@ -83,8 +83,8 @@
   }
 };
 
-const machinesOf = (cache: WatchCache, part: number): MachineRecord[] =>
-  [...cache.machines.values()].map((m) => m.value).filter((record) => record.part === part);
+const machinesOf = (cache: WatchCache, shard: number): MachineRecord[] =>
+  [...cache.machines.values()].map((m) => m.value).filter((record) => record.shard === shard);
 
 const kindsOf = (machines: readonly MachineRecord[]): KindCount[] => {
   const kinds = new Map<string, KindCount>();
@@ -96,11 +96,11 @@
   return [...kinds.values()];
 };
 
-const shareOf = (cache: WatchCache, part: number): Share => {
-  const owner = cache.tables['parts/'].get(String(part))?.value;
-  const machines = machinesOf(cache, part);
+const shareOf = (cache: WatchCache, shard: number): Share => {
+  const owner = cache.tables['parts/'].get(String(shard))?.value;
+  const machines = machinesOf(cache, shard);
   return {
-    part,
+    part: shard,
     owner: owner?.owner ?? null,
     term: owner?.term ?? null,
     machines: machines.length,
@@ -163,10 +163,10 @@
   return parseRequest(value);
 };
 
-/** The move that holds one of the parts; null if none does. */
+/** The move that holds one of the shards; null if none does. */
 const holderOf = (cache: WatchCache, { from, to }: MoveRequest): string | null => {
   for (const { value } of cache.tables['shares/'].values()) {
-    if (value.kind === 'lock' && (value.part === from || value.part === to)) return value.move;
+    if (value.kind === 'lock' && (value.shard === from || value.shard === to)) return value.move;
   }
   return null;
 };
@@ -176,7 +176,7 @@
   withStore(config, async (store) => {
     const cache = await store.read(['parts/', 'nodes/', 'machines/', 'shares/', 'active/']);
     const matching = machinesOf(cache, request.from).filter((m) => matches(request.filter, m));
-    const term = (part: number) => cache.tables['parts/'].get(String(part))?.value.term ?? 0;
+    const term = (shard: number) => cache.tables['parts/'].get(String(shard))?.value.term ?? 0;
     const jobs = [...cache.tables['active/'].values()];
     return {
       request,
@@ -185,9 +185,9 @@
       renewsTerm: term(request.to) <= term(request.from),
       teamsOfSource: [...config.teams.values()]
         .filter((team) => hasLimit(team) || hasGuarantee(team))
-        .filter((team) => partOfTeam(team.name, config.nodes) === request.from)
+        .filter((team) => shardOfTeam(team.name, config.nodes) === request.from)
         .map((team) => team.name),
-      jobsInSource: jobs.filter((j) => j.value.ranges.some((r) => r.part === request.from)).length,
+      jobsInSource: jobs.filter((j) => j.value.ranges.some((r) => r.shard === request.from)).length,
       heldBy: holderOf(cache, request),
       obstacle: obstacleOf(cache.tables, requested(request)),
     };
@@ -201,13 +201,13 @@
 }
 
 /**
- * Asks for a move. The same id is the same move. It takes both parts at once, or nothing: a move that holds one of
+ * Asks for a move. The same id is the same move. It takes both shards at once, or nothing: a move that holds one of
  * them is a conflict, named.
  */
 export const requestMove = (config: PlatformConfig, request: MoveRequest): Promise<MoveOutput> =>
   withStore(config, async (store) => {
     const key = moveKey(request.id);
-    const locks = [partLockKey(request.from), partLockKey(request.to)];
+    const locks = [shardLockKey(request.from), shardLockKey(request.to)];
     for (let tries = 0; tries < TRIES; tries++) {
       const found = await store.attempt(() => store.client.get(key, CALL.read));
       if (!('missing' in found)) {
--- a/src/commands/store-access.ts
+++ b/src/commands/store-access.ts
@@ -3,10 +3,10 @@
 import { steadyMs } from '../clock.js';
 import type { PlatformConfig } from '../config/platform.js';
 import { STATE_PAUSE_MS } from '../constants.js';
-import { StateClient, StateTrouble } from '../state/client.js';
-import type { Prefix } from '../state/keys.js';
-import { listPrefixes } from '../state/watch.js';
-import { WatchCache } from '../state/watch-cache.js';
+import { StateClient, StateTrouble } from '../store/store-client.js';
+import type { Prefix } from '../store/keys.js';
+import { listPrefixes } from '../store/watch.js';
+import { WatchCache } from '../store/watch-cache.js';
 import { CommandError, EXIT } from './exit-codes.js';
 
 /** share of the state service's limits for a command: controllers may leave that much (`request_share`) */
--- a/src/config/duties.ts
+++ b/src/config/duties.ts
@@ -28,7 +28,7 @@
 export interface DutiesConfig {
   /** whether returns are recorded before they are sent */
   readonly recordReturns: boolean;
-  /** whether machines that no record knows are returned by one node, instead of adopted by a part */
+  /** whether machines that no record knows are returned by one node, instead of adopted by a shard */
   readonly reclaim: boolean;
   /** whether old state is cleared */
   readonly clear: boolean;
--- a/src/config/platform.ts
+++ b/src/config/platform.ts
@@ -85,7 +85,7 @@
   readonly peers: readonly { readonly node: string; readonly address: string }[];
   readonly cloud: string;
   readonly state: string;
-  /** number of nodes, and of parts */
+  /** number of nodes, and of shards */
   readonly nodes: number;
   readonly zones: readonly string[];
   readonly teams: ReadonlyMap<string, Team>;
--- a/src/config/shares.ts
+++ b/src/config/shares.ts
@@ -12,7 +12,7 @@
   })
   .strict();
 
-/** Settings of moves of machines between parts. A file that gives them switches the moves on. */
+/** Settings of moves of machines between shards. A file that gives them switches the moves on. */
 export interface SharesConfig {
   /** machines of one move that take no new work at the same time */
   readonly emptyingMost: number;
--- a/src/constants.ts
+++ b/src/constants.ts
@@ -29,7 +29,7 @@
 
 // --- sockets ------------------------------------------------------------------------------------
 /** share of the process's sockets that direct commands may take at once: a survivor that takes over
- * every part claims all workers, and their reports and the users need sockets as well. */
+ * every shard claims all workers, and their reports and the users need sockets as well. */
 export const DIRECT_SHARE = 0.08;
 /** share of the inbound connections beyond which answers close theirs: what is left takes newcomers */
 export const CROWDED_SHARE = 0.7;
@@ -52,7 +52,7 @@
 export const SAVE_MS = 200;
 /** ms; between writes of completions that end neither a job nor a range: nobody waits for them. */
 export const PROGRESS_MS = 1500;
-/** ms; between two writes of a part's machine records: those of a boot wave come close together. */
+/** ms; between two writes of a shard's machine records: those of a boot wave come close together. */
 export const MACHINES_MS = 400;
 /** share of a value's limit up to which completions of ranges are put together in it */
 export const SLOT_FILL = 0.6;
@@ -110,20 +110,20 @@
 export const READY_GRACE_MS = 3000;
 /**
  * ms; a node without state that hears no other node leaves the load balancer after this: by then its
- * lease is over and others have taken its parts. Its users are better served by them.
+ * lease is over and others have taken its shards. Its users are better served by them.
  */
 export const CUT_OFF_MS = 8000;
 
 // --- membership ---------------------------------------------------------------------------------
 /** ms; a stray worker is told to the others for this long. */
 export const SIGHTING_MS = 6000;
-/** ms; a part whose owner is gone is left this long to the node that it belongs to. */
+/** ms; a shard whose owner is gone is left this long to the node that it belongs to. */
 export const TAKEOVER_GRACE_MS = 1500;
-/** ms; a returned node must have been alive this long before it gets its part back. */
+/** ms; a returned node must have been alive this long before it gets its shard back. */
 export const HANDBACK_MS = 8000;
-/** ms; upper end of that time, which doubles with every handover of a part: no flapping. */
+/** ms; upper end of that time, which doubles with every handover of a shard: no flapping. */
 export const HANDBACK_MAX_MS = 120_000;
-/** ms; a part that its living node gave away stays with the one that got it so long: that node hears no
+/** ms; a shard that its living node gave away stays with the one that got it so long: that node hears no
  * workers, and nothing tells when it does again. Doubles each time, up to `HANDBACK_MAX_MS`. */
 export const GIVEN_AWAY_MS = 45_000;
 /** ms; a handover without an answer is settled after this: the call itself has timed out by then. */
@@ -192,9 +192,9 @@
 /** share of the time for a cancellation after which a task that was told to stop and still runs
  * costs its machine: the rest is for the cloud's answer, and for asking again. */
 export const STOP_PATIENCE = 0.5;
-/** share of a part's machines on which more gangs than the first may wait for the rest of theirs. */
+/** share of a shard's machines on which more gangs than the first may wait for the rest of theirs. */
 export const COLLECT_SHARE = 0.06;
-/** stuck jobs for which room is sought in one pass: each looks at every machine of the part. */
+/** stuck jobs for which room is sought in one pass: each looks at every machine of the shard. */
 export const ROOM_TRIES = 8;
 /** distinct jobs that must fail on a machine, without a success between, to condemn it. */
 export const SICK_JOBS = 2;
@@ -218,9 +218,9 @@
 // --- jobs ---------------------------------------------------------------------------------------
 /** tries; each conflict means that the job's owner has just written it. */
 export const CANCEL_TRIES = 4;
-/** booked share by which a range raises its part, until the part's own figure comes round. */
+/** booked share by which a range raises its shard, until the shard's own figure comes round. */
 export const LOAD_PER_RANGE = 0.05;
-/** a part of which nothing is known is neither light nor heavy */
+/** a shard of which nothing is known is neither light nor heavy */
 export const UNKNOWN_LOAD = 0.85;
 /** ranges of one job: its record must stay well within a value of the state service. */
 export const RANGES_MOST = 64;
@@ -241,17 +241,17 @@
 export const HOST_BYTES = 40;
 /** bytes of everything else in such a record: type and zone are short names */
 export const GROUP_BYTES = 300;
-/** ms; a waiting range that fits nowhere in its part may pass to another part after this. */
+/** ms; a waiting range that fits nowhere in its shard may pass to another shard after this. */
 export const TRANSFER_AFTER_MS = 1500;
 /** ms; what other nodes say of their room comes about once a second, so passes are tried as often. */
 export const TRANSFER_EVERY_MS = 500;
 /** jobs looked at in one try, the longest waiting first. */
 export const TRANSFER_TRIES = 10;
-/** ms; tasks that wait longer than this although no part has room may pass to one that is less booked. */
+/** ms; tasks that wait longer than this although no shard has room may pass to one that is less booked. */
 export const BALANCE_AFTER_MS = 10_000;
-/** ms; between two such passes of a part: each costs a write, and what others told is a second old. */
+/** ms; between two such passes of a shard: each costs a write, and what others told is a second old. */
 export const BALANCE_EVERY_MS = 1000;
-/** times; the booked share of a part must be so much larger than the other's: no passing to and fro. */
+/** times; the booked share of a shard must be so much larger than the other's: no passing to and fro. */
 export const BALANCE_RATIO = 1.5;
 /** booked share that it must be larger by as well: little differences are not worth a write. */
 export const BALANCE_MARGIN = 0.5;
@@ -292,7 +292,7 @@
 export const BOOT_GIVE_UP = 2.2;
 /** ms; a machine that nobody recorded is adopted after this: its renter usually does it sooner. */
 export const ADOPT_MS = 4000;
-/** ms; the least time between two rental decisions of a part. */
+/** ms; the least time between two rental decisions of a shard. */
 export const RENT_MS = 2000;
 
 // --- learning -----------------------------------------------------------------------------------
--- a/src/core/cancellations.ts
+++ b/src/core/cancellation/cancellations.ts
@@ -1,4 +1,4 @@
-import { CLOCK_DRIFT, LET_GO_MARGIN_MS, TOLD_MOST } from '../constants.js';
+import { CLOCK_DRIFT, LET_GO_MARGIN_MS, TOLD_MOST } from '../../constants.js';
 
 /**
  * What the nodes tell each other of confirmed cancellations, so that an owner whom the state service
--- a/src/core/booked-shares.ts
+++ b/src/core/capacity/allocation-ratio.ts
@@ -1,10 +1,10 @@
-import { PRIORITY_RANK, RESOURCE_KINDS, type Resources } from './model.js';
-import { tasksInNeed } from './failures.js';
-import type { MachineState } from './part-records.js';
-import type { PartState } from './part-state.js';
+import { PRIORITY_RANK, RESOURCE_KINDS, type Resources } from '../model.js';
+import { tasksInNeed } from '../reachability/failure-tracker.js';
+import type { MachineState } from '../shard/types.js';
+import type { ShardState } from '../shard/shard-state.js';
 
 /**
- * How much of a part is booked, for the routing of new jobs: by rank, since a job waits only behind work
+ * How much of a shard is booked, for the routing of new jobs: by rank, since a job waits only behind work
  * that it cannot displace, and by whether it may use spot machines.
  */
 
@@ -32,16 +32,16 @@
   readonly booked: Amounts[];
 }
 
-const countsForRouting = (state: PartState, m: MachineState, now: number): boolean => {
+const countsForRouting = (state: ShardState, m: MachineState, now: number): boolean => {
   const goes = m.leaving || m.returning || m.condemned || m.noticeAt !== null;
   return !goes && (!m.everKnown || state.health.isFresh(m, now));
 };
 
 /**
- * Booked shares of the part, waiting tasks included: for each rank the largest over the resources, first on
+ * Booked shares of the shard, waiting tasks included: for each rank the largest over the resources, first on
  * ordinary machines alone and then on all. One look at every machine, task and job.
  */
-export const bookedShares = (state: PartState, now: number): number[] => {
+export const bookedShares = (state: ShardState, now: number): number[] => {
   const ordinary: KindOfMachines = { capacity: none(), booked: noneByRank() };
   const spot: KindOfMachines = { capacity: none(), booked: noneByRank() };
   for (const m of state.machines.values()) {
@@ -78,7 +78,7 @@
   for (const byRank of bookedByRank) {
     for (const amounts of byRank.slice(least)) addTo(booked, amounts);
   }
-  // A part without machines counts as one machine: what is booked there still tells parts apart.
+  // A shard without machines counts as one machine: what is booked there still tells shards apart.
   const share = (k: keyof Amounts) =>
     booked[k] === 0 ? 0 : booked[k] / Math.max(capacity[k], largest[k]);
   return Math.max(...RESOURCE_KINDS.map(share));
--- a/src/core/capacity.ts
+++ b/src/core/capacity/capacity-planner.ts
@@ -1,8 +1,8 @@
-import { BOOT_GIVE_UP } from '../constants.js';
-import { tasksInNeed } from './failures.js';
-import { timesIn, type JobSpec, type MachineType } from './model.js';
-import type { JobState, MachineState } from './part.js';
-import { ReachableRoom, zoneToGrow } from './reachable-room.js';
+import { BOOT_GIVE_UP } from '../../constants.js';
+import { tasksInNeed } from '../reachability/failure-tracker.js';
+import { timesIn, type JobSpec, type MachineType } from '../model.js';
+import type { JobState, MachineState } from '../shard/shard.js';
+import { ReachableRoom, zoneToGrow } from './reachable-capacity.js';
 import {
   cheapest,
   machinesFor,
@@ -11,7 +11,7 @@
   type TypeNeed,
 } from './wanted-machines.js';
 
-/** What a part should rent and give back, from what it has and what it needs. */
+/** What a shard should rent and give back, from what it has and what it needs. */
 
 /** Machines of one kind to be rented, or asked for already. */
 export interface RentWish {
@@ -57,7 +57,7 @@
 const spreadServiceKnown = (input: CapacityInput): boolean => {
   const spreads = (spec: JobSpec | null) =>
     spec !== null && spec.kind === 'service' && spec.spread && !spec.spot;
-  for (const job of input.part.jobs.values()) if (!job.over && spreads(job.spec)) return true;
+  for (const job of input.shard.jobs.values()) if (!job.over && spreads(job.spec)) return true;
   return [...input.stats.values()].some((s) => spreads(s.sample));
 };
 
@@ -88,7 +88,7 @@
   }
 }
 
-/** One plan for one part. */
+/** One plan for one shard. */
 class CapacityPlanner {
   readonly #rent: RentWish[] = [];
   readonly #giveBack: { name: string; reason: ReturnReason }[] = [];
@@ -101,13 +101,13 @@
   #capped = 0;
 
   constructor(private readonly input: CapacityInput) {
-    for (const m of input.part.machines.values()) {
+    for (const m of input.shard.machines.values()) {
       if (!m.returning && !m.unrecorded) this.#sort(m);
     }
     this.#spreads = spreadServiceKnown(input);
     this.#ordinary = new OrdinaryMachines(this.#staying);
     const pending = input.pending.reduce((sum, p) => sum + p.count, 0);
-    this.#allowed = Math.ceil(input.machinesMost / input.parts) - this.#staying.length - pending;
+    this.#allowed = Math.ceil(input.machinesMost / input.shards) - this.#staying.length - pending;
   }
 
   plan(): CapacityPlan {
@@ -135,9 +135,9 @@
   }
 
   #faultOf(m: MachineState): ReturnReason | null {
-    const { part, now } = this.input;
-    if (part.isLost(m, now)) return 'silent';
-    if (part.ignoresCommands(m, now)) return 'hears nothing';
+    const { shard, now } = this.input;
+    if (shard.isLost(m, now)) return 'silent';
+    if (shard.ignoresCommands(m, now)) return 'hears nothing';
     const bootMs = (m.type?.bootS ?? DEFAULT_BOOT_S) * 1000;
     const neverUp = !m.everKnown && !m.record.up;
     if (neverUp && now - m.since > bootMs * BOOT_GIVE_UP) return 'never came up';
@@ -148,7 +148,7 @@
   #empty(m: MachineState): void {
     m.leaving = true;
     for (const p of [...m.tasks.values()]) {
-      if (p.job.spec.kind === 'service') this.input.part.requestStop(p, 0, this.input.now);
+      if (p.job.spec.kind === 'service') this.input.shard.requestStop(p, 0, this.input.now);
     }
   }
 
@@ -257,9 +257,9 @@
 
   /** However little work it is: a job that no machine could ever take gets one that can. */
   #rentForUnplaceable(): void {
-    const { part, pending, types, now } = this.input;
-    const reachable = new ReachableRoom(this.#staying, pending, types, part.preempts, now);
-    for (const job of part.jobs.values()) {
+    const { shard, pending, types, now } = this.input;
+    const reachable = new ReachableRoom(this.#staying, pending, types, shard.preempts, now);
+    for (const job of shard.jobs.values()) {
       if (this.#rent.length > 0) return;
       if (tasksInNeed(job, now) === 0) continue;
       const missing = tasksNeedingRoom(job) - reachable.tasksOf(job);
--- a/src/core/reachable-room.ts
+++ b/src/core/capacity/reachable-capacity.ts
@@ -1,9 +1,9 @@
-import type { JobState, MachineState } from './part-records.js';
-import { add, timesIn, ZERO, type MachineType, type Resources } from './model.js';
-import { tasksAllowedIn } from './zones.js';
+import type { JobState, MachineState } from '../shard/types.js';
+import { add, timesIn, ZERO, type MachineType, type Resources } from '../model.js';
+import { tasksAllowedIn } from '../placement/zones.js';
 
 /**
- * Room that a job could get on the machines of a part, those that are still asked for included. A job
+ * Room that a job could get on the machines of a shard, those that are still asked for included. A job
  * without any needs a machine of its own, however little work it is.
  */
 
--- a/src/core/wanted-machines.ts
+++ b/src/core/capacity/wanted-machines.ts
@@ -1,21 +1,27 @@
-import { CEIL_SLACK, RUN_UNKNOWN_S } from '../constants.js';
-import { typesFor } from './admission.js';
-import { tasksInNeed } from './failures.js';
-import type { ClassStats } from './learning.js';
-import { dominantShare, timesIn, type JobSpec, type MachineType, type Objective } from './model.js';
-import type { Part } from './part.js';
+import { CEIL_SLACK, RUN_UNKNOWN_S } from '../../constants.js';
+import { typesFor } from '../jobs/admission.js';
+import { tasksInNeed } from '../reachability/failure-tracker.js';
+import type { ClassStats } from './workload-statistics.js';
+import {
+  dominantShare,
+  timesIn,
+  type JobSpec,
+  type MachineType,
+  type Objective,
+} from '../model.js';
+import type { Shard } from '../shard/shard.js';
 
-/** How many machines of each type a part needs, by its work and by what is learned of the classes. */
+/** How many machines of each type a shard needs, by its work and by what is learned of the classes. */
 
-/** What a part's need of machines follows from. */
+/** What a shard's need of machines follows from. */
 export interface DemandInput {
-  readonly part: Part;
-  /** number of parts, which share what is kept ready */
-  readonly parts: number;
+  readonly shard: Shard;
+  /** number of shards, which share what is kept ready */
+  readonly shards: number;
   readonly types: ReadonlyMap<string, MachineType>;
   readonly objectives: readonly Objective[];
   readonly stats: ReadonlyMap<string, ClassStats>;
-  /** tasks of each class in the other parts, waiting or placed */
+  /** tasks of each class in the other shards, waiting or placed */
   readonly elsewhere: ReadonlyMap<string, number>;
   /** jobs that were told to come back: their machines are rented before they are accepted */
   readonly expected: readonly JobSpec[];
@@ -25,7 +31,7 @@
   readonly now: number;
 }
 
-/** Machines of one type that a part needs. */
+/** Machines of one type that a shard needs. */
 export interface TypeNeed {
   /** for jobs that may not use spot machines */
   ordinary: number;
@@ -80,11 +86,11 @@
     need.running += running;
     need.waiting += waiting;
   };
-  for (const job of input.part.jobs.values()) {
+  for (const job of input.shard.jobs.values()) {
     if (!job.over) note(job.spec, job.placed.size, tasksInNeed(job, input.now));
   }
   for (const spec of input.expected) note(spec, 0, spec.tasks);
-  // Classes known from other parts or earlier times need their reserve here as well.
+  // Classes known from other shards or earlier times need their reserve here as well.
   for (const [name, s] of input.stats) {
     if (needs.has(name) || s.sample === null) continue;
     const type = cheapest(s.sample, input.types.values());
@@ -103,7 +109,7 @@
 };
 
 /**
- * Machines that a part needs: by the square-root rule for urgent classes (expected tasks at once
+ * Machines that a shard needs: by the square-root rule for urgent classes (expected tasks at once
  * plus some standard deviations), and by the work to be drained for the others.
  */
 export const wantedMachines = (input: DemandInput): Map<string, TypeNeed> => {
@@ -117,7 +123,7 @@
     // Replicas never end, so their run time says nothing: what may arrive while a machine boots counts.
     const service = need.spec.kind === 'service';
     const whole = (s?.tasksPerS ?? 0) * (service ? need.type.bootS : runS);
-    const atOnce = whole / input.parts;
+    const atOnce = whole / input.shards;
     const elsewhere = input.elsewhere.get(name) ?? 0;
     const busy = need.running + need.waiting;
     const t = out.get(need.type.name) ?? { ordinary: 0, spot: 0, instead: 0 };
@@ -125,12 +131,12 @@
     let soon: number;
     let patient: number;
     if (isUrgent(name, input.objectives, need.type.bootS) || need.spec.kind !== 'array') {
-      // What is to be kept beyond the work that is there is shared by the parts: if each kept its
-      // share of the whole, the parts with more work than others would come on top.
+      // What is to be kept beyond the work that is there is shared by the shards: if each kept its
+      // share of the whole, the shards with more work than others would come on top.
       const there = service ? 0 : busy + elsewhere;
       const kept = whole + input.reserveSigma * Math.sqrt(whole) - there;
-      soon = patient = busy + Math.max(0, kept) / input.parts;
-      if (input.part.preempts) slack += Math.max(0, soon - busy) / perMachine;
+      soon = patient = busy + Math.max(0, kept) / input.shards;
+      if (input.shard.preempts) slack += Math.max(0, soon - busy) / perMachine;
     } else {
       // Half of the running work is still to be done.
       const work = (need.waiting + need.running / 2) * runS;
--- a/src/core/learning.ts
+++ b/src/core/capacity/workload-statistics.ts
@@ -4,8 +4,8 @@
   RATE_WINDOW_S,
   RUN_WEIGHT,
   SEEN_MOST,
-} from '../constants.js';
-import type { JobSpec } from './model.js';
+} from '../../constants.js';
+import type { JobSpec } from '../model.js';
 
 /** What is known of a class of jobs. */
 export interface ClassStats {
--- a/src/core/admission.ts
+++ b/src/core/jobs/admission.ts
@@ -1,4 +1,4 @@
-import { fits, type JobSpec, type MachineType, type Team } from './model.js';
+import { fits, type JobSpec, type MachineType, type Team } from '../model.js';
 
 export type Verdict = 'accept' | 'unknown_team' | 'no_machine_type' | 'over_team_limit';
 
--- a/src/core/jobs.ts
+++ b/src/core/jobs/jobs.ts
@@ -1,5 +1,5 @@
-import { RANGE_LEAST, RANGE_MOST, RANGE_NAME_BYTES, SLOT_FILL } from '../constants.js';
-import type { JobRecord, JobSpec, TaskRange, Team } from './model.js';
+import { RANGE_LEAST, RANGE_MOST, RANGE_NAME_BYTES, SLOT_FILL } from '../../constants.js';
+import type { JobRecord, JobSpec, TaskRange, Team } from '../model.js';
 
 /** Completed tasks of a range as a bitmap in hex, four tasks a character, first task first. */
 export const encodeDone = (
@@ -66,10 +66,10 @@
   return h >>> 0;
 };
 
-/** The part of a team whose limit or guarantee needs one book-keeper. */
-export const partOfTeam = (team: string, parts: number): number => hash(team) % parts;
-/** The part that adopts a machine nobody recorded. */
-export const partOfMachine = (name: string, parts: number): number => hash(name) % parts;
+/** The shard of a team whose limit or guarantee needs one book-keeper. */
+export const shardOfTeam = (team: string, shards: number): number => hash(team) % shards;
+/** The shard that adopts a machine nobody recorded. */
+export const shardOfMachine = (name: string, shards: number): number => hash(name) % shards;
 
 /** Tasks of a range whose bitmap fits a value of the state service, beside its name. */
 export const rangeMost = (valueBytes: number): number =>
@@ -78,23 +78,23 @@
     Math.min(RANGE_MOST, 4 * Math.floor(valueBytes * SLOT_FILL - RANGE_NAME_BYTES)),
   );
 
-/** Cuts a job into ranges; the parts are chosen by the caller. */
+/** Cuts a job into ranges; the shards are chosen by the caller. */
 export const cutRanges = (
   tasks: number,
-  parts: number,
+  shards: number,
   whole: boolean,
   most = RANGE_MOST,
 ): [number, number][] => {
-  const wanted = whole ? tasks : Math.max(RANGE_LEAST, Math.ceil(tasks / parts));
+  const wanted = whole ? tasks : Math.max(RANGE_LEAST, Math.ceil(tasks / shards));
   const size = Math.min(wanted, most);
   const out: [number, number][] = [];
   for (let from = 0; from < tasks; from += size) out.push([from, Math.min(tasks, from + size)]);
   return out;
 };
 
-export interface PartLoad {
-  readonly part: number;
-  /** booked share of the part's machines, waiting tasks included */
+export interface ShardLoad {
+  readonly shard: number;
+  /** booked share of the shard's machines, waiting tasks included */
   readonly load: number;
   /** true if the demand fits on some machine now */
   readonly fitsNow: boolean;
@@ -103,12 +103,12 @@
 }
 
 /**
- * Routing of the paper: a random part under the threshold, else the least loaded. A part where the
+ * Routing of the paper: a random shard under the threshold, else the least loaded. A shard where the
  * task fits nowhere passes it to one where it fits, which routing does at once for what it knows,
  * and first of all to one where it need not fetch its image.
  */
-export const choosePart = (
-  loads: readonly PartLoad[],
+export const chooseShard = (
+  loads: readonly ShardLoad[],
   threshold: number,
   random: (below: number) => number,
 ): number => {
@@ -116,11 +116,11 @@
   if (light.length > 0) {
     const choices = [light.filter((l) => l.hasImage), light.filter((l) => l.fitsNow), light];
     const best = choices.find((c) => c.length > 0)!;
-    return best[random(best.length)]!.part;
+    return best[random(best.length)]!.shard;
   }
   let best = loads[0]!;
   for (const l of loads) if (l.load < best.load) best = l;
-  return best.part;
+  return best.shard;
 };
 
 /** True if every range is complete, by what is saved. */
--- a/src/core/model.ts
+++ b/src/core/model.ts
@@ -43,12 +43,12 @@
   readonly deadlineS: number | null;
 }
 
-/** Tasks from..to-1 of a job and the part they live in. `era` is that part's term at arrival. */
+/** Tasks from..to-1 of a job and the shard they live in. `term` is that shard's term at arrival. */
 export interface TaskRange {
   readonly from: number;
   readonly to: number;
-  readonly part: number;
-  readonly era: number;
+  readonly shard: number;
+  readonly term: number;
 }
 
 export interface JobRecord {
@@ -60,9 +60,9 @@
 
 export interface MachineRecord {
   readonly name: string;
-  readonly part: number;
+  readonly shard: number;
   /** term of the owner that recorded it; no earlier owner can have started anything there */
-  readonly era: number;
+  readonly term: number;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
--- a/src/core/candidates.ts
+++ b/src/core/placement/candidates.ts
@@ -1,8 +1,8 @@
 import { satisfiesConstraints } from './constraints.js';
-import type { JobState, MachineState } from './part-records.js';
-import type { PartState } from './part-state.js';
-import { fits, timesIn, type Resources } from './model.js';
-import { VolumeOrder } from './volume-order.js';
+import type { JobState, MachineState } from '../shard/types.js';
+import type { ShardState } from '../shard/shard-state.js';
+import { fits, timesIn, type Resources } from '../model.js';
+import { VolumeOrder } from './unused-volume-index.js';
 
 const replicasOn = (m: MachineState, job: JobState): number => {
   let count = 0;
@@ -25,7 +25,7 @@
   readonly #failed = new Map<string, { demand: Resources; tasks: number }[]>();
 
   constructor(
-    private readonly state: PartState,
+    private readonly state: ShardState,
     private readonly least: Resources,
     readonly now: number,
     /** one machine only: what else had room was offered to the queue before */
--- a/src/core/constraints.ts
+++ b/src/core/placement/constraints.ts
@@ -1,6 +1,6 @@
-import type { JobSpec } from './model.js';
-import type { JobState, MachineState } from './part-records.js';
-import type { PartState } from './part-state.js';
+import type { JobSpec } from '../model.js';
+import type { JobState, MachineState } from '../shard/types.js';
+import type { ShardState } from '../shard/shard-state.js';
 import { tasksAllowedIn } from './zones.js';
 
 /** Everything about a job, besides its size, that decides where it may go: jobs that share it are alike. */
@@ -23,7 +23,7 @@
 
 /** The one check that every start passes. */
 export const isFeasible = (
-  state: PartState,
+  state: ShardState,
   m: MachineState,
   job: JobState,
   now: number,
--- a/src/core/pairing.ts
+++ b/src/core/placement/pairing.ts
@@ -1,4 +1,4 @@
-import { RESOURCE_KINDS, type ResourceKind, type Resources } from './model.js';
+import { RESOURCE_KINDS, type ResourceKind, type Resources } from '../model.js';
 
 /** The resource of which a demand takes the largest share; the first of equals. */
 export const dominant = (share: Resources): ResourceKind => {
--- a/src/core/partners.ts
+++ b/src/core/placement/partners.ts
@@ -1,5 +1,5 @@
-import { placeableTasks } from './failures.js';
-import type { JobState, WorkCounters } from './part-records.js';
+import { placeableTasks } from '../reachability/failure-tracker.js';
+import type { JobState, WorkCounters } from '../shard/types.js';
 import { complement, type TaskGroup } from './pairing.js';
 
 /**
--- a/src/core/limits.ts
+++ b/src/core/placement/quotas.ts
@@ -1,10 +1,10 @@
-import type { JobState } from './part-records.js';
-import type { PartState } from './part-state.js';
-import { add, ZERO, type Resources } from './model.js';
+import type { JobState } from '../shard/types.js';
+import type { ShardState } from '../shard/shard-state.js';
+import { add, ZERO, type Resources } from '../model.js';
 
 /** Limits and guarantees of teams, by what their placed tasks use. */
 export class Limits {
-  constructor(private readonly state: PartState) {}
+  constructor(private readonly state: ShardState) {}
 
   /** How many more tasks of the job its team's limit allows now. */
   underLimit(job: JobState): number {
--- a/src/core/placing.ts
+++ b/src/core/placement/scheduler.ts
@@ -1,20 +1,20 @@
-import { BEGIN_MS, NO_AIM_S } from '../constants.js';
-import { placeableTasks } from './failures.js';
-import { taskKey, type JobState, type MachineState, type Placement } from './part-records.js';
-import { type PartState } from './part-state.js';
-import type { Limits } from './limits.js';
-import { add, fits, RESOURCE_KINDS, type Resources } from './model.js';
+import { BEGIN_MS, NO_AIM_S } from '../../constants.js';
+import { placeableTasks } from '../reachability/failure-tracker.js';
+import { taskKey, type JobState, type MachineState, type Placement } from '../shard/types.js';
+import { type ShardState } from '../shard/shard-state.js';
+import type { Limits } from './quotas.js';
+import { add, fits, RESOURCE_KINDS, type Resources } from '../model.js';
 import { Partners } from './partners.js';
-import type { Preemption } from './preemption.js';
+import type { Preemption } from '../preemption/preemption.js';
 import { Candidates } from './candidates.js';
 
-/** The queue of a part, and where its tasks go. */
+/** The queue of a shard, and where its tasks go. */
 export class Placing {
   /** the last full pass: who found no room, and what all of them ask for at least */
   #last: { stuck: JobState[]; least: Resources } | null = null;
 
   constructor(
-    private readonly state: PartState,
+    private readonly state: ShardState,
     private readonly limits: Limits,
     private readonly preemption: Preemption,
   ) {}
--- a/src/core/volume-order.ts
+++ b/src/core/placement/unused-volume-index.ts
@@ -1,7 +1,7 @@
-import { EQUAL_VOLUME, ORDER_BLOCK, ROUNDING, VOLUME_SLACK } from '../constants.js';
-import { unusedVolume } from './placement.js';
-import type { MachineState } from './part-records.js';
-import type { Resources } from './model.js';
+import { EQUAL_VOLUME, ORDER_BLOCK, ROUNDING, VOLUME_SLACK } from '../../constants.js';
+import { unusedVolume } from './unused-volume.js';
+import type { MachineState } from '../shard/types.js';
+import type { Resources } from '../model.js';
 
 interface Entry {
   readonly m: MachineState;
--- a/src/core/placement.ts
+++ b/src/core/placement/unused-volume.ts
@@ -1,5 +1,5 @@
-import { EQUAL_VOLUME } from '../constants.js';
-import { RESOURCE_KINDS, type Resources } from './model.js';
+import { EQUAL_VOLUME } from '../../constants.js';
+import { RESOURCE_KINDS, type Resources } from '../model.js';
 
 /** Unused resource volume, equation (2) of the paper. */
 export const unusedVolume = (free: Resources, largest: Resources): number => {
--- a/src/core/zones.ts
+++ b/src/core/placement/zones.ts
@@ -1,4 +1,4 @@
-import type { JobState } from './part-records.js';
+import type { JobState } from '../shard/types.js';
 
 /** Zone constraints of jobs. What may still be on a machine counts, whatever was told to it. */
 
--- a/src/core/preemption.ts
+++ b/src/core/preemption/preemption.ts
@@ -1,9 +1,9 @@
-import { COLLECT_SHARE, HOLD_MS, ROOM_TRIES } from '../constants.js';
-import { isFeasible } from './constraints.js';
-import type { JobState, MachineState, Placement } from './part-records.js';
-import type { PartState } from './part-state.js';
-import type { Limits } from './limits.js';
-import { add, dominantShare, fits, timesIn, type JobSpec, type Resources } from './model.js';
+import { COLLECT_SHARE, HOLD_MS, ROOM_TRIES } from '../../constants.js';
+import { isFeasible } from '../placement/constraints.js';
+import type { JobState, MachineState, Placement } from '../shard/types.js';
+import type { ShardState } from '../shard/shard-state.js';
+import type { Limits } from '../placement/quotas.js';
+import { add, dominantShare, fits, timesIn, type JobSpec, type Resources } from '../model.js';
 
 /** A machine that could take tasks of a job, at once or after stopping others. */
 interface Option {
@@ -20,14 +20,14 @@
  */
 export class Preemption {
   constructor(
-    private readonly state: PartState,
+    private readonly state: ShardState,
     private readonly limits: Limits,
   ) {}
 
   /**
    * For the jobs that found no room, in the queue's order. The first gangs collect machines without
    * having enough in sight: so every gang gets its machines at some time, however many smaller jobs
-   * there are. One gang always may, more of them only on a small share of the part's machines.
+   * there are. One gang always may, more of them only on a small share of the shard's machines.
    */
   makeRoom(stuck: readonly JobState[], now: number): void {
     const collecting = new Set<string>();
--- a/src/core/failures.ts
+++ b/src/core/reachability/failure-tracker.ts
@@ -6,9 +6,9 @@
   SICK_JOBS,
   SICK_JOBS_SUSPECT,
   SUSPECT_FAILURES,
-} from '../constants.js';
-import type { JobState, MachineState } from './part-records.js';
-import type { PartState } from './part-state.js';
+} from '../../constants.js';
+import type { JobState, MachineState } from '../shard/types.js';
+import type { ShardState } from '../shard/shard-state.js';
 
 /**
  * Failing tasks: the machine's fault or the job's. A faulty machine fails tasks of every job, a faulty job
@@ -44,7 +44,7 @@
 
 /** Takes in how tasks ended, and judges machines and jobs by it. */
 export class FailureTracker {
-  constructor(private readonly state: PartState) {}
+  constructor(private readonly state: ShardState) {}
 
   /**
    * A task completed: its job can be well, and its machine was. A machine that is condemned already stays
@@ -85,7 +85,7 @@
     const doublings = Math.max(0, job.failures - SUSPECT_FAILURES);
     const seconds = Math.min(JOB_PAUSE_S.most, JOB_PAUSE_S.first * 2 ** doublings);
     job.pausedUntil = now + seconds * 1000;
-    // It does not wait for room now, so no other part needs to look for it.
+    // It does not wait for room now, so no other shard needs to look for it.
     job.stuckSince = null;
   }
 
--- a/src/core/machine-health.ts
+++ b/src/core/reachability/machine-health.ts
@@ -4,22 +4,22 @@
   LOST_REPORTS_SERVING,
   SILENT_REPORTS,
   STOP_PATIENCE,
-} from '../constants.js';
-import { serves, type MachineState, type PartSettings } from './part-records.js';
+} from '../../constants.js';
+import { serves, type MachineState, type ShardSettings } from '../shard/types.js';
 
 /**
- * What a part concludes from the reports of its machines: which may get work, which should be asked, and
+ * What a shard concludes from the reports of its machines: which may get work, which should be asked, and
  * which are better returned to the cloud.
  */
 export class MachineHealth {
   constructor(
     private readonly term: number,
-    private readonly settings: PartSettings,
+    private readonly settings: ShardSettings,
   ) {}
 
   /** An earlier owner may have started something there. */
   inherited(m: MachineState): boolean {
-    return m.record.era !== this.term && m.record.up;
+    return m.record.term !== this.term && m.record.up;
   }
 
   /**
--- a/src/core/commands.ts
+++ b/src/core/shard/command-planner.ts
@@ -1,17 +1,11 @@
-import { FORGET_AFTER_MS, FORGET_MOST, STOP_OVERDUE_S } from '../constants.js';
-import {
-  attemptKey,
-  neverSent,
-  taskKey,
-  type MachineState,
-  type Placement,
-} from './part-records.js';
-import { type PartState } from './part-state.js';
-import type { Command, Report } from './model.js';
+import { FORGET_AFTER_MS, FORGET_MOST, STOP_OVERDUE_S } from '../../constants.js';
+import { attemptKey, neverSent, taskKey, type MachineState, type Placement } from './types.js';
+import { type ShardState } from './shard-state.js';
+import type { Command, Report } from '../model.js';
 
-/** The commands that make workers do what the part's state say. */
+/** The commands that make workers do what the shard's state say. */
 export class CommandPlanner {
-  constructor(private readonly state: PartState) {}
+  constructor(private readonly state: ShardState) {}
 
   #stopCommand(p: Placement, now: number): Command {
     const stop = p.stop!;
--- a/src/core/reports.ts
+++ b/src/core/shard/heartbeat-reconciler.ts
@@ -1,20 +1,14 @@
-import { FULL_PAUSE_MS, IGNORED_ORDERS } from '../constants.js';
-import { FailureTracker } from './failures.js';
-import {
-  neverSent,
-  taskKey,
-  type JobState,
-  type MachineState,
-  type Placement,
-} from './part-records.js';
-import { type PartState } from './part-state.js';
-import type { JobSpec, Report, ReportedTask } from './model.js';
+import { FULL_PAUSE_MS, IGNORED_ORDERS } from '../../constants.js';
+import { FailureTracker } from '../reachability/failure-tracker.js';
+import { neverSent, taskKey, type JobState, type MachineState, type Placement } from './types.js';
+import { type ShardState } from './shard-state.js';
+import type { JobSpec, Report, ReportedTask } from '../model.js';
 
-/** What workers report, taken into the part's state. */
+/** What workers report, taken into the shard's state. */
 export class Reports {
   readonly #failures: FailureTracker;
 
-  constructor(private readonly state: PartState) {
+  constructor(private readonly state: ShardState) {
     this.#failures = new FailureTracker(state);
   }
 
--- a/src/core/part-state.ts
+++ b/src/core/shard/shard-state.ts
@@ -5,11 +5,11 @@
   TRANSFER_AGAIN_MS,
   ROUNDING,
   WORKER_LEASE_MARGIN_MS,
-} from '../constants.js';
-import { constraintKey } from './constraints.js';
-import { tasksInNeed } from './failures.js';
-import { decodeDone } from './jobs.js';
-import { dominant } from './pairing.js';
+} from '../../constants.js';
+import { constraintKey } from '../placement/constraints.js';
+import { tasksInNeed } from '../reachability/failure-tracker.js';
+import { decodeDone } from '../jobs/jobs.js';
+import { dominant } from '../placement/pairing.js';
 import {
   add,
   largestCapacity,
@@ -20,28 +20,28 @@
   type MachineRecord,
   type Resources,
   type TaskRange,
-} from './model.js';
-import { TaskSet } from './task-set.js';
-import { MachineHealth } from './machine-health.js';
+} from '../model.js';
+import { TaskSet } from '../jobs/task-set.js';
+import { MachineHealth } from '../reachability/machine-health.js';
 import {
   neverSent,
   taskKey,
   type Placement,
   type JobState,
   type MachineState,
-  type PartSettings,
+  type ShardSettings,
   type Changes,
-  type PartView,
+  type ShardView,
   type TaskEvent,
   type FinishedRun,
   type WorkCounters,
-} from './part-records.js';
+} from './types.js';
 
 /**
- * What one part knows under one term: its jobs, its machines, and which task is where. The other
- * modules of a part read and change it; nothing here decides where something should run.
+ * What one shard knows under one term: its jobs, its machines, and which task is where. The other
+ * modules of a shard read and change it; nothing here decides where something should run.
  */
-export class PartState {
+export class ShardState {
   readonly jobs = new Map<string, JobState>();
   readonly machines = new Map<string, MachineState>();
   /** what happened to tasks, for the log */
@@ -62,7 +62,7 @@
   constructor(
     readonly index: number,
     readonly term: number,
-    readonly settings: PartSettings,
+    readonly settings: ShardSettings,
   ) {
     this.health = new MachineHealth(term, settings);
     this.largest = largestCapacity(settings.types.values());
@@ -74,7 +74,7 @@
    * Takes over what the state service says: jobs and machines come and go. With `changes` only what
    * has changed since the last time is looked at.
    */
-  sync(view: PartView, now: number, nowOfDay = 0, changes: Changes | null = null): void {
+  sync(view: ShardView, now: number, nowOfDay = 0, changes: Changes | null = null): void {
     if (changes === null || changes.machines) this.#syncMachines(view, now);
     const uids = new Set(changes?.jobs ?? [...this.jobs.keys(), ...view.jobs.keys()]);
     for (const uid of this.unsynced) uids.add(uid);
@@ -83,15 +83,15 @@
       const record = view.jobs.get(uid)?.value;
       if (record !== undefined) this.#syncJob(record, view, now, nowOfDay);
       const job = this.jobs.get(uid);
-      if (job === undefined || (record?.ranges.some((r) => r.part === this.index) ?? false))
+      if (job === undefined || (record?.ranges.some((r) => r.shard === this.index) ?? false))
         continue;
       this.#endJob(job, now);
     }
   }
 
-  #syncMachines(view: PartView, now: number): void {
+  #syncMachines(view: ShardView, now: number): void {
     for (const { value: record } of view.machines.values()) {
-      if (record.part !== this.index) {
+      if (record.shard !== this.index) {
         // It may come back, if shares are moved to and fro.
         this.gone.delete(record.name);
         continue;
@@ -102,7 +102,7 @@
     }
     for (const m of [...this.machines.values()]) {
       const record = view.machines.get(m.record.name)?.value;
-      if (record !== undefined && record.part === this.index) continue;
+      if (record !== undefined && record.shard === this.index) continue;
       // A record that goes without a return of ours says nothing of the machine: what runs there is
       // gone only when the lease that we renewed last has run out.
       m.leaving = true;
@@ -112,7 +112,7 @@
   }
 
   #updateRecord(m: MachineState, record: MachineRecord): void {
-    if (record.era !== this.term) this.#rebuilt = false;
+    if (record.term !== this.term) this.#rebuilt = false;
     m.record = record;
   }
 
@@ -159,7 +159,7 @@
     });
   }
 
-  #syncJob(record: JobRecord, view: PartView, now: number, nowOfDay: number): void {
+  #syncJob(record: JobRecord, view: ShardView, now: number, nowOfDay: number): void {
     const spec = record.spec;
     let job = this.jobs.get(spec.uid);
     if (job !== undefined && job.transferring.length > 0) {
@@ -167,7 +167,7 @@
       return;
     }
     for (const range of record.ranges) {
-      if (range.part !== this.index || (job !== undefined && job.own.has(range.from))) continue;
+      if (range.shard !== this.index || (job !== undefined && job.own.has(range.from))) continue;
       job ??= {
         spec,
         rank: PRIORITY_RANK[spec.priority],
@@ -199,7 +199,7 @@
       const done = bits === undefined ? new Set<number>() : decodeDone(range, bits);
       for (let i = range.from; i < range.to; i++) {
         job.own.add(i);
-        if (range.era !== this.term) job.inherited.add(i);
+        if (range.term !== this.term) job.inherited.add(i);
         // A service is never done, whatever somebody may have saved of it.
         if (done.has(i) && spec.kind !== 'service') job.saved.add(i);
         else job.waiting.push(i);
@@ -208,7 +208,7 @@
   }
 
   /**
-   * Tasks at the end of a range that may pass to another part: all of a job that stays whole, else as
+   * Tasks at the end of a range that may pass to another shard: all of a job that stays whole, else as
    * many as have never been placed since the range's last placed task. Nothing of it may be running,
    * so an inherited range must be rebuilt first.
    */
@@ -219,7 +219,7 @@
     const whole = job.spec.kind === 'gang' || job.spec.oneZone || job.spec.spread;
     if (whole && (job.placed.size > 0 || job.saved.size + job.unsaved.size > 0)) return null;
     for (const range of record.ranges) {
-      if (range.part !== this.index) continue;
+      if (range.shard !== this.index) continue;
       let from = range.to;
       while (from > range.from && waiting.has(from - 1)) from -= 1;
       if (from < range.to && !(whole && from > range.from)) return { range, from };
@@ -233,7 +233,7 @@
     job.waiting = job.waiting.filter((i) => i < from || i >= to);
   }
 
-  /** Settled: they belong to the other part now, or are ours as before. */
+  /** Settled: they belong to the other shard now, or are ours as before. */
   endTransfer(job: JobState, passed: boolean, now: number): void {
     const tasks = job.transferring;
     job.transferring = [];
--- a/src/core/part.ts
+++ b/src/core/shard/shard.ts
@@ -1,24 +1,24 @@
-import type { JobRecord, Command, Report, ReportedTask, TaskRange } from './model.js';
+import type { JobRecord, Command, Report, ReportedTask, TaskRange } from '../model.js';
 import {
   type Changes,
   type FinishedRun,
   type JobState,
   type MachineState,
-  type PartSettings,
-  type PartView,
+  type ShardSettings,
+  type ShardView,
   type Placement,
   type TaskEvent,
-} from './part-records.js';
-import { PartState } from './part-state.js';
-import { bookedShares } from './booked-shares.js';
-import { Limits } from './limits.js';
-import { CommandPlanner } from './commands.js';
-import { Placing } from './placing.js';
-import { Preemption } from './preemption.js';
-import { Reports } from './reports.js';
+} from './types.js';
+import { ShardState } from './shard-state.js';
+import { bookedShares } from '../capacity/allocation-ratio.js';
+import { Limits } from '../placement/quotas.js';
+import { CommandPlanner } from './command-planner.js';
+import { Placing } from '../placement/scheduler.js';
+import { Preemption } from '../preemption/preemption.js';
+import { Reports } from './heartbeat-reconciler.js';
 
-export { serves } from './part-records.js';
-export type { JobState, MachineState, PartSettings, PartView, Placement } from './part-records.js';
+export { serves } from './types.js';
+export type { JobState, MachineState, ShardSettings, ShardView, Placement } from './types.js';
 
 export type HeartbeatResult =
   | { readonly kind: 'answer'; readonly commands: Command[] }
@@ -30,11 +30,11 @@
 const isLive = (t: ReportedTask): boolean => t.state !== 'exited';
 
 /**
- * One part's state under one term: reports in, wanted commands out. Time is passed in; nothing here
+ * One shard's state under one term: reports in, wanted commands out. Time is passed in; nothing here
  * does input or output.
  */
-export class Part {
-  readonly state: PartState;
+export class Shard {
+  readonly state: ShardState;
   readonly #reports: Reports;
   readonly #orders: CommandPlanner;
   readonly #placing: Placing;
@@ -42,9 +42,9 @@
   constructor(
     readonly index: number,
     readonly term: number,
-    settings: PartSettings,
+    settings: ShardSettings,
   ) {
-    this.state = new PartState(index, term, settings);
+    this.state = new ShardState(index, term, settings);
     const limits = new Limits(this.state);
     this.#reports = new Reports(this.state);
     this.#orders = new CommandPlanner(this.state);
@@ -101,7 +101,7 @@
     if (newer) this.#reports.observe(m, report, now, true);
   }
 
-  // --- what the part's state know -----------------------------------------------------------------------
+  // --- what the shard's state know -----------------------------------------------------------------------
 
   get jobs(): ReadonlyMap<string, JobState> {
     return this.state.jobs;
@@ -121,7 +121,7 @@
   get preempts(): boolean {
     return this.state.settings.preempt;
   }
-  sync(view: PartView, now: number, nowOfDay = 0, changes: Changes | null = null): void {
+  sync(view: ShardView, now: number, nowOfDay = 0, changes: Changes | null = null): void {
     this.state.sync(view, now, nowOfDay, changes);
   }
   saved(uid: string, indexes: Iterable<number>): void {
@@ -145,7 +145,7 @@
   ignoresCommands(m: MachineState, now: number): boolean {
     return this.state.health.ignoresCommands(m, now);
   }
-  /** Machines of the part should report, and none has done so for the time, however new the owner is. */
+  /** Machines of the shard should report, and none has done so for the time, however new the owner is. */
   hearsNobody(now: number, forMs: number): boolean {
     return this.state.hearsNobody(now, forMs);
   }
@@ -155,7 +155,7 @@
   isFresh(m: MachineState, now: number): boolean {
     return this.state.health.isFresh(m, now);
   }
-  /** Booked share of the part for each rank, as `loadIndex` numbers them. */
+  /** Booked share of the shard for each rank, as `loadIndex` numbers them. */
   loads(now: number): number[] {
     return bookedShares(this.state, now);
   }
--- a/src/core/part-records.ts
+++ b/src/core/shard/types.ts
@@ -6,13 +6,13 @@
   ResourceKind,
   Resources,
   Team,
-} from './model.js';
+} from '../model.js';
 
-import type { TaskSet } from './task-set.js';
+import type { TaskSet } from '../jobs/task-set.js';
 
 /**
- * What one part knows of its jobs, its machines and which task is where: the data that the modules of a
- * part share. PartState keeps them up to date.
+ * What one shard knows of its jobs, its machines and which task is where: the data that the modules of a
+ * shard share. PartState keeps them up to date.
  */
 
 /** A task on a machine, from the decision to start it until it is proven gone. */
@@ -43,10 +43,10 @@
   readonly acceptedAt: number;
   /** accepted, by the steady clock, ms */
   readonly seenAt: number;
-  /** tasks of this part that are neither saved nor placed, in order of number */
+  /** tasks of this shard that are neither saved nor placed, in order of number */
   waiting: number[];
   readonly own: TaskSet;
-  /** tasks that an earlier owner of the part may have started */
+  /** tasks that an earlier owner of the shard may have started */
   readonly inherited: TaskSet;
   readonly placed: Map<number, Placement>;
   readonly saved: TaskSet;
@@ -64,7 +64,7 @@
   broken: boolean;
   /** since when tasks wait without room, steady ms */
   stuckSince: number | null;
-  /** tasks that are being passed to another part: they start nowhere until that is settled */
+  /** tasks that are being passed to another shard: they start nowhere until that is settled */
   transferring: number[];
   /** the earliest time of the next pass */
   transferAfter: number;
@@ -112,10 +112,10 @@
   condemned: boolean;
   /** to be returned: no starts, and what runs is stopped */
   leaving: boolean;
-  /** its record is gone or another part's, although we have not returned it */
+  /** its record is gone or another shard's, although we have not returned it */
   unrecorded: boolean;
   returning: boolean;
-  /** chosen to move to another part: no starts, what runs goes on */
+  /** chosen to move to another shard: no starts, what runs goes on */
   moving: boolean;
   /** tasks that its newest report lists, ended ones included */
   listed: number;
@@ -126,7 +126,7 @@
   free: Resources;
 }
 
-export interface PartSettings {
+export interface ShardSettings {
   readonly reportMs: number;
   readonly leaseMs: number;
   readonly cancelMs: number;
@@ -139,7 +139,7 @@
   readonly startWithin: (jobClass: string) => readonly number[];
 }
 
-/** How much was looked at for decisions since the part was built: it must not grow with the fleet. */
+/** How much was looked at for decisions since the shard was built: it must not grow with the fleet. */
 export interface WorkCounters {
   /** machines that were tried for a task or a pair */
   machinesVisited: number;
@@ -153,10 +153,10 @@
   readonly machines: boolean;
 }
 
-/** What the state service says about this part. */
-export interface PartView {
+/** What the state service says about this shard. */
+export interface ShardView {
   readonly jobs: ReadonlyMap<string, { readonly value: JobRecord }>;
-  /** completed tasks of a range of this part, as saved */
+  /** completed tasks of a range of this shard, as saved */
   done(uid: string, from: number): string | undefined;
   readonly machines: ReadonlyMap<string, { readonly value: MachineRecord }>;
 }
--- a/src/duties/clearing.ts
+++ b/src/duties/clearing.ts
@@ -13,10 +13,10 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { DutiesConfig } from '../config/duties.js';
 import { CLEAR_ROUND_MS, CLOCK_DRIFT, LIST_PAGE, RETENTION_WRITE_MS } from '../constants.js';
-import { CALL, StateTrouble, type Entry, type StateClient } from '../state/client.js';
-import { dutyEntryKey } from '../state/duty-entries.js';
-import { FINAL, key } from '../state/keys.js';
-import type { WatchCache } from '../state/watch-cache.js';
+import { CALL, StateTrouble, type Entry, type StateClient } from '../store/store-client.js';
+import { dutyEntryKey } from '../store/duty-entries.js';
+import { FINAL, key } from '../store/keys.js';
+import type { WatchCache } from '../store/watch-cache.js';
 import { CLEAR, type DutyController } from './duty-controller.js';
 
 /** What clearing needs of the process. */
@@ -26,8 +26,8 @@
   readonly cache: WatchCache;
   /** the key of this node's own life, which a lease holds for sure */
   readonly ownNodeKey: string;
-  /** number of parts */
-  readonly parts: number;
+  /** number of shards */
+  readonly shards: number;
   /** puts and deletes of a transaction */
   readonly transactionOps: number;
   /** steady ms */
@@ -42,7 +42,7 @@
 type Clearable = Pick<Entry, 'key' | 'revision'>;
 
 /**
- * The duty of clearing old state: final states and ended moves that are older than their retention time, rentals of parts that
+ * The duty of clearing old state: final states and ended moves that are older than their retention time, rentals of shards that
  * do not exist any more, and node records that no lease holds.
  *
  * How old a final state is follows from its revision: the holder notes which revisions were reached how much
@@ -181,25 +181,25 @@
     }
   }
 
-  /** Rentals of parts that no setting names and nobody owns. Machines that they got are reclaimed. */
+  /** Rentals of shards that no setting names and nobody owns. Machines that they got are reclaimed. */
   async #clearHires(authorization: Authorization): Promise<void> {
     const { tables } = this.ports.cache;
     for (const { value: hire, revision } of tables['hires/'].values()) {
-      if (hire.part < this.ports.parts || this.#ownerLives(hire.part)) continue;
-      const name = key.hire(hire.part, hire.name);
+      if (hire.shard < this.ports.shards || this.#ownerLives(hire.shard)) continue;
+      const name = key.hire(hire.shard, hire.name);
       if (!(await this.#drop(authorization, { key: name, revision }))) return;
-      this.ports.log.info({ part: hire.part, hire: hire.name }, 'rental of no part cleared');
+      this.ports.log.info({ shard: hire.shard, hire: hire.name }, 'rental of no shard cleared');
     }
   }
 
-  #ownerLives(part: number): boolean {
+  #ownerLives(shard: number): boolean {
     const { tables } = this.ports.cache;
-    const owner = tables['parts/'].get(String(part))?.value;
+    const owner = tables['parts/'].get(String(shard))?.value;
     return owner !== undefined && tables['nodes/'].has(`${owner.owner}/${owner.incarnation}`);
   }
 
   /**
-   * Records of nodes that no lease holds, and that would keep their parts from everybody. Only if the state service
+   * Records of nodes that no lease holds, and that would keep their shards from everybody. Only if the state service
    * tells leases at all: our own record is held by one for sure.
    */
   async #clearNodes(authorization: Authorization): Promise<void> {
--- a/src/duties/duties.ts
+++ b/src/duties/duties.ts
@@ -5,11 +5,11 @@
 import type { PlatformConfig } from '../config/platform.js';
 import type { SharesConfig } from '../config/shares.js';
 import { Mover } from '../shares/mover.js';
-import type { Reclaimer } from '../parts/unrecorded-machines.js';
-import type { StateClient } from '../state/client.js';
-import { dutyEntryKey } from '../state/duty-entries.js';
-import { key } from '../state/keys.js';
-import type { WatchCache } from '../state/watch-cache.js';
+import type { Reclaimer } from '../shards/orphaned-instances.js';
+import type { StateClient } from '../store/store-client.js';
+import { dutyEntryKey } from '../store/duty-entries.js';
+import { key } from '../store/keys.js';
+import type { WatchCache } from '../store/watch-cache.js';
 import type { Condition } from '../wire/schemas.js';
 import { Clearing } from './clearing.js';
 import { DutyController } from './duty-controller.js';
@@ -40,8 +40,8 @@
   readonly #clearing: Clearing;
   readonly #mover: Mover | null;
   readonly #cache: WatchCache;
-  /** records returns of parts; null if that is switched off */
-  readonly partReturns: ReturnIntents | null;
+  /** records returns of shards; null if that is switched off */
+  readonly shardReturns: ReturnIntents | null;
   /** returns machines that no record knows; null if that is switched off */
   readonly reclaimer: Reclaimer | null;
 
@@ -59,7 +59,7 @@
     this.#controller = new DutyController({ node: platform.node, incarnation }, switched, ports);
     const duties = this.#controller;
     const intents = new ReturnIntents(client, cache, valueBytes);
-    this.partReturns = config.recordReturns ? intents : null;
+    this.shardReturns = config.recordReturns ? intents : null;
     const reclaiming = new Reclaiming(transactionOps, { ...ports, duties, intents });
     this.reclaimer = config.reclaim ? { reclaiming, intents } : null;
     this.#mover = shares === null ? null : new Mover({ ...ports, duties });
@@ -67,7 +67,7 @@
       ...ports,
       duties,
       ownNodeKey: key.node(platform.node, incarnation),
-      parts: platform.nodes,
+      shards: platform.nodes,
       transactionOps,
     });
   }
--- a/src/duties/duty-controller.ts
+++ b/src/duties/duty-controller.ts
@@ -15,15 +15,15 @@
 import type { Logger } from 'pino';
 import type { DutiesConfig } from '../config/duties.js';
 import { DUTY_GRACE_MS } from '../constants.js';
-import { CALL, type CallClass, type StateClient } from '../state/client.js';
-import { key, type Decoded } from '../state/keys.js';
-import type { Cached, WatchCache } from '../state/watch-cache.js';
+import { CALL, type CallClass, type StateClient } from '../store/store-client.js';
+import { key, type Decoded } from '../store/keys.js';
+import type { Cached, WatchCache } from '../store/watch-cache.js';
 
 /** Returning machines that no record knows. */
 export const RECLAIM = 'reclaim';
 /** Clearing old state. */
 export const CLEAR = 'clear';
-/** Moving machines between parts. */
+/** Moving machines between shards. */
 export const MOVE = 'move';
 /** All duties that exist, whether switched on or not. */
 export const DUTY_NAMES = [RECLAIM, CLEAR, MOVE] as const;
--- a/src/duties/reclaiming.ts
+++ b/src/duties/reclaiming.ts
@@ -2,8 +2,8 @@
 import type { Logger } from 'pino';
 import type { CloudClient } from '../cloud/client.js';
 import { CONDITIONS_PER_OP, RETURN_MOST } from '../constants.js';
-import { key } from '../state/keys.js';
-import type { WatchCache } from '../state/watch-cache.js';
+import { key } from '../store/keys.js';
+import type { WatchCache } from '../store/watch-cache.js';
 import type { ListedMachine } from '../wire/schemas.js';
 import { RECLAIM, type DutyController } from './duty-controller.js';
 import type { ReturnIntents } from './return-intents.js';
@@ -31,7 +31,7 @@
     private readonly ports: ReclaimingPorts,
   ) {}
 
-  /** Whether such machines are returned by the duty's holder, and not adopted by a part. */
+  /** Whether such machines are returned by the duty's holder, and not adopted by a shard. */
   get begun(): boolean {
     return this.ports.duties.begun;
   }
--- a/src/duties/return-intents.ts
+++ b/src/duties/return-intents.ts
@@ -4,9 +4,9 @@
   type Condition,
   type Write,
 } from '@sumacstep/duties';
-import { CALL, type StateClient } from '../state/client.js';
-import { dutyEntryKey, encodeReturns, type ReturnList } from '../state/duty-entries.js';
-import type { WatchCache } from '../state/watch-cache.js';
+import { CALL, type StateClient } from '../store/store-client.js';
+import { dutyEntryKey, encodeReturns, type ReturnList } from '../store/duty-entries.js';
+import type { WatchCache } from '../store/watch-cache.js';
 
 const NONE: ReadonlySet<string> = new Set();
 
--- a/src/main.ts
+++ b/src/main.ts
@@ -8,7 +8,7 @@
 import { loadOperator } from './config/operator.js';
 import { ConfigError, loadPlatform } from './config/platform.js';
 import { openLog } from './log.js';
-import { Service } from './service.js';
+import { Service } from './service/service.js';
 
 interface Options {
   readonly config: string;
@@ -81,7 +81,7 @@
     .requiredOption('--config <file>', 'settings of the platform (TOML)')
     .option('--operator <file>', "the operator's own settings (INI)")
     .option('--duties <file>', 'switches exclusive duties on, by their settings (INI)')
-    .option('--shares <file>', 'switches moves of machines between parts on (INI)');
+    .option('--shares <file>', 'switches moves of machines between shards on (INI)');
 
 withFiles(program.command('serve').description('run one controller')).action(serve);
 withFiles(program.command('check').description('check the settings and name every problem')).action(
--- a/src/peers/part-directory.ts
+++ b/src/peers/shard-directory.ts
@@ -1,12 +1,12 @@
 import { BALANCE_MARGIN, BALANCE_RATIO, SOON_MS, UNKNOWN_LOAD } from '../constants.js';
-import { loadIndex } from '../core/booked-shares.js';
-import type { PartLoad } from '../core/jobs.js';
+import { loadIndex } from '../core/capacity/allocation-ratio.js';
+import type { ShardLoad } from '../core/jobs/jobs.js';
 import { fits, PRIORITY_RANK, timesIn, type JobSpec, type Resources } from '../core/model.js';
-import type { MachineState, Part } from '../core/part.js';
+import type { MachineState, Shard } from '../core/shard/shard.js';
 import type { PeerStatus, RoomStatus } from './frames.js';
 
 /**
- * What this node knows of all parts: its own from their state, the others from what their owners said
+ * What this node knows of all shards: its own from their state, the others from what their owners said
  * last. Everything here may be some seconds old and is only used to route and to plan, never to decide
  * whether a task may start.
  */
@@ -21,7 +21,7 @@
   fresh(): readonly PeerStatus[];
 }
 
-type OwnedParts = ReadonlyMap<number, { readonly part: Part }>;
+type OwnedShards = ReadonlyMap<number, { readonly shard: Shard }>;
 
 /** All ranks, the lowest first. */
 const RANKS = Object.values(PRIORITY_RANK).sort((a, b) => a - b);
@@ -34,7 +34,7 @@
   (!room.spot || spec.spot);
 
 /** Machines with room, those alike put together: after a boot wave there are a hundred of them. */
-const roomsOf = (part: Part, now: number): RoomStatus[] => {
+const roomsOf = (shard: Shard, now: number): RoomStatus[] => {
   const out = new Map<string, RoomStatus>();
   const note = (machine: MachineState, free: Resources, rank: number) => {
     const { type, zone, spot } = machine.record;
@@ -51,141 +51,144 @@
       if (!known.images.includes(image)) known.images.push(image);
     }
   };
-  for (const machine of part.rooms(now)) note(machine, machine.free, 0);
-  for (const { m, rank } of part.displaceable(now)) if (m.type !== null) note(m, m.type, rank);
+  for (const machine of shard.rooms(now)) note(machine, machine.free, 0);
+  for (const { m, rank } of shard.displaceable(now)) if (m.type !== null) note(m, m.type, rank);
   return [...out.values()];
 };
 
-/** Loads, room and progress of all parts. */
-export class PartDirectory {
-  /** the loads of our own parts as last told to the others */
+/** Loads, room and progress of all shards. */
+export class ShardDirectory {
+  /** the loads of our own shards as last told to the others */
   readonly #toldLoads = new Map<number, number[]>();
-  /** the room of our own parts as of some moments ago */
-  readonly #roomsLately = new Map<number, { of: Part; at: number; rooms: readonly RoomStatus[] }>();
+  /** the room of our own shards as of some moments ago */
+  readonly #roomsLately = new Map<
+    number,
+    { of: Shard; at: number; rooms: readonly RoomStatus[] }
+  >();
   /** what each node told of its jobs, by job: users ask many times a second */
   readonly #progressTold = new WeakMap<PeerStatus['jobs'], Map<string, PeerStatus['jobs']>>();
 
   constructor(
-    private readonly parts: number,
-    private readonly owned: () => OwnedParts,
+    private readonly shards: number,
+    private readonly owned: () => OwnedShards,
     private readonly peers: PeerStatuses,
     private readonly now: () => number,
   ) {}
 
-  #own(part: number): Part | undefined {
-    return this.owned().get(part)?.part;
+  #own(shard: number): Shard | undefined {
+    return this.owned().get(shard)?.shard;
   }
 
-  #told(part: number): PeerStatus['parts'][number] | undefined {
-    for (const { parts } of this.peers.heard()) {
-      const told = parts.find((p) => p.part === part);
+  #told(shard: number): PeerStatus['parts'][number] | undefined {
+    for (const { parts: shards } of this.peers.heard()) {
+      const told = shards.find((p) => p.part === shard);
       if (told !== undefined) return told;
     }
     return undefined;
   }
 
-  #rooms(part: number): readonly RoomStatus[] {
-    const own = this.#own(part);
-    return own === undefined ? (this.#told(part)?.rooms ?? []) : this.#ownRooms(part, own);
+  #rooms(shard: number): readonly RoomStatus[] {
+    const own = this.#own(shard);
+    return own === undefined ? (this.#told(shard)?.rooms ?? []) : this.#ownRooms(shard, own);
   }
 
   /** Looking through the machines takes time, and a burst of submissions asks again and again. */
-  #ownRooms(index: number, part: Part): readonly RoomStatus[] {
+  #ownRooms(index: number, shard: Shard): readonly RoomStatus[] {
     const now = this.now();
     const known = this.#roomsLately.get(index);
-    if (known !== undefined && known.of === part && now - known.at < SOON_MS) return known.rooms;
-    const rooms = roomsOf(part, now);
-    this.#roomsLately.set(index, { of: part, at: now, rooms });
+    if (known !== undefined && known.of === shard && now - known.at < SOON_MS) return known.rooms;
+    const rooms = roomsOf(shard, now);
+    this.#roomsLately.set(index, { of: shard, at: now, rooms });
     return rooms;
   }
 
-  /** What the others are told of one of this node's parts; `detailed` adds its machines' images. */
-  describe(index: number, part: Part, detailed: boolean): PeerStatus['parts'][number] {
+  /** What the others are told of one of this node's shards; `detailed` adds its machines' images. */
+  describe(index: number, shard: Shard, detailed: boolean): PeerStatus['parts'][number] {
     const now = this.now();
-    const images = [...(detailed ? part.machines.values() : [])]
+    const images = [...(detailed ? shard.machines.values() : [])]
       .filter((m) => m.images.size > 0)
       .map((m) => ({
         machine: m.record.name,
         images: [...m.images.keys()],
         gb: [...m.images.values()],
       }));
-    const loads = part.loads(now);
+    const loads = shard.loads(now);
     this.#toldLoads.set(index, loads);
-    const waiting = RANKS.map((rank) => part.waiting(rank, now));
+    const waiting = RANKS.map((rank) => shard.waiting(rank, now));
     return {
       part: index,
       loads,
-      rooms: roomsOf(part, now),
+      rooms: roomsOf(shard, now),
       waiting,
       images,
-      busy: part.busy(now),
+      busy: shard.busy(now),
     };
   }
 
-  /** The load of every part for the job, and whether it would find room there now. */
-  loads(spec: JobSpec): PartLoad[] {
+  /** The load of every shard for the job, and whether it would find room there now. */
+  loads(spec: JobSpec): ShardLoad[] {
     const rank = PRIORITY_RANK[spec.priority];
-    const out: PartLoad[] = [];
-    for (let part = 0; part < this.parts; part++) {
-      const own = this.#own(part);
+    const out: ShardLoad[] = [];
+    for (let shard = 0; shard < this.shards; shard++) {
+      const own = this.#own(shard);
       // Our own figures are as old as those of the others, at most a second: submissions are many.
-      const loads = own === undefined ? this.#told(part)?.loads : this.#toldLoads.get(part);
+      const loads = own === undefined ? this.#told(shard)?.loads : this.#toldLoads.get(shard);
       const load = loads?.[loadIndex(rank, spec.spot)] ?? UNKNOWN_LOAD;
-      const fitting = this.#rooms(part).filter((r) => r.rank === 0 && roomFits(spec, r));
+      const fitting = this.#rooms(shard).filter((r) => r.rank === 0 && roomFits(spec, r));
       const hasImage = fitting.some((r) => r.images.includes(spec.image));
-      out.push({ part, load, fitsNow: fitting.length > 0, hasImage });
+      out.push({ shard, load, fitsNow: fitting.length > 0, hasImage });
     }
     return out;
   }
 
-  /** The part other than `not` with room for the job, rather one that holds its image. */
-  roomElsewhere(spec: JobSpec, not: number): { part: number; tasks: number } | null {
+  /** The shard other than `not` with room for the job, rather one that holds its image. */
+  roomElsewhere(spec: JobSpec, not: number): { shard: number; tasks: number } | null {
     const rank = PRIORITY_RANK[spec.priority];
-    let best: { part: number; tasks: number; image: boolean } | null = null;
-    for (let part = 0; part < this.parts; part++) {
-      if (part === not) continue;
-      // A part with tasks of its own waiting, of this rank or above, has no room to offer.
-      const own = this.#own(part);
+    let best: { shard: number; tasks: number; image: boolean } | null = null;
+    for (let shard = 0; shard < this.shards; shard++) {
+      if (shard === not) continue;
+      // A shard with tasks of its own waiting, of this rank or above, has no room to offer.
+      const own = this.#own(shard);
       const waiting =
-        own === undefined ? (this.#told(part)?.waiting[rank] ?? 1) : own.waiting(rank, this.now());
+        own === undefined ? (this.#told(shard)?.waiting[rank] ?? 1) : own.waiting(rank, this.now());
       if (waiting > 0) continue;
-      const rooms = this.#rooms(part).filter((r) => roomFits(spec, r));
+      const rooms = this.#rooms(shard).filter((r) => roomFits(spec, r));
       const tasks = rooms.reduce((sum, r) => sum + timesIn(spec.demand, r) * r.count, 0);
       const image = rooms.some((r) => r.images.includes(spec.image));
       if (tasks === 0) continue;
-      if (best === null || (image && !best.image)) best = { part, tasks, image };
+      if (best === null || (image && !best.image)) best = { shard, tasks, image };
     }
     return best;
   }
 
   /**
-   * The least booked part for the job, if it is booked so much less than `than` that the job begins
+   * The least booked shard for the job, if it is booked so much less than `than` that the job begins
    * sooner there although it has no room now either. Null if none is, or too little is known.
    */
   lessBooked(spec: JobSpec, than: number): number | null {
     const index = loadIndex(PRIORITY_RANK[spec.priority], spec.spot);
     const own = this.#toldLoads.get(than)?.[index];
     if (own === undefined) return null;
-    let least: { part: number; load: number } | null = null;
-    for (let part = 0; part < this.parts; part++) {
+    let least: { shard: number; load: number } | null = null;
+    for (let shard = 0; shard < this.shards; shard++) {
       const loads =
-        this.#own(part) === undefined ? this.#told(part)?.loads : this.#toldLoads.get(part);
+        this.#own(shard) === undefined ? this.#told(shard)?.loads : this.#toldLoads.get(shard);
       const load = loads?.[index];
-      if (part === than || load === undefined) continue;
-      if (least === null || load < least.load) least = { part, load };
+      if (shard === than || load === undefined) continue;
+      if (least === null || load < least.load) least = { shard, load };
     }
     if (least === null) return null;
     const worthIt = own > Math.max(least.load * BALANCE_RATIO, least.load + BALANCE_MARGIN);
-    return worthIt ? least.part : null;
+    return worthIt ? least.shard : null;
   }
 
-  /** Tasks of each class, waiting or placed, in all parts but one. */
+  /** Tasks of each class, waiting or placed, in all shards but one. */
   busyElsewhere(not: number): Map<string, number> {
     const out = new Map<string, number>();
-    for (let part = 0; part < this.parts; part++) {
-      if (part === not) continue;
-      for (const { jobClass, tasks } of this.#own(part)?.busy(this.now()) ??
-        this.#told(part)?.busy ??
+    for (let shard = 0; shard < this.shards; shard++) {
+      if (shard === not) continue;
+      for (const { jobClass, tasks } of this.#own(shard)?.busy(this.now()) ??
+        this.#told(shard)?.busy ??
         []) {
         out.set(jobClass, (out.get(jobClass) ?? 0) + tasks);
       }
@@ -197,8 +200,8 @@
   progress(uid: string): { done: number; running: number } {
     let done = 0;
     let running = 0;
-    for (const { part } of this.owned().values()) {
-      const counts = progressIn(part, uid);
+    for (const { shard } of this.owned().values()) {
+      const counts = progressIn(shard, uid);
       done += counts.done;
       running += counts.running;
     }
@@ -236,20 +239,20 @@
     return new Map();
   }
 
-  /** The node in touch to which most workers of the part report. */
-  hearsMost(part: number): string | null {
+  /** The node in touch to which most workers of the shard report. */
+  hearsMost(shard: number): string | null {
     let best: { node: string; workers: number } | null = null;
     for (const s of this.peers.fresh()) {
-      const workers = s.sightings.find((x) => x.part === part)?.workers ?? 0;
+      const workers = s.sightings.find((x) => x.part === shard)?.workers ?? 0;
       if (workers > (best?.workers ?? 0)) best = { node: s.node, workers };
     }
     return best?.node ?? null;
   }
 }
 
-/** Tasks of a job in one part that are done, saved or not, and that run. */
-export const progressIn = (part: Part, uid: string): { done: number; running: number } => {
-  const job = part.jobs.get(uid);
+/** Tasks of a job in one shard that are done, saved or not, and that run. */
+export const progressIn = (shard: Shard, uid: string): { done: number; running: number } => {
+  const job = shard.jobs.get(uid);
   if (job === undefined) return { done: 0, running: 0 };
   const running = [...job.placed.values()].filter((p) => p.state === 'running').length;
   return { done: job.saved.size + job.unsaved.size, running };
--- a/src/service/limit-sharing.ts
+++ b/src/service/limit-sharing.ts
@@ -1,7 +1,7 @@
 import type { CloudClient } from '../cloud/client.js';
 import type { OperatorConfig } from '../config/operator.js';
 import type { PlatformConfig } from '../config/platform.js';
-import type { StateClient, StateLimits } from '../state/client.js';
+import type { StateClient, StateLimits } from '../store/store-client.js';
 
 type Config = Pick<PlatformConfig, 'nodes' | 'stateLimits' | 'cloudLimits'>;
 type Shares = Pick<OperatorConfig, 'stateRequestShare' | 'stateWriteShare' | 'cloudRequestShare'>;
--- a/src/service.ts
+++ b/src/service/service.ts
@@ -1,12 +1,12 @@
 import { Refusals, type SessionLease } from '@sumacstep/duties';
 import type { Logger } from 'pino';
-import { steadyMs, timeOfDayMs } from './clock.js';
-import { CloudClient } from './cloud/client.js';
-import { MachineTypes } from './cloud/machine-types.js';
-import type { DutiesConfig } from './config/duties.js';
-import type { OperatorConfig } from './config/operator.js';
-import type { PlatformConfig } from './config/platform.js';
-import type { SharesConfig } from './config/shares.js';
+import { steadyMs, timeOfDayMs } from '../clock.js';
+import { CloudClient } from '../cloud/client.js';
+import { MachineTypes } from '../cloud/machine-types.js';
+import type { DutiesConfig } from '../config/duties.js';
+import type { OperatorConfig } from '../config/operator.js';
+import type { PlatformConfig } from '../config/platform.js';
+import type { SharesConfig } from '../config/shares.js';
 import {
   FEED_SHARE,
   FOLLOW_PAUSE_MS,
@@ -15,42 +15,42 @@
   SOON_MS,
   STATE_FRESH_MS,
   SUMMARY_MS,
-} from './constants.js';
+} from '../constants.js';
 import {
   CancellationReceiver,
   CancellationBroadcast,
   type Cancellation,
-} from './core/cancellations.js';
-import { Learning } from './core/learning.js';
-import { type Report } from './core/model.js';
-import { Duties } from './duties/duties.js';
-import { PartController, type PeerView } from './parts/part-controller.js';
-import { Gossip, type OwnStatus } from './peers/gossip.js';
-import type { PeerStatus } from './peers/frames.js';
-import { PartDirectory } from './peers/part-directory.js';
-import { randomFrom } from './random.js';
-import { Rentals } from './parts/rentals.js';
-import { Returns } from './parts/returns.js';
-import { UnrecordedMachines } from './parts/unrecorded-machines.js';
-import { HttpServer } from './service/http-server.js';
-import { cloudShare, LimitSharing, stateShare } from './service/limit-sharing.js';
-import { describeParts } from './service/own-parts.js';
-import { Readiness } from './service/readiness.js';
-import { Summary } from './service/summary.js';
-import { shareSockets } from './sockets.js';
-import { ShareOwner } from './shares/share-owner.js';
-import { StateClient } from './state/client.js';
-import { LinearizableReads } from './state/linearizable-reads.js';
-import { nodeSession } from './state/session.js';
-import { watch, type WatchBatch } from './state/watch.js';
-import { WatchCache } from './state/watch-cache.js';
-import { userRoutes } from './users/api.js';
-import { JobReader } from './users/job-reader.js';
-import { Jobs } from './users/jobs.js';
-import { workerRoutes, type HeartbeatReply } from './workers/heartbeats.js';
+} from '../core/cancellation/cancellations.js';
+import { Learning } from '../core/capacity/workload-statistics.js';
+import { type Report } from '../core/model.js';
+import { Duties } from '../duties/duties.js';
+import { ShardController, type PeerView } from '../shards/shard-controller.js';
+import { Gossip, type OwnStatus } from '../peers/gossip.js';
+import type { PeerStatus } from '../peers/frames.js';
+import { ShardDirectory } from '../peers/shard-directory.js';
+import { randomFrom } from '../random.js';
+import { Rentals } from '../shards/scale-out.js';
+import { Returns } from '../shards/scale-in.js';
+import { UnrecordedMachines } from '../shards/orphaned-instances.js';
+import { HttpServer } from './http-server.js';
+import { cloudShare, LimitSharing, stateShare } from './limit-sharing.js';
+import { describeShards } from './shard-status.js';
+import { Readiness } from './readiness.js';
+import { Summary } from './summary.js';
+import { shareSockets } from './socket-budget.js';
+import { ShareOwner } from '../shares/share-owner.js';
+import { StateClient } from '../store/store-client.js';
+import { LinearizableReads } from '../store/linearizable-reads.js';
+import { nodeSession } from '../store/node-session.js';
+import { watch, type WatchBatch } from '../store/watch.js';
+import { WatchCache } from '../store/watch-cache.js';
+import { userRoutes } from '../users/api.js';
+import { JobReader } from '../users/job-reader.js';
+import { Jobs } from '../users/jobs.js';
+import { workerRoutes, type HeartbeatReply } from '../workers/heartbeats.js';
 
-/** The duty of renting and returning machines of a part: its record is the part's. */
-const PART_DUTY = /^parts\/(\d+)$/;
+/** The duty of renting and returning machines of a shard: its record is the shard's. */
+const SHARD_DUTY = /^parts\/(\d+)$/;
 
 /** What files under deploy/ switch on; null: off. */
 export interface Features {
@@ -71,7 +71,7 @@
   readonly #refusals: Refusals;
   /** null: the duties are switched off */
   readonly #duties: Duties | null;
-  /** null: moves of machines between parts are switched off */
+  /** null: moves of machines between shards are switched off */
   readonly #shareOwner: ShareOwner | null;
   readonly #returns: Returns;
   readonly #unrecorded: UnrecordedMachines;
@@ -80,12 +80,12 @@
   readonly #broadcast: CancellationBroadcast;
   readonly #receiver: CancellationReceiver;
   readonly #types: MachineTypes;
-  readonly #directory: PartDirectory;
+  readonly #directory: ShardDirectory;
   readonly #readiness = new Readiness();
   readonly #limits: LimitSharing;
   readonly #summary: Summary;
   readonly #server: HttpServer;
-  readonly #partController: PartController;
+  readonly #shardController: ShardController;
   readonly #rentals: Rentals;
   readonly #jobReader: JobReader;
   readonly #jobs: Jobs;
@@ -140,13 +140,13 @@
       this.#now,
       log,
     );
-    this.#directory = new PartDirectory(
+    this.#directory = new ShardDirectory(
       config.nodes,
-      () => this.#partController.owned,
+      () => this.#shardController.owned,
       this.#gossip,
       this.#now,
     );
-    this.#partController = new PartController(
+    this.#shardController = new ShardController(
       config,
       operator,
       this.#incarnation,
@@ -169,7 +169,7 @@
             client: this.#state,
             cloud: this.#cloud,
             cache: this.#cache,
-            authority: () => this.#partController.authority(this.#now()),
+            authority: () => this.#shardController.authority(this.#now()),
             current: () => this.#linearizable.wait(),
             refusals: this.#refusals,
             now: this.#now,
@@ -182,14 +182,14 @@
         : new ShareOwner(shares, {
             client: this.#state,
             cache: this.#cache,
-            partController: this.#partController,
+            shardController: this.#shardController,
             now: this.#now,
             log,
           });
     this.#returns = new Returns(
       this.#cloud,
-      this.#partController,
-      this.#duties?.partReturns ?? null,
+      this.#shardController,
+      this.#duties?.shardReturns ?? null,
       this.#now,
       log,
     );
@@ -197,7 +197,7 @@
       config,
       this.#cloud,
       this.#cache,
-      this.#partController,
+      this.#shardController,
       this.#duties?.reclaimer ?? null,
       this.#now,
       log,
@@ -209,10 +209,10 @@
       this.#cloud,
       this.#state,
       this.#cache,
-      this.#partController,
+      this.#shardController,
       this.#returns,
       this.#learning,
-      (part) => this.#directory.busyElsewhere(part),
+      (shard) => this.#directory.busyElsewhere(shard),
       () => this.#jobs.sentAway(),
       () => this.#types.current,
       this.#now,
@@ -227,12 +227,12 @@
       {
         types: () => this.#types.current,
         loads: (spec) => this.#directory.loads(spec),
-        termOf: (part) => this.#partController.termOf(part),
+        termOf: (shard) => this.#shardController.termOf(shard),
         random: this.#random,
       },
       {
         teams: config.teams,
-        parts: config.nodes,
+        shards: config.nodes,
         valueBytes: config.stateLimits.valueBytes,
         loadThreshold: operator.loadThreshold,
       },
@@ -327,15 +327,15 @@
     this.#tickIn(LOOP_MS);
     this.#observeSurroundings();
     const { ready } = this.#cache;
-    this.#limits.update(ready ? this.#partController.aliveNodes() : this.config.nodes);
+    this.#limits.update(ready ? this.#shardController.aliveNodes() : this.config.nodes);
     this.#learn();
     this.#returns.markRecorded();
     this.#shareOwner?.tick();
-    this.#partController.tick();
-    for (const [index, { part }] of this.#partController.owned) {
-      for (const run of part.finishedRuns.splice(0)) this.#learning.ran(run.jobClass, run.runS);
-      for (const { uid, ...e } of part.happened.splice(0)) {
-        this.log.debug({ job: uid, part: index, term: part.term, ...e }, 'task');
+    this.#shardController.tick();
+    for (const [index, { shard }] of this.#shardController.owned) {
+      for (const run of shard.finishedRuns.splice(0)) this.#learning.ran(run.jobClass, run.runS);
+      for (const { uid, ...e } of shard.happened.splice(0)) {
+        this.log.debug({ job: uid, shard: index, term: shard.term, ...e }, 'task');
       }
     }
     this.#returns.markRecorded();
@@ -359,7 +359,7 @@
   }
 
   #beat(report: Report): HeartbeatReply {
-    const reply = this.#partController.beat(report);
+    const reply = this.#shardController.beat(report);
     if (reply.kind === 'unavailable') this.#unrecorded.sighted(report);
     else if (reply.kind === 'answer') this.#reconcileSoon();
     return reply;
@@ -408,7 +408,7 @@
       roomElsewhere: (spec, not) => this.#directory.roomElsewhere(spec, not),
       lessBooked: (spec, than) => this.#directory.lessBooked(spec, than),
       imagesOf: (machine) => this.#directory.imagesOf(machine),
-      hears: (part) => this.#directory.hearsMost(part),
+      hears: (shard) => this.#directory.hearsMost(shard),
       cancellationsKnownUntil: () => this.#receiver.knownUntil(this.#cache.currentAt),
     };
   }
@@ -426,7 +426,7 @@
       cancellations: this.#broadcast.tell(sentAt),
       cancellationsComplete: this.#broadcast.complete(sentAt),
       hasState: this.#hasState(),
-      ...describeParts(this.#partController, this.#directory, detailed, this.#now()),
+      ...describeShards(this.#shardController, this.#directory, detailed, this.#now()),
       classes: this.#learning.runs(),
     };
   }
@@ -434,22 +434,22 @@
   /** The token of the present tenure, by a current read. */
   async #currentToken(duty: string): Promise<number | null> {
     await this.#linearizable.wait();
-    const part = PART_DUTY.exec(duty)?.[1];
-    if (part !== undefined) return this.#partController.termOf(Number(part));
+    const shard = SHARD_DUTY.exec(duty)?.[1];
+    if (shard !== undefined) return this.#shardController.termOf(Number(shard));
     return this.#duties?.tokenOf(duty) ?? null;
   }
 
   #summarize(): void {
     const activeJobs = this.#cache.tables['active/'].size;
     const refusals = this.#refusals.counts;
-    this.#summary.write(this.#partController.owned, activeJobs, this.#state.up, refusals);
+    this.#summary.write(this.#shardController.owned, activeJobs, this.#state.up, refusals);
   }
 
   close(): void {
     this.#stop.abort();
     for (const t of this.#timers) clearTimeout(t);
     if (this.#soon !== null) clearTimeout(this.#soon);
-    this.#partController.close();
+    this.#shardController.close();
     this.#lease.close();
     this.#gossip.close();
     this.#server.close();
--- /dev/null
+++ b/src/service/shard-status.ts
@@ -0,0 +1,35 @@
+import { SIGHTING_MS } from '../constants.js';
+import type { ShardController } from '../shards/shard-controller.js';
+import type { OwnStatus } from '../peers/gossip.js';
+import { progressIn, type ShardDirectory } from '../peers/shard-directory.js';
+
+/**
+ * What this node tells the others of its shards, of the jobs in them, and of workers of other shards that came here
+ * lately. Progress of jobs only in a detailed status.
+ */
+export const describeShards = (
+  shardController: Pick<ShardController, 'owned' | 'sighted'>,
+  directory: Pick<ShardDirectory, 'describe'>,
+  detailed: boolean,
+  now: number,
+): Pick<OwnStatus, 'parts' | 'jobs' | 'sightings'> => {
+  const sightings = new Map<number, number>();
+  for (const [machine, { shard, at }] of shardController.sighted) {
+    if (now - at > SIGHTING_MS) shardController.sighted.delete(machine);
+    else sightings.set(shard, (sightings.get(shard) ?? 0) + 1);
+  }
+  const jobs: OwnStatus['jobs'] = [];
+  const shards: OwnStatus['parts'] = [];
+  for (const [index, { shard }] of shardController.owned) {
+    shards.push(directory.describe(index, shard, detailed));
+    for (const uid of detailed ? shard.jobs.keys() : []) {
+      const { done, running } = progressIn(shard, uid);
+      if (done + running > 0) jobs.push({ uid, running, done, part: index });
+    }
+  }
+  return {
+    parts: shards,
+    jobs,
+    sightings: [...sightings].map(([shard, workers]) => ({ part: shard, workers })),
+  };
+};
--- a/src/sockets.ts
+++ b/src/service/socket-budget.ts
@@ -7,7 +7,7 @@
   PEER_SOCKETS,
   SPARE_SOCKETS,
   STATE_SOCKETS,
-} from './constants.js';
+} from '../constants.js';
 
 /**
  * Inbound connections of a server. Workers and users keep theirs open, and one survivor may have more workers
--- a/src/service/summary.ts
+++ b/src/service/summary.ts
@@ -1,26 +1,26 @@
 import hdr from 'hdr-histogram-js';
 import type { RefusalCounts } from '@sumacstep/duties';
 import type { Logger } from 'pino';
-import type { Part } from '../core/part.js';
+import type { Shard } from '../core/shard/shard.js';
 
 const MEBIBYTE = 2 ** 20;
 /** ms; acceptances that take longer count as this long */
 const LONGEST_MS = 60_000;
 
-/** The figures of one part in the summary line. */
-const summaryOf = (index: number, part: Part) => {
+/** The figures of one shard in the summary line. */
+const summaryOf = (index: number, shard: Shard) => {
   let waiting = 0;
   let placed = 0;
-  for (const job of part.jobs.values()) {
+  for (const job of shard.jobs.values()) {
     waiting += job.waiting.length;
     placed += job.placed.size;
   }
-  const machines = [...part.machines.values()];
+  const machines = [...shard.machines.values()];
   const known = machines.filter((m) => m.known);
   const idle = known.filter((m) => m.tasks.size === 0).length;
   return {
     part: index,
-    term: part.term,
+    term: shard.term,
     waiting,
     placed,
     machines: machines.length,
@@ -51,7 +51,7 @@
 
   /** Writes the line and begins to count anew. */
   write(
-    parts: ReadonlyMap<number, { readonly part: Part }>,
+    shards: ReadonlyMap<number, { readonly shard: Shard }>,
     activeJobs: number,
     stateUp: boolean,
     ordersRefused: RefusalCounts,
@@ -60,7 +60,7 @@
     const count = this.#acceptMs.totalCount;
     this.log.info(
       {
-        parts: [...parts].map(([index, { part }]) => summaryOf(index, part)),
+        parts: [...shards].map(([index, { shard }]) => summaryOf(index, shard)),
         active: activeJobs,
         state: stateUp,
         acceptMs: { p50: percentile(50), p99: percentile(99), count },
--- a/src/parts/completions.ts
+++ b/src/shards/completions.ts
@@ -2,13 +2,13 @@
 import type { Logger } from 'pino';
 import type { PlatformConfig } from '../config/platform.js';
 import { BATCH_BYTES, PROGRESS_MS, RANGE_MOST, SAVE_MS, SLOT_FILL } from '../constants.js';
-import type { JobState } from '../core/part-records.js';
-import { allDone, encodeDone, rangeMost } from '../core/jobs.js';
+import type { JobState } from '../core/shard/types.js';
+import { allDone, encodeDone, rangeMost } from '../core/jobs/jobs.js';
 import type { JobRecord, TaskRange } from '../core/model.js';
-import type { Owned } from './part-controller.js';
-import { CALL, StateTrouble, type StateClient } from '../state/client.js';
-import { encodeActive, encodeDoneSlot, key, type DoneSlot } from '../state/keys.js';
-import type { WatchCache } from '../state/watch-cache.js';
+import type { Owned } from './shard-controller.js';
+import { CALL, StateTrouble, type StateClient } from '../store/store-client.js';
+import { encodeActive, encodeDoneSlot, key, type DoneSlot } from '../store/keys.js';
+import type { WatchCache } from '../store/watch-cache.js';
 import type { Condition, Write } from '../wire/schemas.js';
 
 interface Batch {
@@ -24,8 +24,8 @@
 const rangeKey = (uid: string, from: number): string => `${uid}/${from}`;
 
 /**
- * Saves completions of the parts that this node owns: ended jobs move to their final state, and
- * completed tasks of the others go into bitmaps, many ranges in one value, so that a part costs
+ * Saves completions of the shards that this node owns: ended jobs move to their final state, and
+ * completed tasks of the others go into bitmaps, many ranges in one value, so that a shard costs
  * about one write in a while, however many arrays it runs.
  */
 export class Completions {
@@ -55,14 +55,14 @@
         writes,
       );
       if (result.ok) {
-        for (const { uid, indexes } of batch.saved) owned.part.saved(uid, indexes);
-        for (const uid of batch.finished) this.log.info({ job: uid, part: index }, 'job done');
+        for (const { uid, indexes } of batch.saved) owned.shard.saved(uid, indexes);
+        for (const uid of batch.finished) this.log.info({ job: uid, shard: index }, 'job done');
         this.cache.applyOwn(batch.writes, result.epoch);
       }
       // On a conflict the cache is behind, and will show what has changed.
     } catch (error) {
       if (!(error instanceof StateTrouble)) throw error;
-      this.log.debug({ part: index, error: error.message }, 'completions not saved');
+      this.log.debug({ shard: index, error: error.message }, 'completions not saved');
     } finally {
       owned.saving = false;
       owned.lastSave = this.now();
@@ -73,17 +73,17 @@
     const batch: Batch = { when: [], writes: [], saved: [], finished: [] };
     const progress: { job: JobState; active: JobRecord; range: TaskRange; whole: boolean }[] = [];
     let bytes = 0;
-    for (const job of owned.part.jobs.values()) {
+    for (const job of owned.shard.jobs.values()) {
       const open = job.waiting.length + job.placed.size + job.transferring.length > 0;
       if (job.over || job.spec.kind === 'service' || (job.unsaved.size === 0 && open)) continue;
       const { uid, tasks } = job.spec;
       const active = this.cache.tables['active/'].get(uid);
       if (active === undefined) continue;
-      const mine = active.value.ranges.filter((r) => r.part === index);
+      const mine = active.value.ranges.filter((r) => r.shard === index);
       const bits = open ? null : this.#bits(job, mine);
       const complete =
         bits !== null &&
-        allDone(active.value, (r) => bits.get(r.from) ?? this.cache.done(r.part, uid, r.from));
+        allDone(active.value, (r) => bits.get(r.from) ?? this.cache.done(r.shard, uid, r.from));
       if (!complete) {
         for (const range of mine) {
           const fresh = [...job.unsaved].some((i) => i >= range.from && i < range.to);
@@ -154,9 +154,9 @@
     const { valueBytes } = this.config.stateLimits;
     const most = rangeMost(valueBytes);
     if (most >= RANGE_MOST) return null;
-    for (const { spec, over } of owned.part.jobs.values()) {
+    for (const { spec, over } of owned.shard.jobs.values()) {
       const active = over ? undefined : this.cache.tables['active/'].get(spec.uid);
-      const long = active?.value.ranges.find((r) => r.part === index && r.to - r.from > most);
+      const long = active?.value.ranges.find((r) => r.shard === index && r.to - r.from > most);
       if (active === undefined || long === undefined) continue;
       const middle = long.from + Math.ceil((long.to - long.from - most) / 4) * 4;
       const ranges = active.value.ranges.flatMap((r) =>
@@ -252,7 +252,7 @@
   }
 
   /**
-   * The part's slots without what belongs to ended jobs, or to ranges that end sooner now. A range that
+   * The shard's slots without what belongs to ended jobs, or to ranges that end sooner now. A range that
    * stands in two slots is done where either says so, whichever copy an owner went on with.
    */
   #slots(index: number): Map<number, Map<string, string>> {
@@ -263,7 +263,7 @@
         const uid = name.slice(0, name.lastIndexOf('/'));
         const from = Number(name.slice(name.lastIndexOf('/') + 1));
         const job = this.cache.tables['active/'].get(uid);
-        const range = job?.value.ranges.find((r) => r.part === index && r.from === from);
+        const range = job?.value.ranges.find((r) => r.shard === index && r.from === from);
         const bits = this.cache.done(index, uid, from);
         if (range === undefined || bits === undefined) return [];
         return [[name, bits.slice(0, Math.ceil((range.to - from) / 4))]];
--- a/src/parts/direct-commands.ts
+++ b/src/shards/direct-commands.ts
@@ -1,8 +1,8 @@
 import { CLAIM_PAUSE_MS } from '../constants.js';
 import type { Command } from '../core/model.js';
-import type { MachineState, Part, Placement } from '../core/part.js';
+import type { MachineState, Shard, Placement } from '../core/shard/shard.js';
 import { sendDirect } from '../workers/heartbeats.js';
-import type { Owned } from './part-controller.js';
+import type { Owned } from './shard-controller.js';
 
 /** times that a worker of a session that we did not know is tried */
 const TRIES = 2;
@@ -17,32 +17,32 @@
 
   constructor(
     private readonly most: number,
-    private readonly isOwned: (part: Part) => boolean,
+    private readonly isOwned: (shard: Shard) => boolean,
     private readonly now: () => number,
   ) {}
 
   /** Stopping under our own term can only be safe, whatever we know: it needs no authority. */
   stops(owned: Owned, now: number): void {
-    const { part } = owned;
+    const { shard } = owned;
     const room = this.most - this.#underWay;
-    for (const { machine, commands } of part.directCommands(now, room, false)) {
+    for (const { machine, commands } of shard.directCommands(now, room, false)) {
       void this.#send(owned, machine, commands);
     }
   }
 
   /** Starts and stops, and the news of our term to workers that may not know it. */
   tick(owned: Owned, now: number): void {
-    const { part } = owned;
+    const { shard } = owned;
     const room = this.most - this.#underWay;
-    for (const { machine, commands, starts } of part.directCommands(now, room, true)) {
+    for (const { machine, commands, starts } of shard.directCommands(now, room, true)) {
       void this.#send(owned, machine, commands, starts);
     }
     this.#claim(owned);
   }
 
   #claim(owned: Owned): void {
-    const { part, claiming } = owned;
-    for (const m of part.machinesToProbe()) {
+    const { shard, claiming } = owned;
+    for (const m of shard.machinesToProbe()) {
       const { name } = m.record;
       if (this.#underWay >= this.most) return;
       if (m.address === null || claiming.has(name)) continue;
@@ -54,7 +54,7 @@
   }
 
   async #send(
-    { part, authorization }: Owned,
+    { shard, authorization }: Owned,
     m: MachineState,
     commands: readonly Command[],
     starts: readonly Placement[] = [],
@@ -62,23 +62,23 @@
     for (let tries = 0; tries < TRIES; tries++) {
       const session = Math.max(1, m.session);
       this.#underWay += 1;
-      const sent = await sendDirect(m.address!, part.term, session, commands).finally(() => {
+      const sent = await sendDirect(m.address!, shard.term, session, commands).finally(() => {
         this.#underWay -= 1;
       });
       if (sent.kind !== 'not_sent' && sent.kind !== 'in_doubt' && !sent.executed) {
         const { token } = sent.report;
-        if (token > part.term) authorization.refused('machine', token);
+        if (token > shard.term) authorization.refused('machine', token);
       }
-      if (sent.kind === 'in_doubt' || !this.isOwned(part)) return;
+      if (sent.kind === 'in_doubt' || !this.isOwned(shard)) return;
       if (sent.kind === 'not_sent') {
-        part.directSettled(starts, false);
+        shard.directSettled(starts, false);
         return;
       }
-      part.inspected(sent.report, this.now());
-      part.directSettled(starts, sent.executed);
+      shard.inspected(sent.report, this.now());
+      shard.directSettled(starts, sent.executed);
       if (sent.executed || starts.length > 0) return;
       // 409 by a session that we did not know; its report has told us now.
-      if (sent.report.session === session || sent.report.token > part.term) return;
+      if (sent.report.session === session || sent.report.token > shard.term) return;
       m.session = Math.max(m.session, sent.report.session);
     }
   }
--- a/src/parts/machine-records.ts
+++ b/src/shards/machine-records.ts
@@ -2,18 +2,18 @@
 import type { Logger } from 'pino';
 import type { PlatformConfig } from '../config/platform.js';
 import { GROUP_BYTES, HOST_BYTES, MACHINES_MS, RETURNED_KEPT } from '../constants.js';
-import type { MachineState } from '../core/part-records.js';
-import type { Owned } from './part-controller.js';
-import { CALL, StateTrouble, type StateClient } from '../state/client.js';
-import { encodeGroup, key, type HireRecord, type MachineGroup } from '../state/keys.js';
-import type { WatchCache } from '../state/watch-cache.js';
+import type { MachineState } from '../core/shard/types.js';
+import type { Owned } from './shard-controller.js';
+import { CALL, StateTrouble, type StateClient } from '../store/store-client.js';
+import { encodeGroup, key, type HireRecord, type MachineGroup } from '../store/keys.js';
+import type { WatchCache } from '../store/watch-cache.js';
 import type { Condition, Write } from '../wire/schemas.js';
 
 /** Where machines move to, and what is written along with it. */
 export interface MoveTarget {
-  readonly part: number;
+  readonly shard: number;
   readonly term: number;
-  /** the target part's record as it is known */
+  /** the target shard's record as it is known */
   readonly condition: Condition;
   /** the group that they come into */
   readonly group: string;
@@ -25,9 +25,9 @@
 const MOVE_WRITES = 2;
 
 /**
- * The machine records of the parts that this node owns. They are kept by group, one group a rental,
+ * The machine records of the shards that this node owns. They are kept by group, one group a rental,
  * so that a wave of boots or returns costs a few writes instead of one a machine. All changes of a
- * part's groups go through here, one transaction at a time, so that none undoes another.
+ * shard's groups go through here, one transaction at a time, so that none undoes another.
  */
 export class MachineRecords {
   readonly #busy = new Set<number>();
@@ -66,7 +66,7 @@
   /** Writes what differs: machines that are up and not recorded so, records of returned ones. */
   async tick(index: number, owned: Owned, now: number): Promise<void> {
     if (this.#busy.has(index) || now - (this.#last.get(index) ?? -Infinity) < MACHINES_MS) return;
-    const up = owned.part.justUp();
+    const up = owned.shard.justUp();
     const changed = this.#changes(index, up);
     if (changed.size === 0) return;
     const writes: Write[] = [];
@@ -81,7 +81,7 @@
     const written = new Set([...changed.values()].flatMap(({ group }) => [...group.hosts.keys()]));
     for (const m of up) {
       if (written.has(m.record.name)) {
-        this.log.info({ machine: m.record.name, part: index }, 'up');
+        this.log.info({ machine: m.record.name, shard: index }, 'up');
       }
     }
   }
@@ -97,7 +97,7 @@
     >();
     const edit = (name: string): Map<string, boolean> | null => {
       const at = this.cache.machines.get(name);
-      if (at?.value.part !== index) return null;
+      if (at?.value.shard !== index) return null;
       let entry = changed.get(at.group);
       if (entry === undefined) {
         const record = this.cache.tables['machines/'].get(at.group);
@@ -131,7 +131,7 @@
       return result.ok;
     } catch (error) {
       if (!(error instanceof StateTrouble)) throw error;
-      this.log.debug({ part: index, error: error.message }, 'machine records not written');
+      this.log.debug({ shard: index, error: error.message }, 'machine records not written');
       return false;
     } finally {
       this.#busy.delete(index);
@@ -141,16 +141,19 @@
 
   /** Records the machines of an answered hire and drops the hire, in one transaction. */
   async hired(owned: Owned, hire: HireRecord, names: readonly string[]): Promise<void> {
-    const { part, type, zone, spot } = hire;
+    const { shard, type, zone, spot } = hire;
     const fresh = names.filter((n) => !this.cache.machines.has(n));
     const hosts = new Map(fresh.map((n) => [n, false]));
-    const group: MachineGroup = { part, era: owned.part.term, type, zone, spot, hosts };
-    const writes: Write[] = [{ drop: key.hire(part, hire.name) }];
+    const group: MachineGroup = { shard, term: owned.shard.term, type, zone, spot, hosts };
+    const writes: Write[] = [{ drop: key.hire(shard, hire.name) }];
     const when: Condition[] = [];
     if (hosts.size > 0) {
       writes.push({ put: key.machines(hire.name), value: encodeGroup(group) });
       when.push({ key: key.machines(hire.name), revision: 0 });
-      when.push({ key: key.hire(part, hire.name), revision: this.#hireRevision(part, hire.name) });
+      when.push({
+        key: key.hire(shard, hire.name),
+        revision: this.#hireRevision(shard, hire.name),
+      });
     }
     const { authorization } = owned;
     const result = await fencedTransaction(
@@ -170,26 +173,26 @@
     return false;
   }
 
-  #hireRevision(part: number, name: string): number {
-    return this.cache.tables['hires/'].get(`${part}/${name}`)?.revision ?? 0;
+  #hireRevision(shard: number, name: string): number {
+    return this.cache.tables['hires/'].get(`${shard}/${name}`)?.revision ?? 0;
   }
 
   /**
    * Takes a machine that is in no record into a group of its own. A hire that is not settled may be about
-   * to record it for another part, and with two records two owners would have it
+   * to record it for another shard, and with two records two owners would have it
    * (docs/incidents/2026-12-02-two-records.md). Every hire is recorded before its call, so once a current
    * cache shows neither a hire of the machine's kind nor the machine, none can record it any more.
    */
   async adopt(
     owned: Owned,
-    machine: Omit<MachineGroup, 'era' | 'hosts'>,
+    machine: Omit<MachineGroup, 'term' | 'hosts'>,
     name: string,
     conditions: readonly Condition[] = [],
   ): Promise<void> {
     await this.current();
     if (this.cache.machines.has(name) || this.#hirePending(machine)) return;
     const hosts = new Map([[name, false]]);
-    const group: MachineGroup = { ...machine, era: owned.part.term, hosts };
+    const group: MachineGroup = { ...machine, term: owned.shard.term, hosts };
     const adopted = key.adopted(name);
     const writes: Write[] = [{ put: adopted, value: encodeGroup(group) }];
     const when = [{ key: adopted, revision: 0 }, ...conditions];
@@ -197,11 +200,11 @@
     const result = await fencedTransaction(this.client, authorization, CALL.rest, when, writes);
     if (!result.ok) return;
     this.cache.applyOwn(writes, result.epoch);
-    this.log.info({ machine: name, part: machine.part }, 'machine adopted');
+    this.log.info({ machine: name, shard: machine.shard }, 'machine adopted');
   }
 
   /**
-   * Moves machines on which nothing is, and where nothing may arrive any more, to another part in one
+   * Moves machines on which nothing is, and where nothing may arrive any more, to another shard in one
    * transaction. As many as it holds go; resolves with their names, none if the records have changed.
    */
   async move(
@@ -209,14 +212,14 @@
     names: readonly string[],
     target: MoveTarget,
   ): Promise<readonly string[]> {
-    const { index } = owned.part;
+    const { index } = owned.shard;
     if (this.#busy.has(index)) return [];
     const { groups, moved } = this.#leavingGroups(index, names);
     const first = moved[0];
     if (first === undefined) return [];
     const { type, zone, spot } = this.cache.machines.get(first)!.value;
     const hosts = new Map(moved.map((name) => [name, true]));
-    const group: MachineGroup = { part: target.part, era: target.term, type, zone, spot, hosts };
+    const group: MachineGroup = { shard: target.shard, term: target.term, type, zone, spot, hosts };
     const put: Write = { put: key.machines(target.group), value: encodeGroup(group) };
     const writes = [...groups.map((g) => g.write), put, ...target.writes(moved)];
     const when = [
@@ -238,7 +241,7 @@
     for (const name of names) {
       const at = this.cache.machines.get(name);
       const record = at === undefined ? undefined : this.cache.tables['machines/'].get(at.group);
-      if (at?.value.part !== index || record === undefined || moved.length >= room) continue;
+      if (at?.value.shard !== index || record === undefined || moved.length >= room) continue;
       const { type, zone, spot } = at.value;
       kind ??= `${type} ${zone} ${spot}`;
       if (kind !== `${type} ${zone} ${spot}`) continue;
--- a/src/parts/unrecorded-machines.ts
+++ b/src/shards/orphaned-instances.ts
@@ -2,14 +2,14 @@
 import type { CloudClient } from '../cloud/client.js';
 import type { PlatformConfig } from '../config/platform.js';
 import { ADOPT_MS, LIST_MS } from '../constants.js';
-import { partOfMachine } from '../core/jobs.js';
+import { shardOfMachine } from '../core/jobs/jobs.js';
 import type { Report } from '../core/model.js';
 import type { Reclaiming } from '../duties/reclaiming.js';
 import type { ReturnIntents } from '../duties/return-intents.js';
-import type { WatchCache } from '../state/watch-cache.js';
+import type { WatchCache } from '../store/watch-cache.js';
 import type { ListedMachine } from '../wire/schemas.js';
-import type { PartController } from './part-controller.js';
-import { isTrouble } from './trouble.js';
+import type { ShardController } from './shard-controller.js';
+import { isTrouble } from './retryable-error.js';
 
 /** The duty of returning machines that no record knows, where it is switched on. */
 export interface Reclaimer {
@@ -19,7 +19,7 @@
 
 /**
  * Reads the cloud's list: addresses of machines, machines that failed, and machines that no record knows. Those
- * are adopted by the part that their name belongs to, or returned by the holder of the duty of reclaiming.
+ * are adopted by the shard that their name belongs to, or returned by the holder of the duty of reclaiming.
  */
 export class UnrecordedMachines {
   readonly #addresses = new Map<string, string>();
@@ -33,19 +33,19 @@
     private readonly config: Pick<PlatformConfig, 'nodes' | 'cloudLimits'>,
     private readonly cloud: Pick<CloudClient, 'list' | 'listEveryMs'>,
     private readonly cache: WatchCache,
-    private readonly partController: PartController,
+    private readonly shardController: ShardController,
     private readonly reclaimer: Reclaimer | null,
     private readonly now: () => number,
     private readonly log: Logger,
   ) {}
 
-  /** Reads the list if it is due, and tells the owned parts what it said of addresses. */
+  /** Reads the list if it is due, and tells the owned shards what it said of addresses. */
   tick(): void {
     const now = this.now();
-    if (!this.partController.authority(now)) return;
-    for (const { part, suspended } of this.partController.owned.values()) {
+    if (!this.shardController.authority(now)) return;
+    for (const { shard, suspended } of this.shardController.owned.values()) {
       if (suspended) continue;
-      for (const machine of part.machines.values()) {
+      for (const machine of shard.machines.values()) {
         machine.address ??= this.#addresses.get(machine.record.name) ?? null;
       }
     }
@@ -54,7 +54,7 @@
   }
 
   #needsList(): boolean {
-    return this.partController.owned.size > 0 || (this.reclaimer?.reclaiming.held ?? false);
+    return this.shardController.owned.size > 0 || (this.reclaimer?.reclaiming.held ?? false);
   }
 
   async #list(): Promise<void> {
@@ -92,10 +92,10 @@
     const record = this.cache.machines.get(name)?.value;
     if (record === undefined) return false;
     this.#since.delete(name);
-    const state = this.partController.owned.get(record.part)?.part.machines.get(name);
+    const state = this.shardController.owned.get(record.shard)?.shard.machines.get(name);
     if (status === 'failed' && state !== undefined && !state.returning) {
       state.returning = true;
-      this.log.info({ machine: name, part: record.part }, 'machine failed');
+      this.log.info({ machine: name, shard: record.shard }, 'machine failed');
     }
     return true;
   }
@@ -106,7 +106,7 @@
     const since = this.#since.get(name) ?? now;
     this.#since.set(name, since);
     const settledMs = ADOPT_MS + this.config.cloudLimits.listLagS * 3000;
-    return now - since > settledMs && !this.partController.machines.isReturned(name);
+    return now - since > settledMs && !this.shardController.machines.isReturned(name);
   }
 
   /**
@@ -115,19 +115,19 @@
    */
   sighted({ machine }: Report): void {
     if (this.cache.machines.has(machine)) return;
-    if (this.partController.machines.isReturned(machine) || this.#since.has(machine)) return;
+    if (this.shardController.machines.isReturned(machine) || this.#since.has(machine)) return;
     this.#lastList = Math.min(this.#lastList, this.now() - LIST_MS / 2);
   }
 
   async #reclaim(machines: readonly ListedMachine[]): Promise<void> {
     if (machines.length === 0 || this.reclaimer === null) return;
     const gone = await this.reclaimer.reclaiming.reclaim(machines);
-    this.partController.machines.returned(gone);
+    this.shardController.machines.returned(gone);
   }
 
   async #adopt({ name, type, zone, spot }: ListedMachine): Promise<void> {
-    const part = partOfMachine(name, this.config.nodes);
-    const owned = this.partController.owned.get(part);
+    const shard = shardOfMachine(name, this.config.nodes);
+    const owned = this.shardController.owned.get(shard);
     if (owned === undefined || this.#adopting.has(name)) return;
     // Whoever held the duty before it was paused may have sent the machine's return.
     const intents = this.reclaimer?.intents ?? null;
@@ -135,7 +135,7 @@
     const when = intents === null ? [] : [intents.condition('unrecorded')];
     this.#adopting.add(name);
     await this.#guarded('machine not adopted', () =>
-      this.partController.machines.adopt(owned, { part, type, zone, spot }, name, when),
+      this.shardController.machines.adopt(owned, { shard, type, zone, spot }, name, when),
     );
     this.#adopting.delete(name);
   }
--- a/src/parts/returns.ts
+++ b/src/shards/scale-in.ts
@@ -2,8 +2,8 @@
 import type { CloudClient } from '../cloud/client.js';
 import { RETURN_MOST } from '../constants.js';
 import type { ReturnIntents } from '../duties/return-intents.js';
-import type { Owned, PartController } from './part-controller.js';
-import { isTrouble } from './trouble.js';
+import type { Owned, ShardController } from './shard-controller.js';
+import { isTrouble } from './retryable-error.js';
 
 /** A machine to be returned, and why. */
 export interface PlannedReturn {
@@ -11,14 +11,14 @@
   readonly reason: string;
 }
 
-/** Returns machines of the parts that this node owns to the cloud. */
+/** Returns machines of the shards that this node owns to the cloud. */
 export class Returns {
   /** machines whose return is on its way */
   readonly #sending = new Set<string>();
 
   constructor(
     private readonly cloud: Pick<CloudClient, 'giveBack'>,
-    private readonly partController: Pick<PartController, 'owned' | 'machines'>,
+    private readonly shardController: Pick<ShardController, 'owned' | 'machines'>,
     /** null: returns are sent without being recorded */
     private readonly intents: ReturnIntents | null,
     private readonly now: () => number,
@@ -28,20 +28,20 @@
   /** Takes machines out of use, for a return. */
   mark(index: number, owned: Owned, planned: readonly PlannedReturn[]): void {
     for (const { name, reason } of planned) {
-      const machine = owned.part.machines.get(name);
+      const machine = owned.shard.machines.get(name);
       if (machine === undefined || this.#sending.has(name)) continue;
       machine.returning = true;
-      this.log.info({ machine: name, part: index, reason }, 'machine to be returned');
+      this.log.info({ machine: name, shard: index, reason }, 'machine to be returned');
     }
   }
 
   /** Takes machines out of use whose return an earlier owner has recorded: its call may still arrive. */
   markRecorded(): void {
     if (this.intents === null) return;
-    for (const [index, { part }] of this.partController.owned) {
+    for (const [index, { shard }] of this.shardController.owned) {
       for (const list of [index, 'unrecorded'] as const) {
         for (const name of this.intents.recorded(list)) {
-          const machine = part.machines.get(name);
+          const machine = shard.machines.get(name);
           if (machine !== undefined) machine.returning = true;
         }
       }
@@ -50,7 +50,7 @@
 
   /** Returns whatever is out of use and not on its way yet. */
   send(index: number, owned: Owned): void {
-    const names = [...owned.part.machines.values()]
+    const names = [...owned.shard.machines.values()]
       .filter((machine) => machine.returning && !this.#sending.has(machine.record.name))
       .map((machine) => machine.record.name);
     if (names.length > 0) void this.#send(index, owned, names);
@@ -73,13 +73,13 @@
 
   async #record(index: number, owned: Owned, names: readonly string[]) {
     if (this.intents === null) return names;
-    const needed = (name: string) => owned.part.machines.has(name);
+    const needed = (name: string) => owned.shard.machines.has(name);
     return this.intents.record(index, owned.authorization, names, needed);
   }
 
   async #giveBack(owned: Owned, names: readonly string[]): Promise<void> {
     await this.cloud.giveBack(names, owned.authorization);
-    for (const name of names) owned.part.machineGone(name, this.now());
-    this.partController.machines.returned(names);
+    for (const name of names) owned.shard.machineGone(name, this.now());
+    this.shardController.machines.returned(names);
   }
 }
--- a/src/parts/part-controller.ts
+++ b/src/shards/shard-controller.ts
@@ -11,24 +11,24 @@
 } from '../constants.js';
 import { Completions } from './completions.js';
 import { DirectCommands } from './direct-commands.js';
-import { renewableMs } from '../core/cancellations.js';
+import { renewableMs } from '../core/cancellation/cancellations.js';
 import type { JobSpec, MachineType, Report } from '../core/model.js';
-import { Ownership, type OwnershipView } from '../core/ownership.js';
-import { Part, type PartSettings } from '../core/part.js';
+import { Ownership, type OwnershipView } from '../core/ownership/ownership.js';
+import { Shard, type ShardSettings } from '../core/shard/shard.js';
 import { MachineRecords } from './machine-records.js';
-import { TaskTransfer } from './task-transfer.js';
-import { shareSockets } from '../sockets.js';
-import { CALL, StateTrouble, type StateClient } from '../state/client.js';
-import { key, type PartRecord } from '../state/keys.js';
-import type { WatchCache } from '../state/watch-cache.js';
+import { TaskTransfer } from './task-migration.js';
+import { shareSockets } from '../service/socket-budget.js';
+import { CALL, StateTrouble, type StateClient } from '../store/store-client.js';
+import { key, type ShardRecord } from '../store/keys.js';
+import type { WatchCache } from '../store/watch-cache.js';
 import type { Condition, Write } from '../wire/schemas.js';
 import type { HeartbeatReply } from '../workers/heartbeats.js';
 
 export interface Owned {
-  readonly part: Part;
-  /** the right to act for the part under its term */
+  readonly shard: Shard;
+  /** the right to act for the shard under its term */
   readonly authorization: Authorization;
-  /** handed over by a transaction whose outcome is not known: we act for the part no more */
+  /** handed over by a transaction whose outcome is not known: we act for the shard no more */
   suspended: boolean;
   saving: boolean;
   lastSave: number;
@@ -38,35 +38,35 @@
   readonly claiming: Set<string>;
 }
 
-/** What other nodes tell that matters for owning parts. */
+/** What other nodes tell that matters for owning shards. */
 export interface PeerView {
   /** a reachable node that has state, other than this one; null if none */
   withState(): string | null;
   /** incarnation of a reachable node with state */
   fit(node: string): string | null;
-  /** how many tasks of the job would fit now into another part, and its term */
-  roomElsewhere(spec: JobSpec, not: number): { part: number; tasks: number } | null;
-  /** a part that is booked much less than another one for the job */
+  /** how many tasks of the job would fit now into another shard, and its term */
+  roomElsewhere(spec: JobSpec, not: number): { shard: number; tasks: number } | null;
+  /** a shard that is booked much less than another one for the job */
   lessBooked(spec: JobSpec, than: number): number | null;
   /** images that another owner knew on a machine */
   imagesOf(machine: string): ReadonlyMap<string, number>;
-  /** the node that hears most workers of the part */
-  hears(part: number): string | null;
+  /** the node that hears most workers of the shard */
+  hears(shard: number): string | null;
   /** up to when every cancellation that any node has confirmed is known here, steady ms */
   cancellationsKnownUntil(): number;
 }
 
-/** Takes parts, gives them back, and runs the loops of those that this node owns. */
-export class PartController {
+/** Takes shards, gives them back, and runs the loops of those that this node owns. */
+export class ShardController {
   readonly owned = new Map<number, Owned>();
   readonly #ownership = new Ownership();
-  /** when parts were given away by a transaction whose outcome is not known */
+  /** when shards were given away by a transaction whose outcome is not known */
   readonly #given = new Map<number, number>();
-  /** the newest term under which each part was built here */
+  /** the newest term under which each shard was built here */
   readonly #built = new Map<number, number>();
   readonly #busy = new Set<number>();
-  /** workers of other nodes' parts that came here, with the time */
-  readonly sighted = new Map<string, { part: number; at: number }>();
+  /** workers of other nodes' shards that came here, with the time */
+  readonly sighted = new Map<string, { shard: number; at: number }>();
   #noTakeoverUntil = -Infinity;
   /** the cache was brought up to date by a call made then, steady ms */
   #currentAt = -Infinity;
@@ -91,7 +91,7 @@
     private readonly peers: PeerView,
     private readonly refusals: Refusals,
     private readonly types: () => ReadonlyMap<string, MachineType> | null,
-    private readonly startWithin: PartSettings['startWithin'],
+    private readonly startWithin: ShardSettings['startWithin'],
     private readonly now: () => number,
     private readonly nowOfDay: () => number,
     private readonly log: Logger,
@@ -99,7 +99,7 @@
     const { direct } = shareSockets(config.sockets, config.peers.length);
     this.#direct = new DirectCommands(
       direct,
-      (part) => this.owned.get(part.index)?.part === part,
+      (shard) => this.owned.get(shard.index)?.shard === shard,
       now,
     );
     this.machines = new MachineRecords(config, client, cache, current, now, log);
@@ -140,37 +140,37 @@
     }
   }
 
-  /** Acts for no part any more; what is repeated until its outcome is known ends, too. */
+  /** Acts for no shard any more; what is repeated until its outcome is known ends, too. */
   close(): void {
     this.owned.clear();
   }
 
-  /** Whether this node acts for the part now, under the term that `owned` stands for. */
+  /** Whether this node acts for the shard now, under the term that `owned` stands for. */
   actsFor(owned: Owned): boolean {
-    const present = this.owned.get(owned.part.index) === owned && !owned.suspended;
+    const present = this.owned.get(owned.shard.index) === owned && !owned.suspended;
     return present && this.authority(this.now());
   }
 
-  /** The right to act for a part under its term, which is its fencing token. */
-  #authorization(part: Part, revision: number): Authorization {
+  /** The right to act for a shard under its term, which is its fencing token. */
+  #authorization(shard: Shard, revision: number): Authorization {
     const holds = () => {
-      const owned = this.owned.get(part.index);
-      return owned?.part === part && this.actsFor(owned);
+      const owned = this.owned.get(shard.index);
+      return owned?.shard === shard && this.actsFor(owned);
     };
-    const duty = key.part(part.index);
+    const duty = key.shard(shard.index);
     const condition = { key: duty, revision };
-    const tenure = { duty, token: fencingToken(part.term), condition, holds };
+    const tenure = { duty, token: fencingToken(shard.term), condition, holds };
     return new Authorization(tenure, this.refusals);
   }
 
-  /** Takes an own part anew, under a higher term: workers then take its commands after those of another part. */
+  /** Takes an own shard anew, under a higher term: workers then take its commands after those of another shard. */
   renewTerm(index: number): void {
     const owned = this.owned.get(index);
     if (owned !== undefined && this.actsFor(owned)) void this.#take(index);
   }
 
-  termOf(part: number): number | null {
-    return this.cache.tables['parts/'].get(String(part))?.value.term ?? null;
+  termOf(shard: number): number | null {
+    return this.cache.tables['parts/'].get(String(shard))?.value.term ?? null;
   }
 
   #alive(): Map<string, Set<string>> {
@@ -188,7 +188,7 @@
     return this.#alive().size;
   }
 
-  /** One round: what is owned by the cache, what should be, and the owned parts' own loops. */
+  /** One round: what is owned by the cache, what should be, and the owned shards' own loops. */
   tick(): void {
     const now = this.now();
     if (!this.cache.ready) return;
@@ -196,17 +196,17 @@
     const authority = this.authority(now);
     if (authority && now - this.#lastOwn >= LOOP_MS) {
       this.#lastOwn = now;
-      this.#ownParts(now);
+      this.#ownShards(now);
     }
     for (const [index, owned] of this.owned) {
-      const { part } = owned;
+      const { shard } = owned;
       if (owned.suspended) continue;
-      part.age(now);
+      shard.age(now);
       if (!authority) {
         this.#direct.stops(owned, now);
         continue;
       }
-      part.placeAll(now);
+      shard.placeAll(now);
       this.#direct.tick(owned, now);
       void this.machines.tick(index, owned, now);
       this.#transferring.transferStuck(index, owned, now);
@@ -224,16 +224,16 @@
         record.value.owner === this.config.node &&
         record.value.incarnation === this.incarnation;
       const owned = this.owned.get(index);
-      if (owned !== undefined && (!mine || owned.part.term !== record.value.term)) {
+      if (owned !== undefined && (!mine || owned.shard.term !== record.value.term)) {
         this.owned.delete(index);
         this.#given.delete(index);
-        this.log.info({ part: index, term: owned.part.term }, 'part lost');
+        this.log.info({ shard: index, term: owned.shard.term }, 'shard lost');
       }
       if (!mine) continue;
       if (!this.owned.has(index)) {
         // What was started under a term is known only to the object that started it. Built a second
         // time under the same term, it would take everything for fresh and start tasks twice
-        // (docs/incidents/2026-12-01-handover-conflict.md). So the part is taken anew.
+        // (docs/incidents/2026-12-01-handover-conflict.md). So the shard is taken anew.
         if (this.#built.get(index) === record.value.term) {
           if (this.authority(now)) void this.#take(index);
           continue;
@@ -241,7 +241,7 @@
         // Everything that earlier owners knew must be known here first.
         if (types === null || this.cache.epoch < record.revision) continue;
         this.#built.set(index, record.value.term);
-        const part = new Part(index, record.value.term, {
+        const shard = new Shard(index, record.value.term, {
           reportMs: this.config.workers.reportS * 1000,
           leaseMs: this.config.workers.leaseS * 1000,
           cancelMs: this.config.workers.cancelS * 1000,
@@ -252,8 +252,8 @@
           imagesOf: (machine) => this.peers.imagesOf(machine),
         });
         this.owned.set(index, {
-          part,
-          authorization: this.#authorization(part, record.revision),
+          shard,
+          authorization: this.#authorization(shard, record.revision),
           suspended: false,
           saving: false,
           lastSave: now,
@@ -261,7 +261,7 @@
           fresh: true,
           claiming: new Set(),
         });
-        this.log.info({ part: index, term: part.term }, 'part owned');
+        this.log.info({ shard: index, term: shard.term }, 'shard owned');
       }
       const present = this.owned.get(index)!;
       if (present.suspended) {
@@ -269,11 +269,11 @@
         continue;
       }
       const everything = present.fresh || changes.all;
-      const { unsynced } = present.part.state;
+      const { unsynced } = present.shard.state;
       const changed = changes.machines || changes.jobs.size > 0 || unsynced.size > 0;
       if (!everything && !changed) continue;
       present.fresh = false;
-      present.part.sync(
+      present.shard.sync(
         {
           jobs: this.cache.tables['active/'],
           done: (uid, from) => this.cache.done(index, uid, from),
@@ -288,42 +288,46 @@
 
   // --- ownership ---------------------------------------------------------------------------------
 
-  #ownParts(now: number): void {
-    const parts = new Map<number, PartRecord>();
-    for (const [id, { value }] of this.cache.tables['parts/']) parts.set(Number(id), value);
+  #ownShards(now: number): void {
+    const shards = new Map<number, ShardRecord>();
+    for (const [id, { value }] of this.cache.tables['parts/']) shards.set(Number(id), value);
     const view: OwnershipView = {
       me: this.config.node,
       incarnation: this.incarnation,
       nodes: [this.config.node, ...this.config.peers.map((p) => p.node)].sort(),
       alive: this.#alive(),
-      parts,
+      shards,
       count: this.config.nodes,
     };
     for (const step of this.#ownership.steps(view, now, (n) => this.peers.fit(n))) {
       if (step.kind === 'take') {
-        if (now >= this.#noTakeoverUntil || !parts.has(step.part)) void this.#take(step.part);
-      } else if (!this.#given.has(step.part)) void this.#give(step.part, step.to, step.incarnation);
+        if (now >= this.#noTakeoverUntil || !shards.has(step.shard)) void this.#take(step.shard);
+      } else if (!this.#given.has(step.shard))
+        void this.#give(step.shard, step.to, step.incarnation);
     }
     for (const [index, at] of this.#given) {
-      // The handover's outcome is not known. Taking the part anew settles it: whichever of the two
+      // The handover's outcome is not known. Taking the shard anew settles it: whichever of the two
       // transactions comes second fails.
       if (now - at > HANDOVER_SETTLE_MS) void this.#take(index);
     }
-    for (const [index, { part, suspended }] of this.owned) {
-      if (!suspended) this.#handOverIfCutOff(index, part, now);
+    for (const [index, { shard, suspended }] of this.owned) {
+      if (!suspended) this.#handOverIfCutOff(index, shard, now);
     }
   }
 
-  /** Cut off from the workers alone: a node that hears them should own their part. */
-  #handOverIfCutOff(index: number, part: Part, now: number): void {
+  /** Cut off from the workers alone: a node that hears them should own their shard. */
+  #handOverIfCutOff(index: number, shard: Shard, now: number): void {
     const reportMs = this.config.workers.reportS * 1000;
-    if (!part.hearsNobody(now, Math.min(NO_HEARTBEATS_MS, reportMs * NO_HEARTBEATS_REPORTS)))
+    if (!shard.hearsNobody(now, Math.min(NO_HEARTBEATS_MS, reportMs * NO_HEARTBEATS_REPORTS)))
       return;
     const to = this.peers.hears(index);
     const incarnation = to === null ? null : this.peers.fit(to);
     if (to === null || to === this.config.node || incarnation === null) return;
     this.#noTakeoverUntil = now + HANDBACK_MS * 2;
-    this.log.info({ part: index, to }, 'no worker of the part reports here, but they do elsewhere');
+    this.log.info(
+      { shard: index, to },
+      'no worker of the shard reports here, but they do elsewhere',
+    );
     void this.#give(index, to, incarnation);
   }
 
@@ -334,7 +338,7 @@
       await work();
     } catch (error) {
       if (!(error instanceof StateTrouble)) throw error;
-      this.log.debug({ part: index, error: error.message }, 'part not written');
+      this.log.debug({ shard: index, error: error.message }, 'shard not written');
     } finally {
       this.#busy.delete(index);
     }
@@ -346,17 +350,17 @@
     const next = (term?.value ?? 0) + 1;
     const when: Condition[] = [
       { key: key.term, revision: term?.revision ?? 0 },
-      { key: key.part(index), revision: old?.revision ?? 0 },
+      { key: key.shard(index), revision: old?.revision ?? 0 },
     ];
     if (old !== undefined && old.value.owner !== this.config.node) {
       when.push({ key: key.node(old.value.owner, old.value.incarnation), revision: 0 });
     }
-    const value: PartRecord = { owner, incarnation, term: next };
+    const value: ShardRecord = { owner, incarnation, term: next };
     return [
       when,
       [
         { put: key.term, value: next },
-        { put: key.part(index), value },
+        { put: key.shard(index), value },
       ],
     ];
   }
@@ -368,7 +372,7 @@
       if (!result.ok) return;
       this.#given.delete(index);
       this.cache.applyOwn(writes, result.epoch);
-      this.log.info({ part: index }, 'part taken');
+      this.log.info({ shard: index }, 'shard taken');
     });
   }
 
@@ -378,7 +382,7 @@
       if (owned === undefined || owned.suspended) return;
       const [when, writes] = this.#ownerWrite(index, to, incarnation);
       when.push({ key: key.node(to, incarnation), revision: this.#nodeRevision(to, incarnation) });
-      // From here on we act for the part no more, whatever becomes of the transaction.
+      // From here on we act for the shard no more, whatever becomes of the transaction.
       owned.suspended = true;
       this.#given.set(index, this.now());
       const result = await this.client.transact(CALL.renew, when, writes);
@@ -386,7 +390,7 @@
       if (result.ok) {
         this.#ownership.handedOver(index);
         this.cache.applyOwn(writes, result.epoch);
-        this.log.info({ part: index, to }, 'part handed over');
+        this.log.info({ shard: index, to }, 'shard handed over');
       } else owned.suspended = false;
     });
   }
@@ -402,8 +406,8 @@
     if (!this.cache.ready) return { kind: 'unavailable' };
     const record = this.cache.machines.get(report.machine)?.value;
     if (record === undefined) return { kind: 'unavailable' };
-    const owned = this.owned.get(record.part);
-    if (owned === undefined || owned.suspended) return this.#sendOn(report, record.part, now);
+    const owned = this.owned.get(record.shard);
+    if (owned === undefined || owned.suspended) return this.#sendOn(report, record.shard, now);
     const authority = this.authority(now);
     if (!authority) {
       // Running work must survive an outage of the state service, so its leases are kept. But if
@@ -411,14 +415,19 @@
       const better = this.peers.withState();
       if (better !== null) return { kind: 'redirect', node: better };
     }
-    if (!owned.part.machines.has(report.machine)) this.#refresh(now);
-    const result = owned.part.beat(report, now, authority, authority || this.#mayRenew(now));
+    if (!owned.shard.machines.has(report.machine)) this.#refresh(now);
+    const result = owned.shard.beat(report, now, authority, authority || this.#mayRenew(now));
     if (result.kind === 'answer') {
-      return { kind: 'answer', token: owned.part.term, commands: result.commands };
+      return { kind: 'answer', token: owned.shard.term, commands: result.commands };
     }
     if (result.kind === 'superseded') {
       this.log.info(
-        { machine: report.machine, part: record.part, term: owned.part.term, token: report.token },
+        {
+          machine: report.machine,
+          part: record.shard,
+          term: owned.shard.term,
+          token: report.token,
+        },
         'a worker has seen a higher term: our ownership may be over',
       );
       return { kind: 'redirect', node: this.peers.withState() };
@@ -443,11 +452,11 @@
     return may;
   }
 
-  #sendOn(report: Report, part: number, now: number): HeartbeatReply {
-    const owner = this.cache.tables['parts/'].get(String(part))?.value;
+  #sendOn(report: Report, shard: number, now: number): HeartbeatReply {
+    const owner = this.cache.tables['parts/'].get(String(shard))?.value;
     if (owner === undefined) return { kind: 'unavailable' };
     const me = owner.owner === this.config.node;
-    if (!me) this.sighted.set(report.machine, { part, at: now });
+    if (!me) this.sighted.set(report.machine, { shard, at: now });
     const alive = this.#alive().get(owner.owner)?.has(owner.incarnation) ?? false;
     if (me || !alive) return { kind: 'unavailable' };
     return { kind: 'redirect', node: owner.owner };
--- a/src/parts/task-transfer.ts
+++ b/src/shards/task-migration.ts
@@ -12,34 +12,34 @@
   RECORD_FILL,
   STATE_PAUSE_MS,
 } from '../constants.js';
-import { hasGuarantee, hasLimit } from '../core/jobs.js';
+import { hasGuarantee, hasLimit } from '../core/jobs/jobs.js';
 import type { JobSpec, TaskRange } from '../core/model.js';
-import type { JobState } from '../core/part.js';
-import type { Owned } from './part-controller.js';
-import { CALL, StateTrouble, type StateClient } from '../state/client.js';
-import { decodeActive, encodeActive, key } from '../state/keys.js';
-import type { WatchCache } from '../state/watch-cache.js';
+import type { JobState } from '../core/shard/shard.js';
+import type { Owned } from './shard-controller.js';
+import { CALL, StateTrouble, type StateClient } from '../store/store-client.js';
+import { decodeActive, encodeActive, key } from '../store/keys.js';
+import type { WatchCache } from '../store/watch-cache.js';
 import type { Write } from '../wire/schemas.js';
 
-/** What is known of the other parts' room. */
-export interface OtherParts {
-  /** how many tasks of the job would fit now into another part */
+/** What is known of the other shards' room. */
+export interface OtherShards {
+  /** how many tasks of the job would fit now into another shard */
   roomElsewhere(spec: JobSpec, not: number): Destination | null;
-  /** a part that is booked much less than another one for the job */
+  /** a shard that is booked much less than another one for the job */
   lessBooked(spec: JobSpec, than: number): number | null;
 }
 
 /** Where tasks may pass to, and how many of them. */
 interface Destination {
-  readonly part: number;
+  readonly shard: number;
   readonly tasks: number;
 }
 
-/** Hands tasks that fit nowhere in their part to one where they fit. */
+/** Hands tasks that fit nowhere in their shard to one where they fit. */
 export class TaskTransfer {
-  /** when each part last tried to pass tasks, steady ms */
+  /** when each shard last tried to pass tasks, steady ms */
   readonly #lastTry = new Map<number, number>();
-  /** when each part last passed tasks to one that had no room either, steady ms */
+  /** when each shard last passed tasks to one that had no room either, steady ms */
   readonly #lastBalanced = new Map<number, number>();
 
   constructor(
@@ -47,21 +47,21 @@
     private readonly client: Pick<StateClient, 'transact' | 'get'>,
     private readonly cache: WatchCache,
     private readonly stillOwned: (index: number, owned: Owned) => boolean,
-    private readonly otherParts: OtherParts,
+    private readonly otherShards: OtherShards,
     private readonly now: () => number,
     private readonly log: Logger,
   ) {}
 
   /**
-   * A task that fits nowhere in its part passes, by transaction, to a part where it fits. Exception: while
-   * no part has room, what has waited for long passes to one that is booked far less. A part whose owner
-   * began to rent late may get no machines, and an array has ranges in most parts.
+   * A task that fits nowhere in its shard passes, by transaction, to a shard where it fits. Exception: while
+   * no shard has room, what has waited for long passes to one that is booked far less. A shard whose owner
+   * began to rent late may get no machines, and an array has ranges in most shards.
    */
   transferStuck(index: number, owned: Owned, now: number): void {
     if (now - (this.#lastTry.get(index) ?? -Infinity) < TRANSFER_EVERY_MS) return;
     this.#lastTry.set(index, now);
     let tries = 0;
-    for (const job of owned.part.jobs.values()) {
+    for (const job of owned.shard.jobs.values()) {
       if (job.stuckSince === null || now - job.stuckSince < TRANSFER_AFTER_MS) continue;
       if (now < job.transferAfter || job.transferring.length > 0) continue;
       const team = this.config.teams.get(job.spec.team);
@@ -71,17 +71,19 @@
       tries += 1;
       if (tries > TRANSFER_TRIES) return;
       const to =
-        this.otherParts.roomElsewhere(job.spec, index) ?? this.#lessBooked(job, index, now);
-      const can = to === null ? null : owned.part.transferable(job, active.value);
-      const era =
-        to === null ? null : (this.cache.tables['parts/'].get(String(to.part))?.value.term ?? null);
-      if (can === null || to === null || era === null) continue;
+        this.otherShards.roomElsewhere(job.spec, index) ?? this.#lessBooked(job, index, now);
+      const can = to === null ? null : owned.shard.transferable(job, active.value);
+      const term =
+        to === null
+          ? null
+          : (this.cache.tables['parts/'].get(String(to.shard))?.value.term ?? null);
+      if (can === null || to === null || term === null) continue;
       const { range } = can;
       const whole = job.spec.kind === 'gang' || job.spec.oneZone || job.spec.spread;
       const count = Math.min(range.to - can.from, to.tasks);
       if (whole && count < range.to - range.from) continue;
       if (to.tasks === Infinity) this.#lastBalanced.set(index, now);
-      void this.#pass(index, owned, job, range, range.to - count, { part: to.part, era });
+      void this.#pass(index, owned, job, range, range.to - count, { shard: to.shard, term });
       // The room that another node spoke of is there once.
       return;
     }
@@ -90,8 +92,8 @@
   #lessBooked(job: JobState, index: number, now: number): Destination | null {
     if (job.stuckSince === null || now - job.stuckSince < BALANCE_AFTER_MS) return null;
     if (now - (this.#lastBalanced.get(index) ?? -Infinity) < BALANCE_EVERY_MS) return null;
-    const part = this.otherParts.lessBooked(job.spec, index);
-    return part === null ? null : { part, tasks: Infinity };
+    const shard = this.otherShards.lessBooked(job.spec, index);
+    return shard === null ? null : { shard, tasks: Infinity };
   }
 
   async #pass(
@@ -100,7 +102,7 @@
     job: JobState,
     range: TaskRange,
     from: number,
-    to: { part: number; era: number },
+    to: { shard: number; term: number },
   ): Promise<void> {
     const { uid } = job.spec;
     const active = this.cache.tables['active/'].get(uid)!;
@@ -115,7 +117,7 @@
     const writes: Write[] = [{ put: key.active(uid), value }];
     // A part of the range may be saved under the old cut; the bitmap's end is simply cut off.
     const when = [{ key: key.active(uid), revision: active.revision }];
-    owned.part.beginTransfer(job, from, range.to);
+    owned.shard.beginTransfer(job, from, range.to);
     for (;;) {
       try {
         const { authorization } = owned;
@@ -128,8 +130,8 @@
         );
         if (result.ok) {
           this.cache.applyOwn(writes, result.epoch);
-          owned.part.endTransfer(job, true, this.now());
-          this.log.info({ job: uid, part: index, to: to.part, tasks: range.to - from }, 'passed');
+          owned.shard.endTransfer(job, true, this.now());
+          this.log.info({ job: uid, shard: index, to: to.shard, tasks: range.to - from }, 'passed');
           return;
         }
         // A conflict after a lost answer may be our own success: only the present record tells. The
@@ -139,15 +141,15 @@
         if (!('missing' in found)) {
           this.cache.applyOwn([{ put: key.active(uid), value: found.value }], found.revision);
           const { ranges: present } = decodeActive(uid, found.value);
-          passed = !present.some((r) => r.part === index && r.from <= from && r.to > from);
+          passed = !present.some((r) => r.shard === index && r.from <= from && r.to > from);
         }
-        owned.part.endTransfer(job, passed, this.now());
+        owned.shard.endTransfer(job, passed, this.now());
         return;
       } catch (error) {
         if (!(error instanceof StateTrouble)) throw error;
         if (!this.stillOwned(index, owned)) return;
         if (error.kind === 'invalid') {
-          owned.part.endTransfer(job, false, this.now());
+          owned.shard.endTransfer(job, false, this.now());
           return;
         }
         await sleep(STATE_PAUSE_MS);
--- a/src/shares/mover.ts
+++ b/src/shares/mover.ts
@@ -3,14 +3,14 @@
   advance,
   isOver,
   moveKey,
-  partLockKey,
+  shardLockKey,
   type Move,
   type MoverFacts,
 } from '@sumacstep/shares';
 import type { Logger } from 'pino';
 import { MOVE, type DutyController } from '../duties/duty-controller.js';
-import { CALL, StateTrouble, type StateClient } from '../state/client.js';
-import type { WatchCache } from '../state/watch-cache.js';
+import { CALL, StateTrouble, type StateClient } from '../store/store-client.js';
+import type { WatchCache } from '../store/watch-cache.js';
 import type { Write } from '../wire/schemas.js';
 
 type Tables = Pick<WatchCache['tables'], 'nodes/' | 'parts/' | 'shares/'>;
@@ -33,11 +33,11 @@
 /** Why no step of a move may be taken now; null if nothing stands in the way. */
 export const obstacleOf = (tables: Tables, move: Move): string | null => {
   if (!allKnowShares(tables)) return 'a node that does not know moves';
-  for (const part of [move.from, move.to]) {
-    const owner = tables['parts/'].get(String(part))?.value;
+  for (const shard of [move.from, move.to]) {
+    const owner = tables['parts/'].get(String(shard))?.value;
     const lives =
       owner !== undefined && tables['nodes/'].has(`${owner.owner}/${owner.incarnation}`);
-    if (!lives) return `an owner of part ${part}`;
+    if (!lives) return `an owner of part ${shard}`;
   }
   return null;
 };
@@ -78,7 +78,7 @@
     const key = moveKey(move.id);
     const writes: Write[] = [{ put: key, value: move }];
     if (isOver(move)) {
-      writes.push({ drop: partLockKey(move.from) }, { drop: partLockKey(move.to) });
+      writes.push({ drop: shardLockKey(move.from) }, { drop: shardLockKey(move.to) });
     }
     this.#busy.add(move.id);
     try {
--- a/src/shares/share-owner.ts
+++ b/src/shares/share-owner.ts
@@ -3,24 +3,24 @@
 import type { Logger } from 'pino';
 import type { SharesConfig } from '../config/shares.js';
 import { MOVE_REASON_MS } from '../constants.js';
-import { serves, type MachineState, type Part } from '../core/part.js';
-import type { Owned, PartController } from '../parts/part-controller.js';
-import { CALL, StateTrouble, type StateClient } from '../state/client.js';
-import type { WatchCache } from '../state/watch-cache.js';
+import { serves, type MachineState, type Shard } from '../core/shard/shard.js';
+import type { Owned, ShardController } from '../shards/shard-controller.js';
+import { CALL, StateTrouble, type StateClient } from '../store/store-client.js';
+import type { WatchCache } from '../store/watch-cache.js';
 import { movesIn, obstacleOf } from './mover.js';
 
-const unfitness = (part: Part, m: MachineState, now: number): string | null => {
+const unfitness = (shard: Shard, m: MachineState, now: number): string | null => {
   if (m.returning || m.leaving || m.condemned || m.unrecorded) return 'is to be returned';
   if (m.noticeAt !== null) return 'has a notice';
   if (!m.record.up) return 'is not up yet';
-  if (!part.isFresh(m, now) || m.ignoringSince !== null) return 'cannot be reached';
+  if (!shard.isFresh(m, now) || m.ignoringSince !== null) return 'cannot be reached';
   return null;
 };
 
 /** A machine as the choice of machines sees it. */
-export const candidateOf = (part: Part, m: MachineState, now: number): Candidate => {
+export const candidateOf = (shard: Shard, m: MachineState, now: number): Candidate => {
   const { name, type, zone, spot } = m.record;
-  const unfit = unfitness(part, m, now);
+  const unfit = unfitness(shard, m, now);
   const empty = m.tasks.size === 0 && m.foreign === 0 && m.doubtful.size === 0 && m.listed === 0;
   return {
     name,
@@ -41,7 +41,7 @@
 export interface ShareOwnerPorts {
   readonly client: Pick<StateClient, 'transact'>;
   readonly cache: WatchCache;
-  readonly partController: PartController;
+  readonly shardController: ShardController;
   /** steady ms */
   readonly now: () => number;
   readonly log: Logger;
@@ -64,9 +64,9 @@
     private readonly ports: ShareOwnerPorts,
   ) {}
 
-  /** One round over the moves that concern parts of this node. */
+  /** One round over the moves that concern shards of this node. */
   tick(): void {
-    const { cache, partController } = this.ports;
+    const { cache, shardController } = this.ports;
     const moves = [...movesIn(cache.tables).values()].filter(({ value }) => !isOver(value));
     if (moves.length > 0 || this.#marked) this.#mark(moves);
     this.#marked = moves.length > 0;
@@ -75,9 +75,10 @@
       if (state !== 'preparing' && state !== 'moving') continue;
       if (obstacleOf(cache.tables, move.value) !== null) continue;
       const { source, target } = ends(move.value);
-      if (!this.#targetIsNewer(source, target)) partController.renewTerm(target);
-      const owned = partController.owned.get(source);
-      if (owned !== undefined && partController.actsFor(owned)) this.#asSource(move, owned, target);
+      if (!this.#targetIsNewer(source, target)) shardController.renewTerm(target);
+      const owned = shardController.owned.get(source);
+      if (owned !== undefined && shardController.actsFor(owned))
+        this.#asSource(move, owned, target);
     }
   }
 
@@ -93,25 +94,25 @@
       for (const name of move.chosen) names.add(name);
       chosen.set(source, names);
     }
-    for (const [index, { part }] of this.ports.partController.owned) {
+    for (const [index, { shard }] of this.ports.shardController.owned) {
       const names = chosen.get(index);
-      for (const m of part.machines.values()) m.moving = names?.has(m.record.name) ?? false;
+      for (const m of shard.machines.values()) m.moving = names?.has(m.record.name) ?? false;
     }
   }
 
   #targetIsNewer(source: number, target: number): boolean {
-    const { partController } = this.ports;
-    return (partController.termOf(target) ?? 0) > (partController.termOf(source) ?? Infinity);
+    const { shardController } = this.ports;
+    return (shardController.termOf(target) ?? 0) > (shardController.termOf(source) ?? Infinity);
   }
 
   #asSource({ value: move, revision }: Versioned<Move>, owned: Owned, target: number): void {
     if (this.#busy.has(move.id)) return;
-    const { part } = owned;
+    const { shard } = owned;
     const now = this.ports.now();
-    const present = this.#withoutGone(move, part.index);
-    const machines = [...part.machines.values()].map((m) => candidateOf(part, m, now));
+    const present = this.#withoutGone(move, shard.index);
+    const machines = [...shard.machines.values()].map((m) => candidateOf(shard, m, now));
     const selection = select(present, machines, this.config.emptyingMost);
-    const newer = this.#targetIsNewer(part.index, target);
+    const newer = this.#targetIsNewer(shard.index, target);
     if (newer && selection.ready.length > 0 && move.state === 'moving') {
       void this.#once(move.id, () =>
         this.#moveReady(present, revision, owned, target, selection.ready),
@@ -133,7 +134,7 @@
   #withoutGone(move: Move, source: number): Move {
     if (move.direction === 'forth') return move;
     const { machines } = this.ports.cache;
-    const moved = move.moved.filter((name) => machines.get(name)?.value.part === source);
+    const moved = move.moved.filter((name) => machines.get(name)?.value.shard === source);
     return { ...move, moved };
   }
 
@@ -177,7 +178,7 @@
     target: number,
     ready: readonly string[],
   ): Promise<void> {
-    const { partController, cache, log } = this.ports;
+    const { shardController, cache, log } = this.ports;
     const to = cache.tables['parts/'].get(String(target));
     if (to === undefined) return;
     const key = moveKey(move.id);
@@ -189,8 +190,8 @@
           ? [...move.moved, ...names]
           : move.moved.filter((name) => !names.includes(name)),
     });
-    const moved = await partController.machines.move(owned, ready, {
-      part: target,
+    const moved = await shardController.machines.move(owned, ready, {
+      shard: target,
       term: to.value.term,
       condition: { key: `parts/${target}`, revision: to.revision },
       group: `moved-${move.id}-${revision}`,
@@ -199,7 +200,7 @@
     });
     if (moved.length === 0) return;
     log.info(
-      { move: move.id, from: owned.part.index, to: target, machines: moved },
+      { move: move.id, from: owned.shard.index, to: target, machines: moved },
       'machines moved',
     );
   }
--- a/src/state/duty-entries.ts
+++ b/src/store/duty-entries.ts
@@ -15,7 +15,7 @@
 
 const RETURNS = `${DUTIES}returns/`;
 
-/** Machines of a part that are being returned, or machines that no part has a record of. */
+/** Machines of a shard that are being returned, or machines that no shard has a record of. */
 export type ReturnList = number | 'unrecorded';
 
 export const dutyEntryKey = {
--- a/src/state/keys.ts
+++ b/src/store/keys.ts
@@ -3,12 +3,12 @@
 import { decodeDutyEntry, type DutyEntry } from './duty-entries.js';
 import { decodeShareEntry, type ShareEntry } from './share-entries.js';
 
-/** The machines of one rental that are in the same part, in one value: they cost one write. */
+/** The machines of one rental that are in the same shard, in one value: they cost one write. */
 export interface MachineGroup extends Omit<MachineRecord, 'name' | 'up'> {
   /** by name: whether the machine is recorded as up */
   readonly hosts: ReadonlyMap<string, boolean>;
 }
-/** Bitmaps of completed tasks by `<uid>/<first task>`: many ranges of a part in one value. */
+/** Bitmaps of completed tasks by `<uid>/<first task>`: many ranges of a shard in one value. */
 export type DoneSlot = ReadonlyMap<string, string>;
 
 /** Names and values of everything that the service keeps in the state service. */
@@ -31,21 +31,21 @@
   CACHED_PREFIXES.find((p) => key.startsWith(p)) ?? null;
 
 export const key = {
-  part: (index: number) => `parts/${index}`,
+  shard: (index: number) => `parts/${index}`,
   node: (name: string, incarnation: string) => `nodes/${name}/${incarnation}`,
   machines: (group: string) => `machines/${group}`,
   /** the group of a machine that no rental recorded */
   adopted: (machine: string) => `machines/found-${machine}`,
-  hire: (part: number, name: string) => `hires/${part}/${name}`,
+  hire: (shard: number, name: string) => `hires/${shard}/${name}`,
   active: (uid: string) => `active/${uid}`,
   final: (uid: string) => `${FINAL}${uid}`,
-  done: (part: number, slot: number) => `done/${part}/${slot}`,
+  done: (shard: number, slot: number) => `done/${shard}/${slot}`,
   term: 'term',
   /** never written: a read of it tells the present epoch */
   never: 'never',
 } as const;
 
-export interface PartRecord {
+export interface ShardRecord {
   readonly owner: string;
   /** incarnation of the owner: a name alone would mix up a node and its restarted self */
   readonly incarnation: string;
@@ -56,7 +56,7 @@
   readonly incarnation: string;
   /** whether this life takes part in exclusive duties; versions that don't know them say nothing */
   readonly knowsDuties: boolean;
-  /** whether this life takes part in moves of machines between parts */
+  /** whether this life takes part in moves of machines between shards */
   readonly knowsShares: boolean;
 }
 
@@ -75,7 +75,7 @@
   ...(abilities.knowsShares ? { shares: SHARES_VERSION } : {}),
 });
 export interface HireRecord {
-  readonly part: number;
+  readonly shard: number;
   readonly name: string;
   readonly type: string;
   readonly zone: string;
@@ -89,7 +89,7 @@
 }
 
 const int = z.number().int().nonnegative();
-const part = z.object({ owner: z.string(), incarnation: z.string(), term: int });
+const shard = z.object({ owner: z.string(), incarnation: z.string(), term: int });
 const node = z.object({
   incarnation: z.string(),
   duties: z.number().nullish(),
@@ -135,7 +135,7 @@
   'active/': JobRecord;
   'done/': DoneSlot;
   'machines/': MachineGroup;
-  'parts/': PartRecord;
+  'parts/': ShardRecord;
   'nodes/': NodeRecord;
   'hires/': HireRecord;
   'duties/': DutyEntry;
@@ -148,7 +148,7 @@
   return {
     spec: { uid, ...a.spec } satisfies JobSpec,
     at: a.at,
-    ranges: a.ranges.map(([from, to, p, era]) => ({ from, to, part: p, era })),
+    ranges: a.ranges.map(([from, to, shard, term]) => ({ from, to, shard, term })),
   };
 };
 export const encodeActive = (job: JobRecord): unknown => {
@@ -158,19 +158,19 @@
   return {
     spec,
     at: job.at,
-    ranges: job.ranges.map((r) => [r.from, r.to, r.part, r.era]),
+    ranges: job.ranges.map((r) => [r.from, r.to, r.shard, r.term]),
   };
 };
 export const encodeGroup = (g: MachineGroup): unknown => {
-  const { part, era, type, zone, spot, hosts } = g;
+  const { shard, term, type, zone, spot, hosts } = g;
   const up = Object.fromEntries([...hosts].map(([name, isUp]) => [name, Number(isUp)]));
-  return { part, era, type, zone, spot, hosts: up };
+  return { part: shard, era: term, type, zone, spot, hosts: up };
 };
 export const encodeDoneSlot = (slot: DoneSlot): unknown => Object.fromEntries(slot);
 /** The machines of a group one by one, as the core knows them. */
 export const machinesOf = (g: MachineGroup): MachineRecord[] => {
-  const { part, era, type, zone, spot } = g;
-  return [...g.hosts].map(([name, up]) => ({ name, part, era, type, zone, spot, up }));
+  const { shard, term, type, zone, spot } = g;
+  return [...g.hosts].map(([name, up]) => ({ name, shard, term, type, zone, spot, up }));
 };
 export const decodeFinal = (value: unknown): FinalState => final.parse(value);
 
@@ -178,10 +178,15 @@
   'active/': decodeActive,
   'done/': (_, value) => new Map(Object.entries(z.record(z.string(), z.string()).parse(value))),
   'machines/': (_, value) => {
-    const { hosts, ...rest } = machine.parse(value);
-    return { ...rest, hosts: new Map(Object.entries(hosts).map(([n, up]) => [n, up !== 0])) };
+    const { part: shard, era: term, hosts, ...rest } = machine.parse(value);
+    return {
+      ...rest,
+      shard,
+      term,
+      hosts: new Map(Object.entries(hosts).map(([n, up]) => [n, up !== 0])),
+    };
   },
-  'parts/': (_, value) => part.parse(value),
+  'parts/': (_, value) => shard.parse(value),
   'nodes/': (id, value) => {
     const { incarnation, duties, shares } = node.parse(value);
     const name = id.slice(0, id.lastIndexOf('/'));
@@ -190,7 +195,7 @@
   },
   'hires/': (id, value) => {
     const slash = id.indexOf('/');
-    return { part: Number(id.slice(0, slash)), name: id.slice(slash + 1), ...hire.parse(value) };
+    return { shard: Number(id.slice(0, slash)), name: id.slice(slash + 1), ...hire.parse(value) };
   },
   'duties/': decodeDutyEntry,
   'shares/': decodeShareEntry,
--- a/src/state/linearizable-reads.ts
+++ b/src/store/linearizable-reads.ts
@@ -1,5 +1,5 @@
 import { HELD_READ_MS, USER_CALL_MS } from '../constants.js';
-import { CALL, StateTrouble, type StateClient } from './client.js';
+import { CALL, StateTrouble, type StateClient } from './store-client.js';
 import { key } from './keys.js';
 import type { WatchCache } from './watch-cache.js';
 
--- a/src/state/session.ts
+++ b/src/store/node-session.ts
@@ -7,7 +7,7 @@
   LEASE_RETRY_MS,
   LEASE_TTL_MS,
 } from '../constants.js';
-import type { StateClient } from './client.js';
+import type { StateClient } from './store-client.js';
 import { encodeNode, key, type Abilities } from './keys.js';
 
 const TIMING = {
--- a/src/state/share-entries.ts
+++ b/src/store/share-entries.ts
@@ -3,7 +3,7 @@
 /** What the state service holds of moves of machines, all under one prefix. */
 export type ShareEntry =
   | { readonly kind: 'move'; readonly move: Move }
-  | { readonly kind: 'lock'; readonly part: number; readonly move: string }
+  | { readonly kind: 'lock'; readonly shard: number; readonly move: string }
   | { readonly kind: 'other' };
 
 /** `id` is the key without the prefix. */
@@ -14,8 +14,8 @@
   }
   if (id.startsWith('parts/')) {
     const move = decodeLock(value);
-    const part = Number(id.slice('parts/'.length));
-    return move === null ? { kind: 'other' } : { kind: 'lock', part, move };
+    const shard = Number(id.slice('parts/'.length));
+    return move === null ? { kind: 'other' } : { kind: 'lock', shard, move };
   }
   return { kind: 'other' };
 };
--- a/src/state/reads.ts
+++ b/src/store/shared-reads.ts
@@ -1,5 +1,5 @@
 import { READ_GATHER_MS } from '../constants.js';
-import { CALL, type Found, type StateClient } from './client.js';
+import { CALL, type Found, type StateClient } from './store-client.js';
 
 /**
  * Current reads, shared: requests that come in while a read of the same key has not left yet join
--- a/src/state/client.ts
+++ b/src/store/store-client.ts
@@ -11,8 +11,8 @@
   STATE_SOCKETS,
   STATE_TROUBLES,
 } from '../constants.js';
-import { CborClient, NoAnswer, type Answer } from '../http.js';
-import { TokenBucket } from '../tokens.js';
+import { CborClient, NoAnswer, type Answer } from '../transport/http.js';
+import { TokenBucket } from '../transport/token-bucket.js';
 import {
   committed,
   conflict,
--- a/src/state/watch-cache.ts
+++ b/src/store/watch-cache.ts
@@ -1,10 +1,10 @@
 import { EventEmitter } from 'node:events';
 import { FINALS_IN_MEMORY } from '../constants.js';
-import type { Change } from './client.js';
+import type { Change } from './store-client.js';
 import type { WatchBatch } from './watch.js';
 import type { Write } from '../wire/schemas.js';
-import type { Cancellation } from '../core/cancellations.js';
-import { eitherDone } from '../core/jobs.js';
+import type { Cancellation } from '../core/cancellation/cancellations.js';
+import { eitherDone } from '../core/jobs/jobs.js';
 import type { MachineRecord } from '../core/model.js';
 import {
   FINAL,
@@ -178,15 +178,15 @@
   }
 
   /**
-   * Completed tasks of a range as its part has saved them. While a value that has become too large is
+   * Completed tasks of a range as its shard has saved them. While a value that has become too large is
    * taken apart, a range may stand in two of them; tasks that are done stay done.
    */
-  done(part: number, uid: string, from: number): string | undefined {
+  done(shard: number, uid: string, from: number): string | undefined {
     const range = `${uid}/${from}`;
     let found: string | undefined;
-    // A part has a handful of slots at most.
+    // A shard has a handful of slots at most.
     for (const [id, { value }] of this.tables['done/']) {
-      if (!id.startsWith(`${part}/`)) continue;
+      if (!id.startsWith(`${shard}/`)) continue;
       const bits = value.get(range);
       if (bits === undefined) continue;
       found = found === undefined ? bits : eitherDone(found, bits);
--- a/src/state/watch.ts
+++ b/src/store/watch.ts
@@ -1,7 +1,7 @@
 import { Readable } from 'node:stream';
 import { setTimeout as sleep } from 'node:timers/promises';
 import { FOLLOW_BLOCK_MS, LIST_PAGE, STATE_PAUSE_MS } from '../constants.js';
-import { StateTrouble, type Change, type StateClient } from './client.js';
+import { StateTrouble, type Change, type StateClient } from './store-client.js';
 import { CACHED_PREFIXES, type Prefix } from './keys.js';
 
 /** One answer of the watch: what changed, and up to which epoch everything is known. */
--- a/src/http.ts
+++ b/src/transport/http.ts
@@ -1,8 +1,8 @@
 import { Agent, request } from 'node:http';
 import type { Readable } from 'node:stream';
 import type Koa from 'koa';
-import { BODY_LIMIT_BYTES } from './constants.js';
-import { fromBytes, toBytes } from './wire/cbor.js';
+import { BODY_LIMIT_BYTES } from '../constants.js';
+import { fromBytes, toBytes } from '../wire/cbor.js';
 
 /** No answer: the request may have been carried out, or may yet be. */
 export class NoAnswer extends Error {
--- a/src/users/api.ts
+++ b/src/users/api.ts
@@ -1,8 +1,8 @@
 import type Koa from 'koa';
 import { RETRY_AFTER_S, USER_CALL_MS, USER_WAITING_LIMIT } from '../constants.js';
 import type { JobSpec } from '../core/model.js';
-import { readBody, reply as send } from '../http.js';
-import { StateTrouble } from '../state/client.js';
+import { readBody, reply as send } from '../transport/http.js';
+import { StateTrouble } from '../store/store-client.js';
 import { fromBytes, WireError } from '../wire/cbor.js';
 import { statusBody, submission, UID_FORM, type JobStatus } from '../wire/schemas.js';
 import type { JobReader, JobReading } from './job-reader.js';
--- a/src/users/job-reader.ts
+++ b/src/users/job-reader.ts
@@ -1,9 +1,9 @@
 import type { JobRecord } from '../core/model.js';
-import type { StateClient } from '../state/client.js';
-import { key, type FinalState } from '../state/keys.js';
-import type { LinearizableReads } from '../state/linearizable-reads.js';
-import { SharedReads } from '../state/reads.js';
-import type { WatchCache } from '../state/watch-cache.js';
+import type { StateClient } from '../store/store-client.js';
+import { key, type FinalState } from '../store/keys.js';
+import type { LinearizableReads } from '../store/linearizable-reads.js';
+import { SharedReads } from '../store/shared-reads.js';
+import type { WatchCache } from '../store/watch-cache.js';
 
 /** What the service knows of a job. */
 export type JobAnswer =
--- a/src/users/jobs.ts
+++ b/src/users/jobs.ts
@@ -7,21 +7,21 @@
   SUBMIT_WAIT_MS,
   TYPE_LIST_BYTES,
 } from '../constants.js';
-import { admit } from '../core/admission.js';
+import { admit } from '../core/jobs/admission.js';
 import {
-  choosePart,
+  chooseShard,
   cutRanges,
-  partOfTeam,
+  shardOfTeam,
   rangeMost,
   staysWhole,
   hasLimit,
   hasGuarantee,
-} from '../core/jobs.js';
-import type { PartLoad } from '../core/jobs.js';
+} from '../core/jobs/jobs.js';
+import type { ShardLoad } from '../core/jobs/jobs.js';
 import type { JobRecord, JobSpec, MachineType, TaskRange, Team } from '../core/model.js';
-import { CALL, StateTrouble, type StateClient } from '../state/client.js';
-import { encodeActive, key, type FinalState } from '../state/keys.js';
-import type { WatchCache } from '../state/watch-cache.js';
+import { CALL, StateTrouble, type StateClient } from '../store/store-client.js';
+import { encodeActive, key, type FinalState } from '../store/keys.js';
+import type { WatchCache } from '../store/watch-cache.js';
 import type { Condition, Write } from '../wire/schemas.js';
 import { finalReading, type JobReader, type JobReading } from './job-reader.js';
 
@@ -32,22 +32,22 @@
   | { readonly kind: 'never'; readonly reason: string }
   | { readonly kind: 'undecided'; readonly reason: string; readonly waitMs?: number };
 
-/** What the user side needs to know of the parts. */
+/** What the user side needs to know of the shards. */
 export interface Routing {
   types(): ReadonlyMap<string, MachineType> | null;
-  loads(spec: JobSpec): readonly PartLoad[];
-  termOf(part: number): number | null;
+  loads(spec: JobSpec): readonly ShardLoad[];
+  termOf(shard: number): number | null;
   random(below: number): number;
 }
 
 /** Settings that decide what is accepted, and where it goes. */
 export interface JobSettings {
   readonly teams: ReadonlyMap<string, Team>;
-  /** number of parts */
-  readonly parts: number;
+  /** number of shards */
+  readonly shards: number;
   /** what a value of the state service holds */
   readonly valueBytes: number;
-  /** booked share of a part's machines under which tasks may go to it at random */
+  /** booked share of a shard's machines under which tasks may go to it at random */
   readonly loadThreshold: number;
 }
 
@@ -173,23 +173,23 @@
     return { ...spec, types: [...new Set(spec.types)].filter((name) => types.has(name)) };
   }
 
-  /** Cuts the job into ranges and chooses a part for each; null while a part has no owner. */
+  /** Cuts the job into ranges and chooses a shard for each; null while a shard has no owner. */
   #route(spec: JobSpec): TaskRange[] | null {
-    const { teams, parts, valueBytes, loadThreshold } = this.settings;
+    const { teams, shards, valueBytes, loadThreshold } = this.settings;
     const team = teams.get(spec.team);
     const whole = staysWhole(spec, team);
     const booked = hasLimit(team) || hasGuarantee(team);
     const loads = [...this.routing.loads(spec)];
-    const choose = () => choosePart(loads, loadThreshold, (below) => this.routing.random(below));
-    const home = booked ? partOfTeam(spec.team, parts) : choose();
+    const choose = () => chooseShard(loads, loadThreshold, (below) => this.routing.random(below));
+    const home = booked ? shardOfTeam(spec.team, shards) : choose();
     const out: TaskRange[] = [];
-    for (const [from, to] of cutRanges(spec.tasks, parts, whole, rangeMost(valueBytes))) {
-      const part = whole ? home : choose();
-      const era = this.routing.termOf(part);
-      if (era === null) return null;
-      out.push({ from, to, part, era });
-      // The next range of this job should not meet the same least loaded part.
-      const at = loads.findIndex((load) => load.part === part);
+    for (const [from, to] of cutRanges(spec.tasks, shards, whole, rangeMost(valueBytes))) {
+      const shard = whole ? home : choose();
+      const term = this.routing.termOf(shard);
+      if (term === null) return null;
+      out.push({ from, to, shard, term });
+      // The next range of this job should not meet the same least loaded shard.
+      const at = loads.findIndex((load) => load.shard === shard);
       const chosen = loads[at];
       if (!whole && chosen !== undefined) {
         loads[at] = { ...chosen, load: chosen.load + LOAD_PER_RANGE };
--- a/src/workers/heartbeats.ts
+++ b/src/workers/heartbeats.ts
@@ -1,6 +1,6 @@
 import type Koa from 'koa';
 import type { Command, Report } from '../core/model.js';
-import { CborClient, NoAnswer, readBody, reply as send } from '../http.js';
+import { CborClient, NoAnswer, readBody, reply as send } from '../transport/http.js';
 import { fromBytes, WireError } from '../wire/cbor.js';
 import { answerBody, commandsBody, redirectBody, report as reportSchema } from '../wire/schemas.js';
 import { COMMAND_MS } from '../constants.js';
@@ -11,7 +11,7 @@
   | { readonly kind: 'unavailable' };
 
 /**
- * Reports of workers: answered by the owner of the machine's part, sent on by all others. Until the node
+ * Reports of workers: answered by the owner of the machine's shard, sent on by all others. Until the node
  * is `open` it knows no owners: when all restart at once, every worker asks every second, and reading
  * what they say would take the time that the start needs.
  */
--- a/test/budget.test.ts
+++ b/test/budget.test.ts
@@ -2,17 +2,17 @@
 import { test } from 'node:test';
 import { setTimeout as sleep } from 'node:timers/promises';
 import pino from 'pino';
-import { Completions } from '../src/parts/completions.js';
+import { Completions } from '../src/shards/completions.js';
 import type { PlatformConfig } from '../src/config/platform.js';
 import { HELD_READ_MS, MACHINES_MS, PROGRESS_MS, SAVE_MS } from '../src/constants.js';
-import { MachineRecords } from '../src/parts/machine-records.js';
-import { encodeDone } from '../src/core/jobs.js';
-import { StateTrouble, type Outcome } from '../src/state/client.js';
-import { LinearizableReads } from '../src/state/linearizable-reads.js';
-import { encodeActive, encodeGroup } from '../src/state/keys.js';
-import { WatchCache } from '../src/state/watch-cache.js';
+import { MachineRecords } from '../src/shards/machine-records.js';
+import { encodeDone } from '../src/core/jobs/jobs.js';
+import { StateTrouble, type Outcome } from '../src/store/store-client.js';
+import { LinearizableReads } from '../src/store/linearizable-reads.js';
+import { encodeActive, encodeGroup } from '../src/store/keys.js';
+import { WatchCache } from '../src/store/watch-cache.js';
 import type { Condition, Write } from '../src/wire/schemas.js';
-import { job, machine, ownedPart, partWith, Store } from './helpers.js';
+import { job, machine, ownedShard, shardWith, Store } from './helpers.js';
 import { FakeWorker, World } from './standins/worker.js';
 
 /** What the state service is asked for, and how much of it: its limits are small and shared. */
@@ -47,15 +47,15 @@
   const { cache, written, client, show } = scene();
   const names = Array.from({ length: 50 }, (_, i) => `m${i}`);
   const hosts = new Map(names.map((n) => [n, false]));
-  const group = { part: 0, era: 1, type: 'm', zone: 'z', spot: false, hosts };
+  const group = { shard: 0, term: 1, type: 'm', zone: 'z', spot: false, hosts };
   show([['machines/rental-1', encodeGroup(group)]]);
   const store = new Store().add(...names.map((n) => machine(n, { up: false })));
-  const part = partWith(store);
+  const shard = shardWith(store);
   for (const n of names) {
     const w = new FakeWorker(n, new World(), 1000, 18_000, 0);
-    part.beat(w.report(), 0, true);
+    shard.beat(w.report(), 0, true);
     w.direct(1, 1, []);
-    part.inspected(w.report(), 1);
+    shard.inspected(w.report(), 1);
   }
   let now = 1000;
   const records = new MachineRecords(
@@ -66,18 +66,18 @@
     () => now,
     LOG,
   );
-  await records.tick(0, ownedPart(part), now);
+  await records.tick(0, ownedShard(shard), now);
   assert.deepEqual(
     written.map((w) => w.length),
     [1],
   );
   assert.ok(names.every((n) => cache.machines.get(n)?.value.up === true));
-  part.sync({ jobs: store.jobs, done: () => undefined, machines: cache.machines }, now);
+  shard.sync({ jobs: store.jobs, done: () => undefined, machines: cache.machines }, now);
   records.returned(names);
-  await records.tick(0, ownedPart(part), now);
+  await records.tick(0, ownedShard(shard), now);
   assert.equal(written.length, 1, 'not at once: more may come');
   now += MACHINES_MS;
-  await records.tick(0, ownedPart(part), now);
+  await records.tick(0, ownedShard(shard), now);
   assert.deepEqual(written.slice(1), [[{ drop: 'machines/rental-1' }]]);
   assert.equal(cache.machines.size, 0);
 });
@@ -87,11 +87,11 @@
   const uids = Array.from({ length: 30 }, (_, i) => `job-${String(i).padStart(6, '0')}`);
   const records = uids.map((uid) => job({ uid, tasks: 4 }));
   show(records.map((r) => [`active/${r.spec.uid}`, encodeActive(r)]));
-  const part = partWith(new Store().add(...records));
+  const shard = shardWith(new Store().add(...records));
   const completions = new Completions(CONFIG, client, cache, () => 0, LOG);
-  const owned = ownedPart(part);
+  const owned = ownedShard(shard);
   const finish = (uid: string, index: number) => {
-    const j = part.jobs.get(uid)!;
+    const j = shard.jobs.get(uid)!;
     j.waiting = j.waiting.filter((i) => i !== index);
     j.unsaved.add(index);
   };
@@ -105,7 +105,7 @@
     'one value for thirty ranges',
   );
   assert.ok(uids.every((uid) => cache.done(0, uid, 0) === '8'));
-  assert.ok(uids.every((uid) => part.jobs.get(uid)!.saved.has(0)));
+  assert.ok(uids.every((uid) => shard.jobs.get(uid)!.saved.has(0)));
 
   for (const i of [1, 2, 3]) finish(uids[0]!, i);
   owned.lastSave = 0;
@@ -184,9 +184,9 @@
   values.set('parts/0', { value: { owner: 'n', incarnation: 'a', term: 1 }, revision: 1 });
   values.set('active/job-000001', { value: encodeActive(record), revision: 2 });
   show();
-  const part = partWith(new Store().add(record));
-  const state = part.jobs.get('job-000001')!;
-  const owned = ownedPart(part);
+  const shard = shardWith(new Store().add(record));
+  const state = shard.jobs.get('job-000001')!;
+  const owned = ownedShard(shard);
   let now = 0;
   const completions = new Completions(CONFIG, client, cache, () => now, LOG);
   const save = async (index: number) => {
@@ -219,7 +219,7 @@
 
 test('a machine that nobody recorded is adopted only when no hire can still record it', async () => {
   const hire = { type: 'm', zone: 'z', spot: true, count: 1 };
-  const group = { part: 1, era: 1, type: 'm', zone: 'z', spot: true };
+  const group = { shard: 1, term: 1, type: 'm', zone: 'z', spot: true };
   const cases: [string, [string, unknown][], boolean][] = [
     ['nothing else', [], true],
     ['a hire of its kind is open', [['hires/1/n-1', hire]], false],
@@ -240,7 +240,7 @@
     };
     const records = new MachineRecords(CONFIG, client, cache, current, () => 0, LOG);
     const { type, zone, spot } = group;
-    await records.adopt(ownedPart(partWith(new Store())), { part: 0, type, zone, spot }, 'x');
+    await records.adopt(ownedShard(shardWith(new Store())), { shard: 0, type, zone, spot }, 'x');
     assert.equal(written.length, adopted ? 1 : 0, name);
   }
 });
--- a/test/cancellation-outage.test.ts
+++ b/test/cancellation-outage.test.ts
@@ -68,7 +68,7 @@
           30,
           () => c.running(doomed) + c.running(kept) === 2 * TASKS,
         );
-        // Every part has tasks of both jobs, so that whoever is refused has some.
+        // Every shard has tasks of both jobs, so that whoever is refused has some.
         for (const n of row.refused) c.doors.get(n)!.refusing = true;
         await sleep(300);
         await c.cancel('n1', doomed);
--- a/test/cancellations.test.ts
+++ b/test/cancellations.test.ts
@@ -5,7 +5,7 @@
   CancellationReceiver,
   renewableMs,
   CancellationBroadcast,
-} from '../src/core/cancellations.js';
+} from '../src/core/cancellation/cancellations.js';
 
 const CANCEL_MS = 38_000;
 const cancellation = (n: number) => ({ uid: `job-${n}`, tasks: 1, done: 0, epoch: n });
--- a/test/candidates.test.ts
+++ b/test/candidates.test.ts
@@ -1,15 +1,15 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { loadIndex } from '../src/core/booked-shares.js';
-import { isFeasible } from '../src/core/constraints.js';
+import { loadIndex } from '../src/core/capacity/allocation-ratio.js';
+import { isFeasible } from '../src/core/placement/constraints.js';
 import { fits, PRIORITY_RANK } from '../src/core/model.js';
-import { mostMatched } from '../src/core/placement.js';
-import { Candidates } from '../src/core/candidates.js';
+import { mostMatched } from '../src/core/placement/unused-volume.js';
+import { Candidates } from '../src/core/placement/candidates.js';
 import { randomFrom } from '../src/random.js';
-import { job, LEASE_MS, machine, partWith, Store } from './helpers.js';
+import { job, LEASE_MS, machine, shardWith, Store } from './helpers.js';
 import { FakeWorker, World } from './standins/worker.js';
 
-/** A part with machines of all kinds, each of which has answered, and some work on them. */
+/** A shard with machines of all kinds, each of which has answered, and some work on them. */
 const crowd = (random: (below: number) => number) => {
   const store = new Store();
   const names = Array.from({ length: 12 }, (_, i) => `m${i}`);
@@ -23,18 +23,18 @@
       job({ uid: `job-${i}`, demand, priority, tasks: 1 + random(3), spot: random(2) === 0 }),
     );
   }
-  const part = partWith(store);
+  const shard = shardWith(store);
   for (const n of names) {
     const w = new FakeWorker(n, new World(), 1e6, LEASE_MS, 0);
-    part.beat(w.report(), 0, false);
+    shard.beat(w.report(), 0, false);
     w.direct(1, 1, []);
-    part.inspected(w.report(), 1);
+    shard.inspected(w.report(), 1);
     for (const image of ['i', 'k']) {
-      if (random(3) === 0) part.machines.get(n)!.images.set(image, 1);
+      if (random(3) === 0) shard.machines.get(n)!.images.set(image, 1);
     }
   }
-  part.placeAll(2);
-  return { store, part };
+  shard.placeAll(2);
+  return { store, shard: shard };
 };
 
 test('the machines of a pass give the same choice as a search through all of them', () => {
@@ -42,8 +42,8 @@
   let none = 0;
   for (let seed = 1; seed <= 200; seed++) {
     const random = randomFrom(seed);
-    const { store, part } = crowd(random);
-    const { state } = part;
+    const { store, shard: shard } = crowd(random);
+    const { state } = shard;
     const demand = { cpus: 1 + random(6), gpus: random(2), memoryGb: 1 + random(30) };
     const more = {
       uid: 'job-99',
@@ -53,9 +53,9 @@
       zone: [null, 'y', 'z'][random(3)]!,
     };
     store.add(job(more));
-    part.sync(store, 3);
-    const guest = part.jobs.get('job-99')!;
-    const candidates = [...part.machines.values()]
+    shard.sync(store, 3);
+    const guest = shard.jobs.get('job-99')!;
+    const candidates = [...shard.machines.values()]
       .filter((m) => fits(demand, m.free) && isFeasible(state, m, guest, 3))
       .map((m) => ({ name: m.record.name, free: m.free, hasImage: m.images.has(more.image) }));
     const held = candidates.filter((c) => c.hasImage);
@@ -72,7 +72,7 @@
   assert.ok(found > 50 && none > 20, `${found} found, ${none} not: the cases test nothing`);
 });
 
-test('the load of a part is what the job would have to wait behind: table', () => {
+test('the load of a shard is what the job would have to wait behind: table', () => {
   const half = { cpus: 4, gpus: 1, memoryGb: 8 };
   const store = new Store().add(
     machine('a'),
@@ -81,15 +81,15 @@
     job({ uid: 'job-2', priority: 'normal', tasks: 1, demand: half, spot: false }),
   );
   const scene = (preempt: boolean) => {
-    const part = partWith(store, 1, { preempt });
+    const shard = shardWith(store, 1, { preempt });
     for (const n of ['a', 'b']) {
       const w = new FakeWorker(n, new World(), 1e6, LEASE_MS, 0);
-      part.beat(w.report(), 0, false);
+      shard.beat(w.report(), 0, false);
       w.direct(1, 1, []);
-      part.inspected(w.report(), 1);
+      shard.inspected(w.report(), 1);
     }
-    part.placeAll(2);
-    return part;
+    shard.placeAll(2);
+    return shard;
   };
   const { low, normal, high } = PRIORITY_RANK;
   const cases: [string, boolean, number, boolean, number][] = [
@@ -102,14 +102,14 @@
   for (const [name, preempt, rank, spot, want] of cases) {
     assert.equal(scene(preempt).loads(3)[loadIndex(rank, spot)], want, name);
   }
-  const part = scene(true);
+  const shard = scene(true);
   assert.deepEqual(
-    part.displaceable(3).map(({ m, rank }) => [m.record.name, rank]),
+    shard.displaceable(3).map(({ m, rank }) => [m.record.name, rank]),
     [
       ['a', high],
       ['b', normal],
     ],
   );
-  assert.equal(part.waiting(normal, 3), 0);
-  assert.equal(part.waiting(low, 3), 1);
+  assert.equal(shard.waiting(normal, 3), 0);
+  assert.equal(shard.waiting(low, 3), 1);
 });
