--- a/packages/duties/src/authorization.ts
+++ b/packages/duties/src/authorization.ts
@@ -1,6 +1,6 @@
 import type { FencingToken } from './fencing-token.js';
 import type { Refusals, RefusedBy } from './refusals.js';
-import type { Condition, Outcome, TransactionalStore, Write } from './store.js';
+import type { Guard, CompareAndSwapResult, CompareAndSwapStore, Write } from './store.js';
 
 /** An order did not leave, because its holder might no longer be entitled to give it. */
 export class NotEntitledError extends Error {
@@ -17,7 +17,7 @@
   readonly duty: string;
   readonly token: FencingToken;
   /** the record that names the holder, at the revision of this tenure */
-  readonly condition: Condition;
+  readonly condition: Guard;
   /** whether this process is provably still the holder, at the moment of the call */
   readonly holds: () => boolean;
 }
@@ -44,7 +44,7 @@
   }
 
   /** What every write under this authorization depends on. */
-  get condition(): Condition {
+  get condition(): Guard {
     return this.#tenure.condition;
   }
 
@@ -68,15 +68,15 @@
 }
 
 /** A transaction that the store carries out only while the tenure lasts. */
-export const fencedTransaction = async <U>(
-  store: TransactionalStore<U>,
+export const fencedCompareAndSwap = async <U>(
+  store: CompareAndSwapStore<U>,
   authorization: Authorization,
   urgency: U,
-  when: readonly Condition[],
+  guards: readonly Guard[],
   writes: readonly Write[],
-): Promise<Outcome> => {
+): Promise<CompareAndSwapResult> => {
   const { condition } = authorization;
-  const outcome = await store.transact(urgency, [condition, ...when], writes);
+  const outcome = await store.compareAndSwap(urgency, [condition, ...guards], writes);
   if (!outcome.ok && outcome.failed.includes(condition.key)) authorization.refused('store');
   return outcome;
 };
@@ -92,7 +92,7 @@
   ) {}
 
   /** Of an intent that stands in the store at some revision, written by this tenure or an earlier one. */
-  static found(authorization: Authorization, stored: Condition): RecordedIntent {
+  static found(authorization: Authorization, stored: Guard): RecordedIntent {
     if (stored.revision === 0) throw new RangeError(`${stored.key} is not recorded`);
     return new RecordedIntent(stored.key, authorization);
   }
--- a/packages/duties/src/index.ts
+++ b/packages/duties/src/index.ts
@@ -6,7 +6,7 @@
   Authorization,
   NotEntitledError,
   RecordedIntent,
-  fencedTransaction,
+  fencedCompareAndSwap,
   type Tenure,
 } from './authorization.js';
 export {
@@ -50,10 +50,10 @@
 export { describeDuties, type DutiesReport, type DutyStatus, type HeldUntil } from './status.js';
 export {
   StoreUnavailableError,
-  type Condition,
+  type Guard,
   type LeaseStore,
-  type Outcome,
-  type TransactionalStore,
+  type CompareAndSwapResult,
+  type CompareAndSwapStore,
   type Urgency,
   type Versioned,
   type Write,
--- a/packages/duties/src/manager.ts
+++ b/packages/duties/src/manager.ts
@@ -11,15 +11,15 @@
 import type { Log, Refusals } from './refusals.js';
 import {
   StoreUnavailableError,
-  type Condition,
-  type TransactionalStore,
+  type Guard,
+  type CompareAndSwapStore,
   type Versioned,
   type Write,
 } from './store.js';
 
 /** What the manager needs of the process that runs it. */
 export interface DutyPorts {
-  readonly store: TransactionalStore;
+  readonly store: CompareAndSwapStore;
   /** records, requests and members as they are known here */
   readonly view: () => DutyView;
   /** whether this process's lease provably lives and the view shows everything from before it did */
@@ -47,7 +47,7 @@
 /** A transaction that moves a duty away, repeated as it is until its outcome is known. */
 interface PendingHandOver {
   readonly revision: number;
-  readonly when: readonly Condition[];
+  readonly guards: readonly Guard[];
   readonly writes: readonly Write[];
 }
 
@@ -119,7 +119,7 @@
         return;
       case 'hand_over': {
         const { duty, record, request, to } = step;
-        const asked: Condition = { key: handOverKey(duty), revision: request.revision };
+        const asked: Guard = { key: handOverKey(duty), revision: request.revision };
         const living = to === null ? [] : [{ key: this.#memberKey(to), revision: to.revision }];
         this.#beginHandOver(duty, record, to, [asked, ...living], [{ drop: asked.key }]);
         return;
@@ -153,18 +153,18 @@
     const { me } = this.settings;
     const own = this.ports.view().members.find((m) => sameMember(m, me));
     if (own === undefined) return;
-    const when: Condition[] = [
+    const guards: Guard[] = [
       { key: dutyKey(duty), revision: previous?.revision ?? 0 },
       { key: this.#memberKey(me), revision: own.revision },
     ];
     const holder = previous?.value.holder ?? null;
     if (holder !== null && holder.node !== me.node) {
-      when.push({ key: this.#memberKey(holder), revision: 0 });
+      guards.push({ key: this.#memberKey(holder), revision: 0 });
     }
     const token = nextToken(previous?.value.token ?? NO_TENURE);
     const record = this.#record(me, holder?.node ?? previous?.value.former ?? null, token);
     const writes = [{ put: dutyKey(duty), value: record }];
-    const outcome = await this.ports.store.transact('lease', when, writes);
+    const outcome = await this.ports.store.compareAndSwap('lease', guards, writes);
     if (!outcome.ok) return;
     this.ports.committed(writes, outcome.epoch);
     this.ports.log.info({ duty, token, from: holder?.node ?? null }, 'duty acquired');
@@ -177,8 +177,8 @@
   async #dropRequest(duty: string, request: Versioned<HandOverRequest>): Promise<void> {
     const key = handOverKey(duty);
     const writes = [{ drop: key }];
-    const when = [{ key, revision: request.revision }];
-    const outcome = await this.ports.store.transact('normal', when, writes);
+    const guards = [{ key, revision: request.revision }];
+    const outcome = await this.ports.store.compareAndSwap('normal', guards, writes);
     if (outcome.ok) this.ports.committed(writes, outcome.epoch);
   }
 
@@ -187,7 +187,7 @@
     duty: string,
     record: Versioned<DutyRecord>,
     to: Member | null,
-    conditions: readonly Condition[],
+    conditions: readonly Guard[],
     writes: readonly Write[],
   ): void {
     const { me } = this.settings;
@@ -197,7 +197,7 @@
     const value = this.#record(next, me.node, next === null ? token : nextToken(token));
     const pending: PendingHandOver = {
       revision: record.revision,
-      when: [{ key: dutyKey(duty), revision: record.revision }, ...conditions],
+      guards: [{ key: dutyKey(duty), revision: record.revision }, ...conditions],
       writes: [{ put: dutyKey(duty), value }, ...writes],
     };
     this.#handingOver.set(duty, pending);
@@ -211,7 +211,11 @@
    */
   #finishHandOver(duty: string, pending: PendingHandOver): Promise<void> {
     return this.#once(duty, async () => {
-      const outcome = await this.ports.store.transact('lease', pending.when, pending.writes);
+      const outcome = await this.ports.store.compareAndSwap(
+        'lease',
+        pending.guards,
+        pending.writes,
+      );
       if (outcome.ok) {
         this.ports.committed(pending.writes, outcome.epoch);
         this.ports.log.info({ duty }, 'duty handed over');
--- a/packages/duties/src/store.ts
+++ b/packages/duties/src/store.ts
@@ -1,7 +1,7 @@
 /** What the package needs of a key-value store with conditional transactions. */
 
 /** A key has this revision; 0: the key does not exist. */
-export interface Condition {
+export interface Guard {
   readonly key: string;
   readonly revision: number;
 }
@@ -12,7 +12,7 @@
   | { readonly drop: string };
 
 /** What became of a transaction that was answered. */
-export type Outcome =
+export type CompareAndSwapResult =
   | { readonly ok: true; readonly epoch: number }
   /** nothing was written; these keys had another revision */
   | { readonly ok: false; readonly failed: readonly string[] };
@@ -27,8 +27,12 @@
 export type Urgency = 'lease' | 'normal' | 'background';
 
 /** Atomic transactions, of a store that tells urgent ones apart by `U`. Rejects with `StoreUnavailableError` if the outcome is a refusal or unknown. */
-export interface TransactionalStore<U = Urgency> {
-  transact(urgency: U, when: readonly Condition[], writes: readonly Write[]): Promise<Outcome>;
+export interface CompareAndSwapStore<U = Urgency> {
+  compareAndSwap(
+    urgency: U,
+    guards: readonly Guard[],
+    writes: readonly Write[],
+  ): Promise<CompareAndSwapResult>;
 }
 
 /** Leases of the store, and keys that are attached to them. */
--- a/packages/duties/test/manager.test.ts
+++ b/packages/duties/test/manager.test.ts
@@ -7,9 +7,9 @@
   fencingToken,
   Refusals,
   StoreUnavailableError,
-  type Condition,
+  type Guard,
   type DutyView,
-  type Outcome,
+  type CompareAndSwapResult,
 } from '@sumacstep/duties';
 
 const ME = { node: 'a', incarnation: 'one' };
@@ -22,7 +22,10 @@
 
 /** A manager whose transactions are kept, and answered by the test. */
 const scene = (holder: string, living: readonly string[]) => {
-  const sent: { when: readonly Condition[]; answer: (outcome: Outcome | Error) => void }[] = [];
+  const sent: {
+    guards: readonly Guard[];
+    answer: (outcome: CompareAndSwapResult | Error) => void;
+  }[] = [];
   const record = {
     holder: { node: holder, incarnation: 'one' },
     former: null,
@@ -39,11 +42,11 @@
     { me: ME, duties: ['d'], graceMs: 0, memberKey: (m) => `nodes/${m.node}/${m.incarnation}` },
     {
       store: {
-        transact: (_urgency, when) =>
+        compareAndSwap: (_urgency, guards) =>
           new Promise((resolve, reject) => {
-            const answer = (outcome: Outcome | Error) =>
+            const answer = (outcome: CompareAndSwapResult | Error) =>
               outcome instanceof Error ? reject(outcome) : resolve(outcome);
-            sent.push({ when, answer });
+            sent.push({ guards, answer });
           }),
       },
       view: () => view,
@@ -61,7 +64,7 @@
 test('a takeover depends on the record, the own life, and the end of the former one', () => {
   const { manager, sent } = scene('b', ['a', 'c']);
   manager.tick();
-  assert.deepEqual(sent[0]?.when, [
+  assert.deepEqual(sent[0]?.guards, [
     { key: dutyKey('d'), revision: 7 },
     { key: 'nodes/a/one', revision: 10 },
     { key: 'nodes/b/one', revision: 0 },
@@ -79,7 +82,7 @@
   await turn();
   assert.equal(authorization.holds(), false, 'it may be carried out yet');
   manager.tick();
-  assert.deepEqual(sent[1]!.when, sent[0]!.when, 'the same again');
+  assert.deepEqual(sent[1]!.guards, sent[0]!.guards, 'the same again');
   sent[1]!.answer({ ok: false, failed: ['nodes/c/one'] });
   await turn();
   assert.ok(authorization.holds(), 'refused, so no copy of it can be carried out any more');
--- a/packages/duties/test/simulated-holders.ts
+++ b/packages/duties/test/simulated-holders.ts
@@ -4,7 +4,7 @@
   DUTY_PREFIX,
   DutyManager,
   dutyKey,
-  fencedTransaction,
+  fencedCompareAndSwap,
   HAND_OVER_PREFIX,
   NotEntitledError,
   Refusals,
@@ -15,7 +15,7 @@
   type DutyView,
   type HandOverRequest,
   type LivingMember,
-  type TransactionalStore,
+  type CompareAndSwapStore,
   type Versioned,
 } from '@sumacstep/duties';
 import type { DutyEvent } from './history.js';
@@ -76,7 +76,7 @@
   readonly log: LogLine[] = [];
   readonly manager: DutyManager;
   readonly #lease: SessionLease;
-  readonly #store: TransactionalStore;
+  readonly #store: CompareAndSwapStore;
   readonly #drift: number;
   #view: DutyView;
   #viewAt = -Infinity;
@@ -181,7 +181,7 @@
       authorization.ensureHeld();
       this.world.sent(this, authorization);
       this.world.commandMachine(this, authorization);
-      await fencedTransaction(
+      await fencedCompareAndSwap(
         this.#store,
         authorization,
         'normal',
@@ -292,7 +292,7 @@
    */
   async useOrReturn(
     holder: Holder,
-    store: TransactionalStore,
+    store: CompareAndSwapStore,
     authorization: Authorization,
   ): Promise<void> {
     const name = `machine${this.#nextMachine % 50}`;
@@ -304,11 +304,11 @@
     const write = use
       ? { put: `used/${name}`, value: true }
       : { put: 'returns', value: [...returning, name] };
-    const when = [
+    const guards = [
       { key: 'returns', revision: list?.revision ?? 0 },
       { key: `used/${name}`, revision: 0 },
     ];
-    const outcome = await fencedTransaction(store, authorization, 'normal', when, [write]);
+    const outcome = await fencedCompareAndSwap(store, authorization, 'normal', guards, [write]);
     if (!outcome.ok) return;
     if (use) {
       this.counts.used += 1;
--- a/packages/duties/test/simulated-store.ts
+++ b/packages/duties/test/simulated-store.ts
@@ -1,9 +1,9 @@
 import {
   StoreUnavailableError,
-  type Condition,
+  type Guard,
   type LeaseStore,
-  type Outcome,
-  type TransactionalStore,
+  type CompareAndSwapResult,
+  type CompareAndSwapStore,
   type Versioned,
   type Write,
 } from '@sumacstep/duties';
@@ -66,8 +66,8 @@
     }
   }
 
-  transact(when: readonly Condition[], writes: readonly Write[]): Outcome {
-    const failed = when.filter((c) => (this.items.get(c.key)?.revision ?? 0) !== c.revision);
+  compareAndSwap(guards: readonly Guard[], writes: readonly Write[]): CompareAndSwapResult {
+    const failed = guards.filter((c) => (this.items.get(c.key)?.revision ?? 0) !== c.revision);
     if (failed.length > 0) return { ok: false, failed: failed.map((c) => c.key) };
     return { ok: true, epoch: this.#commit(writes) };
   }
@@ -86,10 +86,10 @@
   }
 
   /** The store as one client reaches it. Answers are handled by `resume`, which may wait. */
-  client(weather: Weather, resume: (work: () => void) => void): TransactionalStore & LeaseStore {
+  client(weather: Weather, resume: (work: () => void) => void): CompareAndSwapStore & LeaseStore {
     const call = <T>(execute: () => T) => this.#call(weather, resume, execute);
     return {
-      transact: (_urgency, when, writes) => call(() => this.transact(when, writes)),
+      compareAndSwap: (_urgency, guards, writes) => call(() => this.compareAndSwap(guards, writes)),
       grant: (ttlMs) => call(() => this.#grant(ttlMs)),
       renew: (id) => call(() => this.#renew(id)),
       register: (key, value, lease) =>
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -9,7 +9,7 @@
 import type { Authorization, RecordedIntent } from '@sumacstep/duties';
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { MachineType } from '../core/model.js';
-import { CborClient, NoAnswer, type Answer } from '../transport/http.js';
+import { CborClient, NoResponseError, type Response } from '../transport/http.js';
 import { TokenBucket } from '../transport/token-bucket.js';
 import {
   machineList,
@@ -22,7 +22,7 @@
 } from '../wire/schemas.js';
 
 /** The cloud did not carry the call out, or did not answer; ask again later. */
-export class CloudTrouble extends Error {}
+export class CloudRequestError extends Error {}
 
 export type RentResult =
   | { readonly kind: 'rented'; readonly machines: readonly string[] }
@@ -30,8 +30,8 @@
   | { readonly kind: 'malformed'; readonly answer: string };
 
 /** Order in which calls get tokens: what must be gone, then what is waited for, then news. */
-const CALL = { giveBack: 0, rent: 1, list: 2 } as const;
-type CallClass = (typeof CALL)[keyof typeof CALL];
+const CALL_PRIORITY = { giveBack: 0, rent: 1, list: 2 } as const;
+type CallPriority = (typeof CALL_PRIORITY)[keyof typeof CALL_PRIORITY];
 
 const burst = (rps: number): number => Math.max(1, rps * CLOUD_BURST_S);
 
@@ -65,7 +65,7 @@
     return (this.#pages * 1000) / (this.#rps * LIST_SHARE);
   }
 
-  async #token(cls: CallClass): Promise<void> {
+  async #token(cls: CallPriority): Promise<void> {
     this.#waiting[cls]! += 1;
     try {
       for (;;) {
@@ -79,49 +79,61 @@
   }
 
   async #call(
-    cls: CallClass,
+    cls: CallPriority,
     method: string,
     path: string,
     body?: unknown,
     authorization?: Authorization,
-  ): Promise<Answer> {
+  ): Promise<Response> {
     await this.#token(cls);
     // The wait may have been long, or the process may have stood still: what it was decided on is over.
     authorization?.ensureHeld();
     try {
       const answer = await this.#http.call(method, path, body, CLOUD_CALL_MS);
-      if (answer.status === 429) throw new CloudTrouble(`${method} ${path}: 429`);
+      if (answer.status === 429) throw new CloudRequestError(`${method} ${path}: 429`);
       return answer;
     } catch (error) {
-      if (error instanceof NoAnswer) throw new CloudTrouble(error.message);
+      if (error instanceof NoResponseError) throw new CloudRequestError(error.message);
       throw error;
     }
   }
 
   async types(): Promise<MachineType[]> {
-    const a = await this.#call(CALL.rent, 'GET', '/machine_types');
-    if (a.status !== 200) throw new CloudTrouble(`machine types: ${a.status}`);
+    const a = await this.#call(CALL_PRIORITY.rent, 'GET', '/machine_types');
+    if (a.status !== 200) throw new CloudRequestError(`machine types: ${a.status}`);
     return machineTypes.parse(a.body).Hosttypes;
   }
 
   /** Throws `NotEntitledError` if the tenure is over at the moment of sending. */
   async rent(request: RentRequest, { authorization }: RecordedIntent): Promise<RentResult> {
-    const a = await this.#call(CALL.rent, 'POST', '/rentals', rentBody(request), authorization);
+    const a = await this.#call(
+      CALL_PRIORITY.rent,
+      'POST',
+      '/rentals',
+      rentBody(request),
+      authorization,
+    );
     if (a.status === 200) return { kind: 'rented', machines: rented.parse(a.body).Hosts };
     if (a.status === 400) return { kind: 'malformed', answer: JSON.stringify(a.body) };
     const error = (a.body as { error?: unknown } | null)?.error;
     if (a.status === 503 && error === 'no capacity') return { kind: 'no_capacity' };
-    throw new CloudTrouble(`rental: ${a.status} ${String(error)}`);
+    throw new CloudRequestError(`rental: ${a.status} ${String(error)}`);
   }
 
   /**
    * When this resolves, the machines and everything on them are gone. Throws `NotEntitledError` if the tenure
    * is over at the moment of sending.
    */
-  async giveBack(machines: readonly string[], authorization: Authorization): Promise<void> {
+  async returnMachines(machines: readonly string[], authorization: Authorization): Promise<void> {
     const body = returnBody(machines);
-    const a = await this.#call(CALL.giveBack, 'POST', '/rentals/return', body, authorization);
-    if (a.status !== 200) throw new CloudTrouble(`return: ${a.status}`);
+    const a = await this.#call(
+      CALL_PRIORITY.giveBack,
+      'POST',
+      '/rentals/return',
+      body,
+      authorization,
+    );
+    if (a.status !== 200) throw new CloudRequestError(`return: ${a.status}`);
   }
 
   async list(): Promise<ListedMachine[]> {
@@ -130,8 +142,12 @@
     for (let since = ''; ;) {
       pages += 1;
       const after = since === '' ? '' : `Since=${encodeURIComponent(since)}&`;
-      const a = await this.#call(CALL.list, 'GET', `/rentals?${after}Limit=${CLOUD_LIST_PAGE}`);
-      if (a.status !== 200) throw new CloudTrouble(`machine list: ${a.status}`);
+      const a = await this.#call(
+        CALL_PRIORITY.list,
+        'GET',
+        `/rentals?${after}Limit=${CLOUD_LIST_PAGE}`,
+      );
+      if (a.status !== 200) throw new CloudRequestError(`machine list: ${a.status}`);
       const page = machineList.parse(a.body);
       out.push(...page.Hosts);
       const last = page.Hosts.at(-1);
--- a/src/cloud/machine-types.ts
+++ b/src/cloud/machine-types.ts
@@ -2,7 +2,7 @@
 import type { Logger } from 'pino';
 import { TYPES_MS, TYPES_RETRY_MS } from '../constants.js';
 import type { MachineType } from '../core/model.js';
-import { CloudTrouble, type CloudClient } from './client.js';
+import { CloudRequestError, type CloudClient } from './client.js';
 
 /** The machine types of the cloud, read anew from time to time since prices move. */
 export class MachineTypes {
@@ -32,7 +32,7 @@
       this.#types = new Map(types.map((t) => [t.name, t]));
       return true;
     } catch (error) {
-      if (!(error instanceof CloudTrouble)) throw error;
+      if (!(error instanceof CloudRequestError)) throw error;
       this.log.debug({ error: error.message }, 'machine types not read');
       return false;
     }
--- a/src/commands/duties.ts
+++ b/src/commands/duties.ts
@@ -8,7 +8,7 @@
 } from '@sumacstep/duties';
 import type { PlatformConfig } from '../config/platform.js';
 import { DUTY_NAMES, dutyView } from '../duties/duty-controller.js';
-import { CALL } from '../store/store-client.js';
+import { CALL_PRIORITY } from '../store/store-client.js';
 import { key } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import { CommandError, EXIT } from './exit-codes.js';
@@ -125,16 +125,18 @@
   const name = handOverKey(duty);
   try {
     for (let tries = 0; tries < TRIES; tries++) {
-      const found = await store.attempt(() => store.client.get(name, CALL.read));
+      const found = await store.attempt(() => store.client.get(name, CALL_PRIORITY.read));
       if (!('missing' in found)) {
         const standing = decodeHandOver(found.value);
         if (standing?.id === request.id) return { duty, request: standing, written: false };
         const id = standing?.id ?? 'one of another version';
         throw new CommandError(EXIT.conflict, `${duty}: another request waits (${id})`);
       }
-      const when = [{ key: name, revision: 0 }];
+      const guards = [{ key: name, revision: 0 }];
       const writes = [{ put: name, value: request }];
-      const result = await store.attempt(() => store.client.transact(CALL.rest, when, writes));
+      const result = await store.attempt(() =>
+        store.client.compareAndSwap(CALL_PRIORITY.rest, guards, writes),
+      );
       if (result.ok) return { duty, request, written: true };
     }
     throw new CommandError(EXIT.conflict, `${duty}: others write requests at the same moment`);
@@ -149,11 +151,13 @@
   const store = new StoreAccess(config);
   const name = handOverKey(duty);
   try {
-    const found = await store.attempt(() => store.client.get(name, CALL.read));
+    const found = await store.attempt(() => store.client.get(name, CALL_PRIORITY.read));
     if ('missing' in found) return false;
-    const when = [{ key: name, revision: found.revision }];
+    const guards = [{ key: name, revision: found.revision }];
     const writes = [{ drop: name }];
-    const result = await store.attempt(() => store.client.transact(CALL.rest, when, writes));
+    const result = await store.attempt(() =>
+      store.client.compareAndSwap(CALL_PRIORITY.rest, guards, writes),
+    );
     return result.ok;
   } finally {
     store.close();
--- a/src/commands/shares.ts
+++ b/src/commands/shares.ts
@@ -16,7 +16,7 @@
 import { hasGuarantee, hasLimit, shardOfTeam } from '../core/jobs/jobs.js';
 import type { MachineRecord } from '../core/model.js';
 import { movesIn, obstacleOf } from '../shares/mover.js';
-import { CALL } from '../store/store-client.js';
+import { CALL_PRIORITY } from '../store/store-client.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import { CommandError, EXIT } from './exit-codes.js';
 import { StoreAccess } from './store-access.js';
@@ -156,7 +156,7 @@
       if (part >= config.nodes) problems.push(`${field}: no such part: ${part}`);
     }
     if (request.deadlineMs <= nowMs) problems.push('deadlineMs: is past');
-    const most = Math.floor((config.stateLimits.valueBytes - MOVE_BYTES) / NAME_BYTES);
+    const most = Math.floor((config.storeLimits.valueBytes - MOVE_BYTES) / NAME_BYTES);
     if (request.count > most) problems.push(`count: one move holds ${most} machines at most`);
   }
   if (problems.length > 0) throw new CommandError(EXIT.badInput, problems.join('\n'));
@@ -209,21 +209,23 @@
     const key = moveKey(request.id);
     const locks = [shardLockKey(request.from), shardLockKey(request.to)];
     for (let tries = 0; tries < TRIES; tries++) {
-      const found = await store.attempt(() => store.client.get(key, CALL.read));
+      const found = await store.attempt(() => store.client.get(key, CALL_PRIORITY.read));
       if (!('missing' in found)) {
         const move = decodeMove(found.value);
         if (move !== null) return { move, written: false };
         throw new CommandError(EXIT.conflict, `${request.id}: a move of another version`);
       }
       const move = requested(request);
-      const when = [key, ...locks].map((name) => ({ key: name, revision: 0 }));
+      const guards = [key, ...locks].map((name) => ({ key: name, revision: 0 }));
       const lock = encodeLock(request.id);
       const writes = [{ put: key, value: move }, ...locks.map((put) => ({ put, value: lock }))];
-      const result = await store.attempt(() => store.client.transact(CALL.rest, when, writes));
+      const result = await store.attempt(() =>
+        store.client.compareAndSwap(CALL_PRIORITY.rest, guards, writes),
+      );
       if (result.ok) return { move, written: true };
       const held = result.failed.find((name) => locks.includes(name));
       if (held === undefined) continue;
-      const holder = await store.attempt(() => store.client.get(held, CALL.read));
+      const holder = await store.attempt(() => store.client.get(held, CALL_PRIORITY.read));
       if ('missing' in holder) continue;
       const id = decodeLock(holder.value) ?? 'one of another version';
       // An answer that got lost: the lock is this move's own.
@@ -238,16 +240,18 @@
   withStore(config, async (store) => {
     const key = moveKey(id);
     for (let tries = 0; tries < TRIES; tries++) {
-      const found = await store.attempt(() => store.client.get(key, CALL.read));
+      const found = await store.attempt(() => store.client.get(key, CALL_PRIORITY.read));
       const move = 'missing' in found ? null : decodeMove(found.value);
       if (move === null || 'missing' in found) {
         throw new CommandError(EXIT.badInput, `no such move: ${id}`);
       }
       if (isOver(move) || move.abortAsked) return { move, written: false };
       const next: Move = { ...move, abortAsked: true };
-      const when = [{ key, revision: found.revision }];
+      const guards = [{ key, revision: found.revision }];
       const writes = [{ put: key, value: next }];
-      const result = await store.attempt(() => store.client.transact(CALL.rest, when, writes));
+      const result = await store.attempt(() =>
+        store.client.compareAndSwap(CALL_PRIORITY.rest, guards, writes),
+      );
       if (result.ok) return { move: next, written: true };
     }
     throw new CommandError(EXIT.conflict, `${id}: it changes faster than it can be aborted`);
--- a/src/commands/store-access.ts
+++ b/src/commands/store-access.ts
@@ -2,8 +2,8 @@
 import pino from 'pino';
 import { steadyMs } from '../clock.js';
 import type { PlatformConfig } from '../config/platform.js';
-import { STATE_PAUSE_MS } from '../constants.js';
-import { StateClient, StateTrouble } from '../store/store-client.js';
+import { STORE_RETRY_MS } from '../constants.js';
+import { StoreClient, StoreRequestError } from '../store/store-client.js';
 import type { Prefix } from '../store/keys.js';
 import { listPrefixes } from '../store/watch.js';
 import { WatchCache } from '../store/watch-cache.js';
@@ -16,17 +16,17 @@
 
 /** The state service as a command reaches it. */
 export class StoreAccess {
-  readonly client: StateClient;
+  readonly client: StoreClient;
 
   constructor(config: PlatformConfig) {
-    const { rps, writeRps, next } = config.stateLimits;
+    const { rps, writeRps, next } = config.storeLimits;
     const share = (limits: { rps: number; writeRps: number }) => ({
       rps: Math.max(1, limits.rps * COMMAND_SHARE),
       writeRps: Math.max(1, limits.writeRps * COMMAND_SHARE),
     });
     const limits = { ...share({ rps, writeRps }), next: share(next) };
     const log = pino({ level: 'silent' });
-    this.client = new StateClient(config.state, limits, config.stateLimits, steadyMs, log);
+    this.client = new StoreClient(config.store, limits, config.storeLimits, steadyMs, log);
   }
 
   /** Repeats a call that was refused; a `CommandError` says that the state service can't be reached. */
@@ -35,11 +35,11 @@
       try {
         return await call();
       } catch (error) {
-        if (!(error instanceof StateTrouble)) throw error;
+        if (!(error instanceof StoreRequestError)) throw error;
         if (tries >= TRIES || error.kind === 'invalid') {
           throw new CommandError(EXIT.unavailable, `the state service: ${error.message}`);
         }
-        await sleep(STATE_PAUSE_MS);
+        await sleep(STORE_RETRY_MS);
       }
     }
   }
--- a/src/config/operator.ts
+++ b/src/config/operator.ts
@@ -36,8 +36,8 @@
   readonly drainS: number;
   readonly idleKeepS: number;
   readonly machinesMost: number;
-  readonly stateRequestShare: number;
-  readonly stateWriteShare: number;
+  readonly storeRequestShare: number;
+  readonly storeWriteShare: number;
   readonly cloudRequestShare: number;
 }
 
@@ -50,8 +50,8 @@
     drainS: capacity.drain_s,
     idleKeepS: capacity.idle_keep_s,
     machinesMost: capacity.machines_most,
-    stateRequestShare: state.request_share,
-    stateWriteShare: state.write_share,
+    storeRequestShare: state.request_share,
+    storeWriteShare: state.write_share,
     cloudRequestShare: cloud.request_share,
   };
 };
--- a/src/config/platform.ts
+++ b/src/config/platform.ts
@@ -84,20 +84,20 @@
   readonly peerListen: string;
   readonly peers: readonly { readonly node: string; readonly address: string }[];
   readonly cloud: string;
-  readonly state: string;
+  readonly store: string;
   /** number of nodes, and of shards */
   readonly nodes: number;
   readonly zones: readonly string[];
   readonly teams: ReadonlyMap<string, Team>;
   readonly objectives: readonly Objective[];
   readonly workers: {
-    readonly reportS: number;
+    readonly heartbeatIntervalS: number;
     readonly leaseS: number;
     readonly gangWaitS: number;
     readonly gangPeerS: number;
     readonly cancelS: number;
   };
-  readonly stateLimits: {
+  readonly storeLimits: {
     readonly rps: number;
     readonly writeRps: number;
     /** sizes are the smaller ones of now and of `next`: nothing tells when those come */
@@ -135,7 +135,7 @@
     peerListen: c.peer_bind,
     peers: c.known.map((k) => ({ node: k.node, address: k.endpoint })),
     cloud: c.services.cloud,
-    state: c.services.state,
+    store: c.services.state,
     nodes: s.nodes,
     zones: s.zones,
     teams: new Map(
@@ -151,13 +151,13 @@
       share: o.share ?? 0,
     })),
     workers: {
-      reportS: s.workers.report_s,
+      heartbeatIntervalS: s.workers.report_s,
       leaseS: s.workers.lease_s,
       gangWaitS: s.workers.gang_wait_s,
       gangPeerS: s.workers.gang_peer_s,
       cancelS: s.workers.cancel_s,
     },
-    stateLimits: {
+    storeLimits: {
       rps: s.state.rps,
       writeRps: s.state.write_rps,
       valueBytes: Math.min(s.state.value_kb, s.state.next?.value_kb ?? Infinity) * 1024,
--- a/src/constants.ts
+++ b/src/constants.ts
@@ -43,7 +43,7 @@
 
 // --- clocks -------------------------------------------------------------------------------------
 /** ms; a change is acted on this soon, together with those that come right after it. */
-export const SOON_MS = 250;
+export const DEBOUNCE_MS = 250;
 /** share; steady clocks drift by up to 0.05 % each, so two of them differ by at most twice that. */
 export const CLOCK_DRIFT = 0.001;
 /** ms; the wanted state is compared with what is this often. */
@@ -65,7 +65,7 @@
 /** bytes; well under the 64 KiB of a transaction, keys and conditions included. */
 export const BATCH_BYTES = 40_000;
 /** tokens; a node with a small share may still send a transaction of this size at once. */
-export const STATE_BURST_LEAST = 4;
+export const MIN_STORE_BURST = 4;
 /** ms; a read of the feed that takes longer is held: nothing changes. Usual answers take 10 ms. */
 export const HELD_READ_MS = 40;
 /** share of a node's requests that the feed may take; less means answers and starts come later. */
@@ -73,13 +73,13 @@
 /** ms; polls of the same job that come within this time share a read. */
 export const READ_GATHER_MS = 4;
 /** calls; a single one may be lost on the way without the service being out. */
-export const STATE_TROUBLES = 2;
+export const STORE_FAILURES_LIMIT = 2;
 /** connections; a node has few calls in flight at a time. */
-export const STATE_SOCKETS = 12;
+export const STORE_SOCKETS = 12;
 /** ms; between tries while there is no lease, or after a slow renewal. */
 export const LEASE_RETRY_MS = 300;
 /** ms; usual answers take under 10 ms, slow ones a few hundred: later than this is "no answer". */
-export const STATE_CALL_MS = 2000;
+export const STORE_CALL_TIMEOUT_MS = 2000;
 /** ms; a node's lease. Shorter means quicker takeover, longer survives slow renewals. */
 export const LEASE_TTL_MS = 6000;
 /** ms; three renewals may fail before the lease is lost. */
@@ -93,13 +93,13 @@
 /** items in one page of a listing; the service returns no more than 1,000. */
 export const LIST_PAGE = 500;
 /** ms; pause after a failed call in the feeds, so that an outage causes no storm of retries. */
-export const STATE_PAUSE_MS = 400;
+export const STORE_RETRY_MS = 400;
 /** ms; state answered more recently than this counts as "has state". */
-export const STATE_FRESH_MS = 4000;
+export const STORE_FRESH_MS = 4000;
 /** requests waiting for a token; beyond it a call fails at once instead of growing the queue. */
-export const STATE_QUEUE_LIMIT = 500;
+export const STORE_QUEUE_LIMIT = 500;
 /** s of a limit that may be spent at once; the service itself allows one second's worth. */
-export const STATE_BURST_S = 0.8;
+export const STORE_BURST_S = 0.8;
 /** ms; calls stop for this long after a 429, since somebody has spent the shared budget. */
 export const BACKOFF_429_MS = 300;
 
@@ -118,16 +118,16 @@
 /** ms; a stray worker is told to the others for this long. */
 export const SIGHTING_MS = 6000;
 /** ms; a shard whose owner is gone is left this long to the node that it belongs to. */
-export const TAKEOVER_GRACE_MS = 1500;
+export const FAILOVER_GRACE_MS = 1500;
 /** ms; a returned node must have been alive this long before it gets its shard back. */
-export const HANDBACK_MS = 8000;
+export const FAILBACK_MS = 8000;
 /** ms; upper end of that time, which doubles with every handover of a shard: no flapping. */
-export const HANDBACK_MAX_MS = 120_000;
+export const MAX_FAILBACK_MS = 120_000;
 /** ms; a shard that its living node gave away stays with the one that got it so long: that node hears no
  * workers, and nothing tells when it does again. Doubles each time, up to `HANDBACK_MAX_MS`. */
-export const GIVEN_AWAY_MS = 45_000;
+export const FAILBACK_HOLD_MS = 45_000;
 /** ms; a handover without an answer is settled after this: the call itself has timed out by then. */
-export const HANDOVER_SETTLE_MS = 2500;
+export const TRANSFER_SETTLE_MS = 2500;
 /** ms; a duty without a holder is left this long to each candidate before the next one tries. */
 export const DUTY_GRACE_MS = 1500;
 /** ms; between two looks at what may be cleared: nobody waits for it. */
@@ -147,17 +147,17 @@
 /** bytes; a longer frame is an error of the sender: what does not fit is left out before. */
 export const PEER_FRAME_BYTES = 1024 * 1024;
 /** ms; a cancellation is told to the other nodes this soon, together with those of the same moment. */
-export const TELL_MS = 50;
+export const CANCELLATION_FLUSH_MS = 50;
 /** cancellations told at once; two writes each at 35 a second, kept for a minute, make about 1,000. */
-export const TOLD_MOST = 2000;
+export const GOSSIPED_CANCELLATIONS_LIMIT = 2000;
 /** ms; kept back from the time for a cancellation when worker leases are renewed without knowing it:
  * the way of an answer, the worker's own timers, and the end of its tasks. */
-export const LET_GO_MARGIN_MS = 1500;
+export const LEASE_WITHHOLDING_MARGIN_MS = 1500;
 /** ms; an owner whose workers are all silent for this long, while a peer hears them, hands over. */
 export const NO_HEARTBEATS_MS = 7000;
 /** report intervals; the same where workers report so often that this comes sooner: machines count as lost
  * after `LOST_REPORTS` of them. */
-export const NO_HEARTBEATS_REPORTS = 2.5;
+export const NO_HEARTBEATS_INTERVALS = 2.5;
 /** attempt numbers are term * this + counter: below 2^53 for terms under a billion. */
 export const ATTEMPTS_PER_TERM = 2 ** 23;
 
@@ -167,28 +167,28 @@
 /** ms; a direct command that takes longer than this is given up. */
 export const COMMAND_MS = 1500;
 /** ms; a worker drops an answer that comes later than 4 s; ours are made within milliseconds. */
-export const ORDER_UNSENT_MS = 8000;
+export const COMMAND_UNSENT_MS = 8000;
 /** ms; added to a worker's lease before its tasks count as gone. */
 export const WORKER_LEASE_MARGIN_MS = 1000;
 /** report intervals without a report after which a machine gets no new tasks. */
-export const SILENT_REPORTS = 2.2;
+export const MISSED_HEARTBEAT_INTERVALS = 2.2;
 /** the same for a machine with replicas of services: each second costs served time, and a machine
  * that only lost a report or two says something within this. */
-export const LOST_REPORTS_SERVING = 3;
+export const UNREACHABLE_HEARTBEAT_INTERVALS_SERVICE = 3;
 /** ms; a replica that ran this long was well: its failures count anew. */
 export const REPLICA_WELL_MS = 60_000;
 /** report intervals without a report after which a machine is returned to the cloud. */
-export const LOST_REPORTS = 4.5;
+export const UNREACHABLE_HEARTBEAT_INTERVALS = 4.5;
 /** s; a stop whose task still runs after its grace and this is repeated with no grace. */
 export const STOP_OVERDUE_S = 6;
 /** ms; a worker is told to forget completed tasks after this at the latest; it lists them until then. */
 export const FORGET_AFTER_MS = 20_000;
 /** tasks; with so many completed ones in its list a worker is told at once: reports stay short. */
-export const FORGET_MOST = 16;
+export const FORGET_BATCH_LIMIT = 16;
 /** orders in a row without effect after which a machine counts as one that hears nothing. */
-export const IGNORED_ORDERS = 2;
+export const LOST_COMMANDS_LIMIT = 2;
 /** report intervals after which a machine that hears nothing is returned to the cloud. */
-export const IGNORING_REPORTS = 2;
+export const COMMANDS_LOST_RETURN_INTERVALS = 2;
 /** share of the time for a cancellation after which a task that was told to stop and still runs
  * costs its machine: the rest is for the cloud's answer, and for asking again. */
 export const STOP_PATIENCE = 0.5;
@@ -197,10 +197,10 @@
 /** stuck jobs for which room is sought in one pass: each looks at every machine of the shard. */
 export const ROOM_TRIES = 8;
 /** distinct jobs that must fail on a machine, without a success between, to condemn it. */
-export const SICK_JOBS = 2;
+export const QUARANTINE_FAILED_JOBS = 2;
 /** the same if all of them fail elsewhere, too: one job in 25 may be submitted with a mistake, so four of
  * them in a row on a healthy machine are rare, and a faulty machine meets four jobs within seconds. */
-export const SICK_JOBS_SUSPECT = 4;
+export const QUARANTINE_SUSPECT_JOBS = 4;
 /** failures on different machines, without a success between, after which a job is suspect itself */
 export const SUSPECT_FAILURES = 2;
 /** ms; a task of a suspect job that has run this long shows that the job can run: its other tasks follow. */
@@ -211,9 +211,9 @@
  * beside a machine with room, and it may be the only one. */
 export const AVOID_MS = 60_000;
 /** ms; a machine that refused a start as full is left alone for this long: our state lag. */
-export const FULL_PAUSE_MS = 3000;
+export const NO_ROOM_BACKOFF_MS = 3000;
 /** ms; a hold on a machine for a preempting task ends after this if the task went elsewhere. */
-export const HOLD_MS = 30_000;
+export const RESERVATION_MS = 30_000;
 
 // --- jobs ---------------------------------------------------------------------------------------
 /** tries; each conflict means that the job's owner has just written it. */
@@ -223,16 +223,16 @@
 /** a shard of which nothing is known is neither light nor heavy */
 export const UNKNOWN_LOAD = 0.85;
 /** ranges of one job: its record must stay well within a value of the state service. */
-export const RANGES_MOST = 64;
+export const MAX_RANGES = 64;
 /** ms; a job none of whose tasks has begun by then goes before newer ones, whatever their aims. */
 export const BEGIN_MS = 90_000;
 /** s; a job without aims or deadline comes after those of its rank that have one this soon. */
 export const NO_AIM_S = 600;
 /** tasks; a range is not cut smaller than this, since each range costs writes of its own. */
-export const RANGE_LEAST = 16;
+export const MIN_RANGE_TASKS = 16;
 /** tasks; a range's completion bitmap (4 per character) must fit one value of the state service, which
  * may allow less than this. */
-export const RANGE_MOST = 8192;
+export const MAX_RANGE_TASKS = 8192;
 /** bytes beside a bitmap in a value that holds one range: its name and the quotes. */
 export const RANGE_NAME_BYTES = 100;
 /** share of a value's limit that a job's record may fill when tasks pass: cuts add to it. */
@@ -287,7 +287,7 @@
 export const RETURNED_KEPT = 10_000;
 /** machines; the protocol's limits for one request. */
 export const RENT_MOST = 50;
-export const RETURN_MOST = 100;
+export const MAX_RETURN_BATCH = 100;
 /** times the nominal boot time after which a machine that never reported is given back. */
 export const BOOT_GIVE_UP = 2.2;
 /** ms; a machine that nobody recorded is adopted after this: its renter usually does it sooner. */
@@ -297,7 +297,7 @@
 
 // --- learning -----------------------------------------------------------------------------------
 /** jobs remembered against counting twice, before those that have ended are sorted out */
-export const SEEN_MOST = 20_000;
+export const SEEN_JOBS_LIMIT = 20_000;
 /** s; shortest span that a rate is taken over */
 export const FIRST_SPAN_S = 120;
 /** finished tasks from which on the measured run time is trusted alone */
--- a/src/core/cancellation/cancellations.ts
+++ b/src/core/cancellation/cancellations.ts
@@ -1,4 +1,8 @@
-import { CLOCK_DRIFT, LET_GO_MARGIN_MS, TOLD_MOST } from '../../constants.js';
+import {
+  CLOCK_DRIFT,
+  LEASE_WITHHOLDING_MARGIN_MS,
+  GOSSIPED_CANCELLATIONS_LIMIT,
+} from '../../constants.js';
 
 /**
  * What the nodes tell each other of confirmed cancellations, so that an owner whom the state service
@@ -35,7 +39,7 @@
 
   learned(cancellation: Cancellation, now: number): void {
     if (this.others.length === 0 || this.#open.has(cancellation.uid)) return;
-    if (this.#open.size >= TOLD_MOST) {
+    if (this.#open.size >= GOSSIPED_CANCELLATIONS_LIMIT) {
       this.#overflowAt = now;
       return;
     }
@@ -128,4 +132,4 @@
  * not known, and the lease that the answer renews must end in time for it.
  */
 export const renewableMs = (cancelMs: number, leaseMs: number): number =>
-  cancelMs * (1 - CLOCK_DRIFT) - leaseMs * (1 + CLOCK_DRIFT) - LET_GO_MARGIN_MS;
+  cancelMs * (1 - CLOCK_DRIFT) - leaseMs * (1 + CLOCK_DRIFT) - LEASE_WITHHOLDING_MARGIN_MS;
--- a/src/core/capacity/allocation-ratio.ts
+++ b/src/core/capacity/allocation-ratio.ts
@@ -33,7 +33,7 @@
 }
 
 const countsForRouting = (state: ShardState, m: MachineState, now: number): boolean => {
-  const goes = m.leaving || m.returning || m.condemned || m.noticeAt !== null;
+  const goes = m.draining || m.terminating || m.quarantined || m.preemptionNoticeAt !== null;
   return !goes && (!m.everKnown || state.health.isFresh(m, now));
 };
 
@@ -41,7 +41,7 @@
  * Booked shares of the shard, waiting tasks included: for each rank the largest over the resources, first on
  * ordinary machines alone and then on all. One look at every machine, task and job.
  */
-export const bookedShares = (state: ShardState, now: number): number[] => {
+export const allocationRatios = (state: ShardState, now: number): number[] => {
   const ordinary: KindOfMachines = { capacity: none(), booked: noneByRank() };
   const spot: KindOfMachines = { capacity: none(), booked: noneByRank() };
   for (const m of state.machines.values()) {
--- a/src/core/capacity/capacity-planner.ts
+++ b/src/core/capacity/capacity-planner.ts
@@ -2,7 +2,7 @@
 import { tasksInNeed } from '../reachability/failure-tracker.js';
 import { timesIn, type JobSpec, type MachineType } from '../model.js';
 import type { JobState, MachineState } from '../shard/shard.js';
-import { ReachableRoom, zoneToGrow } from './reachable-capacity.js';
+import { ReachableCapacity, zoneToGrow } from './reachable-capacity.js';
 import {
   cheapest,
   machinesFor,
@@ -34,8 +34,8 @@
 }
 
 export interface CapacityPlan {
-  readonly rent: readonly RentWish[];
-  readonly giveBack: readonly { readonly name: string; readonly reason: ReturnReason }[];
+  readonly rentals: readonly RentWish[];
+  readonly returns: readonly { readonly name: string; readonly reason: ReturnReason }[];
   /** machines that were not asked for because of the operator's limit */
   readonly capped: number;
   /** machines wanted by type: ordinary ones, and such of any kind while spot ones can be had */
@@ -44,7 +44,7 @@
 
 const DEFAULT_BOOT_S = 60;
 
-const inUse = (m: MachineState): boolean => m.tasks.size > 0 || m.foreign > 0;
+const inUse = (m: MachineState): boolean => m.tasks.size > 0 || m.unknownTasks > 0;
 
 /** Tasks that must find room at the same time: all of a gang, all replicas, one of an array. */
 const tasksNeedingRoom = (job: JobState): number => {
@@ -57,7 +57,7 @@
 const spreadServiceKnown = (input: CapacityInput): boolean => {
   const spreads = (spec: JobSpec | null) =>
     spec !== null && spec.kind === 'service' && spec.spread && !spec.spot;
-  for (const job of input.shard.jobs.values()) if (!job.over && spreads(job.spec)) return true;
+  for (const job of input.shard.jobs.values()) if (!job.ended && spreads(job.spec)) return true;
   return [...input.stats.values()].some((s) => spreads(s.sample));
 };
 
@@ -102,7 +102,7 @@
 
   constructor(private readonly input: CapacityInput) {
     for (const m of input.shard.machines.values()) {
-      if (!m.returning && !m.unrecorded) this.#sort(m);
+      if (!m.terminating && !m.orphaned) this.#sort(m);
     }
     this.#spreads = spreadServiceKnown(input);
     this.#ordinary = new OrdinaryMachines(this.#staying);
@@ -119,8 +119,8 @@
     this.#returnUnwanted(wanted);
     this.#rentForUnplaceable();
     return {
-      rent: this.#rent,
-      giveBack: this.#giveBack,
+      rentals: this.#rent,
+      returns: this.#giveBack,
       capped: this.#capped,
       wanted: [...wanted].map(([type, need]) => ({ type, need })),
     };
@@ -130,23 +130,23 @@
   #sort(m: MachineState): void {
     const reason = this.#faultOf(m);
     if (reason !== null) this.#return(m, reason);
-    else if (m.condemned) this.#empty(m);
-    else if (m.noticeAt === null && !m.moving) this.#staying.push(m);
+    else if (m.quarantined) this.#empty(m);
+    else if (m.preemptionNoticeAt === null && !m.cordoned) this.#staying.push(m);
   }
 
   #faultOf(m: MachineState): ReturnReason | null {
     const { shard, now } = this.input;
     if (shard.isLost(m, now)) return 'silent';
-    if (shard.ignoresCommands(m, now)) return 'hears nothing';
+    if (shard.losesCommands(m, now)) return 'hears nothing';
     const bootMs = (m.type?.bootS ?? DEFAULT_BOOT_S) * 1000;
     const neverUp = !m.everKnown && !m.record.up;
     if (neverUp && now - m.since > bootMs * BOOT_GIVE_UP) return 'never came up';
-    return m.condemned && !inUse(m) ? 'fails tasks' : null;
+    return m.quarantined && !inUse(m) ? 'fails tasks' : null;
   }
 
   /** Replicas never end by themselves: they move, or a condemned machine would stay for ever. */
   #empty(m: MachineState): void {
-    m.leaving = true;
+    m.draining = true;
     for (const p of [...m.tasks.values()]) {
       if (p.job.spec.kind === 'service') this.input.shard.requestStop(p, 0, this.input.now);
     }
@@ -236,7 +236,7 @@
   /** Idle machines beyond what is wanted go back, the longest idle first. */
   #returnIdle(type: MachineType, surplus: { spot: number; ordinary: number }): void {
     const idle = this.#staying
-      .filter((m) => m.record.type === type.name && m.hold === null && this.#isIdle(m))
+      .filter((m) => m.record.type === type.name && m.reservation === null && this.#isIdle(m))
       .sort((a, b) => a.idleSince - b.idleSince);
     for (const m of idle) {
       if (this.#spreads && this.#ordinary.isLast(m)) continue;
@@ -258,7 +258,7 @@
   /** However little work it is: a job that no machine could ever take gets one that can. */
   #rentForUnplaceable(): void {
     const { shard, pending, types, now } = this.input;
-    const reachable = new ReachableRoom(this.#staying, pending, types, shard.preempts, now);
+    const reachable = new ReachableCapacity(this.#staying, pending, types, shard.preempts, now);
     for (const job of shard.jobs.values()) {
       if (this.#rent.length > 0) return;
       if (tasksInNeed(job, now) === 0) continue;
--- a/src/core/capacity/reachable-capacity.ts
+++ b/src/core/capacity/reachable-capacity.ts
@@ -37,7 +37,7 @@
 };
 
 /** The machines of one plan, looked at for many waiting jobs. */
-export class ReachableRoom {
+export class ReachableCapacity {
   readonly #asked: MachineKind[] = [];
   readonly #all: MachineKind[] = [];
 
@@ -74,7 +74,7 @@
     for (const { type, zone, spot, count } of service ? this.#asked : this.#all) {
       if (mayUse(job, type.name, spot)) note(zone, timesIn(spec.demand, type) * count);
     }
-    if (service || job.avoid.size > 0) this.#addByMachine(job, note);
+    if (service || job.avoidedMachines.size > 0) this.#addByMachine(job, note);
     const rooms = [...byZone].map(([zone, tasks]) => Math.min(tasks, tasksAllowedIn(job, zone)));
     return spec.oneZone ? Math.max(0, ...rooms) : rooms.reduce((sum, n) => sum + n, 0);
   }
@@ -86,7 +86,7 @@
     for (const m of this.staying) {
       const { type, zone, spot, name } = { ...m.record, type: m.type };
       if (type === null || !mayUse(job, type.name, spot)) continue;
-      const avoided = (job.avoid.get(name) ?? -Infinity) > this.now;
+      const avoided = (job.avoidedMachines.get(name) ?? -Infinity) > this.now;
       if (!service && avoided) note(zone, -timesIn(spec.demand, type));
       if (!service || avoided) continue;
       note(zone, Math.max(0, timesIn(spec.demand, besideReplicas(m, job, this.preempts))));
--- a/src/core/capacity/wanted-machines.ts
+++ b/src/core/capacity/wanted-machines.ts
@@ -87,7 +87,7 @@
     need.waiting += waiting;
   };
   for (const job of input.shard.jobs.values()) {
-    if (!job.over) note(job.spec, job.placed.size, tasksInNeed(job, input.now));
+    if (!job.ended) note(job.spec, job.placed.size, tasksInNeed(job, input.now));
   }
   for (const spec of input.expected) note(spec, 0, spec.tasks);
   // Classes known from other shards or earlier times need their reserve here as well.
--- a/src/core/capacity/workload-statistics.ts
+++ b/src/core/capacity/workload-statistics.ts
@@ -3,7 +3,7 @@
   FIRST_SPAN_S,
   RATE_WINDOW_S,
   RUN_WEIGHT,
-  SEEN_MOST,
+  SEEN_JOBS_LIMIT,
 } from '../../constants.js';
 import type { JobSpec } from '../model.js';
 
@@ -33,10 +33,10 @@
 };
 
 /** Arrival rates and run times by class, learned from the jobs that come by. Pure. */
-export class Learning {
+export class WorkloadStatistics {
   readonly #classes = new Map<string, Learned>();
   #firstAt: number | null = null;
-  #seenMost = SEEN_MOST;
+  #seenMost = SEEN_JOBS_LIMIT;
   /** jobs that were counted; see `keepOnly` */
   #seen = new Set<string>();
 
@@ -76,7 +76,7 @@
   keepOnly(active: { has(uid: string): boolean }): void {
     if (this.#seen.size <= this.#seenMost) return;
     this.#seen = new Set([...this.#seen].filter((uid) => active.has(uid)));
-    this.#seenMost = Math.max(SEEN_MOST, 2 * this.#seen.size);
+    this.#seenMost = Math.max(SEEN_JOBS_LIMIT, 2 * this.#seen.size);
   }
 
   ran(jobClass: string, runS: number): void {
--- a/src/core/jobs/jobs.ts
+++ b/src/core/jobs/jobs.ts
@@ -1,4 +1,4 @@
-import { RANGE_LEAST, RANGE_MOST, RANGE_NAME_BYTES, SLOT_FILL } from '../../constants.js';
+import { MIN_RANGE_TASKS, MAX_RANGE_TASKS, RANGE_NAME_BYTES, SLOT_FILL } from '../../constants.js';
 import type { JobRecord, JobSpec, TaskRange, Team } from '../model.js';
 
 /** Completed tasks of a range as a bitmap in hex, four tasks a character, first task first. */
@@ -72,10 +72,10 @@
 export const shardOfMachine = (name: string, shards: number): number => hash(name) % shards;
 
 /** Tasks of a range whose bitmap fits a value of the state service, beside its name. */
-export const rangeMost = (valueBytes: number): number =>
+export const maxRangeTasks = (valueBytes: number): number =>
   Math.max(
-    RANGE_LEAST,
-    Math.min(RANGE_MOST, 4 * Math.floor(valueBytes * SLOT_FILL - RANGE_NAME_BYTES)),
+    MIN_RANGE_TASKS,
+    Math.min(MAX_RANGE_TASKS, 4 * Math.floor(valueBytes * SLOT_FILL - RANGE_NAME_BYTES)),
   );
 
 /** Cuts a job into ranges; the shards are chosen by the caller. */
@@ -83,9 +83,9 @@
   tasks: number,
   shards: number,
   whole: boolean,
-  most = RANGE_MOST,
+  most = MAX_RANGE_TASKS,
 ): [number, number][] => {
-  const wanted = whole ? tasks : Math.max(RANGE_LEAST, Math.ceil(tasks / shards));
+  const wanted = whole ? tasks : Math.max(MIN_RANGE_TASKS, Math.ceil(tasks / shards));
   const size = Math.min(wanted, most);
   const out: [number, number][] = [];
   for (let from = 0; from < tasks; from += size) out.push([from, Math.min(tasks, from + size)]);
--- a/src/core/model.ts
+++ b/src/core/model.ts
@@ -108,16 +108,16 @@
   readonly saved: boolean;
 }
 
-export interface Report {
+export interface Heartbeat {
   readonly machine: string;
   readonly address: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
-  readonly session: number;
+  readonly agentEpoch: number;
   readonly counter: number;
-  readonly token: number;
-  readonly noticeS: number | null;
+  readonly fencingToken: number;
+  readonly preemptionNoticeS: number | null;
   readonly tasks: readonly ReportedTask[];
 }
 
--- a/src/core/ownership/ownership.ts
+++ b/src/core/ownership/ownership.ts
@@ -1,4 +1,9 @@
-import { GIVEN_AWAY_MS, HANDBACK_MAX_MS, HANDBACK_MS, TAKEOVER_GRACE_MS } from '../../constants.js';
+import {
+  FAILBACK_HOLD_MS,
+  MAX_FAILBACK_MS,
+  FAILBACK_MS,
+  FAILOVER_GRACE_MS,
+} from '../../constants.js';
 
 /** Who should own which shard: pure decisions over what the state service shows. */
 
@@ -75,7 +80,7 @@
         return former ? { kind: 'take', shard } : null;
       }
       const since = this.#fitSince.get(home);
-      const hold = Math.min(HANDBACK_MAX_MS, HANDBACK_MS * 2 ** (this.#handovers.get(shard) ?? 0));
+      const hold = Math.min(MAX_FAILBACK_MS, FAILBACK_MS * 2 ** (this.#handovers.get(shard) ?? 0));
       if (since === undefined || now - since.at < hold || this.#mustKeep(shard, now)) return null;
       return { kind: 'give', shard, to: home, incarnation: since.incarnation };
     }
@@ -89,7 +94,7 @@
     const order = [...view.alive.keys()].sort((a, b) => load(a) - load(b) || (a < b ? -1 : 1));
     const position = Math.max(0, order.filter((n) => n !== home).indexOf(view.me));
     const wait = (view.alive.has(home) || owner === undefined ? 1 : 0) + position;
-    return now - since >= wait * TAKEOVER_GRACE_MS ? { kind: 'take', shard } : null;
+    return now - since >= wait * FAILOVER_GRACE_MS ? { kind: 'take', shard } : null;
   }
 
   /**
@@ -112,7 +117,7 @@
   #mustKeep(shard: number, now: number): boolean {
     const given = this.#givenToUs.get(shard);
     if (given === undefined) return false;
-    return now - given.at < Math.min(HANDBACK_MAX_MS, GIVEN_AWAY_MS * 2 ** (given.times - 1));
+    return now - given.at < Math.min(MAX_FAILBACK_MS, FAILBACK_HOLD_MS * 2 ** (given.times - 1));
   }
 
   /** Each handover doubles the time until the next one of that shard. */
--- a/src/core/placement/candidates.ts
+++ b/src/core/placement/candidates.ts
@@ -2,7 +2,7 @@
 import type { JobState, MachineState } from '../shard/types.js';
 import type { ShardState } from '../shard/shard-state.js';
 import { fits, timesIn, type Resources } from '../model.js';
-import { VolumeOrder } from './unused-volume-index.js';
+import { UnusedVolumeIndex } from './unused-volume-index.js';
 
 const replicasOn = (m: MachineState, job: JobState): number => {
   let count = 0;
@@ -16,9 +16,9 @@
  * of the same kind that asks for no less cannot get later in the pass, since room only shrinks.
  */
 export class Candidates {
-  readonly #machines: VolumeOrder;
+  readonly #machines: UnusedVolumeIndex;
   /** of these, the ones that hold an image, for the images that were asked for */
-  readonly #holding = new Map<string, VolumeOrder>();
+  readonly #holding = new Map<string, UnusedVolumeIndex>();
   readonly #held = new Set<string>();
   /** zones of these machines, by name */
   readonly zones: readonly string[];
@@ -36,11 +36,11 @@
     for (const m of only === null ? state.machines.values() : [only]) {
       if (!fits(least, m.free) || !state.health.usable(m, now)) continue;
       usable.push(m);
-      if (m.hold !== null) this.#held.add(m.hold.uid);
+      if (m.reservation !== null) this.#held.add(m.reservation.uid);
       zones.add(m.record.zone);
     }
     this.zones = [...zones].sort();
-    this.#machines = new VolumeOrder(usable, state.largest);
+    this.#machines = new UnusedVolumeIndex(usable, state.largest);
   }
 
   get empty(): boolean {
@@ -59,7 +59,7 @@
   /** Notes that the job found no room, for reasons that hold for others as well. */
   noRoom(job: JobState, tasks: number): void {
     // What one of them could not get for reasons of its own, others may.
-    if (job.avoid.size > 0) return;
+    if (job.avoidedMachines.size > 0) return;
     if (job.placed.size > 0 && (job.spec.oneZone || job.spec.spread)) return;
     const list = this.#failed.get(job.constraintKey) ?? [];
     list.push({ demand: job.spec.demand, tasks });
@@ -111,11 +111,11 @@
     return holding ?? this.#machines.leastUnused(demand, takes);
   }
 
-  #machinesHolding(image: string): VolumeOrder {
+  #machinesHolding(image: string): UnusedVolumeIndex {
     let holding = this.#holding.get(image);
     if (holding === undefined) {
       const machines = [...this.#machines.machines()].filter((m) => m.images.has(image));
-      holding = new VolumeOrder(machines, this.state.largest);
+      holding = new UnusedVolumeIndex(machines, this.state.largest);
       this.#holding.set(image, holding);
     }
     return holding;
@@ -139,7 +139,10 @@
       else if (order === 0) ranked.machines.push(m);
     }
     if (ranked === null) return null;
-    return new VolumeOrder(ranked.machines, this.state.largest).leastUnused(demand, () => true);
+    return new UnusedVolumeIndex(ranked.machines, this.state.largest).leastUnused(
+      demand,
+      () => true,
+    );
   }
 
   /** After something was placed on the machine. */
--- a/src/core/placement/constraints.ts
+++ b/src/core/placement/constraints.ts
@@ -15,9 +15,10 @@
   const { spec } = job;
   if (spec.types !== null && !spec.types.includes(m.record.type)) return false;
   if (m.record.spot && !spec.spot) return false;
-  if (m.hold !== null && m.hold.uid !== spec.uid) return false;
-  if (job.avoid.size > 0 && (job.avoid.get(m.record.name) ?? -Infinity) > now) return false;
-  if (m.onTrial && m.tasks.size > 0) return false;
+  if (m.reservation !== null && m.reservation.uid !== spec.uid) return false;
+  if (job.avoidedMachines.size > 0 && (job.avoidedMachines.get(m.record.name) ?? -Infinity) > now)
+    return false;
+  if (m.onProbation && m.tasks.size > 0) return false;
   return tasksAllowedIn(job, m.record.zone) > 0;
 };
 
--- a/src/core/placement/quotas.ts
+++ b/src/core/placement/quotas.ts
@@ -3,7 +3,7 @@
 import { add, ZERO, type Resources } from '../model.js';
 
 /** Limits and guarantees of teams, by what their placed tasks use. */
-export class Limits {
+export class Quotas {
   constructor(private readonly state: ShardState) {}
 
   /** How many more tasks of the job its team's limit allows now. */
@@ -12,7 +12,7 @@
     if (team === undefined || (team.cpusMax <= 0 && team.gpusMax <= 0)) return Infinity;
     // What an unanswered machine runs for the team is not known, nor whose the tasks are that are
     // being stopped for want of a place in our state: nothing more until both are settled.
-    if (!this.state.rebuilt || [...this.state.machines.values()].some((m) => m.foreign > 0))
+    if (!this.state.rebuilt || [...this.state.machines.values()].some((m) => m.unknownTasks > 0))
       return 0;
     const used = this.used(job.spec.team);
     const { cpus, gpus } = job.spec.demand;
--- a/src/core/placement/scheduler.ts
+++ b/src/core/placement/scheduler.ts
@@ -2,20 +2,20 @@
 import { placeableTasks } from '../reachability/failure-tracker.js';
 import { taskKey, type JobState, type MachineState, type Placement } from '../shard/types.js';
 import { type ShardState } from '../shard/shard-state.js';
-import type { Limits } from './quotas.js';
+import type { Quotas } from './quotas.js';
 import { add, fits, RESOURCE_KINDS, type Resources } from '../model.js';
 import { Partners } from './partners.js';
 import type { Preemption } from '../preemption/preemption.js';
 import { Candidates } from './candidates.js';
 
 /** The queue of a shard, and where its tasks go. */
-export class Placing {
+export class Scheduler {
   /** the last full pass: who found no room, and what all of them ask for at least */
   #last: { stuck: JobState[]; least: Resources } | null = null;
 
   constructor(
     private readonly state: ShardState,
-    private readonly limits: Limits,
+    private readonly limits: Quotas,
     private readonly preemption: Preemption,
   ) {}
 
@@ -44,14 +44,14 @@
       const { jobClass } = job.spec;
       let aims = aimsOf.get(jobClass);
       if (aims === undefined) {
-        aims = this.state.settings.startWithin(jobClass);
+        aims = this.state.settings.startObjectives(jobClass);
         aimsOf.set(jobClass, aims);
       }
       // Whoever has begun may wait for the next aim after one is missed; whoever has not keeps its
       // place, or newer work would pass it over again and again.
       const latest = hasBegun(job) ? Infinity : job.seenAt + BEGIN_MS;
       const due = Math.min(this.#due(job, aims, now), latest);
-      job.due = due;
+      job.startDeadline = due;
       open.push({ job, guaranteed: this.limits.guaranteed(job), due });
     }
     open.sort(
@@ -68,9 +68,9 @@
   /** A machine is held for a job only while that job has tasks waiting. */
   #dropHolds(): void {
     for (const m of this.state.machines.values()) {
-      if (m.hold === null) continue;
-      const job = this.state.jobs.get(m.hold.uid);
-      if (job === undefined || job.over || job.waiting.length === 0) m.hold = null;
+      if (m.reservation === null) continue;
+      const job = this.state.jobs.get(m.reservation.uid);
+      if (job === undefined || job.ended || job.waiting.length === 0) m.reservation = null;
     }
   }
 
@@ -84,7 +84,8 @@
     const stuck = this.#place(queue, new Candidates(this.state, least, now));
     this.#last = stuck.length === 0 ? null : { stuck, least: leastOf(stuck) };
     const noRoom = new Set(stuck);
-    for (const job of queue) job.stuckSince = noRoom.has(job) ? (job.stuckSince ?? now) : null;
+    for (const job of queue)
+      job.unschedulableSince = noRoom.has(job) ? (job.unschedulableSince ?? now) : null;
     this.preemption.makeRoom(stuck, now);
     return stuck;
   }
@@ -116,7 +117,7 @@
       const later: JobState[] = [];
       for (; at < queue.length && queue[at]!.rank === rank; at++) {
         const job = queue[at]!;
-        const patient = job.spec.kind !== 'gang' && job.due > now;
+        const patient = job.spec.kind !== 'gang' && job.startDeadline > now;
         const passed = patient && !m.images.has(job.spec.image);
         (passed ? later : out).push(job);
       }
@@ -189,16 +190,16 @@
       if (!rooms.hasSlots(job, tasks, zone)) continue;
       const attempt = this.state.nextAttempt();
       const placed: Placement[] = [];
-      const holds = new Map<MachineState, MachineState['hold']>();
+      const holds = new Map<MachineState, MachineState['reservation']>();
       while (job.waiting.length > 0) {
         const m = rooms.best(job, job.spec.demand, null, zone);
         if (m === null) break;
-        if (!holds.has(m)) holds.set(m, m.hold);
+        if (!holds.has(m)) holds.set(m, m.reservation);
         placed.push(this.#start(job, m, rooms, attempt));
       }
       if (job.waiting.length === 0) return true;
       this.#takeBack(job, placed, rooms);
-      for (const [m, hold] of holds) m.hold = hold;
+      for (const [m, hold] of holds) m.reservation = hold;
     }
     rooms.noRoom(job, tasks);
     return false;
--- a/src/core/placement/unused-volume-index.ts
+++ b/src/core/placement/unused-volume-index.ts
@@ -63,7 +63,7 @@
  * neighbours none of which has enough of some resource. A machine has to be put anew whenever its free
  * amounts change.
  */
-export class VolumeOrder {
+export class UnusedVolumeIndex {
   #blocks: Block[] = [];
   readonly #entries = new Map<MachineState, Entry>();
 
--- a/src/core/preemption/preemption.ts
+++ b/src/core/preemption/preemption.ts
@@ -1,8 +1,8 @@
-import { COLLECT_SHARE, HOLD_MS, ROOM_TRIES } from '../../constants.js';
+import { COLLECT_SHARE, RESERVATION_MS, ROOM_TRIES } from '../../constants.js';
 import { isFeasible } from '../placement/constraints.js';
 import type { JobState, MachineState, Placement } from '../shard/types.js';
 import type { ShardState } from '../shard/shard-state.js';
-import type { Limits } from '../placement/quotas.js';
+import type { Quotas } from '../placement/quotas.js';
 import { add, dominantShare, fits, timesIn, type JobSpec, type Resources } from '../model.js';
 
 /** A machine that could take tasks of a job, at once or after stopping others. */
@@ -21,7 +21,7 @@
 export class Preemption {
   constructor(
     private readonly state: ShardState,
-    private readonly limits: Limits,
+    private readonly limits: Quotas,
   ) {}
 
   /**
@@ -52,7 +52,8 @@
       }
     }
     for (const m of this.state.machines.values()) {
-      if (m.hold?.partial === true && !collecting.has(m.hold.uid)) m.hold = null;
+      if (m.reservation?.partial === true && !collecting.has(m.reservation.uid))
+        m.reservation = null;
     }
   }
 
@@ -88,8 +89,8 @@
    */
   #reserve(job: JobState, tasks: number, mayStop: boolean, now: number): boolean {
     const { uid } = job.spec;
-    const held = [...this.state.machines.values()].filter((m) => m.hold?.uid === uid);
-    const firm = held.filter((m) => m.hold?.partial !== true);
+    const held = [...this.state.machines.values()].filter((m) => m.reservation?.uid === uid);
+    const firm = held.filter((m) => m.reservation?.partial !== true);
     let open = tasks;
     for (const m of firm) open -= timesIn(job.spec.demand, this.#freeAfterStops(m));
     if (open <= 0) return true;
@@ -107,7 +108,7 @@
     usable.sort((a, b) => a.loss - b.loss);
     for (const o of usable) {
       if (open <= 0) break;
-      o.m.hold = { uid, until: now + HOLD_MS, partial: false };
+      o.m.reservation = { uid, until: now + RESERVATION_MS, partial: false };
       for (const p of o.victims) this.state.requestStop(p, p.job.spec.saveS + 1, now);
       open -= o.slots;
     }
@@ -127,7 +128,7 @@
       const free = fits(demand, m.free);
       const slots = timesIn(demand, free ? m.free : m.type);
       const loss = free ? 0 : this.#busyS(m, now);
-      options.push({ m, slots, victims: [], loss, held: m.hold?.uid === uid });
+      options.push({ m, slots, victims: [], loss, held: m.reservation?.uid === uid });
     }
     const held = options.filter((o) => o.held);
     const zone = oneZone ? (held[0]?.m.record.zone ?? null) : null;
@@ -142,7 +143,7 @@
     let machines = 0;
     for (const o of usable) {
       if (open <= 0) break;
-      o.m.hold = { uid, until: now + HOLD_MS, partial: true };
+      o.m.reservation = { uid, until: now + RESERVATION_MS, partial: true };
       open -= o.slots;
       machines += 1;
     }
--- a/src/core/reachability/failure-tracker.ts
+++ b/src/core/reachability/failure-tracker.ts
@@ -3,8 +3,8 @@
   JOB_PAUSE_S,
   PROBE_WELL_MS,
   REPLICA_WELL_MS,
-  SICK_JOBS,
-  SICK_JOBS_SUSPECT,
+  QUARANTINE_FAILED_JOBS,
+  QUARANTINE_SUSPECT_JOBS,
   SUSPECT_FAILURES,
 } from '../../constants.js';
 import type { JobState, MachineState } from '../shard/types.js';
@@ -30,7 +30,7 @@
 
 /** Waiting tasks that need room: of a suspect array one at a time, of any suspect job none in its pause. */
 export const tasksInNeed = (job: JobState, now: number): number => {
-  if (job.over) return 0;
+  if (job.ended) return 0;
   const all = job.waiting.length;
   if (!isSuspect(job)) return all;
   if (job.pausedUntil > now) return 0;
@@ -40,7 +40,7 @@
 
 /** Waiting tasks that may be placed now. */
 export const placeableTasks = (job: JobState, now: number): number =>
-  job.broken || job.pausedUntil > now ? 0 : tasksInNeed(job, now);
+  job.gangBroken || job.pausedUntil > now ? 0 : tasksInNeed(job, now);
 
 /** Takes in how tasks ended, and judges machines and jobs by it. */
 export class FailureTracker {
@@ -51,9 +51,9 @@
    * so, since what completes there may have begun before it became faulty.
    */
   succeeded(m: MachineState, job: JobState): void {
-    if (!m.condemned) {
+    if (!m.quarantined) {
       m.failedJobs.clear();
-      m.onTrial = false;
+      m.onProbation = false;
     }
     const cleared = job.failures > 0;
     job.failures = 0;
@@ -63,8 +63,8 @@
   /** A task failed on the machine. A dozen tasks of an array that fail together there are one failure. */
   failed(m: MachineState, job: JobState, now: number): void {
     m.failedJobs.set(job.spec.uid, job);
-    const again = (job.avoid.get(m.record.name) ?? -Infinity) > now;
-    job.avoid.set(m.record.name, now + AVOID_MS);
+    const again = (job.avoidedMachines.get(m.record.name) ?? -Infinity) > now;
+    job.avoidedMachines.set(m.record.name, now + AVOID_MS);
     if (!again) {
       this.countEnd(job, now);
       if (job.failures === SUSPECT_FAILURES) this.#judgeMachinesThatFailed(job);
@@ -86,7 +86,7 @@
     const seconds = Math.min(JOB_PAUSE_S.most, JOB_PAUSE_S.first * 2 ** doublings);
     job.pausedUntil = now + seconds * 1000;
     // It does not wait for room now, so no other shard needs to look for it.
-    job.stuckSince = null;
+    job.unschedulableSince = null;
   }
 
   #judgeMachinesThatFailed(job: JobState): void {
@@ -100,9 +100,9 @@
     let credible = 0;
     for (const job of m.failedJobs.values()) if (!isSuspect(job)) credible += 1;
     const all = m.failedJobs.size;
-    m.onTrial = credible > 0 || all >= SUSPECT_FAILURES;
-    m.condemned = credible >= SICK_JOBS || all >= SICK_JOBS_SUSPECT;
+    m.onProbation = credible > 0 || all >= SUSPECT_FAILURES;
+    m.quarantined = credible >= QUARANTINE_FAILED_JOBS || all >= QUARANTINE_SUSPECT_JOBS;
     // It was only to be emptied because it was condemned.
-    if (!m.condemned && !m.unrecorded) m.leaving = false;
+    if (!m.quarantined && !m.orphaned) m.draining = false;
   }
 }
--- a/src/core/reachability/machine-health.ts
+++ b/src/core/reachability/machine-health.ts
@@ -1,8 +1,8 @@
 import {
-  IGNORING_REPORTS,
-  LOST_REPORTS,
-  LOST_REPORTS_SERVING,
-  SILENT_REPORTS,
+  COMMANDS_LOST_RETURN_INTERVALS,
+  UNREACHABLE_HEARTBEAT_INTERVALS,
+  UNREACHABLE_HEARTBEAT_INTERVALS_SERVICE,
+  MISSED_HEARTBEAT_INTERVALS,
   STOP_PATIENCE,
 } from '../../constants.js';
 import { serves, type MachineState, type ShardSettings } from '../shard/types.js';
@@ -27,9 +27,9 @@
    * hear nothing: an answer to a command would show that it does.
    */
   needsProbe(m: MachineState): boolean {
-    if (m.returning) return false;
-    const untold = !m.known && (m.session > 0 || this.inherited(m));
-    return m.ignoringSince !== null || untold;
+    if (m.terminating) return false;
+    const untold = !m.known && (m.agentEpoch > 0 || this.inherited(m));
+    return m.commandsLostSince !== null || untold;
   }
 
   /** Silent for so long that the machine is better given back than waited for. */
@@ -38,38 +38,44 @@
     if (!expected) return false;
     // An answered return proves a replica gone sooner than the end of its lease does. A worker that is
     // still looking for a living controller answers commands meanwhile.
-    const silentMs = now - Math.max(m.lastHeartbeatAt, m.reportedAt, m.since);
-    const gone = serves(m) && silentMs > this.settings.reportMs * LOST_REPORTS_SERVING;
+    const silentMs = now - Math.max(m.lastStatusAt, m.lastHeartbeatAt, m.since);
+    const gone =
+      serves(m) &&
+      silentMs > this.settings.heartbeatIntervalMs * UNREACHABLE_HEARTBEAT_INTERVALS_SERVICE;
     return gone || this.#unreported(m, now);
   }
 
   /** A machine that only answers commands reaches no controller: its lease ends with all that it runs. */
   #unreported(m: MachineState, now: number): boolean {
-    return now - Math.max(m.reportedAt, m.since) > this.settings.reportMs * LOST_REPORTS;
+    return (
+      now - Math.max(m.lastHeartbeatAt, m.since) >
+      this.settings.heartbeatIntervalMs * UNREACHABLE_HEARTBEAT_INTERVALS
+    );
   }
 
   /**
    * Reports come, but orders have had no effect for so long that the machine is better given back:
    * only that surely ends what runs there, which matters for cancelled jobs most of all.
    */
-  ignoresCommands(m: MachineState, now: number): boolean {
+  losesCommands(m: MachineState, now: number): boolean {
     if (
-      m.ignoringSince !== null &&
-      now - m.ignoringSince > this.settings.reportMs * IGNORING_REPORTS
+      m.commandsLostSince !== null &&
+      now - m.commandsLostSince > this.settings.heartbeatIntervalMs * COMMANDS_LOST_RETURN_INTERVALS
     ) {
       return true;
     }
     const patience = this.settings.cancelMs * STOP_PATIENCE;
     for (const p of m.tasks.values()) {
       if (p.stop === null) continue;
-      const grace = p.job.over ? 0 : p.stop.graceS * 1000;
+      const grace = p.job.ended ? 0 : p.stop.graceS * 1000;
       if (now - p.stop.at > grace + patience) return true;
     }
-    return m.foreignSince !== null && now - m.foreignSince > patience;
+    return m.unknownTasksSince !== null && now - m.unknownTasksSince > patience;
   }
 
   isFresh(m: MachineState, now: number): boolean {
-    const fresh = now - m.lastHeartbeatAt <= this.settings.reportMs * SILENT_REPORTS;
+    const fresh =
+      now - m.lastStatusAt <= this.settings.heartbeatIntervalMs * MISSED_HEARTBEAT_INTERVALS;
     return m.known && fresh && !this.#unreported(m, now);
   }
 
@@ -79,14 +85,14 @@
       this.isFresh(m, now) &&
       m.record.up &&
       m.type !== null &&
-      !m.condemned &&
-      !m.leaving &&
-      !m.returning &&
-      !m.moving &&
-      m.noticeAt === null &&
-      m.ignoringSince === null &&
-      m.foreign === 0 &&
-      m.fullUntil <= now
+      !m.quarantined &&
+      !m.draining &&
+      !m.terminating &&
+      !m.cordoned &&
+      m.preemptionNoticeAt === null &&
+      m.commandsLostSince === null &&
+      m.unknownTasks === 0 &&
+      m.backoffUntil <= now
     );
   }
 }
--- a/src/core/shard/command-planner.ts
+++ b/src/core/shard/command-planner.ts
@@ -1,7 +1,7 @@
-import { FORGET_AFTER_MS, FORGET_MOST, STOP_OVERDUE_S } from '../../constants.js';
+import { FORGET_AFTER_MS, FORGET_BATCH_LIMIT, STOP_OVERDUE_S } from '../../constants.js';
 import { attemptKey, neverSent, taskKey, type MachineState, type Placement } from './types.js';
 import { type ShardState } from './shard-state.js';
-import type { Command, Report } from '../model.js';
+import type { Command, Heartbeat } from '../model.js';
 
 /** The commands that make workers do what the shard's state say. */
 export class CommandPlanner {
@@ -19,11 +19,11 @@
     };
   }
 
-  answer(m: MachineState, report: Report, now: number, mayStart: boolean): Command[] {
+  answer(m: MachineState, heartbeat: Heartbeat, now: number, mayStart: boolean): Command[] {
     const out: Command[] = [];
     /** what nothing hangs on: a completed task is never started again */
     const completed: Command[] = [];
-    for (const t of report.tasks) {
+    for (const t of heartbeat.tasks) {
       const { uid, index, attempt } = t;
       const job = this.state.jobs.get(uid);
       if (t.state === 'exited') {
@@ -49,7 +49,7 @@
         attempt: p.attempt,
       };
       if (mayStart && this.#startable(p, m)) {
-        p.sentCounter = report.counter;
+        p.sentCounter = heartbeat.counter;
         out.push(start);
       } else if (mayStart && p.direct && p.stop !== null) {
         // A direct start that may yet arrive must find its attempt known and ended.
@@ -67,15 +67,15 @@
     m.forgettableSince = tasks.length === 0 ? null : (m.forgettableSince ?? now);
     if (m.forgettableSince === null) return false;
     // A machine that is to move has to be empty in its worker's eyes, too.
-    const soon = along || m.moving || tasks.length >= FORGET_MOST;
+    const soon = along || m.cordoned || tasks.length >= FORGET_BATCH_LIMIT;
     const due = soon || now - m.forgettableSince >= FORGET_AFTER_MS;
     if (due) m.forgettableSince = null;
     return due;
   }
 
   #startable(p: Placement, m: MachineState): boolean {
-    const open = !m.returning && !m.leaving && !m.moving && m.noticeAt === null;
-    return !p.job.over && p.stop === null && open;
+    const open = !m.terminating && !m.draining && !m.cordoned && m.preemptionNoticeAt === null;
+    return !p.job.ended && p.stop === null && open;
   }
 
   /** Starts and stops that should not wait for the next report, by machine, of `most` machines. */
--- a/src/core/shard/heartbeat-reconciler.ts
+++ b/src/core/shard/heartbeat-reconciler.ts
@@ -1,38 +1,39 @@
-import { FULL_PAUSE_MS, IGNORED_ORDERS } from '../../constants.js';
+import { NO_ROOM_BACKOFF_MS, LOST_COMMANDS_LIMIT } from '../../constants.js';
 import { FailureTracker } from '../reachability/failure-tracker.js';
 import { neverSent, taskKey, type JobState, type MachineState, type Placement } from './types.js';
 import { type ShardState } from './shard-state.js';
-import type { JobSpec, Report, ReportedTask } from '../model.js';
+import type { JobSpec, Heartbeat, ReportedTask } from '../model.js';
 
 /** What workers report, taken into the shard's state. */
-export class Reports {
+export class HeartbeatReconciler {
   readonly #failures: FailureTracker;
 
   constructor(private readonly state: ShardState) {
     this.#failures = new FailureTracker(state);
   }
 
-  observe(m: MachineState, report: Report, now: number, direct = false): void {
-    if (report.session > m.session && m.session > 0) {
+  reconcile(m: MachineState, heartbeat: Heartbeat, now: number, direct = false): void {
+    if (heartbeat.agentEpoch > m.agentEpoch && m.agentEpoch > 0) {
       // The worker's lease ran out: it killed everything it had. If that happened although we have
       // answered all the time, our answers do not arrive.
-      const answered = m.known && now - m.answeredAt < this.state.settings.leaseMs / 2;
+      const answered = m.known && now - m.leaseRenewedAt < this.state.settings.leaseMs / 2;
       if (answered && now - m.knownSince > this.state.settings.leaseMs) this.#unheard(m, now);
       for (const p of [...m.tasks.values()]) this.state.release(p, now);
       m.doubtful.clear();
     }
-    m.session = report.session;
-    m.counter = report.counter;
-    m.address = report.address;
-    m.listed = report.tasks.length;
-    m.lastHeartbeatAt = now;
-    if (report.noticeS !== null) m.noticeAt ??= now + report.noticeS * 1000;
-    else m.noticeAt = null;
-    const complete = report.token === this.state.term;
+    m.agentEpoch = heartbeat.agentEpoch;
+    m.lastStatusCounter = heartbeat.counter;
+    m.address = heartbeat.address;
+    m.listed = heartbeat.tasks.length;
+    m.lastStatusAt = now;
+    if (heartbeat.preemptionNoticeS !== null)
+      m.preemptionNoticeAt ??= now + heartbeat.preemptionNoticeS * 1000;
+    else m.preemptionNoticeAt = null;
+    const complete = heartbeat.fencingToken === this.state.term;
     if (complete) {
       // Whoever renewed this worker's lease under a lower term did so before it saw our token.
       if (!m.known) {
-        m.answeredAt = Math.max(m.answeredAt, now);
+        m.leaseRenewedAt = Math.max(m.leaseRenewedAt, now);
         m.knownSince = now;
       }
       m.known = true;
@@ -41,48 +42,48 @@
     }
     if (direct) this.#heard(m);
     const listed = new Set<string>();
-    m.foreign = 0;
-    for (const t of report.tasks) {
+    m.unknownTasks = 0;
+    for (const t of heartbeat.tasks) {
       listed.add(`${t.uid}/${t.index}@${t.attempt}`);
-      this.#observeTask(m, t, now, complete);
+      this.#reconcileTask(m, t, now, complete);
     }
-    m.foreignSince = m.foreign === 0 ? null : (m.foreignSince ?? now);
+    m.unknownTasksSince = m.unknownTasks === 0 ? null : (m.unknownTasksSince ?? now);
     if (!complete) return;
     for (const p of [...m.tasks.values()]) {
       if (listed.has(`${p.job.spec.uid}/${p.index}@${p.attempt}`)) continue;
       if (p.seen) this.state.release(p, now);
-      else if (!direct && p.sentCounter !== null && report.counter > p.sentCounter) {
+      else if (!direct && p.sentCounter !== null && heartbeat.counter > p.sentCounter) {
         // One report is in flight at a time: this one left after the answer with the start was
         // taken or given up, and the task is not here. The start is lost and may be given again.
         p.sentCounter = null;
         this.#unheard(m, now);
-        if (!p.direct && (p.stop !== null || p.job.over)) this.state.release(p, now);
+        if (!p.direct && (p.stop !== null || p.job.ended)) this.state.release(p, now);
       }
     }
-    if (m.noticeAt !== null) this.#saveBeforeNotice(m, now);
+    if (m.preemptionNoticeAt !== null) this.#saveBeforeNotice(m, now);
   }
 
-  #observeTask(m: MachineState, t: ReportedTask, now: number, complete: boolean): void {
+  #reconcileTask(m: MachineState, t: ReportedTask, now: number, complete: boolean): void {
     const key = taskKey(t.uid, t.index);
     const job = this.state.jobs.get(t.uid);
     let p = m.tasks.get(key);
     if (p !== undefined && p.attempt !== t.attempt) p = undefined;
     if (t.state === 'exited') {
-      this.#observeExit(m, job, p, t, now);
+      this.#reconcileExit(m, job, p, t, now);
       return;
     }
     if (p === undefined) {
       const adoptable =
         complete &&
         job !== undefined &&
-        !job.over &&
+        !job.ended &&
         job.own.has(t.index) &&
         !job.placed.has(t.index) &&
         !job.saved.has(t.index) &&
         !job.unsaved.has(t.index) &&
         !m.tasks.has(key);
       if (!adoptable) {
-        m.foreign += 1;
+        m.unknownTasks += 1;
         return;
       }
       p = this.state.place(job, t.index, t.attempt, m, now, 'adopted');
@@ -102,16 +103,16 @@
 
   /** One lost answer is nothing; several in a row mean that none arrives. */
   #unheard(m: MachineState, now: number): void {
-    m.ignored += 1;
-    if (m.ignored < IGNORED_ORDERS) return;
-    m.ignoringSince ??= now;
+    m.consecutiveLostCommands += 1;
+    if (m.consecutiveLostCommands < LOST_COMMANDS_LIMIT) return;
+    m.commandsLostSince ??= now;
     // Nothing more is to be started there; what never left us goes elsewhere.
     for (const p of [...m.tasks.values()]) if (neverSent(p)) this.state.release(p, now);
   }
 
   #heard(m: MachineState): void {
-    m.ignored = 0;
-    m.ignoringSince = null;
+    m.consecutiveLostCommands = 0;
+    m.commandsLostSince = null;
   }
 
   #noteImage(m: MachineState, spec: JobSpec): void {
@@ -126,7 +127,7 @@
     }
   }
 
-  #observeExit(
+  #reconcileExit(
     m: MachineState,
     job: JobState | undefined,
     p: Placement | undefined,
@@ -134,7 +135,7 @@
     now: number,
   ): void {
     const service = job?.spec.kind === 'service';
-    if (t.why === 'done' && job !== undefined && !service && !job.over && job.own.has(t.index)) {
+    if (t.why === 'done' && job !== undefined && !service && !job.ended && job.own.has(t.index)) {
       const indexes = job.spec.kind === 'gang' ? [...job.own] : [t.index];
       const news = indexes.filter((i) => !job.saved.has(i) && !job.unsaved.has(i));
       // Completed tasks stay in the list for a while. Taken as news each time, they would make a
@@ -155,7 +156,7 @@
     if (t.why === 'error' && job !== undefined) this.#failures.failed(m, job, now);
     // A replica that ends by itself starts again; one that does so at once, ever more slowly.
     if (t.why === 'done' && service) this.#failures.countEnd(job!, now);
-    if (t.why === 'no_room') m.fullUntil = now + FULL_PAUSE_MS;
+    if (t.why === 'no_room') m.backoffUntil = now + NO_ROOM_BACKOFF_MS;
     if (t.why === 'unknown' && job !== undefined) this.#failures.pause(job, now);
     this.state.release(p, now, t.saved ? 'saved' : (t.why ?? 'gone'));
   }
--- a/src/core/shard/shard-state.ts
+++ b/src/core/shard/shard-state.ts
@@ -1,7 +1,7 @@
 import {
   ATTEMPTS_PER_TERM,
   CLOCK_DRIFT,
-  ORDER_UNSENT_MS,
+  COMMAND_UNSENT_MS,
   TRANSFER_AGAIN_MS,
   ROUNDING,
   WORKER_LEASE_MARGIN_MS,
@@ -45,11 +45,11 @@
   readonly jobs = new Map<string, JobState>();
   readonly machines = new Map<string, MachineState>();
   /** what happened to tasks, for the log */
-  happened: TaskEvent[] = [];
+  events: TaskEvent[] = [];
   /** run times of finished tasks, for whoever learns from them */
   finishedRuns: FinishedRun[] = [];
   /** returned machines whose record is not dropped yet */
-  readonly gone = new Set<string>();
+  readonly terminatedMachines = new Set<string>();
   /** jobs whose change could not be taken in yet */
   readonly unsynced = new Set<string>();
   readonly health: MachineHealth;
@@ -93,21 +93,21 @@
     for (const { value: record } of view.machines.values()) {
       if (record.shard !== this.index) {
         // It may come back, if shares are moved to and fro.
-        this.gone.delete(record.name);
+        this.terminatedMachines.delete(record.name);
         continue;
       }
       const known = this.machines.get(record.name);
       if (known !== undefined) this.#updateRecord(known, record);
-      else if (!this.gone.has(record.name)) this.#addMachine(record, now);
+      else if (!this.terminatedMachines.has(record.name)) this.#addMachine(record, now);
     }
     for (const m of [...this.machines.values()]) {
       const record = view.machines.get(m.record.name)?.value;
       if (record !== undefined && record.shard === this.index) continue;
       // A record that goes without a return of ours says nothing of the machine: what runs there is
       // gone only when the lease that we renewed last has run out.
-      m.leaving = true;
-      m.unrecorded = true;
-      if (m.tasks.size === 0) this.machineGone(m.record.name, now);
+      m.draining = true;
+      m.orphaned = true;
+      if (m.tasks.size === 0) this.removeMachine(m.record.name, now);
     }
   }
 
@@ -124,36 +124,36 @@
       type,
       since: now,
       address: null,
-      session: 0,
-      counter: -1,
-      lastReport: -1,
-      ignoringSince: null,
-      ignored: 0,
-      leastSession: 0,
+      agentEpoch: 0,
+      lastStatusCounter: -1,
+      lastHeartbeatCounter: -1,
+      commandsLostSince: null,
+      consecutiveLostCommands: 0,
+      minimumAgentEpoch: 0,
+      lastStatusAt: -Infinity,
       lastHeartbeatAt: -Infinity,
-      reportedAt: -Infinity,
-      answeredAt: -Infinity,
+      leaseRenewedAt: -Infinity,
       known: false,
       knownSince: now,
       everKnown: false,
       firstKnownAt: null,
-      noticeAt: null,
+      preemptionNoticeAt: null,
       tasks: new Map(),
-      foreign: 0,
-      foreignSince: null,
+      unknownTasks: 0,
+      unknownTasksSince: null,
       forgettableSince: null,
       doubtful: new Set(),
       images: new Map(this.settings.imagesOf(record.name)),
       failedJobs: new Map(),
-      onTrial: false,
-      condemned: false,
-      leaving: false,
-      unrecorded: false,
-      returning: false,
-      moving: false,
+      onProbation: false,
+      quarantined: false,
+      draining: false,
+      orphaned: false,
+      terminating: false,
+      cordoned: false,
       listed: 0,
-      fullUntil: -Infinity,
-      hold: null,
+      backoffUntil: -Infinity,
+      reservation: null,
       idleSince: now,
       free: type ?? ZERO,
     });
@@ -162,7 +162,7 @@
   #syncJob(record: JobRecord, view: ShardView, now: number, nowOfDay: number): void {
     const spec = record.spec;
     let job = this.jobs.get(spec.uid);
-    if (job !== undefined && job.transferring.length > 0) {
+    if (job !== undefined && job.migrating.length > 0) {
       this.unsynced.add(spec.uid);
       return;
     }
@@ -183,16 +183,16 @@
         placed: new Map(),
         saved: new TaskSet(),
         unsaved: new Set(),
-        over: false,
+        ended: false,
         pausedUntil: -Infinity,
         failures: 0,
         failedAt: -Infinity,
-        avoid: new Map(),
-        due: Infinity,
-        broken: false,
-        stuckSince: null,
-        transferring: [],
-        transferAfter: -Infinity,
+        avoidedMachines: new Map(),
+        startDeadline: Infinity,
+        gangBroken: false,
+        unschedulableSince: null,
+        migrating: [],
+        migrateAfter: -Infinity,
       };
       this.jobs.set(spec.uid, job);
       const bits = view.done(spec.uid, range.from);
@@ -212,8 +212,8 @@
    * many as have never been placed since the range's last placed task. Nothing of it may be running,
    * so an inherited range must be rebuilt first.
    */
-  transferable(job: JobState, record: JobRecord): { range: TaskRange; from: number } | null {
-    if (job.over || job.transferring.length > 0) return null;
+  migratable(job: JobState, record: JobRecord): { range: TaskRange; from: number } | null {
+    if (job.ended || job.migrating.length > 0) return null;
     if (job.inherited.size > 0 && !this.rebuilt) return null;
     const waiting = new Set(job.waiting);
     const whole = job.spec.kind === 'gang' || job.spec.oneZone || job.spec.spread;
@@ -228,19 +228,19 @@
   }
 
   /** The tasks leave the queue before the transaction that passes them is sent. */
-  beginTransfer(job: JobState, from: number, to: number): void {
-    job.transferring = job.waiting.filter((i) => i >= from && i < to);
+  beginMigration(job: JobState, from: number, to: number): void {
+    job.migrating = job.waiting.filter((i) => i >= from && i < to);
     job.waiting = job.waiting.filter((i) => i < from || i >= to);
   }
 
   /** Settled: they belong to the other shard now, or are ours as before. */
-  endTransfer(job: JobState, passed: boolean, now: number): void {
-    const tasks = job.transferring;
-    job.transferring = [];
-    job.transferAfter = now + TRANSFER_AGAIN_MS;
-    job.stuckSince = null;
+  endMigration(job: JobState, passed: boolean, now: number): void {
+    const tasks = job.migrating;
+    job.migrating = [];
+    job.migrateAfter = now + TRANSFER_AGAIN_MS;
+    job.unschedulableSince = null;
     if (!passed) {
-      if (!job.over) job.waiting = [...job.waiting, ...tasks].sort((a, b) => a - b);
+      if (!job.ended) job.waiting = [...job.waiting, ...tasks].sort((a, b) => a - b);
       return;
     }
     for (const i of tasks) {
@@ -250,7 +250,7 @@
   }
 
   #endJob(job: JobState, now: number): void {
-    job.over = true;
+    job.ended = true;
     job.waiting = [];
     job.unsaved.clear();
     for (const p of [...job.placed.values()]) this.requestStop(p, 0, now);
@@ -267,9 +267,9 @@
     }
   }
 
-  note(what: TaskEvent['what'], p: Placement, now: number, detail?: string): void {
-    this.happened.push({
-      what,
+  note(what: TaskEvent['type'], p: Placement, now: number, detail?: string): void {
+    this.events.push({
+      type: what,
       uid: p.job.spec.uid,
       index: p.index,
       machine: p.machine.record.name,
@@ -283,7 +283,7 @@
 
   /** Machines that report, but whose record does not say so yet: nothing may start there. */
   justUp(): MachineState[] {
-    return [...this.machines.values()].filter((m) => m.known && !m.record.up && !m.returning);
+    return [...this.machines.values()].filter((m) => m.known && !m.record.up && !m.terminating);
   }
 
   /** True once every machine that an earlier owner could have used has answered us or is gone. */
@@ -300,21 +300,21 @@
   }
 
   /** Machines that should report, and none of them has for the time; answers to commands do not count. */
-  hearsNobody(now: number, forMs: number): boolean {
+  hearsNoHeartbeats(now: number, forMs: number): boolean {
     let expected = 0;
     for (const m of this.machines.values()) {
-      if (m.returning || !m.record.up) continue;
-      if (now - Math.max(m.reportedAt, m.since) < forMs) return false;
+      if (m.terminating || !m.record.up) continue;
+      if (now - Math.max(m.lastHeartbeatAt, m.since) < forMs) return false;
       expected += 1;
     }
     return expected > 0;
   }
 
   /** An answered return, or a taken-over record: nothing of ours is on that machine any more. */
-  machineGone(name: string, now: number): void {
+  removeMachine(name: string, now: number): void {
     const m = this.machines.get(name);
     if (m === undefined) return;
-    this.gone.add(name);
+    this.terminatedMachines.add(name);
     for (const p of [...m.tasks.values()]) this.release(p, now);
     this.machines.delete(name);
   }
@@ -328,7 +328,7 @@
     p.machine.tasks.delete(taskKey(job.spec.uid, p.index));
     job.placed.delete(p.index);
     this.recount(p.machine, now);
-    if (job.over) {
+    if (job.ended) {
       if (job.placed.size === 0) this.jobs.delete(job.spec.uid);
       return;
     }
@@ -336,10 +336,10 @@
     if (!done) job.waiting.push(p.index);
     if (job.spec.kind === 'gang') {
       if (job.placed.size === 0) {
-        job.broken = false;
+        job.gangBroken = false;
         job.waiting.sort((a, b) => a - b);
-      } else if (!done && !job.broken) {
-        job.broken = true;
+      } else if (!done && !job.gangBroken) {
+        job.gangBroken = true;
         for (const other of [...job.placed.values()]) this.requestStop(other, 0, now);
       }
     }
@@ -382,18 +382,18 @@
   age(now: number): void {
     const leaseMs = this.settings.leaseMs * (1 + CLOCK_DRIFT) + WORKER_LEASE_MARGIN_MS;
     for (const m of this.machines.values()) {
-      if (m.known && now - m.answeredAt > leaseMs) {
+      if (m.known && now - m.leaseRenewedAt > leaseMs) {
         // Only our answers renew a lease under our term, and the last is too old: the worker has
         // killed its tasks, whether or not it can be reached.
         m.known = false;
-        m.leastSession = m.session + 1;
+        m.minimumAgentEpoch = m.agentEpoch + 1;
         for (const p of [...m.tasks.values()]) this.release(p, now);
       }
       for (const p of [...m.tasks.values()]) {
-        if (neverSent(p) && now - p.orderedAt > ORDER_UNSENT_MS) this.release(p, now);
+        if (neverSent(p) && now - p.dispatchedAt > COMMAND_UNSENT_MS) this.release(p, now);
       }
-      if (m.hold !== null && now > m.hold.until) m.hold = null;
-      if (m.unrecorded && m.tasks.size === 0) this.machineGone(m.record.name, now);
+      if (m.reservation !== null && now > m.reservation.until) m.reservation = null;
+      if (m.orphaned && m.tasks.size === 0) this.removeMachine(m.record.name, now);
     }
   }
 
@@ -409,7 +409,7 @@
     if (!this.settings.preempt) return [];
     const out: { m: MachineState; rank: number }[] = [];
     for (const m of this.machines.values()) {
-      if (m.tasks.size === 0 || m.hold !== null || !this.health.usable(m, now)) continue;
+      if (m.tasks.size === 0 || m.reservation !== null || !this.health.usable(m, now)) continue;
       let rank = 0;
       for (const p of m.tasks.values()) rank = Math.max(rank, p.job.rank + 1);
       if (rank <= PRIORITY_RANK.production) out.push({ m, rank });
@@ -422,18 +422,18 @@
     const out = new Map<string, number>();
     for (const job of this.jobs.values()) {
       const { jobClass } = job.spec;
-      if (job.over) continue;
+      if (job.ended) continue;
       out.set(jobClass, (out.get(jobClass) ?? 0) + tasksInNeed(job, now) + job.placed.size);
     }
     return [...out].map(([jobClass, tasks]) => ({ jobClass, tasks }));
   }
 
   /** Machines that could take a task now, for the routing of other nodes. */
-  rooms(now: number): MachineState[] {
+  machinesWithFreeCapacity(now: number): MachineState[] {
     // Every task takes some CPU and memory, so a machine without either has no room.
     const room = (m: MachineState) => m.free.cpus > ROUNDING && m.free.memoryGb > ROUNDING;
     return [...this.machines.values()].filter(
-      (m) => room(m) && this.health.usable(m, now) && m.hold === null,
+      (m) => room(m) && this.health.usable(m, now) && m.reservation === null,
     );
   }
 
@@ -458,7 +458,7 @@
       attempt,
       machine: m,
       state: 'ordered',
-      orderedAt: now,
+      dispatchedAt: now,
       sentCounter: null,
       seen: false,
       direct: false,
@@ -469,7 +469,7 @@
     if (at >= 0) job.waiting.splice(at, 1);
     job.placed.set(index, p);
     m.tasks.set(taskKey(job.spec.uid, index), p);
-    if (m.hold?.uid === job.spec.uid) m.hold = null;
+    if (m.reservation?.uid === job.spec.uid) m.reservation = null;
     this.recount(m, now);
     this.note(what, p, now, m.images.has(job.spec.image) ? 'image held' : 'image to fetch');
     return p;
--- a/src/core/shard/shard.ts
+++ b/src/core/shard/shard.ts
@@ -1,4 +1,4 @@
-import type { JobRecord, Command, Report, ReportedTask, TaskRange } from '../model.js';
+import type { JobRecord, Command, Heartbeat, ReportedTask, TaskRange } from '../model.js';
 import {
   type Changes,
   type FinishedRun,
@@ -10,12 +10,12 @@
   type TaskEvent,
 } from './types.js';
 import { ShardState } from './shard-state.js';
-import { bookedShares } from '../capacity/allocation-ratio.js';
-import { Limits } from '../placement/quotas.js';
+import { allocationRatios } from '../capacity/allocation-ratio.js';
+import { Quotas } from '../placement/quotas.js';
 import { CommandPlanner } from './command-planner.js';
-import { Placing } from '../placement/scheduler.js';
+import { Scheduler } from '../placement/scheduler.js';
 import { Preemption } from '../preemption/preemption.js';
-import { Reports } from './heartbeat-reconciler.js';
+import { HeartbeatReconciler } from './heartbeat-reconciler.js';
 
 export { serves } from './types.js';
 export type { JobState, MachineState, ShardSettings, ShardView, Placement } from './types.js';
@@ -35,9 +35,9 @@
  */
 export class Shard {
   readonly state: ShardState;
-  readonly #reports: Reports;
-  readonly #orders: CommandPlanner;
-  readonly #placing: Placing;
+  readonly #heartbeats: HeartbeatReconciler;
+  readonly #commands: CommandPlanner;
+  readonly #placing: Scheduler;
 
   constructor(
     readonly index: number,
@@ -45,10 +45,10 @@
     settings: ShardSettings,
   ) {
     this.state = new ShardState(index, term, settings);
-    const limits = new Limits(this.state);
-    this.#reports = new Reports(this.state);
-    this.#orders = new CommandPlanner(this.state);
-    this.#placing = new Placing(this.state, limits, new Preemption(this.state, limits));
+    const limits = new Quotas(this.state);
+    this.#heartbeats = new HeartbeatReconciler(this.state);
+    this.#commands = new CommandPlanner(this.state);
+    this.#placing = new Scheduler(this.state, limits, new Preemption(this.state, limits));
   }
 
   /**
@@ -56,49 +56,62 @@
    * keeps its lease by the answer, but nothing new begins. With `mayRenew` false what it says is
    * taken in, but it gets no answer, so that its lease ends.
    */
-  beat(report: Report, now: number, mayStart: boolean, mayRenew = true): HeartbeatResult {
-    const m = this.state.machines.get(report.machine);
+  handleHeartbeat(
+    heartbeat: Heartbeat,
+    now: number,
+    mayStart: boolean,
+    mayRenew = true,
+  ): HeartbeatResult {
+    const m = this.state.machines.get(heartbeat.machine);
     if (m === undefined) return { kind: 'unknown' };
-    if (report.token > this.state.term) return { kind: 'superseded' };
+    if (heartbeat.fencingToken > this.state.term) return { kind: 'superseded' };
     // Packets held back by a cut come late, and so do copies of reports. What was made before the
     // newest report says nothing new, and the worker does not wait for its answer any more.
-    const past = report.session < Math.max(m.session, m.leastSession);
-    if (past || (report.session === m.session && report.counter <= m.lastReport)) {
+    const past = heartbeat.agentEpoch < Math.max(m.agentEpoch, m.minimumAgentEpoch);
+    if (
+      past ||
+      (heartbeat.agentEpoch === m.agentEpoch && heartbeat.counter <= m.lastHeartbeatCounter)
+    ) {
       return { kind: 'old' };
     }
-    m.lastReport = report.counter;
-    m.reportedAt = now;
-    if (report.session === m.session && report.counter <= m.counter) {
+    m.lastHeartbeatCounter = heartbeat.counter;
+    m.lastHeartbeatAt = now;
+    if (heartbeat.agentEpoch === m.agentEpoch && heartbeat.counter <= m.lastStatusCounter) {
       // Its answer to a direct command overtook this report. Sending it away would cost the worker
       // its node, and an answer without orders does no harm.
       if (!mayRenew) return { kind: 'unanswered' };
-      m.answeredAt = now;
+      m.leaseRenewedAt = now;
       return { kind: 'answer', commands: [] };
     }
-    this.#reports.observe(m, report, now);
+    this.#heartbeats.reconcile(m, heartbeat, now);
     // An empty machine is renewed all the same: there is nothing on it that could go on too long.
-    if (!mayRenew && (m.tasks.size + m.doubtful.size > 0 || report.tasks.some(isLive))) {
+    if (!mayRenew && (m.tasks.size + m.doubtful.size > 0 || heartbeat.tasks.some(isLive))) {
       return { kind: 'unanswered' };
     }
-    m.answeredAt = now;
-    if (report.token !== this.state.term) {
+    m.leaseRenewedAt = now;
+    if (heartbeat.fencingToken !== this.state.term) {
       // Orders of an earlier term may still reach this worker: its list is not complete yet. The
       // answer raises its token, and the next report counts.
       return { kind: 'answer', commands: [] };
     }
     // Room that this report shows is given away in its own answer.
     if (mayStart) this.#placing.placeOn(m, now);
-    return { kind: 'answer', commands: this.#orders.answer(m, report, now, mayStart) };
+    return { kind: 'answer', commands: this.#commands.answer(m, heartbeat, now, mayStart) };
   }
 
   /** A report that came as the answer to direct commands. */
-  inspected(report: Report, now: number): void {
-    const m = this.state.machines.get(report.machine);
-    if (m === undefined || report.token > this.state.term || report.session < m.leastSession)
+  handleCommandStatus(heartbeat: Heartbeat, now: number): void {
+    const m = this.state.machines.get(heartbeat.machine);
+    if (
+      m === undefined ||
+      heartbeat.fencingToken > this.state.term ||
+      heartbeat.agentEpoch < m.minimumAgentEpoch
+    )
       return;
     const newer =
-      report.session > m.session || (report.session === m.session && report.counter > m.counter);
-    if (newer) this.#reports.observe(m, report, now, true);
+      heartbeat.agentEpoch > m.agentEpoch ||
+      (heartbeat.agentEpoch === m.agentEpoch && heartbeat.counter > m.lastStatusCounter);
+    if (newer) this.#heartbeats.reconcile(m, heartbeat, now, true);
   }
 
   // --- what the shard's state know -----------------------------------------------------------------------
@@ -109,8 +122,8 @@
   get machines(): ReadonlyMap<string, MachineState> {
     return this.state.machines;
   }
-  get happened(): TaskEvent[] {
-    return this.state.happened;
+  get events(): TaskEvent[] {
+    return this.state.events;
   }
   get finishedRuns(): FinishedRun[] {
     return this.state.finishedRuns;
@@ -127,8 +140,8 @@
   saved(uid: string, indexes: Iterable<number>): void {
     this.state.saved(uid, indexes);
   }
-  machineGone(name: string, now: number): void {
-    this.state.machineGone(name, now);
+  removeMachine(name: string, now: number): void {
+    this.state.removeMachine(name, now);
   }
   requestStop(p: Placement, graceS: number, now: number): void {
     this.state.requestStop(p, graceS, now);
@@ -142,12 +155,12 @@
   machinesToProbe(): MachineState[] {
     return this.state.machinesToProbe();
   }
-  ignoresCommands(m: MachineState, now: number): boolean {
-    return this.state.health.ignoresCommands(m, now);
+  losesCommands(m: MachineState, now: number): boolean {
+    return this.state.health.losesCommands(m, now);
   }
   /** Machines of the shard should report, and none has done so for the time, however new the owner is. */
-  hearsNobody(now: number, forMs: number): boolean {
-    return this.state.hearsNobody(now, forMs);
+  hearsNoHeartbeats(now: number, forMs: number): boolean {
+    return this.state.hearsNoHeartbeats(now, forMs);
   }
   isLost(m: MachineState, now: number): boolean {
     return this.state.health.isLost(m, now);
@@ -157,7 +170,7 @@
   }
   /** Booked share of the shard for each rank, as `loadIndex` numbers them. */
   loads(now: number): number[] {
-    return bookedShares(this.state, now);
+    return allocationRatios(this.state, now);
   }
   waiting(rank: number, now: number): number {
     return this.state.waiting(rank, now);
@@ -168,20 +181,20 @@
   busy(now: number): { jobClass: string; tasks: number }[] {
     return this.state.busy(now);
   }
-  rooms(now: number): MachineState[] {
-    return this.state.rooms(now);
+  machinesWithFreeCapacity(now: number): MachineState[] {
+    return this.state.machinesWithFreeCapacity(now);
   }
 
   // --- passing -----------------------------------------------------------------------------------
 
-  transferable(job: JobState, record: JobRecord): { range: TaskRange; from: number } | null {
-    return this.state.transferable(job, record);
+  migratable(job: JobState, record: JobRecord): { range: TaskRange; from: number } | null {
+    return this.state.migratable(job, record);
   }
-  beginTransfer(job: JobState, from: number, to: number): void {
-    this.state.beginTransfer(job, from, to);
+  beginMigration(job: JobState, from: number, to: number): void {
+    this.state.beginMigration(job, from, to);
   }
-  endTransfer(job: JobState, passed: boolean, now: number): void {
-    this.state.endTransfer(job, passed, now);
+  endMigration(job: JobState, passed: boolean, now: number): void {
+    this.state.endMigration(job, passed, now);
   }
 
   // --- placing and orders ------------------------------------------------------------------------
@@ -198,9 +211,9 @@
     most = Infinity,
     mayStart = true,
   ): ReturnType<CommandPlanner['direct']> {
-    return this.#orders.direct(now, most, mayStart);
+    return this.#commands.direct(now, most, mayStart);
   }
   directSettled(starts: readonly Placement[], executed: boolean): void {
-    this.#orders.settled(starts, executed);
+    this.#commands.settled(starts, executed);
   }
 }
--- a/src/core/shard/types.ts
+++ b/src/core/shard/types.ts
@@ -22,7 +22,7 @@
   readonly attempt: number;
   readonly machine: MachineState;
   state: 'ordered' | 'fetching' | 'waiting' | 'running' | 'saving';
-  readonly orderedAt: number;
+  readonly dispatchedAt: number;
   /** counter of the report whose answer carried the start; null: not sent yet */
   sentCounter: number | null;
   seen: boolean;
@@ -52,22 +52,22 @@
   readonly saved: TaskSet;
   readonly unsaved: Set<number>;
   /** done or cancelled: nothing starts, what runs is stopped */
-  over: boolean;
+  ended: boolean;
   pausedUntil: number;
   failures: number;
   /** steady ms of the last of them */
   failedAt: number;
-  readonly avoid: Map<string, number>;
+  readonly avoidedMachines: Map<string, number>;
   /** by when its tasks should start, steady ms, as of the last look at the queue */
-  due: number;
+  startDeadline: number;
   /** a gang that lost a task: nothing starts before all of it is gone */
-  broken: boolean;
+  gangBroken: boolean;
   /** since when tasks wait without room, steady ms */
-  stuckSince: number | null;
+  unschedulableSince: number | null;
   /** tasks that are being passed to another shard: they start nowhere until that is settled */
-  transferring: number[];
+  migrating: number[];
   /** the earliest time of the next pass */
-  transferAfter: number;
+  migrateAfter: number;
 }
 
 export interface MachineState {
@@ -75,30 +75,30 @@
   readonly type: MachineType | null;
   readonly since: number;
   address: string | null;
-  session: number;
-  counter: number;
+  agentEpoch: number;
+  lastStatusCounter: number;
   /** counter of the newest report that came by itself, not as the answer to a command */
-  lastReport: number;
+  lastHeartbeatCounter: number;
   /** since when orders show no effect: reports come, but what we say does not arrive */
-  ignoringSince: number | null;
+  commandsLostSince: number | null;
   /** orders in a row that showed no effect */
-  ignored: number;
+  consecutiveLostCommands: number;
   /** sessions below this are over, by the clock */
-  leastSession: number;
-  lastHeartbeatAt: number;
+  minimumAgentEpoch: number;
+  lastStatusAt: number;
   /** the newest report that came by itself: only its answer renews the worker's lease */
-  reportedAt: number;
-  answeredAt: number;
+  lastHeartbeatAt: number;
+  leaseRenewedAt: number;
   /** a report under our term has come: its task list is complete */
   known: boolean;
   knownSince: number;
   everKnown: boolean;
   firstKnownAt: number | null;
-  noticeAt: number | null;
+  preemptionNoticeAt: number | null;
   readonly tasks: Map<string, Placement>;
   /** reported tasks that have no place in our state and are being stopped */
-  foreign: number;
-  foreignSince: number | null;
+  unknownTasks: number;
+  unknownTasksSince: number | null;
   /** since when the worker lists completed tasks that it could forget */
   forgettableSince: number | null;
   /** attempts whose direct start may still be under way: forgetting them could start them again */
@@ -107,27 +107,27 @@
   /** jobs that failed here since the last task that completed here */
   readonly failedJobs: Map<string, JobState>;
   /** may be faulty: one task at a time until one completes */
-  onTrial: boolean;
+  onProbation: boolean;
   /** taken for faulty: nothing starts there, and it goes back to the cloud */
-  condemned: boolean;
+  quarantined: boolean;
   /** to be returned: no starts, and what runs is stopped */
-  leaving: boolean;
+  draining: boolean;
   /** its record is gone or another shard's, although we have not returned it */
-  unrecorded: boolean;
-  returning: boolean;
+  orphaned: boolean;
+  terminating: boolean;
   /** chosen to move to another shard: no starts, what runs goes on */
-  moving: boolean;
+  cordoned: boolean;
   /** tasks that its newest report lists, ended ones included */
   listed: number;
-  fullUntil: number;
+  backoffUntil: number;
   /** kept for a job; partial: its gang has not enough machines in sight yet */
-  hold: { uid: string; until: number; partial: boolean } | null;
+  reservation: { uid: string; until: number; partial: boolean } | null;
   idleSince: number;
   free: Resources;
 }
 
 export interface ShardSettings {
-  readonly reportMs: number;
+  readonly heartbeatIntervalMs: number;
   readonly leaseMs: number;
   readonly cancelMs: number;
   readonly teams: ReadonlyMap<string, Team>;
@@ -136,7 +136,7 @@
   /** images that an earlier owner knew on a machine, with their sizes */
   readonly imagesOf: (machine: string) => ReadonlyMap<string, number>;
   /** seconds from acceptance by which tasks of a class should start, the earliest first */
-  readonly startWithin: (jobClass: string) => readonly number[];
+  readonly startObjectives: (jobClass: string) => readonly number[];
 }
 
 /** How much was looked at for decisions since the shard was built: it must not grow with the fleet. */
@@ -162,7 +162,7 @@
 }
 
 export interface TaskEvent {
-  readonly what: 'placed' | 'running' | 'ended' | 'released' | 'adopted' | 'stopping';
+  readonly type: 'placed' | 'running' | 'ended' | 'released' | 'adopted' | 'stopping';
   readonly uid: string;
   readonly index: number;
   readonly machine: string;
--- a/src/duties/clearing.ts
+++ b/src/duties/clearing.ts
@@ -1,10 +1,10 @@
 import {
   expiredRevision,
-  fencedTransaction,
+  fencedCompareAndSwap,
   NOTHING_OBSERVED,
   observe,
   type Authorization,
-  type Condition,
+  type Guard,
   type RetentionRecord,
   type Write,
 } from '@sumacstep/duties';
@@ -13,7 +13,12 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { DutiesConfig } from '../config/duties.js';
 import { CLEAR_ROUND_MS, CLOCK_DRIFT, LIST_PAGE, RETENTION_WRITE_MS } from '../constants.js';
-import { CALL, StateTrouble, type Entry, type StateClient } from '../store/store-client.js';
+import {
+  CALL_PRIORITY,
+  StoreRequestError,
+  type Entry,
+  type StoreClient,
+} from '../store/store-client.js';
 import { dutyEntryKey } from '../store/duty-entries.js';
 import { FINAL, key } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
@@ -22,7 +27,7 @@
 /** What clearing needs of the process. */
 export interface ClearingPorts {
   readonly duties: Pick<DutyController, 'authorize'>;
-  readonly client: Pick<StateClient, 'transact' | 'list' | 'get'>;
+  readonly client: Pick<StoreClient, 'compareAndSwap' | 'list' | 'get'>;
   readonly cache: WatchCache;
   /** the key of this node's own life, which a lease holds for sure */
   readonly ownNodeKey: string;
@@ -87,7 +92,7 @@
     try {
       await work();
     } catch (error) {
-      if (!(error instanceof StateTrouble)) throw error;
+      if (!(error instanceof StoreRequestError)) throw error;
       this.ports.log.debug({ error: error.message }, 'old state not cleared');
     } finally {
       this.#busy = false;
@@ -106,7 +111,7 @@
       this.#sweptTo = expired;
       if (cleared > 0) this.ports.log.info({ cleared, expired }, 'final states cleared');
     }
-    await this.#clearHires(authorization);
+    await this.#clearRentals(authorization);
     await this.#clearNodes(authorization);
   }
 
@@ -127,19 +132,25 @@
     const options = { keepMs: this.config.finalKeepMs, clockDrift: CLOCK_DRIFT };
     const value = observe(old, passedMs, this.ports.cache.epoch, options);
     const writes = [{ put: dutyEntryKey.retention, value }];
-    const when = [{ key: dutyEntryKey.retention, revision: stored?.revision ?? 0 }];
-    if (!(await this.#transact(authorization, when, writes))) return null;
+    const guards = [{ key: dutyEntryKey.retention, revision: stored?.revision ?? 0 }];
+    if (!(await this.#compareAndSwap(authorization, guards, writes))) return null;
     this.#observed = { token, at: now };
     return value;
   }
 
-  async #transact(
+  async #compareAndSwap(
     authorization: Authorization,
-    when: readonly Condition[],
+    guards: readonly Guard[],
     writes: readonly Write[],
   ): Promise<boolean> {
     const { client, cache } = this.ports;
-    const outcome = await fencedTransaction(client, authorization, CALL.rest, when, writes);
+    const outcome = await fencedCompareAndSwap(
+      client,
+      authorization,
+      CALL_PRIORITY.rest,
+      guards,
+      writes,
+    );
     if (outcome.ok) cache.applyOwn(writes, outcome.epoch);
     return outcome.ok;
   }
@@ -152,7 +163,7 @@
     const most = Math.max(1, this.ports.transactionOps - 1);
     let cleared = 0;
     for (let since: string | null = null; ;) {
-      const page = await this.ports.client.list(FINAL, since, LIST_PAGE, CALL.rest);
+      const page = await this.ports.client.list(FINAL, since, LIST_PAGE, CALL_PRIORITY.rest);
       const old = page.entries.filter((entry) => entry.revision <= expired);
       for (let at = 0; at < old.length; at += most) {
         if (!authorization.holds()) return cleared;
@@ -167,10 +178,10 @@
   }
 
   #dropFinals(authorization: Authorization, batch: readonly Clearable[]): Promise<boolean> {
-    const when = batch.map(({ key: name, revision }) => ({ key: name, revision }));
+    const guards = batch.map(({ key: name, revision }) => ({ key: name, revision }));
     const drops: Write[] = batch.map(({ key: name }) => ({ drop: name }));
     const acceptance = { put: dutyEntryKey.acceptance, value: { token: authorization.token } };
-    return this.#transact(authorization, when, [...drops, acceptance]);
+    return this.#compareAndSwap(authorization, guards, [...drops, acceptance]);
   }
 
   /** Moves of machines that were over before: they are kept for people alone. */
@@ -182,13 +193,13 @@
   }
 
   /** Rentals of shards that no setting names and nobody owns. Machines that they got are reclaimed. */
-  async #clearHires(authorization: Authorization): Promise<void> {
+  async #clearRentals(authorization: Authorization): Promise<void> {
     const { tables } = this.ports.cache;
-    for (const { value: hire, revision } of tables['hires/'].values()) {
-      if (hire.shard < this.ports.shards || this.#ownerLives(hire.shard)) continue;
-      const name = key.hire(hire.shard, hire.name);
+    for (const { value: rental, revision } of tables['hires/'].values()) {
+      if (rental.shard < this.ports.shards || this.#ownerLives(rental.shard)) continue;
+      const name = key.hire(rental.shard, rental.name);
       if (!(await this.#drop(authorization, { key: name, revision }))) return;
-      this.ports.log.info({ shard: hire.shard, hire: hire.name }, 'rental of no shard cleared');
+      this.ports.log.info({ shard: rental.shard, hire: rental.name }, 'rental of no shard cleared');
     }
   }
 
@@ -204,12 +215,12 @@
    */
   async #clearNodes(authorization: Authorization): Promise<void> {
     const { client, cache, ownNodeKey, log } = this.ports;
-    const own = await client.get(ownNodeKey, CALL.rest);
+    const own = await client.get(ownNodeKey, CALL_PRIORITY.rest);
     if ('missing' in own || (own.lease ?? null) === null) return;
     for (const { value } of cache.tables['nodes/'].values()) {
       const name = key.node(value.node, value.incarnation);
       if (name === ownNodeKey) continue;
-      const found = await client.get(name, CALL.rest);
+      const found = await client.get(name, CALL_PRIORITY.rest);
       if ('missing' in found || (found.lease ?? null) !== null) continue;
       if (!(await this.#drop(authorization, found))) return;
       log.info({ node: value.node, incarnation: value.incarnation }, 'node record cleared');
@@ -217,6 +228,6 @@
   }
 
   #drop(authorization: Authorization, { key: name, revision }: Clearable): Promise<boolean> {
-    return this.#transact(authorization, [{ key: name, revision }], [{ drop: name }]);
+    return this.#compareAndSwap(authorization, [{ key: name, revision }], [{ drop: name }]);
   }
 }
--- a/src/duties/duties.ts
+++ b/src/duties/duties.ts
@@ -6,11 +6,11 @@
 import type { SharesConfig } from '../config/shares.js';
 import { Mover } from '../shares/mover.js';
 import type { Reclaimer } from '../shards/orphaned-instances.js';
-import type { StateClient } from '../store/store-client.js';
+import type { StoreClient } from '../store/store-client.js';
 import { dutyEntryKey } from '../store/duty-entries.js';
 import { key } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
-import type { Condition } from '../wire/schemas.js';
+import type { Guard } from '../wire/schemas.js';
 import { Clearing } from './clearing.js';
 import { DutyController } from './duty-controller.js';
 import { Reclaiming } from './reclaiming.js';
@@ -18,7 +18,7 @@
 
 /** What the duties need of the process. */
 export interface DutiesPorts {
-  readonly client: StateClient;
+  readonly client: StoreClient;
   readonly cloud: CloudClient;
   readonly cache: WatchCache;
   /** whether this node provably owns what the cache shows as its own */
@@ -32,7 +32,7 @@
   readonly log: Logger;
 }
 
-type Platform = Pick<PlatformConfig, 'node' | 'nodes' | 'stateLimits'>;
+type Platform = Pick<PlatformConfig, 'node' | 'nodes' | 'storeLimits'>;
 
 /** The exclusive duties as they are switched on, put together. */
 export class Duties {
@@ -53,7 +53,7 @@
     ports: DutiesPorts,
   ) {
     const { client, cache } = ports;
-    const { valueBytes, transactionOps } = platform.stateLimits;
+    const { valueBytes, transactionOps } = platform.storeLimits;
     this.#cache = cache;
     const switched = { ...config, move: shares !== null };
     this.#controller = new DutyController({ node: platform.node, incarnation }, switched, ports);
@@ -85,7 +85,7 @@
   }
 
   /** What acceptances depend on: it changes whenever final states are cleared. */
-  acceptanceCondition(): Condition {
+  acceptanceCondition(): Guard {
     const name = dutyEntryKey.acceptance;
     const known = this.#cache.tables['duties/'].get(name.slice('duties/'.length));
     return { key: name, revision: known?.revision ?? 0 };
--- a/src/duties/duty-controller.ts
+++ b/src/duties/duty-controller.ts
@@ -8,14 +8,14 @@
   type LivingMember,
   type Member,
   type Refusals,
-  type TransactionalStore,
+  type CompareAndSwapStore,
   type Urgency,
   type Versioned,
 } from '@sumacstep/duties';
 import type { Logger } from 'pino';
 import type { DutiesConfig } from '../config/duties.js';
 import { DUTY_GRACE_MS } from '../constants.js';
-import { CALL, type CallClass, type StateClient } from '../store/store-client.js';
+import { CALL_PRIORITY, type CallPriority, type StoreClient } from '../store/store-client.js';
 import { key, type Decoded } from '../store/keys.js';
 import type { Cached, WatchCache } from '../store/watch-cache.js';
 
@@ -28,10 +28,10 @@
 /** All duties that exist, whether switched on or not. */
 export const DUTY_NAMES = [RECLAIM, CLEAR, MOVE] as const;
 
-const CALL_OF: Readonly<Record<Urgency, CallClass>> = {
-  lease: CALL.renew,
-  normal: CALL.completion,
-  background: CALL.rest,
+const CALL_OF: Readonly<Record<Urgency, CallPriority>> = {
+  lease: CALL_PRIORITY.renew,
+  normal: CALL_PRIORITY.completion,
+  background: CALL_PRIORITY.rest,
 };
 
 type Tables = Pick<WatchCache['tables'], 'nodes/' | 'duties/'>;
@@ -52,7 +52,7 @@
 
 /** What the duty controller needs of the process. */
 export interface DutyControllerPorts {
-  readonly client: Pick<StateClient, 'transact'>;
+  readonly client: Pick<StoreClient, 'compareAndSwap'>;
   readonly cache: WatchCache;
   /** whether this node provably owns what the cache shows as its own */
   readonly authority: () => boolean;
@@ -79,8 +79,9 @@
     this.#cache = cache;
     const switched = { [RECLAIM]: config.reclaim, [CLEAR]: config.clear, [MOVE]: config.move };
     const duties = DUTY_NAMES.filter((name) => switched[name]);
-    const store: TransactionalStore = {
-      transact: (urgency, when, writes) => client.transact(CALL_OF[urgency], when, writes),
+    const store: CompareAndSwapStore = {
+      compareAndSwap: (urgency, guards, writes) =>
+        client.compareAndSwap(CALL_OF[urgency], guards, writes),
     };
     this.#manager = new DutyManager(
       {
--- a/src/duties/reclaiming.ts
+++ b/src/duties/reclaiming.ts
@@ -1,7 +1,7 @@
 import { type Authorization } from '@sumacstep/duties';
 import type { Logger } from 'pino';
 import type { CloudClient } from '../cloud/client.js';
-import { CONDITIONS_PER_OP, RETURN_MOST } from '../constants.js';
+import { CONDITIONS_PER_OP, MAX_RETURN_BATCH } from '../constants.js';
 import { key } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { ListedMachine } from '../wire/schemas.js';
@@ -15,7 +15,7 @@
 export interface ReclaimingPorts {
   readonly duties: Pick<DutyController, 'authorize' | 'begun'>;
   readonly intents: ReturnIntents;
-  readonly cloud: Pick<CloudClient, 'giveBack'>;
+  readonly cloud: Pick<CloudClient, 'returnMachines'>;
   readonly cache: WatchCache;
   /** resolves once the cache shows everything that was committed before the call */
   readonly current: () => Promise<unknown>;
@@ -64,7 +64,10 @@
     // Every rental is recorded before its call. So once a current cache shows neither a rental of the machine's
     // kind nor the machine, none can record it any more.
     await current();
-    const most = Math.min(RETURN_MOST, this.transactionOps * CONDITIONS_PER_OP - OTHER_CONDITIONS);
+    const most = Math.min(
+      MAX_RETURN_BATCH,
+      this.transactionOps * CONDITIONS_PER_OP - OTHER_CONDITIONS,
+    );
     const names = listed
       .filter((machine) => this.#nobodys(machine))
       .map((machine) => machine.name)
@@ -76,7 +79,7 @@
     const list = 'unrecorded';
     const recorded = await intents.record(list, authorization, names, needed, unadopted);
     if (recorded.length === 0) return [];
-    await cloud.giveBack(recorded, authorization);
+    await cloud.returnMachines(recorded, authorization);
     log.info({ machines: recorded, token: authorization.token }, 'machines reclaimed');
     return recorded;
   }
@@ -84,8 +87,8 @@
   #nobodys({ name, type, zone, spot }: ListedMachine): boolean {
     const { cache } = this.ports;
     if (cache.machines.has(name)) return false;
-    for (const { value: hire } of cache.tables['hires/'].values()) {
-      if (hire.type === type && hire.zone === zone && hire.spot === spot) return false;
+    for (const { value: rental } of cache.tables['hires/'].values()) {
+      if (rental.type === type && rental.zone === zone && rental.spot === spot) return false;
     }
     return true;
   }
--- a/src/duties/return-intents.ts
+++ b/src/duties/return-intents.ts
@@ -1,10 +1,10 @@
 import {
-  fencedTransaction,
+  fencedCompareAndSwap,
   type Authorization,
-  type Condition,
+  type Guard,
   type Write,
 } from '@sumacstep/duties';
-import { CALL, type StateClient } from '../store/store-client.js';
+import { CALL_PRIORITY, type StoreClient } from '../store/store-client.js';
 import { dutyEntryKey, encodeReturns, type ReturnList } from '../store/duty-entries.js';
 import type { WatchCache } from '../store/watch-cache.js';
 
@@ -21,7 +21,7 @@
  */
 export class ReturnIntents {
   constructor(
-    private readonly client: Pick<StateClient, 'transact'>,
+    private readonly client: Pick<StoreClient, 'compareAndSwap'>,
     private readonly cache: WatchCache,
     private readonly valueBytes: number,
   ) {}
@@ -33,7 +33,7 @@
   }
 
   /** The list as it is known here, as a condition of writes that depend on what is not in it. */
-  condition(list: ReturnList): Condition {
+  condition(list: ReturnList): Guard {
     return { key: dutyEntryKey.returns(list), revision: this.#entry(list)?.revision ?? 0 };
   }
 
@@ -46,17 +46,21 @@
     authorization: Authorization,
     names: readonly string[],
     needed: (name: string) => boolean,
-    conditions: readonly Condition[] = [],
+    conditions: readonly Guard[] = [],
   ): Promise<readonly string[]> {
     const known = this.recorded(list);
     if (names.every((name) => known.has(name))) return names;
     const kept = [...known].filter(needed);
     const machines = this.#thatFit([...new Set([...kept, ...names])]);
     const put: Write = { put: dutyEntryKey.returns(list), value: encodeReturns(machines) };
-    const when = [this.condition(list), ...conditions];
-    const outcome = await fencedTransaction(this.client, authorization, CALL.completion, when, [
-      put,
-    ]);
+    const guards = [this.condition(list), ...conditions];
+    const outcome = await fencedCompareAndSwap(
+      this.client,
+      authorization,
+      CALL_PRIORITY.completion,
+      guards,
+      [put],
+    );
     if (!outcome.ok) return [];
     this.cache.applyOwn([put], outcome.epoch);
     const written = new Set(machines);
--- a/src/peers/gossip.ts
+++ b/src/peers/gossip.ts
@@ -1,7 +1,13 @@
 import { connect, createServer, type Server, type Socket } from 'node:net';
 import { finished, pipeline } from 'node:stream';
 import type { Logger } from 'pino';
-import { DETAIL_EVERY, GOSSIP_MS, PEER_FRESH_MS, SUMMARY_MS, TELL_MS } from '../constants.js';
+import {
+  DETAIL_EVERY,
+  GOSSIP_MS,
+  PEER_FRESH_MS,
+  SUMMARY_MS,
+  CANCELLATION_FLUSH_MS,
+} from '../constants.js';
 import { StatusDecoder, StatusEncoder, type PeerStatus } from './frames.js';
 
 export interface Peer {
@@ -39,7 +45,7 @@
   readonly #sockets = new Set<Socket>();
   #server: Server | null = null;
   #timer: NodeJS.Timeout | null = null;
-  #soon: NodeJS.Timeout | null = null;
+  #flushTimer: NodeJS.Timeout | null = null;
 
   constructor(
     private readonly me: string,
@@ -103,11 +109,11 @@
   }
 
   /** There is something that the others should know before the next regular message. */
-  hurry(): void {
-    this.#soon ??= setTimeout(() => {
-      this.#soon = null;
+  flush(): void {
+    this.#flushTimer ??= setTimeout(() => {
+      this.#flushTimer = null;
       this.#say(false);
-    }, TELL_MS);
+    }, CANCELLATION_FLUSH_MS);
   }
 
   #tooLong(bytes: number): void {
@@ -160,7 +166,7 @@
 
   close(): void {
     if (this.#timer !== null) clearInterval(this.#timer);
-    if (this.#soon !== null) clearTimeout(this.#soon);
+    if (this.#flushTimer !== null) clearTimeout(this.#flushTimer);
     this.#server?.close();
     for (const s of this.#sockets) s.destroy();
   }
--- a/src/peers/shard-directory.ts
+++ b/src/peers/shard-directory.ts
@@ -1,4 +1,4 @@
-import { BALANCE_MARGIN, BALANCE_RATIO, SOON_MS, UNKNOWN_LOAD } from '../constants.js';
+import { BALANCE_MARGIN, BALANCE_RATIO, DEBOUNCE_MS, UNKNOWN_LOAD } from '../constants.js';
 import { loadIndex } from '../core/capacity/allocation-ratio.js';
 import type { ShardLoad } from '../core/jobs/jobs.js';
 import { fits, PRIORITY_RANK, timesIn, type JobSpec, type Resources } from '../core/model.js';
@@ -51,7 +51,7 @@
       if (!known.images.includes(image)) known.images.push(image);
     }
   };
-  for (const machine of shard.rooms(now)) note(machine, machine.free, 0);
+  for (const machine of shard.machinesWithFreeCapacity(now)) note(machine, machine.free, 0);
   for (const { m, rank } of shard.displaceable(now)) if (m.type !== null) note(m, m.type, rank);
   return [...out.values()];
 };
@@ -96,7 +96,8 @@
   #ownRooms(index: number, shard: Shard): readonly RoomStatus[] {
     const now = this.now();
     const known = this.#roomsLately.get(index);
-    if (known !== undefined && known.of === shard && now - known.at < SOON_MS) return known.rooms;
+    if (known !== undefined && known.of === shard && now - known.at < DEBOUNCE_MS)
+      return known.rooms;
     const rooms = roomsOf(shard, now);
     this.#roomsLately.set(index, { of: shard, at: now, rooms });
     return rooms;
@@ -142,7 +143,7 @@
   }
 
   /** The shard other than `not` with room for the job, rather one that holds its image. */
-  roomElsewhere(spec: JobSpec, not: number): { shard: number; tasks: number } | null {
+  capacityElsewhere(spec: JobSpec, not: number): { shard: number; tasks: number } | null {
     const rank = PRIORITY_RANK[spec.priority];
     let best: { shard: number; tasks: number; image: boolean } | null = null;
     for (let shard = 0; shard < this.shards; shard++) {
@@ -165,7 +166,7 @@
    * The least booked shard for the job, if it is booked so much less than `than` that the job begins
    * sooner there although it has no room now either. Null if none is, or too little is known.
    */
-  lessBooked(spec: JobSpec, than: number): number | null {
+  lessAllocated(spec: JobSpec, than: number): number | null {
     const index = loadIndex(PRIORITY_RANK[spec.priority], spec.spot);
     const own = this.#toldLoads.get(than)?.[index];
     if (own === undefined) return null;
--- a/src/service/limit-sharing.ts
+++ b/src/service/limit-sharing.ts
@@ -1,23 +1,23 @@
 import type { CloudClient } from '../cloud/client.js';
 import type { OperatorConfig } from '../config/operator.js';
 import type { PlatformConfig } from '../config/platform.js';
-import type { StateClient, StateLimits } from '../store/store-client.js';
+import type { StoreClient, StoreLimits } from '../store/store-client.js';
 
-type Config = Pick<PlatformConfig, 'nodes' | 'stateLimits' | 'cloudLimits'>;
-type Shares = Pick<OperatorConfig, 'stateRequestShare' | 'stateWriteShare' | 'cloudRequestShare'>;
+type Config = Pick<PlatformConfig, 'nodes' | 'storeLimits' | 'cloudLimits'>;
+type Shares = Pick<OperatorConfig, 'storeRequestShare' | 'storeWriteShare' | 'cloudRequestShare'>;
 
 /** One node's share of the state service's limits when so many nodes live. */
-export const stateShare = (config: Config, shares: Shares, nodes: number): StateLimits => {
-  const { rps, writeRps, next } = config.stateLimits;
+export const storeLimitsPerNode = (config: Config, shares: Shares, nodes: number): StoreLimits => {
+  const { rps, writeRps, next } = config.storeLimits;
   const share = (l: { rps: number; writeRps: number }) => ({
-    rps: (l.rps * shares.stateRequestShare) / nodes,
-    writeRps: (l.writeRps * shares.stateWriteShare) / nodes,
+    rps: (l.rps * shares.storeRequestShare) / nodes,
+    writeRps: (l.writeRps * shares.storeWriteShare) / nodes,
   });
   return { ...share({ rps, writeRps }), next: share(next) };
 };
 
 /** One node's share of the cloud's requests a second. */
-export const cloudShare = (config: Config, shares: Shares, nodes: number): number =>
+export const cloudRateLimitPerNode = (config: Config, shares: Shares, nodes: number): number =>
   (config.cloudLimits.rps * shares.cloudRequestShare) / nodes;
 
 /** The limits of state service and cloud are for all nodes together: those that live share them. */
@@ -27,7 +27,7 @@
   constructor(
     private readonly config: Config,
     private readonly shares: Shares,
-    private readonly state: Pick<StateClient, 'setLimits'>,
+    private readonly store: Pick<StoreClient, 'setLimits'>,
     private readonly cloud: Pick<CloudClient, 'setRate'>,
   ) {
     this.#nodes = config.nodes;
@@ -38,7 +38,7 @@
     const nodes = Math.min(this.config.nodes, Math.max(1, living));
     if (nodes === this.#nodes) return;
     this.#nodes = nodes;
-    this.state.setLimits(stateShare(this.config, this.shares, nodes));
-    this.cloud.setRate(cloudShare(this.config, this.shares, nodes));
+    this.store.setLimits(storeLimitsPerNode(this.config, this.shares, nodes));
+    this.cloud.setRate(cloudRateLimitPerNode(this.config, this.shares, nodes));
   }
 }
--- a/src/service/readiness.ts
+++ b/src/service/readiness.ts
@@ -3,9 +3,9 @@
 /** What readiness depends on, as of one look. */
 export interface Surroundings {
   /** the state service answers this node */
-  readonly stateUp: boolean;
+  readonly storeAvailable: boolean;
   /** another node in touch has state */
-  readonly peerHasState: boolean;
+  readonly peerHasStore: boolean;
   /** there are other nodes, and none of them is in touch */
   readonly noPeerInTouch: boolean;
 }
@@ -15,21 +15,21 @@
  * has any: in an outage all stay, rather than leave the load balancer with nobody.
  */
 export class Readiness {
-  #aloneWithoutStateSince: number | null = null;
+  #isolatedSince: number | null = null;
   #cutOffSince: number | null = null;
 
   /** Notes since when this node alone has been without state, or without state and anybody else. */
-  observe({ stateUp, peerHasState, noPeerInTouch }: Surroundings, now: number): void {
-    const alone = !stateUp && peerHasState;
-    this.#aloneWithoutStateSince = alone ? (this.#aloneWithoutStateSince ?? now) : null;
-    const cutOff = !stateUp && noPeerInTouch;
+  observe({ storeAvailable, peerHasStore, noPeerInTouch }: Surroundings, now: number): void {
+    const alone = !storeAvailable && peerHasStore;
+    this.#isolatedSince = alone ? (this.#isolatedSince ?? now) : null;
+    const cutOff = !storeAvailable && noPeerInTouch;
     this.#cutOffSince = cutOff ? (this.#cutOffSince ?? now) : null;
   }
 
   /** True unless one of the two has lasted too long. */
   ready(now: number): boolean {
     if (this.#cutOffSince !== null && now - this.#cutOffSince >= CUT_OFF_MS) return false;
-    const since = this.#aloneWithoutStateSince;
+    const since = this.#isolatedSince;
     return since === null || now - since < READY_GRACE_MS;
   }
 }
--- a/src/service/service.ts
+++ b/src/service/service.ts
@@ -12,8 +12,8 @@
   FOLLOW_PAUSE_MS,
   IDLE_LEASES,
   LOOP_MS,
-  SOON_MS,
-  STATE_FRESH_MS,
+  DEBOUNCE_MS,
+  STORE_FRESH_MS,
   SUMMARY_MS,
 } from '../constants.js';
 import {
@@ -21,25 +21,25 @@
   CancellationBroadcast,
   type Cancellation,
 } from '../core/cancellation/cancellations.js';
-import { Learning } from '../core/capacity/workload-statistics.js';
-import { type Report } from '../core/model.js';
+import { WorkloadStatistics } from '../core/capacity/workload-statistics.js';
+import { type Heartbeat } from '../core/model.js';
 import { Duties } from '../duties/duties.js';
 import { ShardController, type PeerView } from '../shards/shard-controller.js';
 import { Gossip, type OwnStatus } from '../peers/gossip.js';
 import type { PeerStatus } from '../peers/frames.js';
 import { ShardDirectory } from '../peers/shard-directory.js';
 import { randomFrom } from '../random.js';
-import { Rentals } from '../shards/scale-out.js';
-import { Returns } from '../shards/scale-in.js';
-import { UnrecordedMachines } from '../shards/orphaned-instances.js';
+import { ScaleOut } from '../shards/scale-out.js';
+import { ScaleIn } from '../shards/scale-in.js';
+import { OrphanedInstances } from '../shards/orphaned-instances.js';
 import { HttpServer } from './http-server.js';
-import { cloudShare, LimitSharing, stateShare } from './limit-sharing.js';
+import { cloudRateLimitPerNode, LimitSharing, storeLimitsPerNode } from './limit-sharing.js';
 import { describeShards } from './shard-status.js';
 import { Readiness } from './readiness.js';
 import { Summary } from './summary.js';
 import { shareSockets } from './socket-budget.js';
 import { ShareOwner } from '../shares/share-owner.js';
-import { StateClient } from '../store/store-client.js';
+import { StoreClient } from '../store/store-client.js';
 import { LinearizableReads } from '../store/linearizable-reads.js';
 import { nodeSession } from '../store/node-session.js';
 import { watch, type WatchBatch } from '../store/watch.js';
@@ -63,7 +63,7 @@
   readonly #now = steadyMs;
   readonly #incarnation: string;
   readonly #random: (below: number) => number;
-  readonly #state: StateClient;
+  readonly #store: StoreClient;
   readonly #cloud: CloudClient;
   readonly #cache = new WatchCache();
   readonly #linearizable: LinearizableReads;
@@ -73,9 +73,9 @@
   readonly #duties: Duties | null;
   /** null: moves of machines between shards are switched off */
   readonly #shareOwner: ShareOwner | null;
-  readonly #returns: Returns;
-  readonly #unrecorded: UnrecordedMachines;
-  readonly #learning = new Learning();
+  readonly #returns: ScaleIn;
+  readonly #unrecorded: OrphanedInstances;
+  readonly #workload = new WorkloadStatistics();
   readonly #gossip: Gossip;
   readonly #broadcast: CancellationBroadcast;
   readonly #receiver: CancellationReceiver;
@@ -86,14 +86,14 @@
   readonly #summary: Summary;
   readonly #server: HttpServer;
   readonly #shardController: ShardController;
-  readonly #rentals: Rentals;
+  readonly #rentals: ScaleOut;
   readonly #jobReader: JobReader;
   readonly #jobs: Jobs;
   readonly #stop = new AbortController();
   readonly #timers: NodeJS.Timeout[] = [];
-  #soon: NodeJS.Timeout | null = null;
+  #timer: NodeJS.Timeout | null = null;
   /** when the loop runs next */
-  #soonAt = Infinity;
+  #nextTickAt = Infinity;
   /** the cache's version whose jobs are learned from */
   #learned = -1;
 
@@ -106,18 +106,18 @@
     const seed = (timeOfDayMs() * 1000 + Math.floor(steadyMs() * 1000) + process.pid) | 0;
     this.#random = randomFrom(seed);
     this.#incarnation = `${timeOfDayMs().toString(36)}${this.#random(2 ** 30).toString(36)}`;
-    this.#state = new StateClient(
-      config.state,
-      stateShare(config, operator, config.nodes),
-      config.stateLimits,
+    this.#store = new StoreClient(
+      config.store,
+      storeLimitsPerNode(config, operator, config.nodes),
+      config.storeLimits,
       this.#now,
       log,
     );
-    this.#linearizable = new LinearizableReads(this.#state, this.#cache, this.#now);
-    const cloudRps = cloudShare(config, operator, config.nodes);
+    this.#linearizable = new LinearizableReads(this.#store, this.#cache, this.#now);
+    const cloudRps = cloudRateLimitPerNode(config, operator, config.nodes);
     this.#cloud = new CloudClient(config.cloud, cloudRps, this.#now);
     this.#types = new MachineTypes(this.#cloud, log);
-    this.#limits = new LimitSharing(config, operator, this.#state, this.#cloud);
+    this.#limits = new LimitSharing(config, operator, this.#store, this.#cloud);
     this.#summary = new Summary(log);
     this.#server = new HttpServer(log);
     const life = {
@@ -126,7 +126,7 @@
       knowsDuties: dutiesConfig !== null,
       knowsShares: shares !== null,
     };
-    this.#lease = nodeSession(this.#state, life, this.#now, log);
+    this.#lease = nodeSession(this.#store, life, this.#now, log);
     this.#refusals = new Refusals((duty) => this.#currentToken(duty), log);
     const others = config.peers.map((p) => p.node);
     this.#broadcast = new CancellationBroadcast(others, config.workers.cancelS * 1000);
@@ -150,14 +150,14 @@
       config,
       operator,
       this.#incarnation,
-      this.#state,
+      this.#store,
       this.#cache,
       this.#lease,
       () => this.#linearizable.wait(),
       this.#peerView(),
       this.#refusals,
       () => this.#types.current,
-      (jobClass) => this.#startWithin(jobClass),
+      (jobClass) => this.#startObjectives(jobClass),
       this.#now,
       timeOfDayMs,
       log,
@@ -166,7 +166,7 @@
       dutiesConfig === null
         ? null
         : new Duties(config, dutiesConfig, shares, this.#incarnation, {
-            client: this.#state,
+            client: this.#store,
             cloud: this.#cloud,
             cache: this.#cache,
             authority: () => this.#shardController.authority(this.#now()),
@@ -180,20 +180,20 @@
       shares === null
         ? null
         : new ShareOwner(shares, {
-            client: this.#state,
+            client: this.#store,
             cache: this.#cache,
             shardController: this.#shardController,
             now: this.#now,
             log,
           });
-    this.#returns = new Returns(
+    this.#returns = new ScaleIn(
       this.#cloud,
       this.#shardController,
       this.#duties?.shardReturns ?? null,
       this.#now,
       log,
     );
-    this.#unrecorded = new UnrecordedMachines(
+    this.#unrecorded = new OrphanedInstances(
       config,
       this.#cloud,
       this.#cache,
@@ -202,16 +202,16 @@
       this.#now,
       log,
     );
-    this.#rentals = new Rentals(
+    this.#rentals = new ScaleOut(
       config,
       operator,
       this.#incarnation,
       this.#cloud,
-      this.#state,
+      this.#store,
       this.#cache,
       this.#shardController,
       this.#returns,
-      this.#learning,
+      this.#workload,
       (shard) => this.#directory.busyElsewhere(shard),
       () => this.#jobs.sentAway(),
       () => this.#types.current,
@@ -219,9 +219,9 @@
       timeOfDayMs,
       log,
     );
-    this.#jobReader = new JobReader(this.#state, this.#cache, this.#linearizable);
+    this.#jobReader = new JobReader(this.#store, this.#cache, this.#linearizable);
     this.#jobs = new Jobs(
-      this.#state,
+      this.#store,
       this.#cache,
       this.#jobReader,
       {
@@ -233,29 +233,29 @@
       {
         teams: config.teams,
         shards: config.nodes,
-        valueBytes: config.stateLimits.valueBytes,
+        valueBytes: config.storeLimits.valueBytes,
         loadThreshold: operator.loadThreshold,
       },
       () => this.#duties?.acceptanceCondition() ?? null,
       this.#now,
     );
-    this.#cache.on('change', () => this.#reconcileSoon());
+    this.#cache.on('change', () => this.#reconcileDebounced());
     this.#cache.on('cancelled', (c: Cancellation) => this.#broadcast.learned(c, this.#now()));
   }
 
   async start(): Promise<void> {
     await this.#gossip.listen(this.config.peerListen);
     await this.#listen();
-    this.#background('lease', this.#lease.run());
-    this.#background('watch', this.#follow());
-    this.#background('machine types', this.#types.run(this.#stop.signal));
+    this.#supervise('lease', this.#lease.run());
+    this.#supervise('watch', this.#follow());
+    this.#supervise('machine types', this.#types.run(this.#stop.signal));
     this.#tickIn(LOOP_MS);
     this.#timers.push(setInterval(() => this.#summarize(), SUMMARY_MS));
     this.log.info({ listen: this.config.listen, incarnation: this.#incarnation }, 'started');
   }
 
   /** Loops that must never end; if one does, the process must not go on in an unknown state. */
-  #background(name: string, work: Promise<void>): void {
+  #supervise(name: string, work: Promise<void>): void {
     work.catch((error: unknown) => {
       if (this.#stop.signal.aborted) return;
       throw new Error(`the loop "${name}" ended`, { cause: error });
@@ -264,7 +264,7 @@
 
   #listen(): Promise<void> {
     const workers = workerRoutes(
-      (report) => this.#beat(report),
+      (heartbeat) => this.#handleHeartbeat(heartbeat),
       () => this.#cache.ready,
     );
     const users = userRoutes({
@@ -273,10 +273,10 @@
       progress: (uid) => this.#directory.progress(uid),
       // Whoever runs the job should stop it now, whether or not the state service tells it.
       cancelled: (uid) => {
-        if (this.#broadcast.has(uid)) this.#gossip.hurry();
+        if (this.#broadcast.has(uid)) this.#gossip.flush();
       },
       ready: () => this.#ready(),
-      stateUp: () => this.#state.up,
+      storeAvailable: () => this.#store.available,
       timeOfDay: timeOfDayMs,
       steady: this.#now,
       random: this.#random,
@@ -297,13 +297,13 @@
   }
 
   async #follow(): Promise<void> {
-    const rps = (this.config.stateLimits.rps * this.operator.stateRequestShare) / this.config.nodes;
+    const rps = (this.config.storeLimits.rps * this.operator.storeRequestShare) / this.config.nodes;
     const options = {
       pauseMs: Math.max(FOLLOW_PAUSE_MS, 1000 / (rps * FEED_SHARE)),
       now: this.#now,
       reading: (since: number | null) => this.#linearizable.reading(since),
     };
-    for await (const batch of watch(this.#state, this.#stop.signal, options)) {
+    for await (const batch of watch(this.#store, this.#stop.signal, options)) {
       this.#cache.apply(batch as WatchBatch);
     }
   }
@@ -311,15 +311,15 @@
   // --- loops -------------------------------------------------------------------------------------
 
   /** Looks at the change together with those that come right after it. */
-  #reconcileSoon(): void {
-    if (this.#soon === null || this.#soonAt - this.#now() <= SOON_MS) return;
-    clearTimeout(this.#soon);
-    this.#tickIn(SOON_MS);
+  #reconcileDebounced(): void {
+    if (this.#timer === null || this.#nextTickAt - this.#now() <= DEBOUNCE_MS) return;
+    clearTimeout(this.#timer);
+    this.#tickIn(DEBOUNCE_MS);
   }
 
   #tickIn(ms: number): void {
-    this.#soonAt = this.#now() + ms;
-    this.#soon = setTimeout(() => this.#tick(), ms);
+    this.#nextTickAt = this.#now() + ms;
+    this.#timer = setTimeout(() => this.#tick(), ms);
   }
 
   #tick(): void {
@@ -333,8 +333,8 @@
     this.#shareOwner?.tick();
     this.#shardController.tick();
     for (const [index, { shard }] of this.#shardController.owned) {
-      for (const run of shard.finishedRuns.splice(0)) this.#learning.ran(run.jobClass, run.runS);
-      for (const { uid, ...e } of shard.happened.splice(0)) {
+      for (const run of shard.finishedRuns.splice(0)) this.#workload.ran(run.jobClass, run.runS);
+      for (const { uid, ...e } of shard.events.splice(0)) {
         this.log.debug({ job: uid, shard: index, term: shard.term, ...e }, 'task');
       }
     }
@@ -350,18 +350,18 @@
     this.#learned = this.#cache.version;
     const nowS = timeOfDayMs() / 1000;
     for (const { value } of this.#cache.tables['active/'].values()) {
-      this.#learning.arrived(value.spec, Math.min(nowS, value.at / 1000));
+      this.#workload.arrived(value.spec, Math.min(nowS, value.at / 1000));
     }
-    this.#learning.keepOnly(this.#cache.tables['active/']);
+    this.#workload.keepOnly(this.#cache.tables['active/']);
     for (const status of this.#gossip.heard()) {
-      for (const c of status.classes) this.#learning.adopt(c.jobClass, c.runS, c.finished);
+      for (const c of status.classes) this.#workload.adopt(c.jobClass, c.runS, c.finished);
     }
   }
 
-  #beat(report: Report): HeartbeatReply {
-    const reply = this.#shardController.beat(report);
-    if (reply.kind === 'unavailable') this.#unrecorded.sighted(report);
-    else if (reply.kind === 'answer') this.#reconcileSoon();
+  #handleHeartbeat(heartbeat: Heartbeat): HeartbeatReply {
+    const reply = this.#shardController.handleHeartbeat(heartbeat);
+    if (reply.kind === 'unavailable') this.#unrecorded.observe(heartbeat);
+    else if (reply.kind === 'answer') this.#reconcileDebounced();
     return reply;
   }
 
@@ -372,8 +372,8 @@
 
   #observeSurroundings(): void {
     const surroundings = {
-      stateUp: this.#state.up,
-      peerHasState: this.#peerWithState() !== null,
+      storeAvailable: this.#store.available,
+      peerHasStore: this.#peerWithStore() !== null,
       noPeerInTouch: this.config.peers.length > 0 && this.#gossip.fresh().length === 0,
     };
     this.#readiness.observe(surroundings, this.#now());
@@ -382,8 +382,8 @@
   // --- aims --------------------------------------------------------------------------------------
 
   /** Aims for starts as they are, aims for ends less the time that a task runs. */
-  #startWithin(jobClass: string): number[] {
-    const runS = this.#learning.runS(jobClass) ?? 0;
+  #startObjectives(jobClass: string): number[] {
+    const runS = this.#workload.runS(jobClass) ?? 0;
     return this.config.objectives
       .filter((o) => o.jobClass === jobClass && (o.kind === 'wait' || o.kind === 'finished'))
       .map((o) => (o.kind === 'wait' ? o.withinS : Math.max(0, o.withinS - runS)))
@@ -392,21 +392,21 @@
 
   // --- other nodes -------------------------------------------------------------------------------
 
-  #hasState(): boolean {
-    return this.#state.up && this.#now() - this.#state.lastGood < STATE_FRESH_MS;
+  #hasStore(): boolean {
+    return this.#store.available && this.#now() - this.#store.lastGood < STORE_FRESH_MS;
   }
 
-  #peerWithState(): string | null {
+  #peerWithStore(): string | null {
     return this.#gossip.fresh().find((s) => s.hasState)?.node ?? null;
   }
 
   #peerView(): PeerView {
     return {
-      withState: () => this.#peerWithState(),
+      withStore: () => this.#peerWithStore(),
       fit: (node) =>
         this.#gossip.fresh().find((s) => s.node === node && s.hasState)?.incarnation ?? null,
-      roomElsewhere: (spec, not) => this.#directory.roomElsewhere(spec, not),
-      lessBooked: (spec, than) => this.#directory.lessBooked(spec, than),
+      capacityElsewhere: (spec, not) => this.#directory.capacityElsewhere(spec, not),
+      lessAllocated: (spec, than) => this.#directory.lessAllocated(spec, than),
       imagesOf: (machine) => this.#directory.imagesOf(machine),
       hears: (shard) => this.#directory.hearsMost(shard),
       cancellationsKnownUntil: () => this.#receiver.knownUntil(this.#cache.currentAt),
@@ -425,9 +425,9 @@
     return {
       cancellations: this.#broadcast.tell(sentAt),
       cancellationsComplete: this.#broadcast.complete(sentAt),
-      hasState: this.#hasState(),
+      hasState: this.#hasStore(),
       ...describeShards(this.#shardController, this.#directory, detailed, this.#now()),
-      classes: this.#learning.runs(),
+      classes: this.#workload.runs(),
     };
   }
 
@@ -442,19 +442,19 @@
   #summarize(): void {
     const activeJobs = this.#cache.tables['active/'].size;
     const refusals = this.#refusals.counts;
-    this.#summary.write(this.#shardController.owned, activeJobs, this.#state.up, refusals);
+    this.#summary.write(this.#shardController.owned, activeJobs, this.#store.available, refusals);
   }
 
   close(): void {
     this.#stop.abort();
     for (const t of this.#timers) clearTimeout(t);
-    if (this.#soon !== null) clearTimeout(this.#soon);
+    if (this.#timer !== null) clearTimeout(this.#timer);
     this.#shardController.close();
     this.#lease.close();
     this.#gossip.close();
     this.#server.close();
     this.#linearizable.close();
-    this.#state.close();
+    this.#store.close();
     this.#cloud.close();
   }
 }
--- a/src/service/shard-status.ts
+++ b/src/service/shard-status.ts
@@ -8,14 +8,14 @@
  * lately. Progress of jobs only in a detailed status.
  */
 export const describeShards = (
-  shardController: Pick<ShardController, 'owned' | 'sighted'>,
+  shardController: Pick<ShardController, 'owned' | 'observedElsewhere'>,
   directory: Pick<ShardDirectory, 'describe'>,
   detailed: boolean,
   now: number,
 ): Pick<OwnStatus, 'parts' | 'jobs' | 'sightings'> => {
   const sightings = new Map<number, number>();
-  for (const [machine, { shard, at }] of shardController.sighted) {
-    if (now - at > SIGHTING_MS) shardController.sighted.delete(machine);
+  for (const [machine, { shard, at }] of shardController.observedElsewhere) {
+    if (now - at > SIGHTING_MS) shardController.observedElsewhere.delete(machine);
     else sightings.set(shard, (sightings.get(shard) ?? 0) + 1);
   }
   const jobs: OwnStatus['jobs'] = [];
--- a/src/service/socket-budget.ts
+++ b/src/service/socket-budget.ts
@@ -6,7 +6,7 @@
   DIRECT_SHARE,
   PEER_SOCKETS,
   SPARE_SOCKETS,
-  STATE_SOCKETS,
+  STORE_SOCKETS,
 } from '../constants.js';
 
 /**
@@ -45,6 +45,6 @@
 /** What each use may have of the sockets that the platform allows this process. */
 export const shareSockets = (most: number, peers: number): SocketShares => {
   const direct = Math.max(1, Math.floor(most * DIRECT_SHARE));
-  const others = direct + STATE_SOCKETS + CLOUD_SOCKETS + peers * PEER_SOCKETS + SPARE_SOCKETS;
+  const others = direct + STORE_SOCKETS + CLOUD_SOCKETS + peers * PEER_SOCKETS + SPARE_SOCKETS;
   return { direct, inbound: Math.max(1, most - others) };
 };
--- a/src/service/summary.ts
+++ b/src/service/summary.ts
@@ -53,7 +53,7 @@
   write(
     shards: ReadonlyMap<number, { readonly shard: Shard }>,
     activeJobs: number,
-    stateUp: boolean,
+    storeAvailable: boolean,
     ordersRefused: RefusalCounts,
   ): void {
     const percentile = (p: number) => this.#acceptMs.getValueAtPercentile(p);
@@ -62,7 +62,7 @@
       {
         parts: [...shards].map(([index, { shard }]) => summaryOf(index, shard)),
         active: activeJobs,
-        state: stateUp,
+        state: storeAvailable,
         acceptMs: { p50: percentile(50), p99: percentile(99), count },
         connectionsDropped: this.#connectionsDropped,
         ordersRefused,
--- a/src/shards/completions.ts
+++ b/src/shards/completions.ts
@@ -1,18 +1,18 @@
-import { fencedTransaction } from '@sumacstep/duties';
+import { fencedCompareAndSwap } from '@sumacstep/duties';
 import type { Logger } from 'pino';
 import type { PlatformConfig } from '../config/platform.js';
-import { BATCH_BYTES, PROGRESS_MS, RANGE_MOST, SAVE_MS, SLOT_FILL } from '../constants.js';
+import { BATCH_BYTES, PROGRESS_MS, MAX_RANGE_TASKS, SAVE_MS, SLOT_FILL } from '../constants.js';
 import type { JobState } from '../core/shard/types.js';
-import { allDone, encodeDone, rangeMost } from '../core/jobs/jobs.js';
+import { allDone, encodeDone, maxRangeTasks } from '../core/jobs/jobs.js';
 import type { JobRecord, TaskRange } from '../core/model.js';
 import type { Owned } from './shard-controller.js';
-import { CALL, StateTrouble, type StateClient } from '../store/store-client.js';
+import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
 import { encodeActive, encodeDoneSlot, key, type DoneSlot } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
-import type { Condition, Write } from '../wire/schemas.js';
+import type { Guard, Write } from '../wire/schemas.js';
 
 interface Batch {
-  readonly when: Condition[];
+  readonly guards: Guard[];
   readonly writes: Write[];
   readonly saved: { uid: string; indexes: number[] }[];
   readonly finished: string[];
@@ -33,7 +33,7 @@
 
   constructor(
     private readonly config: PlatformConfig,
-    private readonly client: Pick<StateClient, 'transact'>,
+    private readonly client: Pick<StoreClient, 'compareAndSwap'>,
     private readonly cache: WatchCache,
     private readonly now: () => number,
     private readonly log: Logger,
@@ -46,12 +46,12 @@
     if (batch.writes.length === 0) return;
     owned.saving = true;
     try {
-      const { when, writes } = batch;
-      const result = await fencedTransaction(
+      const { guards, writes } = batch;
+      const result = await fencedCompareAndSwap(
         this.client,
         owned.authorization,
-        CALL.completion,
-        when,
+        CALL_PRIORITY.completion,
+        guards,
         writes,
       );
       if (result.ok) {
@@ -61,7 +61,7 @@
       }
       // On a conflict the cache is behind, and will show what has changed.
     } catch (error) {
-      if (!(error instanceof StateTrouble)) throw error;
+      if (!(error instanceof StoreRequestError)) throw error;
       this.log.debug({ shard: index, error: error.message }, 'completions not saved');
     } finally {
       owned.saving = false;
@@ -70,12 +70,12 @@
   }
 
   #collect(index: number, owned: Owned, now: number): Batch {
-    const batch: Batch = { when: [], writes: [], saved: [], finished: [] };
+    const batch: Batch = { guards: [], writes: [], saved: [], finished: [] };
     const progress: { job: JobState; active: JobRecord; range: TaskRange; whole: boolean }[] = [];
     let bytes = 0;
     for (const job of owned.shard.jobs.values()) {
-      const open = job.waiting.length + job.placed.size + job.transferring.length > 0;
-      if (job.over || job.spec.kind === 'service' || (job.unsaved.size === 0 && open)) continue;
+      const open = job.waiting.length + job.placed.size + job.migrating.length > 0;
+      if (job.ended || job.spec.kind === 'service' || (job.unsaved.size === 0 && open)) continue;
       const { uid, tasks } = job.spec;
       const active = this.cache.tables['active/'].get(uid);
       if (active === undefined) continue;
@@ -96,11 +96,11 @@
         { put: key.final(uid), value: { status: 'done', tasks, done: tasks } },
       ];
       const size = JSON.stringify(add).length;
-      const over = batch.writes.length + add.length > this.config.stateLimits.transactionOps;
+      const over = batch.writes.length + add.length > this.config.storeLimits.transactionOps;
       if (batch.writes.length > 0 && (over || bytes + size > BATCH_BYTES)) continue;
       bytes += size;
       batch.writes.push(...add);
-      batch.when.push({ key: key.active(uid), revision: active.revision });
+      batch.guards.push({ key: key.active(uid), revision: active.revision });
       batch.finished.push(uid);
       batch.saved.push({ uid, indexes: [...job.unsaved] });
     }
@@ -124,7 +124,7 @@
     batch: Batch,
     bytes: number,
   ): void {
-    const most = this.config.stateLimits.transactionOps;
+    const most = this.config.storeLimits.transactionOps;
     const slots = this.#slots(index);
     const changed = new Set<number>();
     for (const { job, range } of progress) {
@@ -151,10 +151,10 @@
    * own, with its part of the bitmap, in one transaction. Whoever reads before or after sees all of it.
    */
   #recut(index: number, owned: Owned): Batch | null {
-    const { valueBytes } = this.config.stateLimits;
-    const most = rangeMost(valueBytes);
-    if (most >= RANGE_MOST) return null;
-    for (const { spec, over } of owned.shard.jobs.values()) {
+    const { valueBytes } = this.config.storeLimits;
+    const most = maxRangeTasks(valueBytes);
+    if (most >= MAX_RANGE_TASKS) return null;
+    for (const { spec, ended: over } of owned.shard.jobs.values()) {
       const active = over ? undefined : this.cache.tables['active/'].get(spec.uid);
       const long = active?.value.ranges.find((r) => r.shard === index && r.to - r.from > most);
       if (active === undefined || long === undefined) continue;
@@ -167,11 +167,11 @@
             ]
           : [r],
       );
-      const batch: Batch = { when: [], writes: [], saved: [], finished: [] };
+      const batch: Batch = { guards: [], writes: [], saved: [], finished: [] };
       const value = encodeActive({ ...active.value, ranges });
       if (JSON.stringify(value).length > valueBytes) continue;
       batch.writes.push({ put: key.active(spec.uid), value });
-      batch.when.push({ key: key.active(spec.uid), revision: active.revision });
+      batch.guards.push({ key: key.active(spec.uid), revision: active.revision });
       // The value may still hold the bitmap of an earlier, longer cut.
       const ends = [middle - long.from, long.to - long.from].map((i) => Math.ceil(i / 4));
       const bits = this.cache.done(index, spec.uid, long.from)?.slice(...ends);
@@ -193,7 +193,7 @@
    */
   #split(index: number): Batch | null {
     if (!this.#anyTooLarge(index)) return null;
-    const { valueBytes, transactionOps } = this.config.stateLimits;
+    const { valueBytes, transactionOps } = this.config.storeLimits;
     const slots = this.#slots(index);
     for (const [n, slot] of slots) {
       // What a range that can't be cut leaves too large stays as it is, readable.
@@ -217,7 +217,7 @@
         others.get(target)!.set(name, bits);
         changed.add(target);
       }
-      const batch: Batch = { when: [], writes: [], saved: [], finished: [] };
+      const batch: Batch = { guards: [], writes: [], saved: [], finished: [] };
       const last = changed.size < transactionOps;
       for (const target of [...changed].slice(0, transactionOps)) {
         this.#putSlot(batch, index, target, others.get(target)!);
@@ -230,7 +230,7 @@
 
   /** Looked at several times a second, so the size of a value is taken once. */
   #anyTooLarge(index: number): boolean {
-    const { valueBytes } = this.config.stateLimits;
+    const { valueBytes } = this.config.storeLimits;
     for (const [id, { value }] of this.cache.tables['done/']) {
       if (!id.startsWith(`${index}/`)) continue;
       const size = this.#slotSizes.get(value) ?? sizeOf(value);
@@ -244,7 +244,7 @@
     batch.writes.push({ put: key.done(index, slot), value: encodeDoneSlot(value) });
     // A write without an answer may be carried out after newer ones, and would undo what those saved.
     const revision = this.cache.tables['done/'].get(`${index}/${slot}`)?.revision ?? 0;
-    batch.when.push({ key: key.done(index, slot), revision });
+    batch.guards.push({ key: key.done(index, slot), revision });
   }
 
   #stored(index: number, slot: number): DoneSlot | undefined {
@@ -281,7 +281,7 @@
     except = -1,
   ): number {
     for (const [n, slot] of slots) if (slot.has(name)) return n;
-    const room = this.config.stateLimits.valueBytes * SLOT_FILL - bits.length;
+    const room = this.config.storeLimits.valueBytes * SLOT_FILL - bits.length;
     let n = 0;
     for (; slots.has(n) || n === except; n++) {
       if (n !== except && sizeOf(slots.get(n)!) <= room) return n;
--- a/src/shards/direct-commands.ts
+++ b/src/shards/direct-commands.ts
@@ -60,26 +60,27 @@
     starts: readonly Placement[] = [],
   ): Promise<void> {
     for (let tries = 0; tries < TRIES; tries++) {
-      const session = Math.max(1, m.session);
+      const agentEpoch = Math.max(1, m.agentEpoch);
       this.#underWay += 1;
-      const sent = await sendDirect(m.address!, shard.term, session, commands).finally(() => {
+      const sent = await sendDirect(m.address!, shard.term, agentEpoch, commands).finally(() => {
         this.#underWay -= 1;
       });
       if (sent.kind !== 'not_sent' && sent.kind !== 'in_doubt' && !sent.executed) {
-        const { token } = sent.report;
-        if (token > shard.term) authorization.refused('machine', token);
+        const { fencingToken } = sent.heartbeat;
+        if (fencingToken > shard.term) authorization.refused('machine', fencingToken);
       }
       if (sent.kind === 'in_doubt' || !this.isOwned(shard)) return;
       if (sent.kind === 'not_sent') {
         shard.directSettled(starts, false);
         return;
       }
-      shard.inspected(sent.report, this.now());
+      shard.handleCommandStatus(sent.heartbeat, this.now());
       shard.directSettled(starts, sent.executed);
       if (sent.executed || starts.length > 0) return;
       // 409 by a session that we did not know; its report has told us now.
-      if (sent.report.session === session || sent.report.token > shard.term) return;
-      m.session = Math.max(m.session, sent.report.session);
+      if (sent.heartbeat.agentEpoch === agentEpoch || sent.heartbeat.fencingToken > shard.term)
+        return;
+      m.agentEpoch = Math.max(m.agentEpoch, sent.heartbeat.agentEpoch);
     }
   }
 }
--- a/src/shards/machine-records.ts
+++ b/src/shards/machine-records.ts
@@ -1,23 +1,23 @@
-import { fencedTransaction } from '@sumacstep/duties';
+import { fencedCompareAndSwap } from '@sumacstep/duties';
 import type { Logger } from 'pino';
 import type { PlatformConfig } from '../config/platform.js';
 import { GROUP_BYTES, HOST_BYTES, MACHINES_MS, RETURNED_KEPT } from '../constants.js';
 import type { MachineState } from '../core/shard/types.js';
 import type { Owned } from './shard-controller.js';
-import { CALL, StateTrouble, type StateClient } from '../store/store-client.js';
-import { encodeGroup, key, type HireRecord, type MachineGroup } from '../store/keys.js';
+import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
+import { encodeGroup, key, type RentalRecord, type MachineGroup } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
-import type { Condition, Write } from '../wire/schemas.js';
+import type { Guard, Write } from '../wire/schemas.js';
 
 /** Where machines move to, and what is written along with it. */
 export interface MoveTarget {
   readonly shard: number;
   readonly term: number;
   /** the target shard's record as it is known */
-  readonly condition: Condition;
+  readonly condition: Guard;
   /** the group that they come into */
   readonly group: string;
-  readonly when: readonly Condition[];
+  readonly guards: readonly Guard[];
   readonly writes: (moved: readonly string[]) => readonly Write[];
 }
 
@@ -39,7 +39,7 @@
 
   constructor(
     private readonly config: PlatformConfig,
-    private readonly client: Pick<StateClient, 'transact'>,
+    private readonly client: Pick<StoreClient, 'compareAndSwap'>,
     private readonly cache: WatchCache,
     /** resolves once the cache shows everything that was committed before the call */
     private readonly current: () => Promise<unknown>,
@@ -70,13 +70,13 @@
     const changed = this.#changes(index, up);
     if (changed.size === 0) return;
     const writes: Write[] = [];
-    const when: Condition[] = [];
+    const guards: Guard[] = [];
     for (const [id, { revision, group }] of changed) {
-      when.push({ key: key.machines(id), revision });
+      guards.push({ key: key.machines(id), revision });
       if (group.hosts.size === 0) writes.push({ drop: key.machines(id) });
       else writes.push({ put: key.machines(id), value: encodeGroup(group) });
     }
-    const done = await this.#write(index, owned, up.length > 0, when, writes);
+    const done = await this.#write(index, owned, up.length > 0, guards, writes);
     if (!done) return;
     const written = new Set([...changed.values()].flatMap(({ group }) => [...group.hosts.keys()]));
     for (const m of up) {
@@ -90,7 +90,7 @@
     index: number,
     up: readonly MachineState[],
   ): Map<string, { revision: number; group: MachineGroup }> {
-    const most = this.config.stateLimits.transactionOps;
+    const most = this.config.storeLimits.transactionOps;
     const changed = new Map<
       string,
       { revision: number; hosts: Map<string, boolean>; group: MachineGroup }
@@ -120,17 +120,17 @@
     index: number,
     { authorization }: Owned,
     urgent: boolean,
-    when: readonly Condition[],
+    guards: readonly Guard[],
     writes: readonly Write[],
   ): Promise<boolean> {
     this.#busy.add(index);
     try {
-      const cls = urgent ? CALL.completion : CALL.rest;
-      const result = await fencedTransaction(this.client, authorization, cls, when, writes);
+      const cls = urgent ? CALL_PRIORITY.completion : CALL_PRIORITY.rest;
+      const result = await fencedCompareAndSwap(this.client, authorization, cls, guards, writes);
       if (result.ok) this.cache.applyOwn(writes, result.epoch);
       return result.ok;
     } catch (error) {
-      if (!(error instanceof StateTrouble)) throw error;
+      if (!(error instanceof StoreRequestError)) throw error;
       this.log.debug({ shard: index, error: error.message }, 'machine records not written');
       return false;
     } finally {
@@ -140,40 +140,40 @@
   }
 
   /** Records the machines of an answered hire and drops the hire, in one transaction. */
-  async hired(owned: Owned, hire: HireRecord, names: readonly string[]): Promise<void> {
-    const { shard, type, zone, spot } = hire;
+  async hired(owned: Owned, rental: RentalRecord, names: readonly string[]): Promise<void> {
+    const { shard, type, zone, spot } = rental;
     const fresh = names.filter((n) => !this.cache.machines.has(n));
     const hosts = new Map(fresh.map((n) => [n, false]));
     const group: MachineGroup = { shard, term: owned.shard.term, type, zone, spot, hosts };
-    const writes: Write[] = [{ drop: key.hire(shard, hire.name) }];
-    const when: Condition[] = [];
+    const writes: Write[] = [{ drop: key.hire(shard, rental.name) }];
+    const guards: Guard[] = [];
     if (hosts.size > 0) {
-      writes.push({ put: key.machines(hire.name), value: encodeGroup(group) });
-      when.push({ key: key.machines(hire.name), revision: 0 });
-      when.push({
-        key: key.hire(shard, hire.name),
-        revision: this.#hireRevision(shard, hire.name),
+      writes.push({ put: key.machines(rental.name), value: encodeGroup(group) });
+      guards.push({ key: key.machines(rental.name), revision: 0 });
+      guards.push({
+        key: key.hire(shard, rental.name),
+        revision: this.#rentalRevision(shard, rental.name),
       });
     }
     const { authorization } = owned;
-    const result = await fencedTransaction(
+    const result = await fencedCompareAndSwap(
       this.client,
       authorization,
-      CALL.completion,
-      when,
+      CALL_PRIORITY.completion,
+      guards,
       writes,
     );
     if (result.ok) this.cache.applyOwn(writes, result.epoch);
   }
 
-  #hirePending({ type, zone, spot }: { type: string; zone: string; spot: boolean }): boolean {
+  #rentalPending({ type, zone, spot }: { type: string; zone: string; spot: boolean }): boolean {
     for (const { value: h } of this.cache.tables['hires/'].values()) {
       if (h.type === type && h.zone === zone && h.spot === spot) return true;
     }
     return false;
   }
 
-  #hireRevision(shard: number, name: string): number {
+  #rentalRevision(shard: number, name: string): number {
     return this.cache.tables['hires/'].get(`${shard}/${name}`)?.revision ?? 0;
   }
 
@@ -187,17 +187,23 @@
     owned: Owned,
     machine: Omit<MachineGroup, 'term' | 'hosts'>,
     name: string,
-    conditions: readonly Condition[] = [],
+    conditions: readonly Guard[] = [],
   ): Promise<void> {
     await this.current();
-    if (this.cache.machines.has(name) || this.#hirePending(machine)) return;
+    if (this.cache.machines.has(name) || this.#rentalPending(machine)) return;
     const hosts = new Map([[name, false]]);
     const group: MachineGroup = { ...machine, term: owned.shard.term, hosts };
     const adopted = key.adopted(name);
     const writes: Write[] = [{ put: adopted, value: encodeGroup(group) }];
-    const when = [{ key: adopted, revision: 0 }, ...conditions];
+    const guards = [{ key: adopted, revision: 0 }, ...conditions];
     const { authorization } = owned;
-    const result = await fencedTransaction(this.client, authorization, CALL.rest, when, writes);
+    const result = await fencedCompareAndSwap(
+      this.client,
+      authorization,
+      CALL_PRIORITY.rest,
+      guards,
+      writes,
+    );
     if (!result.ok) return;
     this.cache.applyOwn(writes, result.epoch);
     this.log.info({ machine: name, shard: machine.shard }, 'machine adopted');
@@ -222,19 +228,19 @@
     const group: MachineGroup = { shard: target.shard, term: target.term, type, zone, spot, hosts };
     const put: Write = { put: key.machines(target.group), value: encodeGroup(group) };
     const writes = [...groups.map((g) => g.write), put, ...target.writes(moved)];
-    const when = [
+    const guards = [
       target.condition,
       { key: key.machines(target.group), revision: 0 },
       ...groups.map((g) => g.condition),
-      ...target.when,
+      ...target.guards,
     ];
-    return (await this.#write(index, owned, true, when, writes)) ? moved : [];
+    return (await this.#write(index, owned, true, guards, writes)) ? moved : [];
   }
 
   /** The machines of one kind, of as many groups as a transaction holds, and these groups without them. */
   #leavingGroups(index: number, names: readonly string[]) {
-    const most = this.config.stateLimits.transactionOps - MOVE_WRITES;
-    const room = (this.config.stateLimits.valueBytes - GROUP_BYTES) / HOST_BYTES;
+    const most = this.config.storeLimits.transactionOps - MOVE_WRITES;
+    const room = (this.config.storeLimits.valueBytes - GROUP_BYTES) / HOST_BYTES;
     const groups = new Map<string, { revision: number; value: MachineGroup; leave: string[] }>();
     const moved: string[] = [];
     let kind: string | null = null;
--- a/src/shards/orphaned-instances.ts
+++ b/src/shards/orphaned-instances.ts
@@ -3,13 +3,13 @@
 import type { PlatformConfig } from '../config/platform.js';
 import { ADOPT_MS, LIST_MS } from '../constants.js';
 import { shardOfMachine } from '../core/jobs/jobs.js';
-import type { Report } from '../core/model.js';
+import type { Heartbeat } from '../core/model.js';
 import type { Reclaiming } from '../duties/reclaiming.js';
 import type { ReturnIntents } from '../duties/return-intents.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { ListedMachine } from '../wire/schemas.js';
 import type { ShardController } from './shard-controller.js';
-import { isTrouble } from './retryable-error.js';
+import { isRetryable } from './retryable-error.js';
 
 /** The duty of returning machines that no record knows, where it is switched on. */
 export interface Reclaimer {
@@ -21,7 +21,7 @@
  * Reads the cloud's list: addresses of machines, machines that failed, and machines that no record knows. Those
  * are adopted by the shard that their name belongs to, or returned by the holder of the duty of reclaiming.
  */
-export class UnrecordedMachines {
+export class OrphanedInstances {
   readonly #addresses = new Map<string, string>();
   /** since when the list shows them without a record, steady ms */
   readonly #since = new Map<string, number>();
@@ -71,7 +71,7 @@
     try {
       await work();
     } catch (error) {
-      if (!isTrouble(error)) throw error;
+      if (!isRetryable(error)) throw error;
       this.log.debug({ error: error.message }, what);
     }
   }
@@ -93,8 +93,8 @@
     if (record === undefined) return false;
     this.#since.delete(name);
     const state = this.shardController.owned.get(record.shard)?.shard.machines.get(name);
-    if (status === 'failed' && state !== undefined && !state.returning) {
-      state.returning = true;
+    if (status === 'failed' && state !== undefined && !state.terminating) {
+      state.terminating = true;
       this.log.info({ machine: name, shard: record.shard }, 'machine failed');
     }
     return true;
@@ -113,7 +113,7 @@
    * A report of a machine that is in no record: a rental that was carried out late, or a late copy of
    * the report of a machine that is gone. Only the cloud's list tells which, so it is read soon.
    */
-  sighted({ machine }: Report): void {
+  observe({ machine }: Heartbeat): void {
     if (this.cache.machines.has(machine)) return;
     if (this.shardController.machines.isReturned(machine) || this.#since.has(machine)) return;
     this.#lastList = Math.min(this.#lastList, this.now() - LIST_MS / 2);
@@ -132,10 +132,10 @@
     // Whoever held the duty before it was paused may have sent the machine's return.
     const intents = this.reclaimer?.intents ?? null;
     if (intents?.recorded('unrecorded').has(name) ?? false) return;
-    const when = intents === null ? [] : [intents.condition('unrecorded')];
+    const guards = intents === null ? [] : [intents.condition('unrecorded')];
     this.#adopting.add(name);
     await this.#guarded('machine not adopted', () =>
-      this.shardController.machines.adopt(owned, { shard, type, zone, spot }, name, when),
+      this.shardController.machines.adopt(owned, { shard, type, zone, spot }, name, guards),
     );
     this.#adopting.delete(name);
   }
--- a/src/shards/scale-in.ts
+++ b/src/shards/scale-in.ts
@@ -1,9 +1,9 @@
 import type { Logger } from 'pino';
 import type { CloudClient } from '../cloud/client.js';
-import { RETURN_MOST } from '../constants.js';
+import { MAX_RETURN_BATCH } from '../constants.js';
 import type { ReturnIntents } from '../duties/return-intents.js';
 import type { Owned, ShardController } from './shard-controller.js';
-import { isTrouble } from './retryable-error.js';
+import { isRetryable } from './retryable-error.js';
 
 /** A machine to be returned, and why. */
 export interface PlannedReturn {
@@ -12,12 +12,12 @@
 }
 
 /** Returns machines of the shards that this node owns to the cloud. */
-export class Returns {
+export class ScaleIn {
   /** machines whose return is on its way */
   readonly #sending = new Set<string>();
 
   constructor(
-    private readonly cloud: Pick<CloudClient, 'giveBack'>,
+    private readonly cloud: Pick<CloudClient, 'returnMachines'>,
     private readonly shardController: Pick<ShardController, 'owned' | 'machines'>,
     /** null: returns are sent without being recorded */
     private readonly intents: ReturnIntents | null,
@@ -30,7 +30,7 @@
     for (const { name, reason } of planned) {
       const machine = owned.shard.machines.get(name);
       if (machine === undefined || this.#sending.has(name)) continue;
-      machine.returning = true;
+      machine.terminating = true;
       this.log.info({ machine: name, shard: index, reason }, 'machine to be returned');
     }
   }
@@ -42,7 +42,7 @@
       for (const list of [index, 'unrecorded'] as const) {
         for (const name of this.intents.recorded(list)) {
           const machine = shard.machines.get(name);
-          if (machine !== undefined) machine.returning = true;
+          if (machine !== undefined) machine.terminating = true;
         }
       }
     }
@@ -51,7 +51,7 @@
   /** Returns whatever is out of use and not on its way yet. */
   send(index: number, owned: Owned): void {
     const names = [...owned.shard.machines.values()]
-      .filter((machine) => machine.returning && !this.#sending.has(machine.record.name))
+      .filter((machine) => machine.terminating && !this.#sending.has(machine.record.name))
       .map((machine) => machine.record.name);
     if (names.length > 0) void this.#send(index, owned, names);
   }
@@ -60,11 +60,11 @@
     for (const name of names) this.#sending.add(name);
     try {
       const recorded = await this.#record(index, owned, names);
-      for (let at = 0; at < recorded.length; at += RETURN_MOST) {
-        await this.#giveBack(owned, recorded.slice(at, at + RETURN_MOST));
+      for (let at = 0; at < recorded.length; at += MAX_RETURN_BATCH) {
+        await this.#giveBack(owned, recorded.slice(at, at + MAX_RETURN_BATCH));
       }
     } catch (error) {
-      if (!isTrouble(error)) throw error;
+      if (!isRetryable(error)) throw error;
       this.log.debug({ error: error.message }, 'return not answered');
     } finally {
       for (const name of names) this.#sending.delete(name);
@@ -78,8 +78,8 @@
   }
 
   async #giveBack(owned: Owned, names: readonly string[]): Promise<void> {
-    await this.cloud.giveBack(names, owned.authorization);
-    for (const name of names) owned.shard.machineGone(name, this.now());
+    await this.cloud.returnMachines(names, owned.authorization);
+    for (const name of names) owned.shard.removeMachine(name, this.now());
     this.shardController.machines.returned(names);
   }
 }
--- a/src/shards/scale-out.ts
+++ b/src/shards/scale-out.ts
@@ -1,4 +1,4 @@
-import { fencedTransaction, RecordedIntent } from '@sumacstep/duties';
+import { fencedCompareAndSwap, RecordedIntent } from '@sumacstep/duties';
 import type { Logger } from 'pino';
 import type { OperatorConfig } from '../config/operator.js';
 import type { PlatformConfig } from '../config/platform.js';
@@ -13,20 +13,20 @@
 } from '../constants.js';
 import type { CloudClient } from '../cloud/client.js';
 import { planCapacity } from '../core/capacity/capacity-planner.js';
-import type { Learning } from '../core/capacity/workload-statistics.js';
+import type { WorkloadStatistics } from '../core/capacity/workload-statistics.js';
 import type { JobSpec, MachineType } from '../core/model.js';
 import type { ShardController, Owned } from './shard-controller.js';
-import { CALL, type StateClient } from '../store/store-client.js';
-import { key, type HireRecord } from '../store/keys.js';
+import { CALL_PRIORITY, type StoreClient } from '../store/store-client.js';
+import { key, type RentalRecord } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { Write } from '../wire/schemas.js';
-import type { Returns } from './scale-in.js';
-import { isTrouble } from './retryable-error.js';
+import type { ScaleIn } from './scale-in.js';
+import { isRetryable } from './retryable-error.js';
 
 type Wish = { type: string; zone: string; spot: boolean; count: number };
 
 /** Plans the machines of the shards that this node owns, and rents what is missing. */
-export class Rentals {
+export class ScaleOut {
   #sequence = 0;
   readonly #refused = new Map<string, number>();
   readonly #renting = new Set<string>();
@@ -42,11 +42,11 @@
     private readonly operator: OperatorConfig,
     private readonly incarnation: string,
     private readonly cloud: CloudClient,
-    private readonly client: StateClient,
+    private readonly client: StoreClient,
     private readonly cache: WatchCache,
     private readonly shardController: ShardController,
-    private readonly returns: Returns,
-    private readonly learning: Learning,
+    private readonly returns: ScaleIn,
+    private readonly workload: WorkloadStatistics,
     private readonly elsewhere: (shard: number) => ReadonlyMap<string, number>,
     /** jobs that will be submitted again here or elsewhere */
     private readonly expected: () => readonly JobSpec[],
@@ -55,7 +55,7 @@
     private readonly nowOfDay: () => number,
     private readonly log: Logger,
   ) {
-    const room = Math.floor((config.stateLimits.valueBytes - GROUP_BYTES) / HOST_BYTES);
+    const room = Math.floor((config.storeLimits.valueBytes - GROUP_BYTES) / HOST_BYTES);
     this.#rentMost = Math.max(1, Math.min(RENT_MOST, room));
   }
 
@@ -64,7 +64,7 @@
     const types = this.types();
     if (types === null || !this.shardController.authority(now)) return;
     for (const [index, owned] of this.shardController.owned) {
-      if (!owned.suspended) this.#hires(index, owned);
+      if (!owned.suspended) this.#rentals(index, owned);
     }
     if (now - this.#lastPlan < RENT_MS) return;
     this.#lastPlan = now;
@@ -84,7 +84,7 @@
       types,
       zones: this.config.zones,
       objectives: this.config.objectives,
-      stats: this.learning.stats(this.nowOfDay() / 1000),
+      stats: this.workload.stats(this.nowOfDay() / 1000),
       elsewhere: this.elsewhere(index),
       expected: index === [...this.shardController.owned.keys()][0] ? this.expected() : [],
       pending,
@@ -95,9 +95,9 @@
       machinesMost: this.operator.machinesMost,
       now,
     });
-    if (plan.rent.length > 0 || plan.giveBack.length > 0) {
-      const { wanted, rent, giveBack } = plan;
-      this.log.debug({ shard: index, wanted, rent, giveBack }, 'capacity');
+    if (plan.rentals.length > 0 || plan.returns.length > 0) {
+      const { wanted, rentals, returns } = plan;
+      this.log.debug({ shard: index, wanted, rentals, returns }, 'capacity');
     }
     if (plan.capped > 0 && now - this.#lastCapped > SUMMARY_MS) {
       this.#lastCapped = now;
@@ -105,13 +105,13 @@
       this.log.info({ shard: index, limit, missing: plan.capped }, 'machine limit reached');
     }
     const wishes: Wish[] = [];
-    for (const wish of plan.rent) {
+    for (const wish of plan.rentals) {
       for (let left = wish.count; left > 0; left -= this.#rentMost) {
         wishes.push({ ...wish, count: Math.min(left, this.#rentMost) });
       }
     }
-    if (wishes.length > 0) void this.#newHires(index, owned, wishes);
-    this.returns.mark(index, owned, plan.giveBack);
+    if (wishes.length > 0) void this.#newRentals(index, owned, wishes);
+    this.returns.mark(index, owned, plan.returns);
     this.returns.send(index, owned);
   }
 
@@ -119,7 +119,7 @@
     try {
       await work();
     } catch (error) {
-      if (!isTrouble(error)) throw error;
+      if (!isRetryable(error)) throw error;
       this.log.debug({ error: error.message }, what);
     }
   }
@@ -127,9 +127,9 @@
   // --- renting -----------------------------------------------------------------------------------
 
   /** The names are written before the calls, so that whoever owns the shard can ask again. */
-  async #newHires(shard: number, owned: Owned, wishes: readonly Wish[]): Promise<void> {
+  async #newRentals(shard: number, owned: Owned, wishes: readonly Wish[]): Promise<void> {
     this.#planning.add(shard);
-    const some = wishes.slice(0, this.config.stateLimits.transactionOps);
+    const some = wishes.slice(0, this.config.storeLimits.transactionOps);
     await this.#guard('hires not recorded', async () => {
       const writes = some.map((wish): Write => {
         this.#sequence += 1;
@@ -137,48 +137,50 @@
         return { put: key.hire(shard, name), value: wish };
       });
       const { authorization } = owned;
-      const result = await fencedTransaction(
+      const result = await fencedCompareAndSwap(
         this.client,
         authorization,
-        CALL.completion,
+        CALL_PRIORITY.completion,
         [],
         writes,
       );
       if (result.ok) this.cache.applyOwn(writes, result.epoch);
     });
     this.#planning.delete(shard);
-    this.#hires(shard, owned);
+    this.#rentals(shard, owned);
   }
 
-  #hires(index: number, owned: Owned): void {
-    for (const { value: hire, revision } of this.cache.tables['hires/'].values()) {
-      if (hire.shard !== index || this.#renting.has(hire.name)) continue;
-      this.#renting.add(hire.name);
-      const stored = { key: key.hire(index, hire.name), revision };
+  #rentals(index: number, owned: Owned): void {
+    for (const { value: rental, revision } of this.cache.tables['hires/'].values()) {
+      if (rental.shard !== index || this.#renting.has(rental.name)) continue;
+      this.#renting.add(rental.name);
+      const stored = { key: key.hire(index, rental.name), revision };
       const intent = RecordedIntent.found(owned.authorization, stored);
-      void this.#guard('rental not answered', () => this.#rent(owned, hire, intent)).finally(() => {
-        setTimeout(() => this.#renting.delete(hire.name), RENT_RETRY_MS);
-      });
+      void this.#guard('rental not answered', () => this.#rent(owned, rental, intent)).finally(
+        () => {
+          setTimeout(() => this.#renting.delete(rental.name), RENT_RETRY_MS);
+        },
+      );
     }
   }
 
-  async #rent(owned: Owned, hire: HireRecord, intent: RecordedIntent): Promise<void> {
-    const result = await this.cloud.rent({ request: hire.name, ...hire }, intent);
-    const where = { type: hire.type, zone: hire.zone, spot: hire.spot, part: hire.shard };
+  async #rent(owned: Owned, rental: RentalRecord, intent: RecordedIntent): Promise<void> {
+    const result = await this.cloud.rent({ request: rental.name, ...rental }, intent);
+    const where = { type: rental.type, zone: rental.zone, spot: rental.spot, part: rental.shard };
     if (result.kind !== 'rented') {
       const until = this.now() + NO_CAPACITY_MS;
-      this.#refused.set(`${hire.type} ${hire.zone} ${hire.spot}`, until);
+      this.#refused.set(`${rental.type} ${rental.zone} ${rental.spot}`, until);
       if (result.kind === 'malformed')
         this.log.error({ ...where, answer: result.answer }, 'rental');
       else this.log.info(where, 'no capacity');
-      await this.shardController.machines.hired(owned, hire, []);
+      await this.shardController.machines.hired(owned, rental, []);
       return;
     }
     this.log.info({ ...where, machines: result.machines.length }, 'machines rented');
-    if (result.machines.length < hire.count) {
+    if (result.machines.length < rental.count) {
       const until = this.now() + NO_CAPACITY_MS;
-      this.#refused.set(`${hire.type} ${hire.zone} ${hire.spot}`, until);
+      this.#refused.set(`${rental.type} ${rental.zone} ${rental.spot}`, until);
     }
-    await this.shardController.machines.hired(owned, hire, result.machines);
+    await this.shardController.machines.hired(owned, rental, result.machines);
   }
 }
