--- a/src/shards/shard-controller.ts
+++ b/src/shards/shard-controller.ts
@@ -4,24 +4,24 @@
 import type { OperatorConfig } from '../config/operator.js';
 import {
   NO_HEARTBEATS_MS,
-  NO_HEARTBEATS_REPORTS,
-  HANDBACK_MS,
-  HANDOVER_SETTLE_MS,
+  NO_HEARTBEATS_INTERVALS,
+  FAILBACK_MS,
+  TRANSFER_SETTLE_MS,
   LOOP_MS,
 } from '../constants.js';
 import { Completions } from './completions.js';
 import { DirectCommands } from './direct-commands.js';
 import { renewableMs } from '../core/cancellation/cancellations.js';
-import type { JobSpec, MachineType, Report } from '../core/model.js';
+import type { JobSpec, MachineType, Heartbeat } from '../core/model.js';
 import { Ownership, type OwnershipView } from '../core/ownership/ownership.js';
 import { Shard, type ShardSettings } from '../core/shard/shard.js';
 import { MachineRecords } from './machine-records.js';
-import { TaskTransfer } from './task-migration.js';
+import { TaskMigration } from './task-migration.js';
 import { shareSockets } from '../service/socket-budget.js';
-import { CALL, StateTrouble, type StateClient } from '../store/store-client.js';
+import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
 import { key, type ShardRecord } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
-import type { Condition, Write } from '../wire/schemas.js';
+import type { Guard, Write } from '../wire/schemas.js';
 import type { HeartbeatReply } from '../workers/heartbeats.js';
 
 export interface Owned {
@@ -41,13 +41,13 @@
 /** What other nodes tell that matters for owning shards. */
 export interface PeerView {
   /** a reachable node that has state, other than this one; null if none */
-  withState(): string | null;
+  withStore(): string | null;
   /** incarnation of a reachable node with state */
   fit(node: string): string | null;
   /** how many tasks of the job would fit now into another shard, and its term */
-  roomElsewhere(spec: JobSpec, not: number): { shard: number; tasks: number } | null;
+  capacityElsewhere(spec: JobSpec, not: number): { shard: number; tasks: number } | null;
   /** a shard that is booked much less than another one for the job */
-  lessBooked(spec: JobSpec, than: number): number | null;
+  lessAllocated(spec: JobSpec, than: number): number | null;
   /** images that another owner knew on a machine */
   imagesOf(machine: string): ReadonlyMap<string, number>;
   /** the node that hears most workers of the shard */
@@ -66,7 +66,7 @@
   readonly #built = new Map<number, number>();
   readonly #busy = new Set<number>();
   /** workers of other nodes' shards that came here, with the time */
-  readonly sighted = new Map<string, { shard: number; at: number }>();
+  readonly observedElsewhere = new Map<string, { shard: number; at: number }>();
   #noTakeoverUntil = -Infinity;
   /** the cache was brought up to date by a call made then, steady ms */
   #currentAt = -Infinity;
@@ -77,13 +77,13 @@
   readonly #direct: DirectCommands;
   readonly machines: MachineRecords;
   readonly #completions: Completions;
-  readonly #transferring: TaskTransfer;
+  readonly #migration: TaskMigration;
 
   constructor(
     private readonly config: PlatformConfig,
     private readonly operator: OperatorConfig,
     private readonly incarnation: string,
-    private readonly client: Pick<StateClient, 'transact' | 'get'>,
+    private readonly client: Pick<StoreClient, 'compareAndSwap' | 'get'>,
     private readonly cache: WatchCache,
     private readonly lease: Pick<SessionLease, 'valid' | 'registeredAt' | 'validSince'>,
     /** resolves once the cache shows everything that was committed before the call */
@@ -91,7 +91,7 @@
     private readonly peers: PeerView,
     private readonly refusals: Refusals,
     private readonly types: () => ReadonlyMap<string, MachineType> | null,
-    private readonly startWithin: ShardSettings['startWithin'],
+    private readonly startObjectives: ShardSettings['startObjectives'],
     private readonly now: () => number,
     private readonly nowOfDay: () => number,
     private readonly log: Logger,
@@ -104,7 +104,7 @@
     );
     this.machines = new MachineRecords(config, client, cache, current, now, log);
     this.#completions = new Completions(config, client, cache, now, log);
-    this.#transferring = new TaskTransfer(
+    this.#migration = new TaskMigration(
       config,
       client,
       cache,
@@ -134,7 +134,7 @@
       await this.current();
       this.#currentAt = now;
     } catch (error) {
-      if (!(error instanceof StateTrouble)) throw error;
+      if (!(error instanceof StoreRequestError)) throw error;
     } finally {
       this.#asking = false;
     }
@@ -209,7 +209,7 @@
       shard.placeAll(now);
       this.#direct.tick(owned, now);
       void this.machines.tick(index, owned, now);
-      this.#transferring.transferStuck(index, owned, now);
+      this.#migration.migrateUnschedulable(index, owned, now);
       void this.#completions.save(index, owned, now);
     }
   }
@@ -242,13 +242,13 @@
         if (types === null || this.cache.epoch < record.revision) continue;
         this.#built.set(index, record.value.term);
         const shard = new Shard(index, record.value.term, {
-          reportMs: this.config.workers.reportS * 1000,
+          heartbeatIntervalMs: this.config.workers.heartbeatIntervalS * 1000,
           leaseMs: this.config.workers.leaseS * 1000,
           cancelMs: this.config.workers.cancelS * 1000,
           teams: this.config.teams,
           types,
           preempt: this.operator.preempt,
-          startWithin: this.startWithin,
+          startObjectives: this.startObjectives,
           imagesOf: (machine) => this.peers.imagesOf(machine),
         });
         this.owned.set(index, {
@@ -308,7 +308,7 @@
     for (const [index, at] of this.#given) {
       // The handover's outcome is not known. Taking the shard anew settles it: whichever of the two
       // transactions comes second fails.
-      if (now - at > HANDOVER_SETTLE_MS) void this.#take(index);
+      if (now - at > TRANSFER_SETTLE_MS) void this.#take(index);
     }
     for (const [index, { shard, suspended }] of this.owned) {
       if (!suspended) this.#handOverIfCutOff(index, shard, now);
@@ -317,13 +317,18 @@
 
   /** Cut off from the workers alone: a node that hears them should own their shard. */
   #handOverIfCutOff(index: number, shard: Shard, now: number): void {
-    const reportMs = this.config.workers.reportS * 1000;
-    if (!shard.hearsNobody(now, Math.min(NO_HEARTBEATS_MS, reportMs * NO_HEARTBEATS_REPORTS)))
+    const heartbeatIntervalMs = this.config.workers.heartbeatIntervalS * 1000;
+    if (
+      !shard.hearsNoHeartbeats(
+        now,
+        Math.min(NO_HEARTBEATS_MS, heartbeatIntervalMs * NO_HEARTBEATS_INTERVALS),
+      )
+    )
       return;
     const to = this.peers.hears(index);
     const incarnation = to === null ? null : this.peers.fit(to);
     if (to === null || to === this.config.node || incarnation === null) return;
-    this.#noTakeoverUntil = now + HANDBACK_MS * 2;
+    this.#noTakeoverUntil = now + FAILBACK_MS * 2;
     this.log.info(
       { shard: index, to },
       'no worker of the shard reports here, but they do elsewhere',
@@ -337,27 +342,27 @@
     try {
       await work();
     } catch (error) {
-      if (!(error instanceof StateTrouble)) throw error;
+      if (!(error instanceof StoreRequestError)) throw error;
       this.log.debug({ shard: index, error: error.message }, 'shard not written');
     } finally {
       this.#busy.delete(index);
     }
   }
 
-  #ownerWrite(index: number, owner: string, incarnation: string): [Condition[], Write[]] {
+  #ownerWrite(index: number, owner: string, incarnation: string): [Guard[], Write[]] {
     const term = this.cache.tables.term.get('');
     const old = this.cache.tables['parts/'].get(String(index));
     const next = (term?.value ?? 0) + 1;
-    const when: Condition[] = [
+    const guards: Guard[] = [
       { key: key.term, revision: term?.revision ?? 0 },
       { key: key.shard(index), revision: old?.revision ?? 0 },
     ];
     if (old !== undefined && old.value.owner !== this.config.node) {
-      when.push({ key: key.node(old.value.owner, old.value.incarnation), revision: 0 });
+      guards.push({ key: key.node(old.value.owner, old.value.incarnation), revision: 0 });
     }
     const value: ShardRecord = { owner, incarnation, term: next };
     return [
-      when,
+      guards,
       [
         { put: key.term, value: next },
         { put: key.shard(index), value },
@@ -367,8 +372,8 @@
 
   #take(index: number): Promise<void> {
     return this.#once(index, async () => {
-      const [when, writes] = this.#ownerWrite(index, this.config.node, this.incarnation);
-      const result = await this.client.transact(CALL.renew, when, writes);
+      const [guards, writes] = this.#ownerWrite(index, this.config.node, this.incarnation);
+      const result = await this.client.compareAndSwap(CALL_PRIORITY.renew, guards, writes);
       if (!result.ok) return;
       this.#given.delete(index);
       this.cache.applyOwn(writes, result.epoch);
@@ -380,12 +385,15 @@
     return this.#once(index, async () => {
       const owned = this.owned.get(index);
       if (owned === undefined || owned.suspended) return;
-      const [when, writes] = this.#ownerWrite(index, to, incarnation);
-      when.push({ key: key.node(to, incarnation), revision: this.#nodeRevision(to, incarnation) });
+      const [guards, writes] = this.#ownerWrite(index, to, incarnation);
+      guards.push({
+        key: key.node(to, incarnation),
+        revision: this.#nodeRevision(to, incarnation),
+      });
       // From here on we act for the shard no more, whatever becomes of the transaction.
       owned.suspended = true;
       this.#given.set(index, this.now());
-      const result = await this.client.transact(CALL.renew, when, writes);
+      const result = await this.client.compareAndSwap(CALL_PRIORITY.renew, guards, writes);
       this.#given.delete(index);
       if (result.ok) {
         this.#ownership.handedOver(index);
@@ -401,36 +409,41 @@
 
   // --- workers -----------------------------------------------------------------------------------
 
-  beat(report: Report): HeartbeatReply {
+  handleHeartbeat(heartbeat: Heartbeat): HeartbeatReply {
     const now = this.now();
     if (!this.cache.ready) return { kind: 'unavailable' };
-    const record = this.cache.machines.get(report.machine)?.value;
+    const record = this.cache.machines.get(heartbeat.machine)?.value;
     if (record === undefined) return { kind: 'unavailable' };
     const owned = this.owned.get(record.shard);
-    if (owned === undefined || owned.suspended) return this.#sendOn(report, record.shard, now);
+    if (owned === undefined || owned.suspended) return this.#sendOn(heartbeat, record.shard, now);
     const authority = this.authority(now);
     if (!authority) {
       // Running work must survive an outage of the state service, so its leases are kept. But if
       // another node has state, the trouble is ours, and the workers are better off there.
-      const better = this.peers.withState();
+      const better = this.peers.withStore();
       if (better !== null) return { kind: 'redirect', node: better };
     }
-    if (!owned.shard.machines.has(report.machine)) this.#refresh(now);
-    const result = owned.shard.beat(report, now, authority, authority || this.#mayRenew(now));
+    if (!owned.shard.machines.has(heartbeat.machine)) this.#refresh(now);
+    const result = owned.shard.handleHeartbeat(
+      heartbeat,
+      now,
+      authority,
+      authority || this.#mayRenew(now),
+    );
     if (result.kind === 'answer') {
-      return { kind: 'answer', token: owned.shard.term, commands: result.commands };
+      return { kind: 'answer', fencingToken: owned.shard.term, commands: result.commands };
     }
     if (result.kind === 'superseded') {
       this.log.info(
         {
-          machine: report.machine,
+          machine: heartbeat.machine,
           part: record.shard,
           term: owned.shard.term,
-          token: report.token,
+          token: heartbeat.fencingToken,
         },
         'a worker has seen a higher term: our ownership may be over',
       );
-      return { kind: 'redirect', node: this.peers.withState() };
+      return { kind: 'redirect', node: this.peers.withStore() };
     }
     return { kind: 'unavailable' };
   }
@@ -452,11 +465,11 @@
     return may;
   }
 
-  #sendOn(report: Report, shard: number, now: number): HeartbeatReply {
+  #sendOn(heartbeat: Heartbeat, shard: number, now: number): HeartbeatReply {
     const owner = this.cache.tables['parts/'].get(String(shard))?.value;
     if (owner === undefined) return { kind: 'unavailable' };
     const me = owner.owner === this.config.node;
-    if (!me) this.sighted.set(report.machine, { shard, at: now });
+    if (!me) this.observedElsewhere.set(heartbeat.machine, { shard, at: now });
     const alive = this.#alive().get(owner.owner)?.has(owner.incarnation) ?? false;
     if (me || !alive) return { kind: 'unavailable' };
     return { kind: 'redirect', node: owner.owner };
--- a/src/shards/task-migration.ts
+++ b/src/shards/task-migration.ts
@@ -1,5 +1,5 @@
 import { setTimeout as sleep } from 'node:timers/promises';
-import { fencedTransaction } from '@sumacstep/duties';
+import { fencedCompareAndSwap } from '@sumacstep/duties';
 import type { Logger } from 'pino';
 import type { PlatformConfig } from '../config/platform.js';
 import {
@@ -8,15 +8,15 @@
   TRANSFER_AFTER_MS,
   TRANSFER_EVERY_MS,
   TRANSFER_TRIES,
-  RANGES_MOST,
+  MAX_RANGES,
   RECORD_FILL,
-  STATE_PAUSE_MS,
+  STORE_RETRY_MS,
 } from '../constants.js';
 import { hasGuarantee, hasLimit } from '../core/jobs/jobs.js';
 import type { JobSpec, TaskRange } from '../core/model.js';
 import type { JobState } from '../core/shard/shard.js';
 import type { Owned } from './shard-controller.js';
-import { CALL, StateTrouble, type StateClient } from '../store/store-client.js';
+import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
 import { decodeActive, encodeActive, key } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { Write } from '../wire/schemas.js';
@@ -24,9 +24,9 @@
 /** What is known of the other shards' room. */
 export interface OtherShards {
   /** how many tasks of the job would fit now into another shard */
-  roomElsewhere(spec: JobSpec, not: number): Destination | null;
+  capacityElsewhere(spec: JobSpec, not: number): Destination | null;
   /** a shard that is booked much less than another one for the job */
-  lessBooked(spec: JobSpec, than: number): number | null;
+  lessAllocated(spec: JobSpec, than: number): number | null;
 }
 
 /** Where tasks may pass to, and how many of them. */
@@ -36,7 +36,7 @@
 }
 
 /** Hands tasks that fit nowhere in their shard to one where they fit. */
-export class TaskTransfer {
+export class TaskMigration {
   /** when each shard last tried to pass tasks, steady ms */
   readonly #lastTry = new Map<number, number>();
   /** when each shard last passed tasks to one that had no room either, steady ms */
@@ -44,7 +44,7 @@
 
   constructor(
     private readonly config: PlatformConfig,
-    private readonly client: Pick<StateClient, 'transact' | 'get'>,
+    private readonly client: Pick<StoreClient, 'compareAndSwap' | 'get'>,
     private readonly cache: WatchCache,
     private readonly stillOwned: (index: number, owned: Owned) => boolean,
     private readonly otherShards: OtherShards,
@@ -57,22 +57,23 @@
    * no shard has room, what has waited for long passes to one that is booked far less. A shard whose owner
    * began to rent late may get no machines, and an array has ranges in most shards.
    */
-  transferStuck(index: number, owned: Owned, now: number): void {
+  migrateUnschedulable(index: number, owned: Owned, now: number): void {
     if (now - (this.#lastTry.get(index) ?? -Infinity) < TRANSFER_EVERY_MS) return;
     this.#lastTry.set(index, now);
     let tries = 0;
     for (const job of owned.shard.jobs.values()) {
-      if (job.stuckSince === null || now - job.stuckSince < TRANSFER_AFTER_MS) continue;
-      if (now < job.transferAfter || job.transferring.length > 0) continue;
+      if (job.unschedulableSince === null || now - job.unschedulableSince < TRANSFER_AFTER_MS)
+        continue;
+      if (now < job.migrateAfter || job.migrating.length > 0) continue;
       const team = this.config.teams.get(job.spec.team);
       if (hasLimit(team) || hasGuarantee(team)) continue;
       const active = this.cache.tables['active/'].get(job.spec.uid);
-      if (active === undefined || active.value.ranges.length >= RANGES_MOST) continue;
+      if (active === undefined || active.value.ranges.length >= MAX_RANGES) continue;
       tries += 1;
       if (tries > TRANSFER_TRIES) return;
       const to =
-        this.otherShards.roomElsewhere(job.spec, index) ?? this.#lessBooked(job, index, now);
-      const can = to === null ? null : owned.shard.transferable(job, active.value);
+        this.otherShards.capacityElsewhere(job.spec, index) ?? this.#lessAllocated(job, index, now);
+      const can = to === null ? null : owned.shard.migratable(job, active.value);
       const term =
         to === null
           ? null
@@ -89,10 +90,11 @@
     }
   }
 
-  #lessBooked(job: JobState, index: number, now: number): Destination | null {
-    if (job.stuckSince === null || now - job.stuckSince < BALANCE_AFTER_MS) return null;
+  #lessAllocated(job: JobState, index: number, now: number): Destination | null {
+    if (job.unschedulableSince === null || now - job.unschedulableSince < BALANCE_AFTER_MS)
+      return null;
     if (now - (this.#lastBalanced.get(index) ?? -Infinity) < BALANCE_EVERY_MS) return null;
-    const shard = this.otherShards.lessBooked(job.spec, index);
+    const shard = this.otherShards.lessAllocated(job.spec, index);
     return shard === null ? null : { shard, tasks: Infinity };
   }
 
@@ -112,47 +114,47 @@
       return from > r.from ? [{ ...r, to: from }, moved] : [moved];
     });
     const value = encodeActive({ ...active.value, ranges });
-    const { valueBytes } = this.config.stateLimits;
+    const { valueBytes } = this.config.storeLimits;
     if (JSON.stringify(value).length > valueBytes * RECORD_FILL) return;
     const writes: Write[] = [{ put: key.active(uid), value }];
     // A part of the range may be saved under the old cut; the bitmap's end is simply cut off.
-    const when = [{ key: key.active(uid), revision: active.revision }];
-    owned.shard.beginTransfer(job, from, range.to);
+    const guards = [{ key: key.active(uid), revision: active.revision }];
+    owned.shard.beginMigration(job, from, range.to);
     for (;;) {
       try {
         const { authorization } = owned;
-        const result = await fencedTransaction(
+        const result = await fencedCompareAndSwap(
           this.client,
           authorization,
-          CALL.completion,
-          when,
+          CALL_PRIORITY.completion,
+          guards,
           writes,
         );
         if (result.ok) {
           this.cache.applyOwn(writes, result.epoch);
-          owned.shard.endTransfer(job, true, this.now());
+          owned.shard.endMigration(job, true, this.now());
           this.log.info({ job: uid, shard: index, to: to.shard, tasks: range.to - from }, 'passed');
           return;
         }
         // A conflict after a lost answer may be our own success: only the present record tells. The
         // cache must show it too, or the old one would bring the tasks back as fresh.
-        const found = await this.client.get(key.active(uid), CALL.completion);
+        const found = await this.client.get(key.active(uid), CALL_PRIORITY.completion);
         let passed = false;
         if (!('missing' in found)) {
           this.cache.applyOwn([{ put: key.active(uid), value: found.value }], found.revision);
           const { ranges: present } = decodeActive(uid, found.value);
           passed = !present.some((r) => r.shard === index && r.from <= from && r.to > from);
         }
-        owned.shard.endTransfer(job, passed, this.now());
+        owned.shard.endMigration(job, passed, this.now());
         return;
       } catch (error) {
-        if (!(error instanceof StateTrouble)) throw error;
+        if (!(error instanceof StoreRequestError)) throw error;
         if (!this.stillOwned(index, owned)) return;
         if (error.kind === 'invalid') {
-          owned.shard.endTransfer(job, false, this.now());
+          owned.shard.endMigration(job, false, this.now());
           return;
         }
-        await sleep(STATE_PAUSE_MS);
+        await sleep(STORE_RETRY_MS);
       }
     }
   }
--- a/src/shares/mover.ts
+++ b/src/shares/mover.ts
@@ -1,4 +1,4 @@
-import { fencedTransaction, type Authorization, type Versioned } from '@sumacstep/duties';
+import { fencedCompareAndSwap, type Authorization, type Versioned } from '@sumacstep/duties';
 import {
   advance,
   isOver,
@@ -9,7 +9,7 @@
 } from '@sumacstep/shares';
 import type { Logger } from 'pino';
 import { MOVE, type DutyController } from '../duties/duty-controller.js';
-import { CALL, StateTrouble, type StateClient } from '../store/store-client.js';
+import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { Write } from '../wire/schemas.js';
 
@@ -45,7 +45,7 @@
 /** What the duty of moving needs of the process. */
 export interface MoverPorts {
   readonly duties: Pick<DutyController, 'authorize'>;
-  readonly client: Pick<StateClient, 'transact'>;
+  readonly client: Pick<StoreClient, 'compareAndSwap'>;
   readonly cache: WatchCache;
   readonly timeOfDay: () => number;
   readonly log: Logger;
@@ -82,14 +82,20 @@
     }
     this.#busy.add(move.id);
     try {
-      const when = [{ key, revision }];
-      const outcome = await fencedTransaction(client, authorization, CALL.rest, when, writes);
+      const guards = [{ key, revision }];
+      const outcome = await fencedCompareAndSwap(
+        client,
+        authorization,
+        CALL_PRIORITY.rest,
+        guards,
+        writes,
+      );
       if (!outcome.ok) return;
       cache.applyOwn(writes, outcome.epoch);
       const { id, state, direction, waitsFor } = move;
       log.info({ move: id, state, direction, waitsFor }, 'move of machines');
     } catch (error) {
-      if (!(error instanceof StateTrouble)) throw error;
+      if (!(error instanceof StoreRequestError)) throw error;
       log.debug({ move: move.id, error: error.message }, 'move not written');
     } finally {
       this.#busy.delete(move.id);
--- a/src/shares/share-owner.ts
+++ b/src/shares/share-owner.ts
@@ -1,19 +1,19 @@
-import { fencedTransaction, type Versioned } from '@sumacstep/duties';
+import { fencedCompareAndSwap, type Versioned } from '@sumacstep/duties';
 import { ends, isOver, moveKey, select, type Candidate, type Move } from '@sumacstep/shares';
 import type { Logger } from 'pino';
 import type { SharesConfig } from '../config/shares.js';
 import { MOVE_REASON_MS } from '../constants.js';
 import { serves, type MachineState, type Shard } from '../core/shard/shard.js';
 import type { Owned, ShardController } from '../shards/shard-controller.js';
-import { CALL, StateTrouble, type StateClient } from '../store/store-client.js';
+import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import { movesIn, obstacleOf } from './mover.js';
 
 const unfitness = (shard: Shard, m: MachineState, now: number): string | null => {
-  if (m.returning || m.leaving || m.condemned || m.unrecorded) return 'is to be returned';
-  if (m.noticeAt !== null) return 'has a notice';
+  if (m.terminating || m.draining || m.quarantined || m.orphaned) return 'is to be returned';
+  if (m.preemptionNoticeAt !== null) return 'has a notice';
   if (!m.record.up) return 'is not up yet';
-  if (!shard.isFresh(m, now) || m.ignoringSince !== null) return 'cannot be reached';
+  if (!shard.isFresh(m, now) || m.commandsLostSince !== null) return 'cannot be reached';
   return null;
 };
 
@@ -21,7 +21,8 @@
 export const candidateOf = (shard: Shard, m: MachineState, now: number): Candidate => {
   const { name, type, zone, spot } = m.record;
   const unfit = unfitness(shard, m, now);
-  const empty = m.tasks.size === 0 && m.foreign === 0 && m.doubtful.size === 0 && m.listed === 0;
+  const empty =
+    m.tasks.size === 0 && m.unknownTasks === 0 && m.doubtful.size === 0 && m.listed === 0;
   return {
     name,
     type,
@@ -30,7 +31,7 @@
     tasks: m.tasks.size,
     endless: serves(m),
     unfit,
-    settled: unfit === null && empty && m.moving,
+    settled: unfit === null && empty && m.cordoned,
   };
 };
 
@@ -39,7 +40,7 @@
 
 /** What the owners' side of moves needs of the process. */
 export interface ShareOwnerPorts {
-  readonly client: Pick<StateClient, 'transact'>;
+  readonly client: Pick<StoreClient, 'compareAndSwap'>;
   readonly cache: WatchCache;
   readonly shardController: ShardController;
   /** steady ms */
@@ -96,7 +97,7 @@
     }
     for (const [index, { shard }] of this.ports.shardController.owned) {
       const names = chosen.get(index);
-      for (const m of shard.machines.values()) m.moving = names?.has(m.record.name) ?? false;
+      for (const m of shard.machines.values()) m.cordoned = names?.has(m.record.name) ?? false;
     }
   }
 
@@ -152,7 +153,7 @@
     try {
       await work();
     } catch (error) {
-      if (!(error instanceof StateTrouble)) throw error;
+      if (!(error instanceof StoreRequestError)) throw error;
       this.ports.log.debug({ move: id, error: error.message }, 'move not written');
     } finally {
       this.#busy.delete(id);
@@ -163,9 +164,15 @@
     const { client, cache } = this.ports;
     const key = moveKey(move.id);
     const writes = [{ put: key, value: move }];
-    const when = [{ key, revision }];
+    const guards = [{ key, revision }];
     const { authorization } = owned;
-    const outcome = await fencedTransaction(client, authorization, CALL.rest, when, writes);
+    const outcome = await fencedCompareAndSwap(
+      client,
+      authorization,
+      CALL_PRIORITY.rest,
+      guards,
+      writes,
+    );
     if (!outcome.ok) return;
     cache.applyOwn(writes, outcome.epoch);
     this.#reasonAt.set(move.id, this.ports.now());
@@ -195,7 +202,7 @@
       term: to.value.term,
       condition: { key: `parts/${target}`, revision: to.revision },
       group: `moved-${move.id}-${revision}`,
-      when: [{ key, revision }],
+      guards: [{ key, revision }],
       writes: (names) => [{ put: key, value: after(names) }],
     });
     if (moved.length === 0) return;
--- a/src/store/keys.ts
+++ b/src/store/keys.ts
@@ -74,7 +74,7 @@
   ...(abilities.knowsDuties ? { duties: DUTIES_VERSION } : {}),
   ...(abilities.knowsShares ? { shares: SHARES_VERSION } : {}),
 });
-export interface HireRecord {
+export interface RentalRecord {
   readonly shard: number;
   readonly name: string;
   readonly type: string;
@@ -103,7 +103,7 @@
   spot: z.boolean(),
   hosts: z.record(z.string(), z.number()),
 });
-const hire = z.object({ type: z.string(), zone: z.string(), spot: z.boolean(), count: int });
+const rental = z.object({ type: z.string(), zone: z.string(), spot: z.boolean(), count: int });
 const final = z.object({ status: z.enum(['done', 'cancelled']), tasks: int, done: int });
 const resources = z.object({ cpus: z.number(), gpus: z.number(), memoryGb: z.number() });
 const spec = z.object({
@@ -137,7 +137,7 @@
   'machines/': MachineGroup;
   'parts/': ShardRecord;
   'nodes/': NodeRecord;
-  'hires/': HireRecord;
+  'hires/': RentalRecord;
   'duties/': DutyEntry;
   'shares/': ShareEntry;
   term: number;
@@ -195,7 +195,7 @@
   },
   'hires/': (id, value) => {
     const slash = id.indexOf('/');
-    return { shard: Number(id.slice(0, slash)), name: id.slice(slash + 1), ...hire.parse(value) };
+    return { shard: Number(id.slice(0, slash)), name: id.slice(slash + 1), ...rental.parse(value) };
   },
   'duties/': decodeDutyEntry,
   'shares/': decodeShareEntry,
--- a/src/store/linearizable-reads.ts
+++ b/src/store/linearizable-reads.ts
@@ -1,5 +1,5 @@
 import { HELD_READ_MS, USER_CALL_MS } from '../constants.js';
-import { CALL, StateTrouble, type StateClient } from './store-client.js';
+import { CALL_PRIORITY, StoreRequestError, type StoreClient } from './store-client.js';
 import { key } from './keys.js';
 import type { WatchCache } from './watch-cache.js';
 
@@ -28,7 +28,7 @@
   #timer: NodeJS.Timeout | null = null;
 
   constructor(
-    private readonly client: Pick<StateClient, 'get'>,
+    private readonly client: Pick<StoreClient, 'get'>,
     private readonly cache: WatchCache,
     private readonly now: () => number,
   ) {
@@ -82,7 +82,7 @@
   #expire(): void {
     const since = this.now() - 2 * USER_CALL_MS;
     for (const waiter of this.#waiters) {
-      if (waiter.asked < since) waiter.reject(new StateTrouble('busy', 'late'));
+      if (waiter.asked < since) waiter.reject(new StoreRequestError('busy', 'late'));
     }
     this.#waiters = this.#waiters.filter((w) => w.asked >= since);
   }
@@ -91,7 +91,7 @@
     this.#probing = true;
     const asked = this.#waiters.filter((w) => w.epoch === null);
     try {
-      const found = await this.client.get(key.never, CALL.read);
+      const found = await this.client.get(key.never, CALL_PRIORITY.read);
       const epoch = 'missing' in found ? found.epoch : found.revision;
       for (const waiter of asked) waiter.epoch = epoch;
       this.#settle();
--- a/src/store/node-session.ts
+++ b/src/store/node-session.ts
@@ -7,7 +7,7 @@
   LEASE_RETRY_MS,
   LEASE_TTL_MS,
 } from '../constants.js';
-import type { StateClient } from './store-client.js';
+import type { StoreClient } from './store-client.js';
 import { encodeNode, key, type Abilities } from './keys.js';
 
 const TIMING = {
@@ -26,7 +26,7 @@
 
 /** This node's lease on the state service and the node key attached to it. */
 export const nodeSession = (
-  client: Pick<StateClient, 'grant' | 'renew' | 'register'>,
+  client: Pick<StoreClient, 'grant' | 'renew' | 'register'>,
   { node, incarnation, ...abilities }: NodeLife,
   now: () => number,
   log: Logger,
--- a/src/store/shared-reads.ts
+++ b/src/store/shared-reads.ts
@@ -1,5 +1,5 @@
 import { READ_GATHER_MS } from '../constants.js';
-import { CALL, type Found, type StateClient } from './store-client.js';
+import { CALL_PRIORITY, type Found, type StoreClient } from './store-client.js';
 
 /**
  * Current reads, shared: requests that come in while a read of the same key has not left yet join
@@ -8,14 +8,14 @@
 export class SharedReads {
   readonly #next = new Map<string, Promise<Found>>();
 
-  constructor(private readonly client: Pick<StateClient, 'get'>) {}
+  constructor(private readonly client: Pick<StoreClient, 'get'>) {}
 
   read(key: string): Promise<Found> {
     const open = this.#next.get(key);
     if (open !== undefined) return open;
     const promise = new Promise<void>((resolve) => setTimeout(resolve, READ_GATHER_MS)).then(() => {
       this.#next.delete(key);
-      return this.client.get(key, CALL.read);
+      return this.client.get(key, CALL_PRIORITY.read);
     });
     this.#next.set(key, promise);
     return promise;
--- a/src/store/store-client.ts
+++ b/src/store/store-client.ts
@@ -1,17 +1,17 @@
-import { StoreUnavailableError, type Outcome } from '@sumacstep/duties';
+import { StoreUnavailableError, type CompareAndSwapResult } from '@sumacstep/duties';
 import type { Logger } from 'pino';
 import {
   BACKOFF_429_MS,
   CONDITIONS_PER_OP,
   INVALID_KEPT,
-  STATE_BURST_LEAST,
-  STATE_BURST_S,
-  STATE_CALL_MS,
-  STATE_QUEUE_LIMIT,
-  STATE_SOCKETS,
-  STATE_TROUBLES,
+  MIN_STORE_BURST,
+  STORE_BURST_S,
+  STORE_CALL_TIMEOUT_MS,
+  STORE_QUEUE_LIMIT,
+  STORE_SOCKETS,
+  STORE_FAILURES_LIMIT,
 } from '../constants.js';
-import { CborClient, NoAnswer, type Answer } from '../transport/http.js';
+import { CborClient, NoResponseError, type Response } from '../transport/http.js';
 import { TokenBucket } from '../transport/token-bucket.js';
 import {
   committed,
@@ -23,12 +23,12 @@
   missing,
   news,
   transactionBody,
-  type Condition,
+  type Guard,
   type Write,
 } from '../wire/schemas.js';
 
 /** The state service did not carry the call out (503, 429) or did not answer (unknown). */
-export class StateTrouble extends StoreUnavailableError {
+export class StoreRequestError extends StoreUnavailableError {
   constructor(
     readonly kind: 'refused' | 'no_answer' | 'busy' | 'invalid',
     message: string,
@@ -38,7 +38,7 @@
 }
 
 /** Order in which calls get tokens. */
-export const CALL = {
+export const CALL_PRIORITY = {
   renew: 0,
   feed: 1,
   cancellation: 2,
@@ -47,7 +47,7 @@
   read: 5,
   rest: 6,
 } as const;
-export type CallClass = (typeof CALL)[keyof typeof CALL];
+export type CallPriority = (typeof CALL_PRIORITY)[keyof typeof CALL_PRIORITY];
 
 export interface Entry {
   readonly key: string;
@@ -62,7 +62,7 @@
   readonly epoch: number;
 }
 export type Found = Entry | { readonly missing: true; readonly epoch: number };
-export type { Outcome };
+export type { CompareAndSwapResult };
 export interface Change {
   readonly key: string;
   readonly revision: number;
@@ -76,7 +76,7 @@
   readonly go: () => void;
 }
 
-export interface StateLimits {
+export interface StoreLimits {
   readonly rps: number;
   readonly writeRps: number;
   /** what is allowed from some moment on, which a 429 tells; as now if nothing is announced */
@@ -84,22 +84,22 @@
 }
 
 /** What the state service takes at the most, now and later. */
-export interface StateSizes {
+export interface StoreSizeLimits {
   readonly valueBytes: number;
   readonly transactionOps: number;
 }
 
 const keyOf = (write: Write): string => ('put' in write ? write.put : write.drop);
 
-const burst = (rate: number) => Math.max(STATE_BURST_LEAST, rate * STATE_BURST_S);
+const burst = (rate: number) => Math.max(MIN_STORE_BURST, rate * STORE_BURST_S);
 
 /** The one place for calls to the state service. */
-export class StateClient {
+export class StoreClient {
   readonly #http: CborClient;
   readonly #watch: CborClient;
   readonly #requests: TokenBucket;
   readonly #writes: TokenBucket;
-  readonly #queues: Waiter[][] = Object.values(CALL).map(() => []);
+  readonly #queues: Waiter[][] = Object.values(CALL_PRIORITY).map(() => []);
   #queued = 0;
   #timer: NodeJS.Timeout | null = null;
   /** steady ms of the last answer that shows the service working */
@@ -112,12 +112,12 @@
 
   constructor(
     address: string,
-    private limits: StateLimits,
-    private readonly sizes: StateSizes,
+    private limits: StoreLimits,
+    private readonly sizes: StoreSizeLimits,
     private readonly now: () => number,
     private readonly log: Logger,
   ) {
-    this.#http = new CborClient(address, STATE_SOCKETS);
+    this.#http = new CborClient(address, STORE_SOCKETS);
     this.#watch = new CborClient(address, 2);
     this.#requests = new TokenBucket(limits.rps, burst(limits.rps), now());
     this.#writes = new TokenBucket(limits.writeRps, burst(limits.writeRps), now());
@@ -153,9 +153,11 @@
     }
   }
 
-  #token(cls: CallClass, writes: number): Promise<void> {
-    if (this.#queued >= STATE_QUEUE_LIMIT && cls !== CALL.renew) {
-      return Promise.reject(new StateTrouble('busy', 'too many calls wait for the state service'));
+  #token(cls: CallPriority, writes: number): Promise<void> {
+    if (this.#queued >= STORE_QUEUE_LIMIT && cls !== CALL_PRIORITY.renew) {
+      return Promise.reject(
+        new StoreRequestError('busy', 'too many calls wait for the state service'),
+      );
     }
     return new Promise((resolve) => {
       this.#queues[cls]!.push({ cost: { requests: 1, writes }, go: resolve });
@@ -165,7 +167,7 @@
   }
 
   /** The node's share of the limits changes with the number of nodes that live. */
-  setLimits(limits: StateLimits): void {
+  setLimits(limits: StoreLimits): void {
     this.limits = limits;
     const rate = (k: 'rps' | 'writeRps') =>
       this.#lowered[k] && limits.next !== undefined ? limits.next[k] : limits[k];
@@ -183,7 +185,7 @@
   }
 
   /** ms until a write of this class that comes now would probably leave. */
-  expectedMs(cls: CallClass): number {
+  expectedMs(cls: CallPriority): number {
     let writes = 1;
     for (const queue of this.#queues.slice(0, cls + 1)) {
       for (const w of queue) writes += w.cost.writes;
@@ -192,43 +194,43 @@
   }
 
   /** False once calls fail in a row: an outage, or one that only this node sees. */
-  get up(): boolean {
-    return this.#troubles < STATE_TROUBLES;
+  get available(): boolean {
+    return this.#troubles < STORE_FAILURES_LIMIT;
   }
 
   async #call(
-    cls: CallClass,
+    cls: CallPriority,
     method: string,
     path: string,
     body?: unknown,
     writes = 0,
-    timeoutMs = STATE_CALL_MS,
+    timeoutMs = STORE_CALL_TIMEOUT_MS,
     client = this.#http,
-  ): Promise<Answer> {
+  ): Promise<Response> {
     await this.#token(cls, writes);
-    let answer: Answer;
+    let answer: Response;
     try {
       answer = await client.call(method, path, body, timeoutMs);
     } catch (error) {
       this.#troubles += 1;
-      const text = error instanceof NoAnswer ? error.message : String(error);
-      throw new StateTrouble('no_answer', text);
+      const text = error instanceof NoResponseError ? error.message : String(error);
+      throw new StoreRequestError('no_answer', text);
     }
     if (answer.status === 429) {
       (writes > 0 ? this.#writes : this.#requests).block(BACKOFF_429_MS, this.now());
       this.#lower(writes > 0 ? 'writeRps' : 'rps');
-      throw new StateTrouble('refused', `${method} ${path}: 429`);
+      throw new StoreRequestError('refused', `${method} ${path}: 429`);
     }
     if (answer.status >= 500) {
       this.#troubles += 1;
-      throw new StateTrouble('refused', `${method} ${path}: ${answer.status}`);
+      throw new StoreRequestError('refused', `${method} ${path}: ${answer.status}`);
     }
     this.lastGood = this.now();
     this.#troubles = 0;
     return answer;
   }
 
-  async get(key: string, cls: CallClass): Promise<Found> {
+  async get(key: string, cls: CallPriority): Promise<Found> {
     const a = await this.#call(cls, 'GET', `/store/${key}`);
     if (a.status === 404) return { missing: true, epoch: missing.parse(a.body).Epoch };
     const e = entry.parse(a.body);
@@ -239,7 +241,7 @@
     prefix: string,
     since: string | null,
     limit: number,
-    cls: CallClass = CALL.feed,
+    cls: CallPriority = CALL_PRIORITY.feed,
   ): Promise<Page> {
     const after = since === null ? '' : `&Since=${encodeURIComponent(since)}`;
     const path = `/store?Starts=${encodeURIComponent(prefix)}${after}&Limit=${limit}`;
@@ -253,33 +255,34 @@
   }
 
   /** Larger than the service may take, now or from some moment on: it is not even sent. */
-  #checkSizes(when: readonly Condition[], writes: readonly Write[]): string {
+  #checkSizes(guards: readonly Guard[], writes: readonly Write[]): string {
     const { valueBytes, transactionOps } = this.sizes;
     const sizes = writes.map((w) => ('put' in w ? JSON.stringify(w.value).length : 0));
     const shape = writes.map((w, i) => `${keyOf(w)} ${sizes[i]}`).join();
-    if (this.#invalid.has(shape)) throw new StateTrouble('invalid', 'refused before as it is');
+    if (this.#invalid.has(shape)) throw new StoreRequestError('invalid', 'refused before as it is');
     const large = writes.find((_, i) => sizes[i]! > valueBytes);
-    const many = writes.length > transactionOps || when.length > transactionOps * CONDITIONS_PER_OP;
+    const many =
+      writes.length > transactionOps || guards.length > transactionOps * CONDITIONS_PER_OP;
     if (large === undefined && !many) return shape;
     const key = large === undefined ? null : keyOf(large);
-    return this.#refused(shape, { key, writes: writes.length, conditions: when.length });
+    return this.#refused(shape, { key, writes: writes.length, conditions: guards.length });
   }
 
   #refused(shape: string, what: object): never {
     if (this.#invalid.size >= INVALID_KEPT) this.#invalid.clear();
     this.#invalid.add(shape);
     this.log.error(what, 'transaction over the limits of the state service');
-    throw new StateTrouble('invalid', `transaction over the limits: ${JSON.stringify(what)}`);
+    throw new StoreRequestError('invalid', `transaction over the limits: ${JSON.stringify(what)}`);
   }
 
   /** Checked against the limits first; a 400 all the same is an error of the caller, and logged. */
-  async transact(
-    cls: CallClass,
-    when: readonly Condition[],
+  async compareAndSwap(
+    cls: CallPriority,
+    guards: readonly Guard[],
     writes: readonly Write[],
-  ): Promise<Outcome> {
-    const shape = this.#checkSizes(when, writes);
-    const body = transactionBody(when, writes);
+  ): Promise<CompareAndSwapResult> {
+    const shape = this.#checkSizes(guards, writes);
+    const body = transactionBody(guards, writes);
     const a = await this.#call(cls, 'POST', '/multi', body, Math.max(1, writes.length));
     if (a.status === 200) return { ok: true, epoch: committed.parse(a.body).Epoch };
     if (a.status === 409) return { ok: false, failed: conflict.parse(a.body).failed ?? [] };
@@ -289,29 +292,29 @@
   /** Writes a key attached to a lease; null if the lease has ended. */
   async register(name: string, value: unknown, id: number): Promise<number | null> {
     const body = transactionBody([], [{ put: name, value, lease: id }]);
-    const a = await this.#call(CALL.renew, 'POST', '/multi', body, 1);
+    const a = await this.#call(CALL_PRIORITY.renew, 'POST', '/multi', body, 1);
     return a.status === 200 ? committed.parse(a.body).Epoch : null;
   }
 
   async grant(ttlMs: number): Promise<number> {
-    const a = await this.#call(CALL.renew, 'POST', '/leases', leaseBody(ttlMs));
-    if (a.status !== 200) throw new StateTrouble('refused', `no lease: ${a.status}`);
+    const a = await this.#call(CALL_PRIORITY.renew, 'POST', '/leases', leaseBody(ttlMs));
+    if (a.status !== 200) throw new StoreRequestError('refused', `no lease: ${a.status}`);
     return lease.parse(a.body).Permit;
   }
 
   /** False if the lease has ended. */
   async renew(id: number): Promise<boolean> {
-    const a = await this.#call(CALL.renew, 'POST', `/leases/${id}/renew`, {});
+    const a = await this.#call(CALL_PRIORITY.renew, 'POST', `/leases/${id}/renew`, {});
     if (a.status === 404) return false;
-    if (a.status !== 200) throw new StateTrouble('refused', `renewal: ${a.status}`);
+    if (a.status !== 200) throw new StoreRequestError('refused', `renewal: ${a.status}`);
     return true;
   }
 
   /** Changes after `since`; null if the service no longer keeps them. */
   async follow(since: number, blockMs: number) {
     const path = `/follow?Starts=&Since=${since}&BlockMs=${blockMs}`;
-    const limit = blockMs + STATE_CALL_MS;
-    const a = await this.#call(CALL.feed, 'GET', path, undefined, 0, limit, this.#watch);
+    const limit = blockMs + STORE_CALL_TIMEOUT_MS;
+    const a = await this.#call(CALL_PRIORITY.feed, 'GET', path, undefined, 0, limit, this.#watch);
     if (a.status === 410) return null;
     const n = news.parse(a.body);
     const changes: Change[] = n.News.map((c) => {
--- a/src/store/watch.ts
+++ b/src/store/watch.ts
@@ -1,7 +1,7 @@
 import { Readable } from 'node:stream';
 import { setTimeout as sleep } from 'node:timers/promises';
-import { FOLLOW_BLOCK_MS, LIST_PAGE, STATE_PAUSE_MS } from '../constants.js';
-import { StateTrouble, type Change, type StateClient } from './store-client.js';
+import { FOLLOW_BLOCK_MS, LIST_PAGE, STORE_RETRY_MS } from '../constants.js';
+import { StoreRequestError, type Change, type StoreClient } from './store-client.js';
 import { CACHED_PREFIXES, type Prefix } from './keys.js';
 
 /** One answer of the watch: what changed, and up to which epoch everything is known. */
@@ -27,7 +27,7 @@
   readonly reading?: (since: number | null) => void;
 }
 
-type WatchClient = Pick<StateClient, 'list' | 'follow'>;
+type WatchClient = Pick<StoreClient, 'list' | 'follow'>;
 
 /**
  * Watches the state service, as a stream of `WatchBatch`: first a listing, then every change. An
@@ -63,8 +63,8 @@
       }
     } catch (error) {
       reading?.(null);
-      if (!(error instanceof StateTrouble)) throw error;
-      await sleep(STATE_PAUSE_MS);
+      if (!(error instanceof StoreRequestError)) throw error;
+      await sleep(STORE_RETRY_MS);
     }
   }
 }
@@ -74,7 +74,7 @@
  * one's.
  */
 export const listPrefixes = async (
-  client: Pick<StateClient, 'list'>,
+  client: Pick<StoreClient, 'list'>,
   prefixes: readonly Prefix[],
 ): Promise<WatchBatch> => {
   const changes: Change[] = [];
--- a/src/transport/http.ts
+++ b/src/transport/http.ts
@@ -5,7 +5,7 @@
 import { fromBytes, toBytes } from '../wire/cbor.js';
 
 /** No answer: the request may have been carried out, or may yet be. */
-export class NoAnswer extends Error {
+export class NoResponseError extends Error {
   constructor(
     message: string,
     /** false if no connection came about, so that the request cannot have been seen */
@@ -15,7 +15,7 @@
   }
 }
 
-export interface Answer {
+export interface Response {
   readonly status: number;
   readonly body: unknown;
 }
@@ -54,7 +54,7 @@
     this.#agent = new Agent({ keepAlive: true, maxSockets: sockets, maxFreeSockets: sockets });
   }
 
-  call(method: string, path: string, body: unknown, timeoutMs: number): Promise<Answer> {
+  call(method: string, path: string, body: unknown, timeoutMs: number): Promise<Response> {
     return new Promise((resolve, reject) => {
       const bytes = body === undefined ? null : toBytes(body);
       const req = request({
@@ -77,11 +77,13 @@
       // One limit for the whole call: a server that trickles bytes is as bad as a silent one.
       const timer = setTimeout(() => {
         const text = `${method} ${path}: no answer within ${timeoutMs} ms`;
-        req.destroy(new NoAnswer(text, connected));
+        req.destroy(new NoResponseError(text, connected));
       }, timeoutMs);
       const fail = (error: Error) => {
         clearTimeout(timer);
-        reject(error instanceof NoAnswer ? error : new NoAnswer(error.message, connected));
+        reject(
+          error instanceof NoResponseError ? error : new NoResponseError(error.message, connected),
+        );
       };
       req.on('error', fail);
       req.on('response', (res) => {
--- a/src/users/api.ts
+++ b/src/users/api.ts
@@ -2,7 +2,7 @@
 import { RETRY_AFTER_S, USER_CALL_MS, USER_WAITING_LIMIT } from '../constants.js';
 import type { JobSpec } from '../core/model.js';
 import { readBody, reply as send } from '../transport/http.js';
-import { StateTrouble } from '../store/store-client.js';
+import { StoreRequestError } from '../store/store-client.js';
 import { fromBytes, WireError } from '../wire/cbor.js';
 import { statusBody, submission, UID_FORM, type JobStatus } from '../wire/schemas.js';
 import type { JobReader, JobReading } from './job-reader.js';
@@ -19,7 +19,7 @@
   cancelled(uid: string): void;
   ready(): boolean;
   /** false while the state service is known not to answer */
-  stateUp(): boolean;
+  storeAvailable(): boolean;
   timeOfDay(): number;
   random(below: number): number;
   accepted(spec: JobSpec, ms: number): void;
@@ -67,7 +67,7 @@
       await this.#dispatch(ctx);
     } catch (error) {
       if (error instanceof WireError) send(ctx, 400, { error: error.message });
-      else if (error instanceof StateTrouble || error instanceof TooSlow)
+      else if (error instanceof StoreRequestError || error instanceof TooSlow)
         this.#refuse(ctx, error.message);
       else throw error;
     } finally {
@@ -103,7 +103,7 @@
     const parsed = submission.safeParse(body);
     if (!parsed.success) return this.#malformed(ctx, body, parsed.error, arrivedAt);
     const { uid } = parsed.data;
-    if (!this.#answerable(uid)) return this.#refuseWithoutState(ctx);
+    if (!this.#answerable(uid)) return this.#refuseWithoutStore(ctx);
     const result = await inTime(side.jobs.submit(parsed.data, side.timeOfDay()));
     const request = { ctx, uid, arrivedAt };
     switch (result.kind) {
@@ -128,7 +128,7 @@
   ): Promise<void> {
     const uid = claimedUid.safeParse(body).data?.Uid;
     if (uid !== undefined) {
-      if (!this.#answerable(uid)) return this.#refuseWithoutState(ctx);
+      if (!this.#answerable(uid)) return this.#refuseWithoutStore(ctx);
       const reading = await inTime(this.side.reader.read(uid));
       if (reading.answer.kind !== 'missing') return this.#tell({ ctx, uid, arrivedAt }, reading);
     }
@@ -139,12 +139,12 @@
   }
 
   async #query(request: JobRequest): Promise<void> {
-    if (!this.#answerable(request.uid)) return this.#refuseWithoutState(request.ctx);
+    if (!this.#answerable(request.uid)) return this.#refuseWithoutStore(request.ctx);
     this.#tell(request, await inTime(this.side.reader.read(request.uid)));
   }
 
   async #withdraw(request: JobRequest): Promise<void> {
-    if (!this.#answerable(request.uid)) return this.#refuseWithoutState(request.ctx);
+    if (!this.#answerable(request.uid)) return this.#refuseWithoutStore(request.ctx);
     this.#tell(request, await inTime(this.side.jobs.cancel(request.uid)));
   }
 
@@ -168,10 +168,10 @@
 
   /** Only a final state that is known here can be told while the state service does not answer. */
   #answerable(uid: string): boolean {
-    return this.side.stateUp() || this.side.reader.knownFinal(uid) !== undefined;
+    return this.side.storeAvailable() || this.side.reader.knownFinal(uid) !== undefined;
   }
 
-  #refuseWithoutState(ctx: Koa.Context): void {
+  #refuseWithoutStore(ctx: Koa.Context): void {
     this.#refuse(ctx, 'the state service does not answer');
   }
 
--- a/src/users/job-reader.ts
+++ b/src/users/job-reader.ts
@@ -1,5 +1,5 @@
 import type { JobRecord } from '../core/model.js';
-import type { StateClient } from '../store/store-client.js';
+import type { StoreClient } from '../store/store-client.js';
 import { key, type FinalState } from '../store/keys.js';
 import type { LinearizableReads } from '../store/linearizable-reads.js';
 import { SharedReads } from '../store/shared-reads.js';
@@ -33,7 +33,7 @@
   readonly #finals: SharedReads;
 
   constructor(
-    client: Pick<StateClient, 'get'>,
+    client: Pick<StoreClient, 'get'>,
     private readonly cache: WatchCache,
     private readonly linearizable: Pick<LinearizableReads, 'wait'>,
   ) {
--- a/src/users/jobs.ts
+++ b/src/users/jobs.ts
@@ -12,17 +12,17 @@
   chooseShard,
   cutRanges,
   shardOfTeam,
-  rangeMost,
+  maxRangeTasks,
   staysWhole,
   hasLimit,
   hasGuarantee,
 } from '../core/jobs/jobs.js';
 import type { ShardLoad } from '../core/jobs/jobs.js';
 import type { JobRecord, JobSpec, MachineType, TaskRange, Team } from '../core/model.js';
-import { CALL, StateTrouble, type StateClient } from '../store/store-client.js';
+import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
 import { encodeActive, key, type FinalState } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
-import type { Condition, Write } from '../wire/schemas.js';
+import type { Guard, Write } from '../wire/schemas.js';
 import { finalReading, type JobReader, type JobReading } from './job-reader.js';
 
 /** What has become of a submission. */
@@ -58,13 +58,13 @@
   readonly #accepting = new Map<string, Promise<Submitted>>();
 
   constructor(
-    private readonly client: Pick<StateClient, 'transact' | 'expectedMs'>,
+    private readonly client: Pick<StoreClient, 'compareAndSwap' | 'expectedMs'>,
     private readonly cache: WatchCache,
     private readonly reader: JobReader,
     private readonly routing: Routing,
     private readonly settings: JobSettings,
     /** what acceptances depend on, so that none from before a clearing of final states comes back; if any */
-    private readonly acceptanceCondition: () => Condition | null,
+    private readonly acceptanceCondition: () => Guard | null,
     /** steady ms */
     private readonly now: () => number,
   ) {}
@@ -126,7 +126,7 @@
     types: ReadonlyMap<string, MachineType>,
   ): Promise<Submitted> {
     // What would only be refused after a wait is refused at once.
-    const waitMs = this.client.expectedMs(CALL.acceptance);
+    const waitMs = this.client.expectedMs(CALL_PRIORITY.acceptance);
     if (waitMs > SUBMIT_WAIT_MS) {
       this.#sentAway.set(spec.uid, { spec, at: this.now() });
       return { kind: 'undecided', reason: 'more submissions than can be written', waitMs };
@@ -145,14 +145,14 @@
   async #writeAcceptance(job: JobRecord, value: unknown, tries: number): Promise<Submitted> {
     const { uid } = job.spec;
     const writes: Write[] = [{ put: key.active(uid), value }];
-    const when: Condition[] = [
+    const guards: Guard[] = [
       { key: key.active(uid), revision: 0 },
       { key: key.final(uid), revision: 0 },
     ];
     const clearing = this.acceptanceCondition();
-    if (clearing !== null) when.push(clearing);
+    if (clearing !== null) guards.push(clearing);
     const currentSince = this.now();
-    const result = await this.client.transact(CALL.acceptance, when, writes);
+    const result = await this.client.compareAndSwap(CALL_PRIORITY.acceptance, guards, writes);
     if (result.ok) {
       this.cache.applyOwn(writes, result.epoch);
       const answer = { kind: 'active', job, revision: result.epoch } as const;
@@ -183,7 +183,7 @@
     const choose = () => chooseShard(loads, loadThreshold, (below) => this.routing.random(below));
     const home = booked ? shardOfTeam(spec.team, shards) : choose();
     const out: TaskRange[] = [];
-    for (const [from, to] of cutRanges(spec.tasks, shards, whole, rangeMost(valueBytes))) {
+    for (const [from, to] of cutRanges(spec.tasks, shards, whole, maxRangeTasks(valueBytes))) {
       const shard = whole ? home : choose();
       const term = this.routing.termOf(shard);
       if (term === null) return null;
@@ -206,8 +206,8 @@
       if (answer.kind !== 'active') return reading;
       const final: FinalState = { status: 'cancelled', tasks: answer.job.spec.tasks, done: 0 };
       const writes: Write[] = [{ drop: key.active(uid) }, { put: key.final(uid), value: final }];
-      const result = await this.client.transact(
-        CALL.cancellation,
+      const result = await this.client.compareAndSwap(
+        CALL_PRIORITY.cancellation,
         [{ key: key.active(uid), revision: answer.revision }],
         writes,
       );
@@ -216,6 +216,6 @@
         return finalReading(final);
       }
     }
-    throw new StateTrouble('busy', `job ${uid} changes faster than it can be cancelled`);
+    throw new StoreRequestError('busy', `job ${uid} changes faster than it can be cancelled`);
   }
 }
--- a/src/wire/schemas.ts
+++ b/src/wire/schemas.ts
@@ -1,4 +1,4 @@
-import type { Condition, Write } from '@sumacstep/duties';
+import type { Guard, Write } from '@sumacstep/duties';
 import * as z from 'zod';
 import { NAME_LIMIT, TASKS_LIMIT } from '../constants.js';
 import type {
@@ -7,7 +7,7 @@
   JobSpec,
   MachineType,
   Priority,
-  Report,
+  Heartbeat,
   ReportedTask,
   TaskState,
 } from '../core/model.js';
@@ -125,16 +125,16 @@
     WarningS: z.number().nullish(),
     Pieces: z.array(reportedTask).nullish(),
   })
-  .transform((r): Report => ({
+  .transform((r): Heartbeat => ({
     machine: r.Host,
     address: r.Address,
     type: r.Hosttype,
     zone: r.Site,
     spot: r.Reclaimable,
-    session: r.Tenure,
+    agentEpoch: r.Tenure,
     counter: r.Counter,
-    token: r.Mandate,
-    noticeS: r.WarningS ?? null,
+    fencingToken: r.Mandate,
+    preemptionNoticeS: r.WarningS ?? null,
     tasks: (r.Pieces ?? []).map(toTask),
   }));
 
@@ -151,9 +151,9 @@
 });
 export const commandsBody = (
   token: number,
-  session: number,
+  agentEpoch: number,
   commands: readonly Command[],
-): unknown => ({ Mandate: token, Tenure: session, Orders: commands.map(order) });
+): unknown => ({ Mandate: token, Tenure: agentEpoch, Orders: commands.map(order) });
 export const redirectBody = (node: string | null): unknown =>
   node === null ? {} : { ReportsTo: node };
 
@@ -277,9 +277,9 @@
   ),
 });
 
-export type { Condition, Write };
-export const transactionBody = (when: readonly Condition[], writes: readonly Write[]): unknown => ({
-  When: when.map((c) => ({ K: c.key, Stamp: c.revision })),
+export type { Guard, Write };
+export const transactionBody = (guards: readonly Guard[], writes: readonly Write[]): unknown => ({
+  When: guards.map((c) => ({ K: c.key, Stamp: c.revision })),
   Writes: writes.map((w) => {
     if ('drop' in w) return { Drop: w.drop };
     if (w.lease === undefined) return { Put: w.put, Value: w.value };
--- a/src/workers/heartbeats.ts
+++ b/src/workers/heartbeats.ts
@@ -1,12 +1,16 @@
 import type Koa from 'koa';
-import type { Command, Report } from '../core/model.js';
-import { CborClient, NoAnswer, readBody, reply as send } from '../transport/http.js';
+import type { Command, Heartbeat } from '../core/model.js';
+import { CborClient, NoResponseError, readBody, reply as send } from '../transport/http.js';
 import { fromBytes, WireError } from '../wire/cbor.js';
 import { answerBody, commandsBody, redirectBody, report as reportSchema } from '../wire/schemas.js';
 import { COMMAND_MS } from '../constants.js';
 
 export type HeartbeatReply =
-  | { readonly kind: 'answer'; readonly token: number; readonly commands: readonly Command[] }
+  | {
+      readonly kind: 'answer';
+      readonly fencingToken: number;
+      readonly commands: readonly Command[];
+    }
   | { readonly kind: 'redirect'; readonly node: string | null }
   | { readonly kind: 'unavailable' };
 
@@ -16,7 +20,10 @@
  * what they say would take the time that the start needs.
  */
 export const workerRoutes =
-  (beat: (report: Report) => HeartbeatReply, open: () => boolean): Koa.Middleware =>
+  (
+    handleHeartbeat: (heartbeat: Heartbeat) => HeartbeatReply,
+    open: () => boolean,
+  ): Koa.Middleware =>
   async (ctx, next) => {
     if (ctx.path !== '/agent/beat' || ctx.method !== 'POST') return next();
     if (!open()) {
@@ -32,15 +39,15 @@
       parsed = null;
     }
     if (parsed === null || !parsed.success) return send(ctx, 400, { error: 'no report' });
-    const reply = beat(parsed.data);
-    if (reply.kind === 'answer') send(ctx, 200, answerBody(reply.token, reply.commands));
+    const reply = handleHeartbeat(parsed.data);
+    if (reply.kind === 'answer') send(ctx, 200, answerBody(reply.fencingToken, reply.commands));
     else if (reply.kind === 'redirect') send(ctx, 421, redirectBody(reply.node));
     else send(ctx, 503, { error: 'not now' });
   };
 
 export type DirectResult =
   /** the worker answered */
-  | { readonly kind: 'answered'; readonly executed: boolean; readonly report: Report }
+  | { readonly kind: 'answered'; readonly executed: boolean; readonly heartbeat: Heartbeat }
   /** no connection came about: a worker never gets to see it */
   | { readonly kind: 'not_sent' }
   /** no answer: it may be carried out, even minutes later */
@@ -49,19 +56,19 @@
 /** Commands sent to a worker directly, over a connection of their own. */
 export const sendDirect = async (
   address: string,
-  token: number,
-  session: number,
+  fencingToken: number,
+  agentEpoch: number,
   commands: readonly Command[],
 ): Promise<DirectResult> => {
   const client = new CborClient(address, 1);
   try {
-    const body = commandsBody(token, session, commands);
+    const body = commandsBody(fencingToken, agentEpoch, commands);
     const answer = await client.call('POST', '/commands', body, COMMAND_MS);
     const parsed = reportSchema.safeParse(answer.body);
     if (!parsed.success) return { kind: 'in_doubt' };
-    return { kind: 'answered', executed: answer.status === 200, report: parsed.data };
+    return { kind: 'answered', executed: answer.status === 200, heartbeat: parsed.data };
   } catch (error) {
-    const unsent = error instanceof NoAnswer && !error.connected;
+    const unsent = error instanceof NoResponseError && !error.connected;
     return { kind: unsent ? 'not_sent' : 'in_doubt' };
   } finally {
     client.close();
--- a/test/budget.test.ts
+++ b/test/budget.test.ts
@@ -7,17 +7,17 @@
 import { HELD_READ_MS, MACHINES_MS, PROGRESS_MS, SAVE_MS } from '../src/constants.js';
 import { MachineRecords } from '../src/shards/machine-records.js';
 import { encodeDone } from '../src/core/jobs/jobs.js';
-import { StateTrouble, type Outcome } from '../src/store/store-client.js';
+import { StoreRequestError, type CompareAndSwapResult } from '../src/store/store-client.js';
 import { LinearizableReads } from '../src/store/linearizable-reads.js';
 import { encodeActive, encodeGroup } from '../src/store/keys.js';
 import { WatchCache } from '../src/store/watch-cache.js';
-import type { Condition, Write } from '../src/wire/schemas.js';
+import type { Guard, Write } from '../src/wire/schemas.js';
 import { job, machine, ownedShard, shardWith, Store } from './helpers.js';
 import { FakeWorker, World } from './standins/worker.js';
 
 /** What the state service is asked for, and how much of it: its limits are small and shared. */
 const CONFIG = {
-  stateLimits: { rps: 100, writeRps: 100, valueBytes: 8192, transactionOps: 8 },
+  storeLimits: { rps: 100, writeRps: 100, valueBytes: 8192, transactionOps: 8 },
 } as unknown as PlatformConfig;
 const LOG = pino({ level: 'silent' });
 
@@ -26,7 +26,11 @@
   const written: (readonly Write[])[] = [];
   let epoch = 10;
   const client = {
-    transact: (_c: unknown, _w: unknown, writes: readonly Write[]): Promise<Outcome> => {
+    compareAndSwap: (
+      _c: unknown,
+      _w: unknown,
+      writes: readonly Write[],
+    ): Promise<CompareAndSwapResult> => {
       written.push(writes);
       epoch += 1;
       return Promise.resolve({ ok: true, epoch });
@@ -53,9 +57,9 @@
   const shard = shardWith(store);
   for (const n of names) {
     const w = new FakeWorker(n, new World(), 1000, 18_000, 0);
-    shard.beat(w.report(), 0, true);
+    shard.handleHeartbeat(w.heartbeat(), 0, true);
     w.direct(1, 1, []);
-    shard.inspected(w.report(), 1);
+    shard.handleCommandStatus(w.heartbeat(), 1);
   }
   let now = 1000;
   const records = new MachineRecords(
@@ -157,8 +161,8 @@
   const cache = new WatchCache();
   const values = new Map<string, { value: unknown; revision: number }>();
   let epoch = 10;
-  const run = (when: readonly Condition[], writes: readonly Write[]): Outcome => {
-    const failed = when.filter((c) => (values.get(c.key)?.revision ?? 0) !== c.revision);
+  const run = (guards: readonly Guard[], writes: readonly Write[]): CompareAndSwapResult => {
+    const failed = guards.filter((c) => (values.get(c.key)?.revision ?? 0) !== c.revision);
     if (failed.length > 0) return { ok: false, failed: failed.map((c) => c.key) };
     epoch += 1;
     for (const w of writes) {
@@ -171,13 +175,13 @@
     const changes = [...values].map(([key, v]) => ({ key, ...v, removed: false }));
     cache.apply({ fresh: false, epoch, changes });
   };
-  const lost: (() => Outcome)[] = [];
+  const lost: (() => CompareAndSwapResult)[] = [];
   let losing = false;
   const client = {
-    transact: (_c: unknown, when: readonly Condition[], writes: readonly Write[]) => {
-      if (!losing) return Promise.resolve(run(when, writes));
-      lost.push(() => run(when, writes));
-      return Promise.reject(new StateTrouble('no_answer', 'lost'));
+    compareAndSwap: (_c: unknown, guards: readonly Guard[], writes: readonly Write[]) => {
+      if (!losing) return Promise.resolve(run(guards, writes));
+      lost.push(() => run(guards, writes));
+      return Promise.reject(new StoreRequestError('no_answer', 'lost'));
     },
   };
   const record = job({ tasks: 3 });
@@ -218,12 +222,12 @@
 });
 
 test('a machine that nobody recorded is adopted only when no hire can still record it', async () => {
-  const hire = { type: 'm', zone: 'z', spot: true, count: 1 };
+  const rental = { type: 'm', zone: 'z', spot: true, count: 1 };
   const group = { shard: 1, term: 1, type: 'm', zone: 'z', spot: true };
   const cases: [string, [string, unknown][], boolean][] = [
     ['nothing else', [], true],
-    ['a hire of its kind is open', [['hires/1/n-1', hire]], false],
-    ['a hire of another kind is open', [['hires/1/n-1', { ...hire, zone: 'y' }]], true],
+    ['a hire of its kind is open', [['hires/1/n-1', rental]], false],
+    ['a hire of another kind is open', [['hires/1/n-1', { ...rental, zone: 'y' }]], true],
     [
       'the hire has recorded it just now',
       [['machines/n-1', encodeGroup({ ...group, hosts: new Map([['x', false]]) })]],
--- a/test/cancellations.test.ts
+++ b/test/cancellations.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { TOLD_MOST } from '../src/constants.js';
+import { GOSSIPED_CANCELLATIONS_LIMIT } from '../src/constants.js';
 import {
   CancellationReceiver,
   renewableMs,
@@ -33,10 +33,10 @@
 
 test('a broadcaster that had to leave one out says so for as long as it matters', () => {
   const t = new CancellationBroadcast(['b'], CANCEL_MS);
-  for (let n = 0; n < TOLD_MOST; n++) t.learned(cancellation(n), 0);
+  for (let n = 0; n < GOSSIPED_CANCELLATIONS_LIMIT; n++) t.learned(cancellation(n), 0);
   assert.equal(t.complete(0), true);
-  t.learned(cancellation(TOLD_MOST), 5);
-  assert.equal(t.tell(6).length, TOLD_MOST);
+  t.learned(cancellation(GOSSIPED_CANCELLATIONS_LIMIT), 5);
+  assert.equal(t.tell(6).length, GOSSIPED_CANCELLATIONS_LIMIT);
   assert.equal(t.complete(6), false);
   assert.equal(t.complete(5 + 2 * CANCEL_MS + 1), true);
 });
--- a/test/candidates.test.ts
+++ b/test/candidates.test.ts
@@ -26,9 +26,9 @@
   const shard = shardWith(store);
   for (const n of names) {
     const w = new FakeWorker(n, new World(), 1e6, LEASE_MS, 0);
-    shard.beat(w.report(), 0, false);
+    shard.handleHeartbeat(w.heartbeat(), 0, false);
     w.direct(1, 1, []);
-    shard.inspected(w.report(), 1);
+    shard.handleCommandStatus(w.heartbeat(), 1);
     for (const image of ['i', 'k']) {
       if (random(3) === 0) shard.machines.get(n)!.images.set(image, 1);
     }
@@ -84,9 +84,9 @@
     const shard = shardWith(store, 1, { preempt });
     for (const n of ['a', 'b']) {
       const w = new FakeWorker(n, new World(), 1e6, LEASE_MS, 0);
-      shard.beat(w.report(), 0, false);
+      shard.handleHeartbeat(w.heartbeat(), 0, false);
       w.direct(1, 1, []);
-      shard.inspected(w.report(), 1);
+      shard.handleCommandStatus(w.heartbeat(), 1);
     }
     shard.placeAll(2);
     return shard;
--- a/test/capacity.test.ts
+++ b/test/capacity.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { BOOT_GIVE_UP } from '../src/constants.js';
 import { planCapacity, type CapacityInput } from '../src/core/capacity/capacity-planner.js';
-import { Learning } from '../src/core/capacity/workload-statistics.js';
+import { WorkloadStatistics } from '../src/core/capacity/workload-statistics.js';
 import { isUrgent, wantedMachines } from '../src/core/capacity/wanted-machines.js';
 import { job, LEASE_MS, machine, machineType, shardWith, spec, Store } from './helpers.js';
 import { FakeWorker, World } from './standins/worker.js';
@@ -30,7 +30,7 @@
 });
 const rented = (i: CapacityInput) =>
   planCapacity(i)
-    .rent.map((w) => `${w.count} ${w.spot ? 'spot' : 'ordinary'} ${w.zone}`)
+    .rentals.map((w) => `${w.count} ${w.spot ? 'spot' : 'ordinary'} ${w.zone}`)
     .sort();
 
 test('renting: table', () => {
@@ -110,28 +110,28 @@
   const i = input(store);
   for (const name of ['idle', 'lost']) {
     const w = new FakeWorker(name, new World(), 1000, 18_000, 0);
-    i.shard.beat(w.report(), 0, true);
+    i.shard.handleHeartbeat(w.heartbeat(), 0, true);
     w.token = 1;
-    i.shard.beat(w.report(), 500, true);
+    i.shard.handleHeartbeat(w.heartbeat(), 500, true);
     for (let t = 3000; name === 'idle' && t <= 120_000; t += 3000)
-      i.shard.beat(w.report(), t, true);
+      i.shard.handleHeartbeat(w.heartbeat(), t, true);
   }
   const reasons = (now: number) =>
-    planCapacity({ ...i, now }).giveBack.map((g) => `${g.name}: ${g.reason}`);
+    planCapacity({ ...i, now }).returns.map((g) => `${g.name}: ${g.reason}`);
   assert.deepEqual(reasons(5000), [], 'not yet');
   assert.deepEqual(reasons(20_000), ['lost: silent', 'idle: idle']);
   assert.deepEqual(reasons(120_000), ['lost: silent', 'new: never came up', 'idle: idle']);
 });
 
 test('learning: rates and run times by class', () => {
-  const learning = new Learning();
-  for (let n = 0; n < 15; n++) learning.arrived(spec({ uid: `job-${n}`, tasks: 2 }), n * 10);
-  learning.arrived(spec({ uid: 'job-3', tasks: 2 }), 30);
-  const before = learning.stats(150).get('c');
+  const workload = new WorkloadStatistics();
+  for (let n = 0; n < 15; n++) workload.arrived(spec({ uid: `job-${n}`, tasks: 2 }), n * 10);
+  workload.arrived(spec({ uid: 'job-3', tasks: 2 }), 30);
+  const before = workload.stats(150).get('c');
   assert.equal(before?.tasksPerS, 0.2, 'a job counts once');
   assert.equal(before?.runS, 10, 'only the guess is known');
-  for (let n = 0; n < 40; n++) learning.ran('c', 30);
-  assert.equal(learning.stats(150).get('c')?.runS, 30, 'measured times replace wrong guesses');
+  for (let n = 0; n < 40; n++) workload.ran('c', 30);
+  assert.equal(workload.stats(150).get('c')?.runS, 30, 'measured times replace wrong guesses');
 });
 
 test('machines that boot late or never: nothing is rented twice for them, each is replaced in its time', () => {
@@ -142,7 +142,7 @@
   const shard = shardWith(store);
   const plan = (now: number, pending: CapacityInput['pending'] = []) =>
     planCapacity(input(store, { shard, now, pending }));
-  const asked = (now: number) => plan(now).rent.reduce((sum, wish) => sum + wish.count, 0);
+  const asked = (now: number) => plan(now).rentals.reduce((sum, wish) => sum + wish.count, 0);
   for (const times of [0, 1, 1.5, 2]) {
     assert.equal(asked(times * BOOT_MS), 0, `after ${times} times the boot time they may come`);
   }
@@ -150,18 +150,18 @@
   const late = 2.1 * BOOT_MS;
   for (const n of names.slice(0, 10)) {
     const w = new FakeWorker(n, new World(), 1e6, LEASE_MS, late);
-    shard.beat(w.report(), late, false);
+    shard.handleHeartbeat(w.heartbeat(), late, false);
     w.direct(1, 1, []);
-    shard.inspected(w.report(), late);
+    shard.handleCommandStatus(w.heartbeat(), late);
   }
   const over = (BOOT_GIVE_UP + 0.01) * BOOT_MS;
-  const { rent, giveBack } = plan(over);
+  const { rentals: rent, returns: returns } = plan(over);
   assert.deepEqual(
-    giveBack.map((g) => `${g.name} ${g.reason}`),
+    returns.map((g) => `${g.name} ${g.reason}`),
     names.slice(10).map((n) => `${n} never came up`),
   );
   const count = rent.reduce((sum, wish) => sum + wish.count, 0);
   assert.equal(count, 10, 'one for each that did not come');
-  for (const { name } of giveBack) shard.machines.get(name)!.returning = true;
-  assert.deepEqual(plan(over, rent).rent, [], 'not again while they are asked for');
+  for (const { name } of returns) shard.machines.get(name)!.terminating = true;
+  assert.deepEqual(plan(over, rent).rentals, [], 'not again while they are asked for');
 });
--- a/test/combined-faults.test.ts
+++ b/test/combined-faults.test.ts
@@ -346,13 +346,13 @@
     meet: async (c) => {
       await c.until('machines of every shard have work', 10, () => c.world.started >= 12);
       const busy = c.hosts().filter((h) => h.worker.tasks.size > 0);
-      const sessions = busy.map((h) => h.worker.session);
+      const sessions = busy.map((h) => h.worker.agentEpoch);
       for (const h of c.hosts()) h.cutFrom = 'n0';
       await c.pass(10);
       for (const h of busy) {
         assert.ok([...c.cloud.machines.values()].includes(h), `${h.worker.name} was returned`);
       }
-      const after = busy.map((h) => h.worker.session);
+      const after = busy.map((h) => h.worker.agentEpoch);
       assert.deepEqual(after, sessions, 'no lease ran out');
       for (const h of c.hosts()) h.cutFrom = null;
     },
--- a/test/failing-jobs.test.ts
+++ b/test/failing-jobs.test.ts
@@ -2,13 +2,13 @@
 import { test } from 'node:test';
 import { planCapacity, type CapacityInput } from '../src/core/capacity/capacity-planner.js';
 import type { Shard } from '../src/core/shard/shard.js';
-import type { JobSpec, Report } from '../src/core/model.js';
+import type { JobSpec, Heartbeat } from '../src/core/model.js';
 import { wantedMachines } from '../src/core/capacity/wanted-machines.js';
 import { job, machine, machineType, shardWith, Store } from './helpers.js';
 
 /**
  * Jobs that were submitted with a mistake fail on every machine until their users cancel them
- * (docs/incidents/2026-12-02-faulty-jobs.md). No healthy machine is condemned for them, they take little
+ * (docs/incidents/2026-12-02-faulty-jobs.md). No healthy machine is quarantined for them, they take little
  * room, and a machine that is really faulty is still found among them.
  */
 
@@ -28,7 +28,7 @@
 class Fleet {
   readonly store = new Store();
   readonly shard: Shard;
-  readonly condemned = new Set<string>();
+  readonly quarantined = new Set<string>();
   /** starts by job */
   readonly starts = new Map<string, number>();
   readonly done = new Map<string, number>();
@@ -58,13 +58,13 @@
       this.shard.placeAll(this.now);
       for (const name of this.store.machines.keys()) this.#beat(name);
       for (const m of this.shard.machines.values()) {
-        if (m.condemned) this.condemned.add(m.record.name);
+        if (m.quarantined) this.quarantined.add(m.record.name);
       }
     }
   }
 
   #beat(name: string): void {
-    const result = this.shard.beat(this.#report(name), this.now, true);
+    const result = this.shard.handleHeartbeat(this.#heartbeat(name), this.now, true);
     if (result.kind !== 'answer') return;
     let tasks = this.#tasks.get(name) ?? [];
     for (const c of result.commands) {
@@ -82,7 +82,7 @@
     this.#tasks.set(name, tasks);
   }
 
-  #report(name: string): Report {
+  #heartbeat(name: string): Heartbeat {
     const counter = (this.#counters.get(name) ?? 0) + 1;
     this.#counters.set(name, counter);
     const tasks = (this.#tasks.get(name) ?? []).map((t) => {
@@ -98,10 +98,10 @@
       type: 'm',
       zone: 'z',
       spot: false,
-      session: 1,
+      agentEpoch: 1,
       counter,
-      token: counter > 1 ? 1 : 0,
-      noticeS: null,
+      fencingToken: counter > 1 ? 1 : 0,
+      preemptionNoticeS: null,
       tasks,
     };
   }
@@ -129,7 +129,7 @@
   now: fleet.now,
 });
 
-test('no healthy machine is condemned for faulty jobs, faulty machines are found: table', () => {
+test('no healthy machine is quarantined for faulty jobs, faulty machines are found: table', () => {
   const cases: { name: string; faulty: string[]; broken: number }[] = [
     { name: 'faulty jobs alone', faulty: [], broken: 6 },
     { name: 'one faulty machine among them', faulty: ['m003'], broken: 6 },
@@ -147,7 +147,7 @@
       for (let k = 0; k < 5; k++) fleet.submit({ uid: `job-${i}${k}`, tasks: 4 });
       fleet.run((i + 1) * 20_000);
     }
-    assert.deepEqual([...fleet.condemned].sort(), faulty, name);
+    assert.deepEqual([...fleet.quarantined].sort(), faulty, name);
   }
 });
 
@@ -185,7 +185,7 @@
   assert.deepEqual(wanted.get('m'), { ordinary: 0, spot: 0, instead: 0 });
 });
 
-test('a machine stays condemned while older tasks complete there and other ones fail: any order', () => {
+test('a machine stays quarantined while older tasks complete there and other ones fail: any order', () => {
   const small = { demand: { cpus: 1, gpus: 0, memoryGb: 1 } };
   for (let offset = 2000; offset <= 6000; offset += STEP_MS) {
     const fleet = new Fleet(1, new Set(), new Set(['job-20', 'job-21', 'job-22']));
@@ -198,7 +198,7 @@
     const verdicts: boolean[] = [];
     for (let at = fleet.now + STEP_MS; at < 2 * RUN_MS; at += STEP_MS) {
       fleet.run(at);
-      verdicts.push(m.condemned);
+      verdicts.push(m.quarantined);
     }
     assert.equal(fleet.completed('job-10'), 1);
     const first = verdicts.indexOf(true);
@@ -207,7 +207,7 @@
   }
 });
 
-test('a machine in use that was condemned for jobs that turn out faulty is used again', () => {
+test('a machine in use that was quarantined for jobs that turn out faulty is used again', () => {
   const faulty = new Set(['job-90', 'job-91']);
   const fleet = new Fleet(1, new Set(), faulty);
   fleet.submit({ uid: 'job-10', demand: { cpus: 1, gpus: 0, memoryGb: 1 } });
@@ -216,9 +216,12 @@
   fleet.run(12_000);
   const m = fleet.shard.machines.get('m000')!;
   planCapacity(capacityInput(fleet));
-  assert.ok(m.condemned && m.leaving, 'two jobs failed there, and there is no other machine yet');
+  assert.ok(
+    m.quarantined && m.draining,
+    'two jobs failed there, and there is no other machine yet',
+  );
   for (let i = 1; i < 4; i++) fleet.store.add(machine(`m00${i}`));
   fleet.shard.sync(fleet.store, fleet.now);
   fleet.run(25_000);
-  assert.ok(!m.condemned && !m.leaving, 'they fail elsewhere, too');
+  assert.ok(!m.quarantined && !m.draining, 'they fail elsewhere, too');
 });
--- a/test/heartbeats.test.ts
+++ b/test/heartbeats.test.ts
@@ -3,11 +3,11 @@
 import type { AddressInfo } from 'node:net';
 import { test } from 'node:test';
 import Koa from 'koa';
-import type { Report } from '../src/core/model.js';
+import type { Heartbeat } from '../src/core/model.js';
 import { CborClient } from '../src/transport/http.js';
 import { workerRoutes, type HeartbeatReply } from '../src/workers/heartbeats.js';
 
-const REPORT = {
+const HEARTBEAT = {
   Host: 'a',
   Address: 'a:1',
   Hosttype: 'm',
@@ -35,8 +35,8 @@
   {
     name: 'the owner answers with its term and orders',
     open: true,
-    body: REPORT,
-    reply: { kind: 'answer', token: 8, commands: [{ op: 'forget', ...TASK }] },
+    body: HEARTBEAT,
+    reply: { kind: 'answer', fencingToken: 8, commands: [{ op: 'forget', ...TASK }] },
     status: 200,
     answer: { Mandate: 8, Orders: [{ Verb: 'reap', Piece: 'job-000001/3', Try: 9 }] },
     read: true,
@@ -44,7 +44,7 @@
   {
     name: 'another node names the owner',
     open: true,
-    body: REPORT,
+    body: HEARTBEAT,
     reply: { kind: 'redirect', node: 'n2' },
     status: 421,
     answer: { ReportsTo: 'n2' },
@@ -53,7 +53,7 @@
   {
     name: 'a node that does not know the owner',
     open: true,
-    body: REPORT,
+    body: HEARTBEAT,
     reply: { kind: 'unavailable' },
     status: 503,
     answer: { error: 'not now' },
@@ -62,8 +62,8 @@
   {
     name: 'a node that has just started turns reports away unread',
     open: false,
-    body: REPORT,
-    reply: { kind: 'answer', token: 8, commands: [] },
+    body: HEARTBEAT,
+    reply: { kind: 'answer', fencingToken: 8, commands: [] },
     status: 503,
     answer: { error: 'not now' },
     read: false,
@@ -71,8 +71,8 @@
   {
     name: 'a report without its task number',
     open: true,
-    body: { ...REPORT, Pieces: [{ Piece: 'job-000001', Try: 9, Status: 'running' }] },
-    reply: { kind: 'answer', token: 8, commands: [] },
+    body: { ...HEARTBEAT, Pieces: [{ Piece: 'job-000001', Try: 9, Status: 'running' }] },
+    reply: { kind: 'answer', fencingToken: 8, commands: [] },
     status: 400,
     answer: { error: 'no report' },
     read: false,
@@ -81,7 +81,7 @@
     name: 'no report at all',
     open: true,
     body: ['x'],
-    reply: { kind: 'answer', token: 8, commands: [] },
+    reply: { kind: 'answer', fencingToken: 8, commands: [] },
     status: 400,
     answer: { error: 'no report' },
     read: false,
@@ -90,12 +90,12 @@
 
 for (const c of CASES) {
   test(`a report: ${c.name}`, async () => {
-    const seen: Report[] = [];
+    const seen: Heartbeat[] = [];
     const app = new Koa();
     app.use(
       workerRoutes(
-        (report) => {
-          seen.push(report);
+        (heartbeat) => {
+          seen.push(heartbeat);
           return c.reply;
         },
         () => c.open,
--- a/test/helpers.ts
+++ b/test/helpers.ts
@@ -59,7 +59,7 @@
 export const LEASE_MS = 18_000;
 
 export const settings = (over: Partial<ShardSettings> = {}): ShardSettings => ({
-  reportMs: 3000,
+  heartbeatIntervalMs: 3000,
   leaseMs: LEASE_MS,
   cancelMs: 38_000,
   teams: new Map<string, Team>([
@@ -69,7 +69,7 @@
   ]),
   types: new Map([['m', machineType()]]),
   preempt: true,
-  startWithin: () => [],
+  startObjectives: () => [],
   imagesOf: () => new Map(),
   ...over,
 });
--- a/test/machine-faults.test.ts
+++ b/test/machine-faults.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { planCapacity, type CapacityInput } from '../src/core/capacity/capacity-planner.js';
-import type { Command, Report } from '../src/core/model.js';
+import type { Command, Heartbeat } from '../src/core/model.js';
 import type { Shard } from '../src/core/shard/shard.js';
 import { job, LEASE_MS, machine, machineType, shardWith, settings, Store } from './helpers.js';
 import { CANCEL_MS, FakeWorker, World } from './standins/worker.js';
 
 const RUN_MS = 20_000;
-const REPORT_MS = settings().reportMs;
+const HEARTBEAT_MS = settings().heartbeatIntervalMs;
 
 /** What the shard would give back to the cloud now. */
 const returns = (shard: Shard, now: number): string[] => {
@@ -28,7 +28,7 @@
     machinesMost: 100,
     now,
   };
-  return planCapacity(input).giveBack.map((g) => g.name);
+  return planCapacity(input).returns.map((g) => g.name);
 };
 
 /** A report and its answer, which reaches the worker or not. */
@@ -36,10 +36,10 @@
   w.advance(now);
   shard.age(now);
   shard.placeAll(now);
-  const r = w.report();
-  const result = shard.beat(r, now, true);
+  const r = w.heartbeat();
+  const result = shard.handleHeartbeat(r, now, true);
   if (result.kind !== 'answer') return [];
-  if (hears) w.answered(shard.term, result.commands, now, r.session);
+  if (hears) w.answered(shard.term, result.commands, now, r.agentEpoch);
   return result.commands;
 };
 const runsOn = (world: World, task: string): string[] => [...(world.on.get(task) ?? [])];
@@ -55,25 +55,28 @@
     const a = new FakeWorker('a', world, RUN_MS, LEASE_MS, 0);
     const b = new FakeWorker('b', world, RUN_MS, LEASE_MS, 0);
     beat(shard, a, 0);
-    shard.inspected(a.report(), 100);
+    shard.handleCommandStatus(a.heartbeat(), 100);
     if (direct) {
       shard.placeAll(200);
       assert.equal(shard.directCommands(200).length, 1, name);
     }
     beat(shard, b, 300);
-    let now = REPORT_MS;
-    for (; now < 2 * LEASE_MS && runsOn(world, 'job-000001/0').length === 0; now += REPORT_MS) {
+    let now = HEARTBEAT_MS;
+    for (; now < 2 * LEASE_MS && runsOn(world, 'job-000001/0').length === 0; now += HEARTBEAT_MS) {
       beat(shard, a, now, false);
       if (returns(shard, now).includes('a')) {
         a.vanish();
-        shard.machineGone('a', now);
+        shard.removeMachine('a', now);
       }
       beat(shard, b, now + 1);
       beat(shard, b, now + 600);
     }
     assert.deepEqual(runsOn(world, 'job-000001/0'), ['b'], `${name}: it runs where orders arrive`);
-    assert.ok(now <= 8 * REPORT_MS, `${name}: after ${now} ms`);
-    assert.ok(!shard.machines.has('a') || shard.machines.get('a')!.ignoringSince !== null, name);
+    assert.ok(now <= 8 * HEARTBEAT_MS, `${name}: after ${now} ms`);
+    assert.ok(
+      !shard.machines.has('a') || shard.machines.get('a')!.commandsLostSince !== null,
+      name,
+    );
     assert.deepEqual(world.broken, [], name);
   }
 });
@@ -83,11 +86,11 @@
   const shard = shardWith(new Store().add(machine('a'), job()));
   const a = new FakeWorker('a', world, RUN_MS, LEASE_MS, 0);
   beat(shard, a, 0);
-  beat(shard, a, REPORT_MS, false);
-  beat(shard, a, 2 * REPORT_MS);
-  beat(shard, a, 3 * REPORT_MS);
+  beat(shard, a, HEARTBEAT_MS, false);
+  beat(shard, a, 2 * HEARTBEAT_MS);
+  beat(shard, a, 3 * HEARTBEAT_MS);
   assert.deepEqual(runsOn(world, 'job-000001/0'), ['a']);
-  assert.deepEqual(returns(shard, 6 * REPORT_MS), []);
+  assert.deepEqual(returns(shard, 6 * HEARTBEAT_MS), []);
 });
 
 test('a cancelled task on a machine that does not obey is gone in time: the machine is returned', () => {
@@ -105,7 +108,7 @@
   let now = 1000;
   while (!returns(shard, now).includes('a')) {
     beat(shard, a, now, false);
-    now += REPORT_MS;
+    now += HEARTBEAT_MS;
     assert.ok(now < 1000 + CANCEL_MS, 'too late for the cloud to answer in time');
   }
   assert.ok(now < 1000 + 0.75 * CANCEL_MS, `given back after ${now} ms`);
@@ -117,7 +120,14 @@
     const m = shard.machines.get('a');
     const j = shard.jobs.get('job-000001');
     return {
-      machine: m && [m.session, m.counter, m.lastHeartbeatAt, m.answeredAt, m.known, m.foreign],
+      machine: m && [
+        m.agentEpoch,
+        m.lastStatusCounter,
+        m.lastStatusAt,
+        m.leaseRenewedAt,
+        m.known,
+        m.unknownTasks,
+      ],
       tasks: m && [...m.tasks.keys()],
       job: j && [j.waiting.length, [...j.placed.keys()], [...j.saved], [...j.unsaved], j.failures],
     };
@@ -127,10 +137,10 @@
     const store = new Store().add(machine('a'), job());
     const shard = shardWith(store);
     const a = new FakeWorker('a', world, RUN_MS, LEASE_MS, 0);
-    const sent: Report[] = [];
+    const sent: Heartbeat[] = [];
     const say = (now: number) => {
       beat(shard, a, now);
-      sent.push({ ...a.report(), counter: a.counter - 1 });
+      sent.push({ ...a.heartbeat(), counter: a.counter - 1 });
     };
     return { world, store, shard: shard, a, sent, say };
   };
@@ -161,7 +171,7 @@
       (s) => s.shard,
       (s) => {
         s.a.vanish();
-        s.shard.machineGone('a', 2000);
+        s.shard.removeMachine('a', 2000);
       },
     ],
   ];
@@ -173,7 +183,8 @@
     const shard = owner(s);
     const before = knows(shard);
     const at = 20 * LEASE_MS;
-    for (const c of copies) assert.notEqual(shard.beat(c, at, true).kind, 'answer', name);
+    for (const c of copies)
+      assert.notEqual(shard.handleHeartbeat(c, at, true).kind, 'answer', name);
     assert.deepEqual(knows(shard), before, name);
     assert.deepEqual(s.world.broken, [], name);
   }
@@ -186,13 +197,13 @@
   const a = new FakeWorker('a', world, RUN_MS, LEASE_MS, 0);
   const b = new FakeWorker('b', world, RUN_MS, LEASE_MS, 0);
   beat(old, a, 0);
-  const idle = a.report();
+  const idle = a.heartbeat();
   beat(old, a, 600);
   assert.deepEqual(runsOn(world, 'job-000001/0'), ['a']);
   const shard = shardWith(store, 2, {}, 1000);
   beat(shard, b, 1000);
   beat(shard, b, 1600);
-  shard.beat(idle, 1700, true);
+  shard.handleHeartbeat(idle, 1700, true);
   assert.equal(shard.rebuilt, false, 'it was made before our term');
   beat(shard, b, 2200);
   assert.deepEqual(runsOn(world, 'job-000001/0'), ['a']);
@@ -220,7 +231,7 @@
     const store = new Store();
     const names = ['a', 'b', 'c', 'd', 'e'];
     for (const n of names) store.add(machine(n));
-    const shard = shardWith(store, 1, { startWithin: () => [10] });
+    const shard = shardWith(store, 1, { startObjectives: () => [10] });
     const ws = names.map((n) => new FakeWorker(n, world, RUN_MS, LEASE_MS, 0));
     let small = 100;
     const started = new Set<string>();
@@ -260,9 +271,9 @@
   );
   const shard = shardWith(store);
   const ws = ['a', 'b'].map((n) => new FakeWorker(n, new World(), RUN_MS, LEASE_MS, 0));
-  for (const w of ws) shard.beat(w.report(), 0, true);
+  for (const w of ws) shard.handleHeartbeat(w.heartbeat(), 0, true);
   for (const w of ws) w.direct(shard.term, 1, []);
-  for (const w of ws) shard.inspected(w.report(), 100);
+  for (const w of ws) shard.handleCommandStatus(w.heartbeat(), 100);
   shard.placeAll(200);
   const [first] = [...shard.jobs.get('job-000001')!.placed.values()];
   shard.requestStop(first!, 3, 300);
@@ -273,7 +284,7 @@
   const store = new Store().add(machine('a'));
   // Room for one job at a time; the aims are 60 s and 300 s after acceptance.
   const whole = { cpus: 8, gpus: 2, memoryGb: 8 };
-  const shard = shardWith(store, 1, { startWithin: () => [60, 300] });
+  const shard = shardWith(store, 1, { startObjectives: () => [60, 300] });
   store.add(job({ uid: 'job-000001', demand: whole }));
   shard.sync(store, 0);
   for (const seconds of [100, 110, 120]) {
@@ -299,7 +310,7 @@
   for (const t of [0, 600, 1200]) for (const w of [a, b]) beat(shard, w, t);
   assert.equal(shard.jobs.get('job-000001')?.placed.size, 4);
   a.noticeS = 10;
-  shard.beat(a.report(), 2000, true);
+  shard.handleHeartbeat(a.heartbeat(), 2000, true);
   const told = shard.directCommands(2000).flatMap((d) => d.commands);
   assert.equal(told.filter((c) => c.op === 'stop' && c.graceS >= 2).length, 4, 'also on machine b');
 });
@@ -313,11 +324,11 @@
   const answers = (now: number) => {
     a.advance(now);
     shard.age(now);
-    shard.inspected(a.report(), now);
+    shard.handleCommandStatus(a.heartbeat(), now);
   };
-  for (let now = REPORT_MS; now <= 4 * REPORT_MS; now += REPORT_MS) answers(now);
-  assert.deepEqual(returns(shard, 4 * REPORT_MS), [], 'a few reports may be lost');
-  const now = 5 * REPORT_MS;
+  for (let now = HEARTBEAT_MS; now <= 4 * HEARTBEAT_MS; now += HEARTBEAT_MS) answers(now);
+  assert.deepEqual(returns(shard, 4 * HEARTBEAT_MS), [], 'a few reports may be lost');
+  const now = 5 * HEARTBEAT_MS;
   answers(now);
   assert.ok(returns(shard, now).includes('a'));
   assert.equal(shard.isFresh(shard.machines.get('a')!, now), false);
@@ -330,13 +341,13 @@
     const shard = shardWith(store);
     const a = new FakeWorker('a', world, 10 * LEASE_MS, LEASE_MS, 0);
     const b = new FakeWorker('b', world, 10 * LEASE_MS, LEASE_MS, 0);
-    for (let now = 0; now < 2 * REPORT_MS; now += REPORT_MS / 2) beat(shard, a, now);
+    for (let now = 0; now < 2 * HEARTBEAT_MS; now += HEARTBEAT_MS / 2) beat(shard, a, now);
     assert.deepEqual(runsOn(world, 'job-000001/0'), ['a']);
     if (moved) store.add(machine('a', { shard: 1 }));
     else store.machines.delete('a');
-    const from = 2 * REPORT_MS;
+    const from = 2 * HEARTBEAT_MS;
     shard.sync(store, from);
-    for (let now = from; now < from + 2 * LEASE_MS; now += REPORT_MS / 2) {
+    for (let now = from; now < from + 2 * LEASE_MS; now += HEARTBEAT_MS / 2) {
       a.advance(now);
       beat(shard, b, now);
       assert.deepEqual(world.broken, []);
--- a/test/mixed-versions.test.ts
+++ b/test/mixed-versions.test.ts
@@ -103,7 +103,7 @@
     options: {
       versions: ALL_PRODUCTION,
       runMs: (index) => 4000 + (index % SEEDED_LEFT) * 8000,
-      stateLimits: SMALL_LIMITS,
+      storeLimits: SMALL_LIMITS,
       seed: SEEDED.values,
     },
     completed: SEEDED.completed,
@@ -200,7 +200,7 @@
     options: {
       versions: { n1: 'production', n2: 'production' },
       runMs: (index) => 3000 + (index % 16) * 1500,
-      stateLimits: SMALL_LIMITS,
+      storeLimits: SMALL_LIMITS,
       seed: SEEDED_TWICE.values,
     },
     completed: SEEDED_TWICE.completed,
--- a/test/move-candidates.test.ts
+++ b/test/move-candidates.test.ts
@@ -7,7 +7,7 @@
 import type { MachineState } from '../src/core/shard/shard.js';
 import { encodeGroup } from '../src/store/keys.js';
 import { WatchCache } from '../src/store/watch-cache.js';
-import type { Condition, Write } from '../src/wire/schemas.js';
+import type { Guard, Write } from '../src/wire/schemas.js';
 import { job, machine, ownedShard, shardWith, Store } from './helpers.js';
 
 /**
@@ -19,26 +19,26 @@
   const store = new Store().add(machine('x'), job({ tasks: 1 }));
   const shard = shardWith(store);
   const m = shard.machines.get('x')!;
-  Object.assign(m, { known: true, lastHeartbeatAt: NOW, reportedAt: NOW, moving: true });
+  Object.assign(m, { known: true, lastStatusAt: NOW, lastHeartbeatAt: NOW, cordoned: true });
   Object.assign(m, { record: { ...m.record, up: true } });
   return { shard: shard, m };
 };
 
 const rows: [string, (m: MachineState) => void, boolean][] = [
   ['nothing is there', () => undefined, true],
-  ['it may still get work', (m) => (m.moving = false), false],
+  ['it may still get work', (m) => (m.cordoned = false), false],
   [
     'the worker lists an ended task, which a late start could begin again',
     (m) => (m.listed = 1),
     false,
   ],
   ['a direct start has no answer yet', (m) => void m.doubtful.add('j/0@1'), false],
-  ['a task is there that is being stopped', (m) => (m.foreign = 1), false],
+  ['a task is there that is being stopped', (m) => (m.unknownTasks = 1), false],
   ['it has not answered under this term', (m) => (m.known = false), false],
-  ['it is silent', (m) => (m.lastHeartbeatAt = m.reportedAt = -1e6), false],
-  ['it seems to hear nothing', (m) => (m.ignoringSince = NOW), false],
-  ['it has a notice', (m) => (m.noticeAt = NOW), false],
-  ['it is to be returned', (m) => (m.returning = true), false],
+  ['it is silent', (m) => (m.lastStatusAt = m.lastHeartbeatAt = -1e6), false],
+  ['it seems to hear nothing', (m) => (m.commandsLostSince = NOW), false],
+  ['it has a notice', (m) => (m.preemptionNoticeAt = NOW), false],
+  ['it is to be returned', (m) => (m.terminating = true), false],
   ['its record does not say that it is up', (m) => (m.record = { ...m.record, up: false }), false],
 ];
 
@@ -54,7 +54,7 @@
   const { shard: shard, m } = settledMachine();
   shard.placeAll(NOW);
   assert.equal(m.tasks.size, 0);
-  m.moving = false;
+  m.cordoned = false;
   shard.placeAll(NOW);
   assert.equal(m.tasks.size, 1);
 });
@@ -74,15 +74,15 @@
   });
   const changes = [put('machines/g', group(['x', 'y']), 5), put('machines/h', group(['z']), 6)];
   cache.apply({ fresh: true, epoch: 9, whole: 9, changes });
-  const sent: { when: readonly Condition[]; writes: readonly Write[] }[] = [];
+  const sent: { guards: readonly Guard[]; writes: readonly Write[] }[] = [];
   const client = {
-    transact: (_cls: unknown, when: readonly Condition[], writes: readonly Write[]) => {
-      sent.push({ when, writes });
+    compareAndSwap: (_cls: unknown, guards: readonly Guard[], writes: readonly Write[]) => {
+      sent.push({ guards, writes });
       return Promise.resolve({ ok: true as const, epoch: 10 });
     },
   };
   const records = new MachineRecords(
-    { stateLimits: { valueBytes: 8192, transactionOps: 4 } } as unknown as PlatformConfig,
+    { storeLimits: { valueBytes: 8192, transactionOps: 4 } } as unknown as PlatformConfig,
     client,
     cache,
     () => Promise.resolve(),
@@ -95,12 +95,12 @@
     term: 8,
     condition: { key: 'parts/1', revision: 7 },
     group: 'moved-m-3',
-    when: [{ key: 'shares/moves/m', revision: 3 }],
+    guards: [{ key: 'shares/moves/m', revision: 3 }],
     writes: (names) => [{ put: 'shares/moves/m', value: names }],
   });
   assert.deepEqual(moved, ['x', 'z']);
   assert.deepEqual(
-    new Map(sent[0]!.when.map((c) => [c.key, c.revision])),
+    new Map(sent[0]!.guards.map((c) => [c.key, c.revision])),
     new Map([
       ['parts/0', 1],
       ['parts/1', 7],
--- a/test/ownership.test.ts
+++ b/test/ownership.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
-  GIVEN_AWAY_MS,
-  HANDBACK_MAX_MS,
-  HANDBACK_MS,
-  TAKEOVER_GRACE_MS,
+  FAILBACK_HOLD_MS,
+  MAX_FAILBACK_MS,
+  FAILBACK_MS,
+  FAILOVER_GRACE_MS,
 } from '../src/constants.js';
 import { Ownership, type OwnershipView } from '../src/core/ownership/ownership.js';
 
@@ -52,19 +52,19 @@
     [
       'the shard of a dead node: the second survivor waits',
       view('n2', 'c', { n0: ['a'], n2: ['c'] }, OWN),
-      TAKEOVER_GRACE_MS - 1,
+      FAILOVER_GRACE_MS - 1,
       [],
     ],
     [
       'and takes it when the first does not',
       view('n2', 'c', { n0: ['a'], n2: ['c'] }, OWN),
-      TAKEOVER_GRACE_MS,
+      FAILOVER_GRACE_MS,
       ['take 1'],
     ],
     [
       'a restarted node gets the first chance at its shard',
       view('n0', 'a', { ...ALL, n1: ['new'] }, OWN),
-      TAKEOVER_GRACE_MS - 1,
+      FAILOVER_GRACE_MS - 1,
       [],
     ],
   ];
@@ -81,8 +81,8 @@
   const o = new Ownership();
   const own = view('n0', 'a', ALL, OWN);
   const given = view('n0', 'a', ALL, { ...OWN, 1: ['n0', 'a'] });
-  let now = 100 * HANDBACK_MS;
-  for (const hold of [GIVEN_AWAY_MS, 2 * GIVEN_AWAY_MS, HANDBACK_MAX_MS, HANDBACK_MAX_MS]) {
+  let now = 100 * FAILBACK_MS;
+  for (const hold of [FAILBACK_HOLD_MS, 2 * FAILBACK_HOLD_MS, MAX_FAILBACK_MS, MAX_FAILBACK_MS]) {
     assert.deepEqual(takes(o, own, now), []);
     assert.deepEqual(takes(o, given, now + 1), []);
     assert.deepEqual(takes(o, given, now + hold), [], `kept for ${hold} ms`);
@@ -99,20 +99,20 @@
   takes(o, view('n0', 'a', ended, { ...OWN, 1: ['n0', 'a'] }), 2000);
   const back = view('n0', 'a', { ...ALL, n1: ['b'] }, { ...OWN, 1: ['n0', 'a'] });
   assert.deepEqual(takes(o, back, 3000), []);
-  assert.deepEqual(takes(o, back, 3000 + HANDBACK_MS), ['give 1']);
+  assert.deepEqual(takes(o, back, 3000 + FAILBACK_MS), ['give 1']);
 });
 
 test('a returned node gets its shard back after a while, later each time', () => {
   const o = new Ownership();
   const held = view('n0', 'a', ALL, { ...OWN, 1: ['n0', 'a'] });
   assert.deepEqual(takes(o, held, 0), []);
-  assert.deepEqual(takes(o, held, HANDBACK_MS - 1), []);
-  assert.deepEqual(takes(o, held, HANDBACK_MS), ['give 1']);
+  assert.deepEqual(takes(o, held, FAILBACK_MS - 1), []);
+  assert.deepEqual(takes(o, held, FAILBACK_MS), ['give 1']);
   o.handedOver(1);
-  assert.deepEqual(takes(o, held, HANDBACK_MS), [], 'no flapping');
-  assert.deepEqual(takes(o, held, HANDBACK_MS * 2), ['give 1']);
+  assert.deepEqual(takes(o, held, FAILBACK_MS), [], 'no flapping');
+  assert.deepEqual(takes(o, held, FAILBACK_MS * 2), ['give 1']);
   const unfit = new Ownership();
-  for (const now of [0, HANDBACK_MS * 3]) {
+  for (const now of [0, FAILBACK_MS * 3]) {
     assert.deepEqual(
       unfit.steps(held, now, () => null),
       [],
--- a/test/quotas.test.ts
+++ b/test/quotas.test.ts
@@ -4,13 +4,18 @@
 import { Completions } from '../src/shards/completions.js';
 import { ConfigError, parsePlatform, type PlatformConfig } from '../src/config/platform.js';
 import { PROGRESS_MS, SAVE_MS, SLOT_FILL } from '../src/constants.js';
-import { cutRanges, decodeDone, encodeDone, rangeMost } from '../src/core/jobs/jobs.js';
+import { cutRanges, decodeDone, encodeDone, maxRangeTasks } from '../src/core/jobs/jobs.js';
 import type { JobRecord } from '../src/core/model.js';
 import type { Shard } from '../src/core/shard/shard.js';
-import { CALL, StateClient, StateTrouble, type Outcome } from '../src/store/store-client.js';
+import {
+  CALL_PRIORITY,
+  StoreClient,
+  StoreRequestError,
+  type CompareAndSwapResult,
+} from '../src/store/store-client.js';
 import { encodeActive } from '../src/store/keys.js';
 import { WatchCache } from '../src/store/watch-cache.js';
-import type { Condition, Write } from '../src/wire/schemas.js';
+import type { Guard, Write } from '../src/wire/schemas.js';
 import { job, ownedShard, shardWith, PLATFORM, Store } from './helpers.js';
 import { Cluster } from './standins/cluster.js';
 import { FakeStateService } from './standins/store.js';
@@ -27,11 +32,11 @@
     [next('later_field = 1'), 8192, 16, 25],
   ];
   for (const [text, valueBytes, transactionOps, writeRps] of good) {
-    const { stateLimits } = parsePlatform('f', text);
-    assert.equal(stateLimits.valueBytes, valueBytes);
-    assert.equal(stateLimits.transactionOps, transactionOps);
-    assert.equal(stateLimits.writeRps, 25);
-    assert.equal(stateLimits.next.writeRps, writeRps);
+    const { storeLimits } = parsePlatform('f', text);
+    assert.equal(storeLimits.valueBytes, valueBytes);
+    assert.equal(storeLimits.transactionOps, transactionOps);
+    assert.equal(storeLimits.writeRps, 25);
+    assert.equal(storeLimits.next.writeRps, writeRps);
   }
   for (const key of [
     'value_kb = "x"',
@@ -54,7 +59,7 @@
 test('ranges are cut so that the bitmap of each fits a value: table', () => {
   for (const valueBytes of [8192, 2048, 1024, 512]) {
     for (const tasks of [1, 17, 4096, 100_000]) {
-      const most = rangeMost(valueBytes);
+      const most = maxRangeTasks(valueBytes);
       for (const [from, to] of cutRanges(tasks, 3, false, most)) {
         const bits = encodeDone({ from, to }, new Set());
         const slot = { [`job-${'9'.repeat(20)}/${from}`]: bits };
@@ -75,11 +80,11 @@
     target.apply({ fresh: true, epoch, whole: epoch, changes });
   };
   const client = {
-    transact: (
+    compareAndSwap: (
       _c: unknown,
-      when: readonly Condition[],
+      guards: readonly Guard[],
       writes: readonly Write[],
-    ): Promise<Outcome> => {
+    ): Promise<CompareAndSwapResult> => {
       assert.ok(writes.length <= transactionOps, `${writes.length} changes`);
       for (const w of writes) {
         if (!('put' in w)) continue;
@@ -87,7 +92,7 @@
         assert.ok(size <= valueBytes, `${w.put}: ${size} bytes`);
         world.most = Math.max(world.most, size);
       }
-      const failed = when.filter((c) => (values.get(c.key)?.revision ?? 0) !== c.revision);
+      const failed = guards.filter((c) => (values.get(c.key)?.revision ?? 0) !== c.revision);
       if (failed.length > 0)
         return Promise.resolve({ ok: false, failed: failed.map((c) => c.key) });
       epoch += 1;
@@ -99,7 +104,7 @@
     },
   };
   const config = {
-    stateLimits: { rps: 1, writeRps: 1, valueBytes, transactionOps },
+    storeLimits: { rps: 1, writeRps: 1, valueBytes, transactionOps },
   } as unknown as PlatformConfig;
   const completions = new Completions(config, client, cache, () => world.now, LOG);
   const save = async (shard: Shard) => {
@@ -248,7 +253,7 @@
       `after step ${step}`,
     );
   }
-  assert.ok(ranges().every((r) => r.to - r.from <= rangeMost(1024)));
+  assert.ok(ranges().every((r) => r.to - r.from <= maxRangeTasks(1024)));
   assert.equal(
     ranges().reduce((sum, r) => sum + r.to - r.from, 0),
     6000,
@@ -265,7 +270,7 @@
   const errors: string[] = [];
   const log = pino({ level: 'error' }, { write: (line: string) => errors.push(line) });
   const rates = { rps: 1000, writeRps: 400, next: { rps: 1000, writeRps: 20 } };
-  const client = new StateClient(
+  const client = new StoreClient(
     state.address,
     rates,
     { valueBytes: 100, transactionOps: 2 },
@@ -282,11 +287,11 @@
       ['one condition more', [put('a', 9)], 9, false],
     ];
     for (const [name, writes, conditions, fits] of edges) {
-      const when = Array.from({ length: conditions }, (_, i) => ({ key: `k${i}`, revision: 0 }));
-      const sent = client.transact(CALL.rest, when, writes).then(
+      const guards = Array.from({ length: conditions }, (_, i) => ({ key: `k${i}`, revision: 0 }));
+      const sent = client.compareAndSwap(CALL_PRIORITY.rest, guards, writes).then(
         () => true,
         (e: unknown) => {
-          assert.ok(e instanceof StateTrouble && e.kind === 'invalid', name);
+          assert.ok(e instanceof StoreRequestError && e.kind === 'invalid', name);
           return false;
         },
       );
@@ -297,7 +302,9 @@
     state.limits = { ...state.limits, valueBytes: 50 };
     const logged = errors.length;
     for (let i = 0; i < 3; i++) {
-      await assert.rejects(client.transact(CALL.rest, [], [put('z', 80)]), { kind: 'invalid' });
+      await assert.rejects(client.compareAndSwap(CALL_PRIORITY.rest, [], [put('z', 80)]), {
+        kind: 'invalid',
+      });
     }
     assert.equal(state.refused.size, 1);
     assert.equal(errors.length, logged + 1);
@@ -305,7 +312,9 @@
     let refused = 0;
     const began = Date.now();
     for (let i = 0; Date.now() - began < 4000; i++) {
-      await client.transact(CALL.rest, [], [put(`w${i}`, 9)]).catch(() => (refused += 1));
+      await client
+        .compareAndSwap(CALL_PRIORITY.rest, [], [put(`w${i}`, 9)])
+        .catch(() => (refused += 1));
     }
     assert.ok(state.refused.rate >= 1, 'the fall was noticed');
     assert.ok(state.refused.rate <= 12, `${state.refused.rate} refusals: the rate is not lowered`);
@@ -316,14 +325,14 @@
 });
 
 test('limits fall while whole controllers work: nothing is refused for its size, all is done', async () => {
-  const stateLimits = {
+  const storeLimits = {
     rps: 600,
     writeRps: 300,
     valueBytes: 1024,
     transactionOps: 3,
     next: { rps: 600, writeRps: 60 },
   };
-  const c = new Cluster({ runMs: 800, leaseS: 4, cancelS: 10, stateLimits });
+  const c = new Cluster({ runMs: 800, leaseS: 4, cancelS: 10, storeLimits });
   const small = { Vcpus: 1, Cards: 0, MemGb: 1, GuessS: 20 };
   try {
     await c.open();
--- a/test/random.test.ts
+++ b/test/random.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { renewableMs } from '../src/core/cancellation/cancellations.js';
 import { decodeDone, encodeDone } from '../src/core/jobs/jobs.js';
-import type { Command, Report } from '../src/core/model.js';
+import type { Command, Heartbeat } from '../src/core/model.js';
 import type { Shard } from '../src/core/shard/shard.js';
 import { randomFrom } from '../src/random.js';
 import { job, LEASE_MS, machine, shardWith, Store } from './helpers.js';
@@ -22,14 +22,14 @@
   at: number;
   worker: FakeWorker;
   term: number;
-  session: number;
+  agentEpoch: number;
   commands: readonly Command[];
 }
 
 /** A copy of a report that the network delivers once more. */
 interface Copy {
   at: number;
-  report: Report;
+  heartbeat: Heartbeat;
 }
 
 const STEP_MS = 500;
@@ -61,7 +61,7 @@
   const hungUntil = new Map<string, number>();
   const copies: Copy[] = [];
   /** copies that the network keeps until the next owner begins */
-  let keptForNext: Report[] = [];
+  let keptForNext: Heartbeat[] = [];
   let copied = 0;
   let keptDelivered = 0;
   let lostAnswers = 0;
@@ -99,7 +99,7 @@
       if (j.saved.size > 0) {
         store.bits.set(`${uid}/0`, encodeDone({ from: 0, to: tasks }, j.saved));
       }
-      if (j.saved.size === tasks && !j.over) {
+      if (j.saved.size === tasks && !j.ended) {
         if (chance(10)) {
           // Called off in the moment of its end: the cancellation comes first.
           cancelledAtEnd += 1;
@@ -154,7 +154,7 @@
         formerSince = now;
         term += 1;
         shard = shardWith(store, term, {}, now);
-        for (const report of keptForNext) shard.beat(report, now, true);
+        for (const heartbeat of keptForNext) shard.handleHeartbeat(heartbeat, now, true);
         keptDelivered += keptForNext.length;
       }
       keptForNext = [];
@@ -163,8 +163,8 @@
       copies.splice(copies.indexOf(c), 1);
       copied += 1;
       // Nobody waits for the answer to a copy.
-      shard.beat(c.report, now, true);
-      if (former !== null) former.beat(c.report, now, false);
+      shard.handleHeartbeat(c.heartbeat, now, true);
+      if (former !== null) former.handleHeartbeat(c.heartbeat, now, false);
     }
     shard.sync(store, now);
     shard.age(now);
@@ -173,11 +173,11 @@
     for (const { machine: m, commands, starts } of shard.directCommands(now)) {
       const worker = workers.get(m.record.name);
       if (worker === undefined) continue;
-      const session = m.session;
+      const agentEpoch = m.agentEpoch;
       if (chance(30)) {
         // No answer: carried out later, or twice, or never.
         for (let copies = random(3); copies > 0; copies--) {
-          late.push({ at: now + random(60_000), worker, term, session, commands });
+          late.push({ at: now + random(60_000), worker, term, agentEpoch, commands });
         }
         continue;
       }
@@ -187,13 +187,13 @@
         shard.directSettled(starts, false);
         continue;
       }
-      const executed = worker.direct(term, session, commands);
-      shard.inspected(worker.report(), now);
+      const executed = worker.direct(term, agentEpoch, commands);
+      shard.handleCommandStatus(worker.heartbeat(), now);
       shard.directSettled(starts, executed);
     }
     for (const l of late.filter((x) => x.at <= now)) {
       late.splice(late.indexOf(l), 1);
-      if (workers.has(l.worker.name)) l.worker.direct(l.term, l.session, l.commands);
+      if (workers.has(l.worker.name)) l.worker.direct(l.term, l.agentEpoch, l.commands);
     }
 
     for (const [name, w] of [...workers]) {
@@ -213,26 +213,26 @@
       if (w.hung || (silentUntil.get(name) ?? 0) > now) continue;
       if ((muteUntil.get(name) ?? 0) > now) continue;
       if (random(6) > 0) continue;
-      const r = w.report();
+      const r = w.heartbeat();
       for (let more = chance(15) ? 1 + random(2) : 0; more > 0; more--) {
-        copies.push({ at: now + random(COPY_MS), report: r });
+        copies.push({ at: now + random(COPY_MS), heartbeat: r });
       }
       if (chance(5)) keptForNext.push(r);
       const owner = former !== null && chance(20) ? former : shard;
       const renewable = now - formerSince <= renewableMs(CANCEL_MS, LEASE_MS);
-      const result = owner.beat(r, now, owner === shard, owner === shard || renewable);
+      const result = owner.handleHeartbeat(r, now, owner === shard, owner === shard || renewable);
       if (result.kind !== 'answer') continue;
       // Some answers get lost on the way back, and all of those to a deaf machine.
       if ((noTakeoverUntil.get(name) ?? 0) > now) continue;
-      if (!chance(15)) w.answered(owner.term, result.commands, now, r.session);
+      if (!chance(15)) w.answered(owner.term, result.commands, now, r.agentEpoch);
     }
     for (const m of [...shard.machines.values()]) {
-      if (!shard.isLost(m, now) && !shard.ignoresCommands(m, now) && !m.condemned) continue;
-      m.returning = true;
+      if (!shard.isLost(m, now) && !shard.losesCommands(m, now) && !m.quarantined) continue;
+      m.terminating = true;
       if (chance(50)) continue;
       workers.get(m.record.name)?.vanish();
       workers.delete(m.record.name);
-      shard.machineGone(m.record.name, now);
+      shard.removeMachine(m.record.name, now);
       store.machines.delete(m.record.name);
     }
     finalise(now);
--- a/test/services.test.ts
+++ b/test/services.test.ts
@@ -8,7 +8,7 @@
 
 /** Standing services: replicas that run until the job is cancelled, whatever becomes of machines. */
 const FOREVER = 1e12;
-const REPORT_MS = settings().reportMs;
+const HEARTBEAT_MS = settings().heartbeatIntervalMs;
 const SMALL = { cpus: 1, gpus: 0, memoryGb: 1 };
 const service = (over: Parameters<typeof job>[0] = {}) =>
   job({ kind: 'service', estimateS: 0, demand: SMALL, priority: 'production', ...over });
@@ -39,24 +39,24 @@
   const store = new Store().add(...names.map((n) => machine(n)));
   const shard = shardWith(store);
   const workers = new Map(
-    names.map((n) => [n, new FakeWorker(n, world, runMs, LEASE_MS, -2 * REPORT_MS)] as const),
+    names.map((n) => [n, new FakeWorker(n, world, runMs, LEASE_MS, -2 * HEARTBEAT_MS)] as const),
   );
   const beat = (now: number, who: readonly string[] = names) => {
     shard.age(now);
     for (const n of who) {
       const w = workers.get(n)!;
       w.advance(now);
-      const r = w.report();
-      const result = shard.beat(r, now, true);
-      if (result.kind === 'answer') w.answered(shard.term, result.commands, now, r.session);
+      const r = w.heartbeat();
+      const result = shard.handleHeartbeat(r, now, true);
+      if (result.kind === 'answer') w.answered(shard.term, result.commands, now, r.agentEpoch);
     }
     shard.placeAll(now);
   };
   const run = (from: number, to: number, who: readonly string[] = names) => {
-    for (let now = from; now <= to; now += REPORT_MS / 3) beat(now, who);
+    for (let now = from; now <= to; now += HEARTBEAT_MS / 3) beat(now, who);
   };
   // The service comes once all machines are known.
-  run(-2 * REPORT_MS, -1);
+  run(-2 * HEARTBEAT_MS, -1);
   store.add(service(over));
   shard.sync(store, 0);
   const on = (n: string) => [...world.on].filter(([, m]) => m.has(n)).length;
@@ -72,7 +72,7 @@
   ];
   for (const { tasks, names, most } of cases) {
     const s = scene(names, { tasks });
-    s.run(0, 4 * REPORT_MS);
+    s.run(0, 4 * HEARTBEAT_MS);
     assert.equal(s.shard.jobs.get(UID)?.placed.size, tasks);
     for (const n of names) assert.ok(s.on(n) <= most, `${tasks} on ${names.length}: ${s.on(n)}`);
     assert.deepEqual(s.world.broken, []);
@@ -80,16 +80,16 @@
 });
 
 test('a replica that ends by itself runs again, is never done, and is not started at full speed', () => {
-  const s = scene(['a', 'b'], { tasks: 2 }, REPORT_MS);
-  s.run(0, 60 * REPORT_MS);
+  const s = scene(['a', 'b'], { tasks: 2 }, HEARTBEAT_MS);
+  s.run(0, 60 * HEARTBEAT_MS);
   const state = s.shard.jobs.get(UID)!;
   assert.equal(state.saved.size + state.unsaved.size, 0);
-  assert.equal(state.over, false);
+  assert.equal(state.ended, false);
   assert.ok(s.world.started > 4, `${s.world.started} starts`);
   assert.ok(s.world.started < 60, `${s.world.started} starts: the pauses do not grow`);
   assert.deepEqual(s.world.broken, []);
   // One that was well for a while starts again at once.
-  const now = 60 * REPORT_MS + 2 * REPLICA_WELL_MS;
+  const now = 60 * HEARTBEAT_MS + 2 * REPLICA_WELL_MS;
   assert.ok(now - state.failedAt > REPLICA_WELL_MS);
 });
 
@@ -103,72 +103,72 @@
 test('failing replicas: other machines, growing pauses, never given up', () => {
   const s = scene(['a', 'b', 'c'], { tasks: 1 });
   for (const w of s.workers.values()) w.faulty = true;
-  s.run(0, 40 * REPORT_MS);
+  s.run(0, 40 * HEARTBEAT_MS);
   const before = s.world.started;
   assert.ok(before >= 3 && before < 30, `${before} starts`);
   for (const w of s.workers.values()) w.faulty = false;
-  s.shard.machines.forEach((m) => (m.condemned = false));
-  s.run(41 * REPORT_MS, 41 * REPORT_MS + 90_000);
+  s.shard.machines.forEach((m) => (m.quarantined = false));
+  s.run(41 * HEARTBEAT_MS, 41 * HEARTBEAT_MS + 90_000);
   assert.equal(s.shard.jobs.get(UID)?.placed.size, 1, 'it runs within 90 s once a machine is well');
   assert.deepEqual(s.world.broken, []);
 });
 
 test('a silent machine with replicas is returned sooner, and only then they run elsewhere', () => {
   const s = scene(['a', 'b'], { tasks: 2 });
-  s.run(0, 3 * REPORT_MS);
+  s.run(0, 3 * HEARTBEAT_MS);
   const lost = s.on('a') > 0 ? 'a' : 'b';
   const other = lost === 'a' ? 'b' : 'a';
-  const from = 3 * REPORT_MS;
-  s.run(from + 1, from + 2.5 * REPORT_MS, [other]);
+  const from = 3 * HEARTBEAT_MS;
+  s.run(from + 1, from + 2.5 * HEARTBEAT_MS, [other]);
   const patient = { idleKeepMs: 1e9 };
-  assert.deepEqual(plan(s.shard, from + 2.5 * REPORT_MS, patient).giveBack, []);
-  const now = from + 3.5 * REPORT_MS;
+  assert.deepEqual(plan(s.shard, from + 2.5 * HEARTBEAT_MS, patient).returns, []);
+  const now = from + 3.5 * HEARTBEAT_MS;
   s.beat(now, [other]);
-  assert.equal(plan(s.shard, now).giveBack[0]?.reason, 'silent');
+  assert.equal(plan(s.shard, now).returns[0]?.reason, 'silent');
   assert.equal(s.on(lost), 1, 'still there as far as anybody knows');
   s.workers.get(lost)!.vanish();
-  s.shard.machineGone(lost, now);
-  s.run(now + 1, now + 3 * REPORT_MS, [other]);
+  s.shard.removeMachine(lost, now);
+  s.run(now + 1, now + 3 * HEARTBEAT_MS, [other]);
   assert.equal(s.on(other), 2);
   assert.deepEqual(s.world.broken, []);
 });
 
 test('a machine about to go loses its replicas at once, and they run elsewhere', () => {
   const s = scene(['a', 'b'], { tasks: 2 });
-  s.run(0, 3 * REPORT_MS);
+  s.run(0, 3 * HEARTBEAT_MS);
   s.workers.get('a')!.noticeS = 8;
-  s.run(3 * REPORT_MS + 1, 5 * REPORT_MS);
+  s.run(3 * HEARTBEAT_MS + 1, 5 * HEARTBEAT_MS);
   assert.deepEqual([s.on('a'), s.on('b')], [0, 2]);
   assert.deepEqual(s.world.broken, []);
 });
 
-test('a machine with a replica does not count as idle; a condemned one is emptied first', () => {
+test('a machine with a replica does not count as idle; a quarantined one is emptied first', () => {
   const s = scene(['a', 'b'], { tasks: 1 });
-  s.run(0, 3 * REPORT_MS);
+  s.run(0, 3 * HEARTBEAT_MS);
   const busy = s.on('a') > 0 ? 'a' : 'b';
-  const now = 50 * REPORT_MS;
-  s.run(3 * REPORT_MS + 1, now);
-  assert.ok(!plan(s.shard, now).giveBack.some((g) => g.name === busy));
-  s.shard.machines.get(busy)!.condemned = true;
-  assert.ok(!plan(s.shard, now).giveBack.some((g) => g.name === busy), 'its replica moves first');
-  s.run(now + 1, now + 3 * REPORT_MS);
+  const now = 50 * HEARTBEAT_MS;
+  s.run(3 * HEARTBEAT_MS + 1, now);
+  assert.ok(!plan(s.shard, now).returns.some((g) => g.name === busy));
+  s.shard.machines.get(busy)!.quarantined = true;
+  assert.ok(!plan(s.shard, now).returns.some((g) => g.name === busy), 'its replica moves first');
+  s.run(now + 1, now + 3 * HEARTBEAT_MS);
   assert.equal(s.on(busy), 0);
   assert.equal(s.on(busy === 'a' ? 'b' : 'a'), 1);
-  assert.ok(plan(s.shard, now + 3 * REPORT_MS).giveBack.some((g) => g.name === busy));
+  assert.ok(plan(s.shard, now + 3 * HEARTBEAT_MS).returns.some((g) => g.name === busy));
 });
 
 test('a new owner takes running replicas into its state and stops none', () => {
   const s = scene(['a', 'b'], { tasks: 3 });
-  s.run(0, 3 * REPORT_MS);
+  s.run(0, 3 * HEARTBEAT_MS);
   const { started } = s.world;
-  const shard = shardWith(s.store, 2, {}, 4 * REPORT_MS);
-  for (let now = 4 * REPORT_MS; now < 8 * REPORT_MS; now += REPORT_MS / 2) {
+  const shard = shardWith(s.store, 2, {}, 4 * HEARTBEAT_MS);
+  for (let now = 4 * HEARTBEAT_MS; now < 8 * HEARTBEAT_MS; now += HEARTBEAT_MS / 2) {
     shard.placeAll(now);
     for (const w of s.workers.values()) {
       w.advance(now);
-      const r = w.report();
-      const result = shard.beat(r, now, true);
-      if (result.kind === 'answer') w.answered(shard.term, result.commands, now, r.session);
+      const r = w.heartbeat();
+      const result = shard.handleHeartbeat(r, now, true);
+      if (result.kind === 'answer') w.answered(shard.term, result.commands, now, r.agentEpoch);
     }
   }
   assert.equal(shard.jobs.get(UID)?.placed.size, 3);
@@ -178,11 +178,11 @@
 
 test('cancelled replicas are stopped, and nothing starts again', () => {
   const s = scene(['a', 'b'], { tasks: 4 });
-  s.run(0, 3 * REPORT_MS);
+  s.run(0, 3 * HEARTBEAT_MS);
   s.store.jobs.delete(UID);
-  s.shard.sync(s.store, 3 * REPORT_MS);
-  s.world.cancelledAt.set(UID, 3 * REPORT_MS);
-  s.run(3 * REPORT_MS + 1, 8 * REPORT_MS);
+  s.shard.sync(s.store, 3 * HEARTBEAT_MS);
+  s.world.cancelledAt.set(UID, 3 * HEARTBEAT_MS);
+  s.run(3 * HEARTBEAT_MS + 1, 8 * HEARTBEAT_MS);
   assert.equal(s.on('a') + s.on('b'), 0);
   assert.equal(s.world.startedCancelled, 0);
   assert.equal(s.shard.jobs.has(UID), false);
@@ -199,16 +199,16 @@
     const store = new Store().add(machine('a'), other);
     const shard = shardWith(store);
     const a = new FakeWorker('a', world, FOREVER, LEASE_MS, 0);
-    for (let now = 0; now < 8 * REPORT_MS; now += REPORT_MS / 2) {
-      if (now === 2 * REPORT_MS) {
+    for (let now = 0; now < 8 * HEARTBEAT_MS; now += HEARTBEAT_MS / 2) {
+      if (now === 2 * HEARTBEAT_MS) {
         store.add(service());
         shard.sync(store, now);
       }
       shard.placeAll(now);
       a.advance(now);
-      const r = a.report();
-      const result = shard.beat(r, now, true);
-      if (result.kind === 'answer') a.answered(shard.term, result.commands, now, r.session);
+      const r = a.heartbeat();
+      const result = shard.handleHeartbeat(r, now, true);
+      if (result.kind === 'answer') a.answered(shard.term, result.commands, now, r.agentEpoch);
     }
     assert.equal(world.on.get(`${UID}/0`)?.size ?? 0, room ? 1 : 0, priority);
   }
@@ -241,21 +241,21 @@
       shard.placeAll(now);
       for (const w of workers) {
         w.advance(now);
-        const r = w.report();
-        const result = shard.beat(r, now, true);
-        if (result.kind === 'answer') w.answered(shard.term, result.commands, now, r.session);
+        const r = w.heartbeat();
+        const result = shard.handleHeartbeat(r, now, true);
+        if (result.kind === 'answer') w.answered(shard.term, result.commands, now, r.agentEpoch);
       }
     };
     beat(0);
     if (machines[0]!.name === 'full') store.add(full);
     shard.sync(store, 1);
-    for (let now = 1; now < 4 * REPORT_MS; now += REPORT_MS / 3) beat(now);
+    for (let now = 1; now < 4 * HEARTBEAT_MS; now += HEARTBEAT_MS / 3) beat(now);
     store.add(service({ ...over, spot: false }));
-    shard.sync(store, 4 * REPORT_MS);
-    for (let now = 4 * REPORT_MS; now < 8 * REPORT_MS; now += REPORT_MS / 3) beat(now);
+    shard.sync(store, 4 * HEARTBEAT_MS);
+    for (let now = 4 * HEARTBEAT_MS; now < 8 * HEARTBEAT_MS; now += HEARTBEAT_MS / 3) beat(now);
     // The class as a whole has all the machines that it needs.
     const pending = [{ type: 'm', zone: 'z', spot: true, count: 9 }];
-    const { rent } = plan(shard, 8 * REPORT_MS, { pending, idleKeepMs: 1e9 });
+    const { rentals: rent } = plan(shard, 8 * HEARTBEAT_MS, { pending, idleKeepMs: 1e9 });
     const served = shard.jobs.get(UID)!.waiting.length === 0;
     assert.equal(served, zones.length === 0, name);
     const rented = rent.map((r) => r.zone);
@@ -284,29 +284,29 @@
   ];
   for (const [name, record, machines, zones, returned] of cases) {
     const shard = shardWith(new Store().add(...machines));
-    const now = 10 * REPORT_MS;
+    const now = 10 * HEARTBEAT_MS;
     for (const m of machines) {
       const w = new FakeWorker(m.name, new World(), FOREVER, LEASE_MS, now, m.zone);
-      const first = w.report();
-      shard.beat(first, now, true);
-      w.answered(shard.term, [], now, first.session);
-      shard.beat(w.report(), now + 1, true);
+      const first = w.heartbeat();
+      shard.handleHeartbeat(first, now, true);
+      w.answered(shard.term, [], now, first.agentEpoch);
+      shard.handleHeartbeat(w.heartbeat(), now + 1, true);
     }
     const stats = new Map([['c', { tasksPerS: 0, runS: null, sample: record.spec }]]);
-    const { rent, giveBack } = plan(shard, now + REPORT_MS, { stats });
+    const { rentals: rent, returns: returns } = plan(shard, now + HEARTBEAT_MS, { stats });
     assert.deepEqual(
       rent.filter((r) => !r.spot).map((r) => [r.zone, r.count]),
       zones.map((z) => [z, 1]),
       name,
     );
-    assert.equal(giveBack.length, returned, name);
+    assert.equal(returns.length, returned, name);
   }
 });
 
 test('capacity: replicas that run keep their room, whatever their run time', () => {
   const store = new Store().add(service({ tasks: 20, spot: false }));
   const stats = new Map([['c', { tasksPerS: 0, runS: null, sample: null }]]);
-  const { rent } = plan(shardWith(store), 0, { stats });
+  const { rentals: rent } = plan(shardWith(store), 0, { stats });
   const machines = rent.reduce((sum, w) => sum + w.count, 0);
   assert.equal(machines, 3, '20 replicas, eight to a machine');
   assert.ok(rent.every((w) => !w.spot));
--- a/test/shard-controller.test.ts
+++ b/test/shard-controller.test.ts
@@ -5,16 +5,16 @@
 import type { PlatformConfig } from '../src/config/platform.js';
 import {
   ATTEMPTS_PER_TERM,
-  HANDBACK_MS,
-  HANDOVER_SETTLE_MS,
+  FAILBACK_MS,
+  TRANSFER_SETTLE_MS,
   BALANCE_AFTER_MS,
   TRANSFER_AFTER_MS,
   TRANSFER_EVERY_MS,
-  STATE_PAUSE_MS,
+  STORE_RETRY_MS,
 } from '../src/constants.js';
 import { renewableMs } from '../src/core/cancellation/cancellations.js';
 import { ShardController } from '../src/shards/shard-controller.js';
-import { StateTrouble, type Outcome } from '../src/store/store-client.js';
+import { StoreRequestError, type CompareAndSwapResult } from '../src/store/store-client.js';
 import { encodeActive, encodeGroup } from '../src/store/keys.js';
 import { WatchCache } from '../src/store/watch-cache.js';
 import type { Write } from '../src/wire/schemas.js';
@@ -25,8 +25,8 @@
   nodes: 2,
   peers: [{ node: 'n1', address: '' }],
   teams: settings().teams,
-  workers: { reportS: 3, leaseS: 18, gangWaitS: 50, gangPeerS: 6, cancelS: 38 },
-  stateLimits: { rps: 100, writeRps: 100, valueBytes: 8192, transactionOps: 8 },
+  workers: { heartbeatIntervalS: 3, leaseS: 18, gangWaitS: 50, gangPeerS: 6, cancelS: 38 },
+  storeLimits: { rps: 100, writeRps: 100, valueBytes: 8192, transactionOps: 8 },
 } as unknown as PlatformConfig;
 
 const X_UP = new Map([['x', true]]);
@@ -41,8 +41,8 @@
     /** what a current read finds; null: what the cache shows */
     current: null as { key: string; value: unknown; revision: number } | null,
     room: null as { shard: number; tasks: number } | null,
-    lessBooked: null as number | null,
-    outcome: (writes: readonly Write[]): Outcome | StateTrouble => {
+    lessAllocated: null as number | null,
+    outcome: (writes: readonly Write[]): CompareAndSwapResult | StoreRequestError => {
       void writes;
       return { ok: true, epoch: 50 };
     },
@@ -59,10 +59,10 @@
         revision: item.revision,
       });
     },
-    transact: (_c: unknown, _w: unknown, writes: readonly Write[]) => {
+    compareAndSwap: (_c: unknown, _w: unknown, writes: readonly Write[]) => {
       world.written.push([...writes]);
       const result = world.outcome(writes);
-      return result instanceof StateTrouble ? Promise.reject(result) : Promise.resolve(result);
+      return result instanceof StoreRequestError ? Promise.reject(result) : Promise.resolve(result);
     },
   };
   const shardController = new ShardController(
@@ -74,11 +74,11 @@
     { valid: () => world.valid, registeredAt: 1, validSince: -Infinity },
     () => Promise.resolve(),
     {
-      withState: () => null,
+      withStore: () => null,
       fit: (n) => (n === 'n1' ? 'b' : null),
       hears: () => null,
-      roomElsewhere: () => world.room,
-      lessBooked: () => world.lessBooked,
+      capacityElsewhere: () => world.room,
+      lessAllocated: () => world.lessAllocated,
       imagesOf: () => new Map(),
       cancellationsKnownUntil: () => world.knownUntil,
     },
@@ -114,8 +114,8 @@
 };
 const settle = () => new Promise((resolve) => setImmediate(resolve));
 /** Lets the time come at which shard 1 is given back. */
-const giveBack = async ({ shardController: shardController, world }: ReturnType<typeof scene>) => {
-  world.now = HANDBACK_MS;
+const returns = async ({ shardController: shardController, world }: ReturnType<typeof scene>) => {
+  world.now = FAILBACK_MS;
   shardController.tick();
   await settle();
 };
@@ -124,7 +124,7 @@
   const s = scene();
   const before = s.shardController.owned.get(1)!.shard;
   s.world.outcome = () => ({ ok: false, failed: ['term'] });
-  await giveBack(s);
+  await returns(s);
   s.shardController.tick();
   assert.ok(s.world.written.length > 0, 'it was tried');
   assert.equal(
@@ -136,12 +136,12 @@
 
 test('a handover without an answer: no acting until the shard is taken under a new term', async () => {
   const s = scene();
-  s.world.outcome = () => new StateTrouble('no_answer', 'lost');
-  await giveBack(s);
+  s.world.outcome = () => new StoreRequestError('no_answer', 'lost');
+  await returns(s);
   s.shardController.tick();
   assert.equal(s.shardController.owned.get(1)?.suspended, true);
   s.world.outcome = () => ({ ok: true, epoch: 60 });
-  s.world.now += HANDOVER_SETTLE_MS + 1;
+  s.world.now += TRANSFER_SETTLE_MS + 1;
   s.shardController.tick();
   await settle();
   assert.equal(s.cache.tables['parts/'].get('1')?.value.term, 6);
@@ -180,43 +180,50 @@
 
 test('a worker of a suspended or lost shard gets no answer that renews its lease for us', async () => {
   const s = scene();
-  const report = {
+  const heartbeat = {
     machine: 'x',
     address: 'a:1',
     type: 'm',
     zone: 'z',
     spot: false,
-    session: 1,
+    agentEpoch: 1,
     counter: 1,
-    token: 0,
-    noticeS: null,
+    fencingToken: 0,
+    preemptionNoticeS: null,
     tasks: [],
   };
-  assert.equal(s.shardController.beat(report).kind, 'answer');
-  s.world.outcome = () => new StateTrouble('no_answer', 'lost');
-  await giveBack(s);
-  assert.equal(s.shardController.beat({ ...report, counter: 2 }).kind, 'unavailable');
-  assert.equal(s.shardController.beat({ ...report, machine: 'nobody' }).kind, 'unavailable');
+  assert.equal(s.shardController.handleHeartbeat(heartbeat).kind, 'answer');
+  s.world.outcome = () => new StoreRequestError('no_answer', 'lost');
+  await returns(s);
+  assert.equal(s.shardController.handleHeartbeat({ ...heartbeat, counter: 2 }).kind, 'unavailable');
+  assert.equal(
+    s.shardController.handleHeartbeat({ ...heartbeat, machine: 'nobody' }).kind,
+    'unavailable',
+  );
 });
 
 test('without authority running work keeps its lease, and nothing new starts', () => {
   const s = scene();
-  const report = (counter: number) => ({
+  const heartbeat = (counter: number) => ({
     machine: 'x',
     address: 'a:1',
     type: 'm',
     zone: 'z',
     spot: false,
-    session: 1,
+    agentEpoch: 1,
     counter,
-    token: 5,
-    noticeS: null,
+    fencingToken: 5,
+    preemptionNoticeS: null,
     tasks: [],
   });
   s.world.valid = false;
-  assert.deepEqual(s.shardController.beat(report(1)), { kind: 'answer', token: 5, commands: [] });
+  assert.deepEqual(s.shardController.handleHeartbeat(heartbeat(1)), {
+    kind: 'answer',
+    fencingToken: 5,
+    commands: [],
+  });
   s.world.valid = true;
-  const reply = s.shardController.beat(report(2));
+  const reply = s.shardController.handleHeartbeat(heartbeat(2));
   assert.equal(reply.kind === 'answer' ? reply.commands.length : 0, 1);
 });
 
@@ -224,32 +231,32 @@
   const s = scene();
   const running = { uid: 'job-000001', index: 0, attempt: 5 * ATTEMPTS_PER_TERM + 1 };
   const task = { ...running, state: 'running' as const, why: null, saved: false };
-  const report = (counter: number, tasks = [task]) => ({
+  const heartbeat = (counter: number, tasks = [task]) => ({
     machine: 'x',
     address: 'a:1',
     type: 'm',
     zone: 'z',
     spot: false,
-    session: 1,
+    agentEpoch: 1,
     counter,
-    token: 5,
-    noticeS: null,
+    fencingToken: 5,
+    preemptionNoticeS: null,
     tasks,
   });
   const { cancelS, leaseS } = CONFIG.workers;
-  assert.equal(s.shardController.beat(report(1)).kind, 'answer');
+  assert.equal(s.shardController.handleHeartbeat(heartbeat(1)).kind, 'answer');
   s.world.valid = false;
   s.world.knownUntil = 0;
   s.world.now = renewableMs(cancelS * 1000, leaseS * 1000);
-  assert.equal(s.shardController.beat(report(2)).kind, 'answer');
+  assert.equal(s.shardController.handleHeartbeat(heartbeat(2)).kind, 'answer');
   s.world.now += 1;
-  assert.equal(s.shardController.beat(report(3)).kind, 'unavailable');
+  assert.equal(s.shardController.handleHeartbeat(heartbeat(3)).kind, 'unavailable');
   const m = s.shardController.owned.get(1)!.shard.machines.get('x')!;
-  assert.equal(m.lastHeartbeatAt, s.world.now, 'it is not taken for silent all the same');
+  assert.equal(m.lastStatusAt, s.world.now, 'it is not taken for silent all the same');
   s.cache.learnCancelled({ uid: 'job-000001', tasks: 1, done: 0, epoch: 40 });
   s.world.knownUntil = s.world.now;
   s.shardController.tick();
-  const reply = s.shardController.beat(report(4));
+  const reply = s.shardController.handleHeartbeat(heartbeat(4));
   assert.deepEqual(reply.kind === 'answer' && reply.commands, [
     { op: 'stop', ...running, graceS: 0 },
   ]);
@@ -274,7 +281,9 @@
 let lostValue: unknown = null;
 
 test('passing a stuck task: table', async () => {
-  const stuck = async (outcome: (writes: readonly Write[]) => Outcome | StateTrouble) => {
+  const stuck = async (
+    outcome: (writes: readonly Write[]) => CompareAndSwapResult | StoreRequestError,
+  ) => {
     const s = scene();
     s.world.room = { shard: 0, tasks: 2 };
     s.shardController.tick();
@@ -307,12 +316,12 @@
     if (tries === 1) {
       const [w] = writes;
       if (w !== undefined && 'put' in w) lostValue = w.value;
-      return new StateTrouble('no_answer', 'lost');
+      return new StoreRequestError('no_answer', 'lost');
     }
     return { ok: false, failed: ['active/job-000001'] };
   });
   lost.world.current = { key: 'active/job-000001', value: lostValue, revision: 40 };
-  await new Promise((resolve) => setTimeout(resolve, STATE_PAUSE_MS + 200));
+  await new Promise((resolve) => setTimeout(resolve, STORE_RETRY_MS + 200));
   assert.equal(tries, 2);
   assert.deepEqual(ranges(lost), moved, 'only the present record tells');
   lost.shardController.tick();
@@ -325,7 +334,7 @@
 
 test('tasks pass to a shard that is booked less only after a long wait, and once in a while', async () => {
   const s = scene();
-  s.world.lessBooked = 0;
+  s.world.lessAllocated = 0;
   // The other node is away, or it would get its shard back meanwhile.
   const away = { key: 'nodes/n1/b', value: undefined, revision: 21, removed: true };
   s.cache.apply({ fresh: false, epoch: 21, changes: [away] });
@@ -351,12 +360,12 @@
   s.world.room = { shard: 0, tasks: 2 };
   s.shardController.tick();
   s.world.now = TRANSFER_AFTER_MS + 1;
-  s.world.outcome = () => new StateTrouble('no_answer', 'gone');
+  s.world.outcome = () => new StoreRequestError('no_answer', 'gone');
   s.shardController.tick();
   await settle();
   s.shardController.close();
   const before = s.world.written.length;
-  await new Promise((resolve) => setTimeout(resolve, 2 * STATE_PAUSE_MS + 200));
+  await new Promise((resolve) => setTimeout(resolve, 2 * STORE_RETRY_MS + 200));
   assert.ok(s.world.written.length <= before + 1, 'at most the try that was under way');
 });
 
--- a/test/shard-directory.test.ts
+++ b/test/shard-directory.test.ts
@@ -53,7 +53,7 @@
     ['more', [status('n1', [told(1, 9)])], null],
   ];
   for (const [name, peers, want] of cases) {
-    assert.equal(directory(peers).lessBooked(spec(), 0), want, name);
+    assert.equal(directory(peers).lessAllocated(spec(), 0), want, name);
   }
 });
 
--- a/test/shard.test.ts
+++ b/test/shard.test.ts
@@ -13,12 +13,12 @@
 /** One report and its answer; the commands that were given. */
 const beat = (shard: Shard, w: FakeWorker, now: number, mayStart = true): readonly Command[] => {
   w.advance(now);
-  const r = w.report();
+  const r = w.heartbeat();
   // The loop of the service, which runs several times in a second.
   if (mayStart) shard.placeAll(now);
-  const result = shard.beat(r, now, mayStart);
+  const result = shard.handleHeartbeat(r, now, mayStart);
   if (result.kind !== 'answer') return [];
-  w.answered(shard.term, result.commands, now, r.session);
+  w.answered(shard.term, result.commands, now, r.agentEpoch);
   return result.commands;
 };
 const starts = (commands: readonly Command[]) =>
@@ -54,7 +54,7 @@
   const shard = shardWith(new Store().add(machine('a'), job()));
   const [a] = workers(['a']);
   beat(shard, a!, 0);
-  const lost = shard.beat(a!.report(), 600, true);
+  const lost = shard.handleHeartbeat(a!.heartbeat(), 600, true);
   assert.equal(lost.kind, 'answer');
   const again = beat(shard, a!, 4600);
   assert.deepEqual(starts(again), ['job-000001/0']);
@@ -96,7 +96,7 @@
   );
 });
 
-test('a completion that stays listed is no news: a machine that fails everything is condemned', () => {
+test('a completion that stays listed is no news: a machine that fails everything is quarantined', () => {
   const store = new Store().add(machine('a'), job());
   const shard = shardWith(store);
   const [a] = workers(['a']);
@@ -115,7 +115,7 @@
     [...a!.tasks.values()].some((t) => t.why === 'done'),
     'not saved, so still listed',
   );
-  assert.ok(shard.machines.get('a')?.condemned);
+  assert.ok(shard.machines.get('a')?.quarantined);
 });
 
 test('a silent machine: its tasks go elsewhere only when its lease has surely run out', () => {
@@ -153,7 +153,7 @@
   beat(returned, b!, 9000);
   assert.deepEqual(starts(beat(returned, b!, 9600)), []);
   a!.vanish();
-  returned.machineGone('a', 9700);
+  returned.removeMachine('a', 9700);
   assert.deepEqual(starts(beat(returned, b!, 10_200)), ['job-000001/0']);
   assert.deepEqual(world.broken, []);
 });
@@ -168,16 +168,20 @@
   for (const w of [a!, b!]) beat(shard, w, 5000);
   for (const w of [a!, b!]) assert.deepEqual(starts(beat(shard, w, 5600)), []);
   assert.equal(shard.jobs.get('job-000001')?.placed.size, 1);
-  assert.equal(old.beat(a!.report(), 6000, true).kind, 'superseded', 'the old owner learns of it');
+  assert.equal(
+    old.handleHeartbeat(a!.heartbeat(), 6000, true).kind,
+    'superseded',
+    'the old owner learns of it',
+  );
 });
 
 test('late and repeated messages', () => {
   const shard = shardWith(new Store().add(machine('a'), job()));
   const [a] = workers(['a']);
   beat(shard, a!, 0);
-  const held = a!.report();
+  const held = a!.heartbeat();
   beat(shard, a!, 600);
-  const result = shard.beat(held, 5000, true);
+  const result = shard.handleHeartbeat(held, 5000, true);
   assert.deepEqual(result, { kind: 'old' }, 'an older report changes nothing');
   assert.equal(shard.jobs.get('job-000001')?.placed.size, 1);
 });
@@ -187,7 +191,7 @@
   const shard = shardWith(new Store().add(machine('a'), machine('b'), job()));
   const [a, b] = workers(['a', 'b'], world);
   for (const w of [a!, b!]) beat(shard, w, 0);
-  for (const w of [a!, b!]) shard.inspected(w.report(), 100);
+  for (const w of [a!, b!]) shard.handleCommandStatus(w.heartbeat(), 100);
   shard.placeAll(200);
   const [direct] = shard.directCommands(200);
   const target = direct!.machine.record.name === 'a' ? a! : b!;
@@ -195,12 +199,12 @@
   assert.deepEqual(starts(direct!.commands), ['job-000001/0']);
   assert.deepEqual(starts(beat(shard, other, 1000)), [], 'in doubt: not elsewhere');
   assert.deepEqual(starts(beat(shard, target, 1000)), ['job-000001/0'], 'same attempt by report');
-  shard.jobs.get('job-000001')!.over = true;
+  shard.jobs.get('job-000001')!.ended = true;
   const stop = shard.jobs.get('job-000001')!.placed.get(0)!;
   shard.requestStop(stop, 0, 2000);
   for (let t = 3000; t < 12_000; t += 3000) beat(shard, target, t);
   assert.equal(target.tasks.size, 1, 'the ended attempt stays listed');
-  target.direct(shard.term, target.session, direct!.commands);
+  target.direct(shard.term, target.agentEpoch, direct!.commands);
   assert.deepEqual(running(target), [], 'so the late command finds it and does nothing');
   assert.deepEqual(world.broken, []);
 });
@@ -209,7 +213,7 @@
   const shard = shardWith(new Store().add(machine('a'), job()));
   const [a] = workers(['a']);
   beat(shard, a!, 0);
-  shard.inspected(a!.report(), 100);
+  shard.handleCommandStatus(a!.heartbeat(), 100);
   shard.placeAll(200);
   const [direct] = shard.directCommands(200);
   shard.directSettled(direct!.starts, false);
@@ -297,7 +301,7 @@
   assert.equal(running(a!).length + running(b!).length, 4);
   beat(shard, c!, 1200);
   b!.vanish();
-  shard.machineGone('b', 2000);
+  shard.removeMachine('b', 2000);
   assert.deepEqual(starts(beat(shard, c!, 2500)), [], 'half of the old attempt is still there');
   beat(shard, a!, 3000);
   beat(shard, a!, 3600);
@@ -334,7 +338,7 @@
   }
 });
 
-test('a machine that fails tasks of different jobs is condemned, a failing job is paused', () => {
+test('a machine that fails tasks of different jobs is quarantined, a failing job is paused', () => {
   const store = new Store().add(
     machine('a'),
     machine('b'),
@@ -346,7 +350,7 @@
   a!.faulty = true;
   beat(shard, a!, 0);
   for (let t = 600; t < 6000; t += 600) beat(shard, a!, t);
-  assert.equal(shard.machines.get('a')?.condemned, true);
+  assert.equal(shard.machines.get('a')?.quarantined, true);
   const bad = shardWith(new Store().add(machine('a'), machine('b'), machine('c'), job()));
   const all = workers(['a', 'b', 'c']);
   let given = 0;
@@ -354,7 +358,7 @@
   for (let t = 0; t < 30_000; t += 600)
     for (const w of all) given += starts(beat(bad, w, t)).length;
   assert.equal(given, 3, 'tried on each machine once, not again and again');
-  assert.equal([...bad.machines.values()].filter((m) => m.condemned).length, 0);
+  assert.equal([...bad.machines.values()].filter((m) => m.quarantined).length, 0);
 });
 
 test('on notice nothing starts, and what can save is stopped in time to', () => {
@@ -395,20 +399,20 @@
     const [a] = workers(['a']);
     if (machines > 0) for (const t of [0, 600, 1200]) beat(shard, a!, t);
     const state = shard.jobs.get('job-000001')!;
-    const found = shard.transferable(state, record);
+    const found = shard.migratable(state, record);
     assert.deepEqual(found === null ? null : [found.from, found.range.to], want, name);
     if (found === null) continue;
-    shard.beginTransfer(state, found.from, found.range.to);
+    shard.beginMigration(state, found.from, found.range.to);
     shard.placeAll(2000);
     assert.equal(state.waiting.length, 0, 'nothing of it starts meanwhile');
-    assert.equal(shard.transferable(state, record), null, 'nor passes twice');
-    shard.endTransfer(state, false, 3000);
+    assert.equal(shard.migratable(state, record), null, 'nor passes twice');
+    shard.endMigration(state, false, 3000);
     assert.equal(state.waiting.length, found.range.to - found.from, 'a refusal brings it back');
   }
   const inherited = job({ tasks: 2 }, 1);
   const later = shardWith(new Store().add(inherited, machine('a')), 2);
   const state = later.jobs.get('job-000001')!;
-  assert.equal(later.transferable(state, inherited), null, 'it may be running on a silent machine');
+  assert.equal(later.migratable(state, inherited), null, 'it may be running on a silent machine');
 });
 
 // A machine emptied for a gang stood idle for 24 s after the gang had found room elsewhere.
@@ -421,11 +425,11 @@
   store.add(job({ uid: 'job-000002', priority: 'high', demand: whole }), machine('b'));
   shard.sync(store, 2000);
   shard.placeAll(2000);
-  assert.equal(shard.machines.get('a')?.hold?.uid, 'job-000002');
+  assert.equal(shard.machines.get('a')?.reservation?.uid, 'job-000002');
   for (const t of [2000, 2600]) beat(shard, b!, t);
   assert.deepEqual(running(b!), ['job-000002/0']);
   shard.placeAll(3000);
-  assert.equal(shard.machines.get('a')?.hold, null);
+  assert.equal(shard.machines.get('a')?.reservation, null);
 });
 
 // Two gangs of Dublin missed their aim by a fetch of 15 s, though a machine with the image was full of
@@ -449,7 +453,7 @@
   store.add(job({ ...gang, image: 'big', imageGb: 10 }));
   shard.sync(store, 2000);
   shard.placeAll(2000);
-  assert.equal(shard.machines.get('b')?.hold?.uid, 'job-000002');
+  assert.equal(shard.machines.get('b')?.reservation?.uid, 'job-000002');
 });
 
 test('a team with a limit starts nothing while what runs for it is not all known', () => {
@@ -464,7 +468,7 @@
   const shard = shardWith(store.add(job({ ...small, uid: 'job-000002' }, 2)), 2, {}, 5000);
   for (const t of [5000, 5600]) assert.deepEqual(starts(beat(shard, b!, t)), [], 'a is not known');
   beat(shard, a!, 5700);
-  shard.inspected(a!.report(), 6000);
+  shard.handleCommandStatus(a!.heartbeat(), 6000);
   assert.deepEqual(starts(beat(shard, b!, 6200)), [], 'and then being stopped');
   for (const t of [6300, 6900]) beat(shard, a!, t);
   assert.equal(running(a!).length + running(b!).length > 0, true, 'then it goes on');
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -4,11 +4,11 @@
 import type { Shard } from '../src/core/shard/shard.js';
 import type { JobSpec } from '../src/core/model.js';
 import { unusedVolume } from '../src/core/placement/unused-volume.js';
-import { VolumeOrder } from '../src/core/placement/unused-volume-index.js';
+import { UnusedVolumeIndex } from '../src/core/placement/unused-volume-index.js';
 import { randomFrom } from '../src/random.js';
-import { FIRST_SPAN_S, SEEN_MOST } from '../src/constants.js';
+import { FIRST_SPAN_S, SEEN_JOBS_LIMIT } from '../src/constants.js';
 import { countDone, decodeDone, encodeDone } from '../src/core/jobs/jobs.js';
-import { Learning } from '../src/core/capacity/workload-statistics.js';
+import { WorkloadStatistics } from '../src/core/capacity/workload-statistics.js';
 import { TaskSet } from '../src/core/jobs/task-set.js';
 import { job, machine, machineType, shardWith, spec, Store } from './helpers.js';
 
@@ -28,9 +28,18 @@
   }
   const shard = shardWith(store);
   for (let i = 0; i < machines; i++) {
-    const report = { machine: nameOf(i), address: 'none:1', type: 'm', session: 1, noticeS: null };
+    const heartbeat = {
+      machine: nameOf(i),
+      address: 'none:1',
+      type: 'm',
+      agentEpoch: 1,
+      preemptionNoticeS: null,
+    };
     const { zone, spot } = store.machines.get(nameOf(i))!.value;
-    shard.inspected({ ...report, zone, spot, counter: 1, token: 1, tasks: [] }, 0);
+    shard.handleCommandStatus(
+      { ...heartbeat, zone, spot, counter: 1, fencingToken: 1, tasks: [] },
+      0,
+    );
     for (let image = 0; image < 3; image++) {
       shard.machines.get(nameOf(i))!.images.set(`image-${(i + image) % 12}`, 1);
     }
@@ -108,8 +117,18 @@
       ...{ uid: spec.uid, index, attempt, why: null, saved: false },
       state: 'running' as const,
     }));
-    const report = { machine: nameOf(i), address: 'none:1', type: 'm', session: 1, noticeS: null };
-    const result = shard.beat({ ...report, zone, spot, counter: 2, token: 1, tasks }, 500, true);
+    const heartbeat = {
+      machine: nameOf(i),
+      address: 'none:1',
+      type: 'm',
+      agentEpoch: 1,
+      preemptionNoticeS: null,
+    };
+    const result = shard.handleHeartbeat(
+      { ...heartbeat, zone, spot, counter: 2, fencingToken: 1, tasks },
+      500,
+      true,
+    );
     assert.equal(result.kind, 'answer');
   }
   assert.equal(shard.state.work.machinesVisited - before, 0);
@@ -149,8 +168,8 @@
     machinesMost: machines,
     now: 5000,
   };
-  const { giveBack } = planCapacity(input);
-  assert.ok(giveBack.length > machines - 10, `${giveBack.length} given back`);
+  const { returns: returns } = planCapacity(input);
+  assert.ok(returns.length > machines - 10, `${returns.length} given back`);
   assert.ok(looked < 100 * machines, `${looked / machines} looks at each machine`);
 });
 
@@ -189,13 +208,13 @@
 });
 
 test('more jobs that have not ended than are remembered: each counts once', () => {
-  const learning = new Learning();
-  const active = new Set(Array.from({ length: SEEN_MOST + 1000 }, (_, i) => `job-${i}`));
+  const workload = new WorkloadStatistics();
+  const active = new Set(Array.from({ length: SEEN_JOBS_LIMIT + 1000 }, (_, i) => `job-${i}`));
   for (let look = 0; look < 3; look++) {
-    for (const uid of active) learning.arrived(spec({ uid }), 10);
-    learning.keepOnly(active);
+    for (const uid of active) workload.arrived(spec({ uid }), 10);
+    workload.keepOnly(active);
   }
-  const { tasksPerS } = learning.stats(20).get('c')!;
+  const { tasksPerS } = workload.stats(20).get('c')!;
   assert.equal(Math.round(tasksPerS * FIRST_SPAN_S), active.size);
 });
 
@@ -210,7 +229,7 @@
       m.free = { cpus: random(9), gpus: random(3), memoryGb: 8 * random(9) };
     };
     machines.forEach(change);
-    const order = new VolumeOrder(machines, largest);
+    const order = new UnusedVolumeIndex(machines, largest);
     const present = new Set(machines);
     for (let step = 0; step < 100; step++) {
       const m = machines[random(machines.length)]!;
--- a/test/socket-budget.test.ts
+++ b/test/socket-budget.test.ts
@@ -66,7 +66,7 @@
   for (const n of names) {
     const w = new FakeWorker(n, world, 1000, LEASE_MS, 0, 'z', 'm', `${n}:1`);
     w.token = 1;
-    shard.beat(w.report(), 0, true);
+    shard.handleHeartbeat(w.heartbeat(), 0, true);
   }
   store.add(job({ tasks: 60 }));
   shard.sync(store, 100);
@@ -81,7 +81,7 @@
 });
 
 /** A process that stood still finds its calls as it left them, but not its authority. */
-for (const what of ['rent', 'giveBack'] as const) {
+for (const what of ['rent', 'returnMachines'] as const) {
   test(`${what}: authority lost while the call waited for its turn`, async () => {
     const asked: string[] = [];
     const server = new StandInServer();
@@ -95,7 +95,8 @@
     const rental = { request: 'r', type: 'm', zone: 'z', spot: false, count: 1 };
     const held = authorization('parts/0', 1, 1, () => may);
     const intent = RecordedIntent.found(held, { key: 'hires/0/r', revision: 2 });
-    const call = () => (what === 'rent' ? cloud.rent(rental, intent) : cloud.giveBack(['a'], held));
+    const call = () =>
+      what === 'rent' ? cloud.rent(rental, intent) : cloud.returnMachines(['a'], held);
     try {
       await call();
       const before = asked.length;
--- a/test/standins/cloud.ts
+++ b/test/standins/cloud.ts
@@ -1,21 +1,21 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { CborClient } from '../../src/transport/http.js';
-import type { Report } from '../../src/core/model.js';
+import type { Heartbeat } from '../../src/core/model.js';
 import { StandInServer, type Reply, type Request } from './server.js';
 import { FakeWorker, type World } from './worker.js';
 
 const STATES = { running: 'running', exited: 'ended' } as const;
 
-const toWire = (r: Report): unknown => ({
+const toWire = (r: Heartbeat): unknown => ({
   Host: r.machine,
   Address: r.address,
   Hosttype: r.type,
   Site: r.zone,
   Reclaimable: r.spot,
-  Tenure: r.session,
+  Tenure: r.agentEpoch,
   Counter: r.counter,
-  Mandate: r.token,
-  WarningS: r.noticeS,
+  Mandate: r.fencingToken,
+  WarningS: r.preemptionNoticeS,
   Pieces: r.tasks.map((t) => ({
     Piece: `${t.uid}/${t.index}`,
     Try: t.attempt,
@@ -75,7 +75,7 @@
     this.worker.advance(Date.now());
     const executed = this.worker.direct(body.Mandate, body.Tenure, body.Orders.map(fromWire));
     this.#last = 0;
-    return { status: executed ? 200 : 409, body: toWire(this.worker.report()) };
+    return { status: executed ? 200 : 409, body: toWire(this.worker.heartbeat()) };
   }
 
   async #beat(nodes: readonly [string, string][]): Promise<void> {
@@ -93,7 +93,7 @@
       this.#busy = false;
       return;
     }
-    const report = this.worker.report();
+    const report = this.worker.heartbeat();
     const sentAt = Date.now();
     const client = new CborClient(nodes[this.at]![1], 1);
     if (this.copyMs !== null) this.#copyLater(nodes, report, this.copyMs);
@@ -108,7 +108,7 @@
       if (answer.status === 200) {
         const orders = (body.Orders ?? []).map(fromWire);
         this.worker.advance(Date.now());
-        this.worker.answered(body.Mandate ?? 0, orders, sentAt, report.session);
+        this.worker.answered(body.Mandate ?? 0, orders, sentAt, report.agentEpoch);
       } else {
         const to = nodes.findIndex(([name]) => name === body.ReportsTo);
         this.at = to >= 0 && to !== this.at ? to : (this.at + 1) % nodes.length;
@@ -121,7 +121,7 @@
     }
   }
 
-  #copyLater(nodes: readonly [string, string][], report: Report, ms: number): void {
+  #copyLater(nodes: readonly [string, string][], report: Heartbeat, ms: number): void {
     const timer = setTimeout(() => {
       if (this.#stopped) return;
       this.copies += 1;
@@ -131,7 +131,7 @@
   }
 
   /** Nobody waits for the answer to a copy. */
-  #deliver(address: string, report: Report): void {
+  #deliver(address: string, report: Heartbeat): void {
     const client = new CborClient(address, 1);
     void client
       .call('POST', '/agent/beat', toWire(report), 1000)
@@ -139,10 +139,10 @@
       .finally(() => client.close());
   }
 
-  #kept: Report | null = null;
+  #kept: Heartbeat | null = null;
   /** Keeps a report as the worker would send it now. */
   keepReport(): void {
-    this.#kept = this.worker.report();
+    this.#kept = this.worker.heartbeat();
   }
 
   /** The kept report arrives at every node. */
--- a/test/standins/cluster.ts
+++ b/test/standins/cluster.ts
@@ -3,7 +3,7 @@
 import type { PlatformConfig } from '../../src/config/platform.js';
 import { shardOfTeam } from '../../src/core/jobs/jobs.js';
 import type { Team } from '../../src/core/model.js';
-import { CborClient, type Answer } from '../../src/transport/http.js';
+import { CborClient, type Response } from '../../src/transport/http.js';
 import { AnswerHistory, type UserCall } from './answer-history.js';
 import { FakeCloud, type WorkerHost } from './cloud.js';
 import type { Features } from '../../src/service/service.js';
@@ -29,7 +29,7 @@
   readonly cancelS: number;
   readonly teams?: readonly Team[];
   readonly zones?: readonly string[];
-  readonly stateLimits?: PlatformConfig['stateLimits'];
+  readonly storeLimits?: PlatformConfig['storeLimits'];
   /** values that stand in the state service before the first controller starts */
   readonly seed?: Readonly<Record<string, unknown>>;
   /** version of each node at the start, by name; the present one if not given */
@@ -39,7 +39,7 @@
 }
 
 /** What the version in production reads of the limits: it knows none that are announced. */
-const PRODUCTION_LIMITS: PlatformConfig['stateLimits'] = {
+const PRODUCTION_LIMITS: PlatformConfig['storeLimits'] = {
   rps: 600,
   writeRps: 300,
   valueBytes: 8192,
@@ -103,7 +103,7 @@
       await door.start();
       this.doors.set(n, door);
     }
-    const { runMs, leaseS, cancelS, teams = [], zones = ['z'], stateLimits } = this.options;
+    const { runMs, leaseS, cancelS, teams = [], zones = ['z'], storeLimits } = this.options;
     for (const t of teams) if (t.cpusMax > 0) this.world.limits.set(t.name, t.cpusMax);
     this.cloud = new FakeCloud(this.world, [...listen], runMs, leaseS * 1000, zones);
     this.cloud.host = this.#host;
@@ -126,13 +126,13 @@
         peerListen: peerListen.get(node)!,
         peers,
         cloud: this.cloud.address,
-        state: toState.address,
+        store: toState.address,
         nodes: this.names.length,
         zones,
         teams: new Map([TEAM, ...teams].map((t) => [t.name, t])),
         objectives: [],
-        workers: { reportS: 0.5, leaseS, gangWaitS: 10, gangPeerS: 2, cancelS },
-        stateLimits: stateLimits ?? PRODUCTION_LIMITS,
+        workers: { heartbeatIntervalS: 0.5, leaseS, gangWaitS: 10, gangPeerS: 2, cancelS },
+        storeLimits: storeLimits ?? PRODUCTION_LIMITS,
         cloudLimits: { rps: 60, listLagS: 0.2 },
         sockets: 1000,
       });
@@ -147,7 +147,7 @@
     await this.#ending.get(node);
     const config = this.#configs.get(node)!;
     const old = version === 'production';
-    const settings = old ? { ...config, stateLimits: PRODUCTION_LIMITS } : config;
+    const settings = old ? { ...config, storeLimits: PRODUCTION_LIMITS } : config;
     const features = { duties: null, shares: null, ...this.options.features };
     const controller: Controller = createController(version, settings, features, () => {
       this.crashes += 1;
@@ -201,7 +201,7 @@
     for (const [way, link] of this.#links) if (way.split(' ').includes(node)) link.cut = cut;
   }
 
-  call(node: string, method: string, path: string, body?: unknown): Promise<Answer> {
+  call(node: string, method: string, path: string, body?: unknown): Promise<Response> {
     return this.#clients.get(node)!.call(method, path, body, 3000);
   }
 
@@ -228,7 +228,7 @@
   }
 
   /** A call of a user. Every answer is judged by what users had been told when the call was sent. */
-  async ask(node: string, call: UserCall, uid: string, body?: unknown): Promise<Answer | null> {
+  async ask(node: string, call: UserCall, uid: string, body?: unknown): Promise<Response | null> {
     const sent = this.history.sent(call, uid);
     const method = call === 'query' ? 'GET' : 'POST';
     const path = call === 'submit' ? '/submissions' : `/submissions/${uid}`;
--- a/test/standins/controllers.ts
+++ b/test/standins/controllers.ts
@@ -88,6 +88,17 @@
   }
 }
 
+/** The settings as the bundled version in production names them. */
+const productionSettings = ({ store, storeLimits, workers, ...same }: PlatformConfig): unknown => {
+  const { heartbeatIntervalS, ...intervals } = workers;
+  return {
+    ...same,
+    state: store,
+    stateLimits: storeLimits,
+    workers: { reportS: heartbeatIntervalS, ...intervals },
+  };
+};
+
 /** `onCrash` is called when the controller ends by itself. */
 export const createController = (
   version: Version,
@@ -101,6 +112,6 @@
     case 'current-process':
       return new ProcessController('controller-process.js', { config, features }, onCrash);
     case 'production':
-      return new ProcessController('production-process.js', config, onCrash);
+      return new ProcessController('production-process.js', productionSettings(config), onCrash);
   }
 };
--- a/test/standins/production-process.ts
+++ b/test/standins/production-process.ts
@@ -4,11 +4,10 @@
  * `listening`, and ends like the real program when an error is not handled.
  */
 import pino from 'pino';
-import type { PlatformConfig } from '../../src/config/platform.js';
 
 interface ProductionModule {
   readonly Service: new (
-    config: PlatformConfig,
+    settings: unknown,
     operator: unknown,
     log: unknown,
   ) => { start(): Promise<void> };
@@ -23,11 +22,11 @@
 // Without its parent nobody would ever end this process.
 process.on('disconnect', fail);
 
-process.once('message', (config: PlatformConfig) => {
+process.once('message', (settings: unknown) => {
   void (async () => {
     const production = (await import(FIXTURE.href)) as ProductionModule;
     const log = pino({ level: 'silent' });
-    await new production.Service(config, production.parseOperator('', ''), log).start();
+    await new production.Service(settings, production.parseOperator('', ''), log).start();
     process.send?.('listening');
   })();
 });
--- a/test/standins/user-node.ts
+++ b/test/standins/user-node.ts
@@ -1,14 +1,14 @@
 import { createServer, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import Koa from 'koa';
-import { CborClient, type Answer } from '../../src/transport/http.js';
-import type { Found, Outcome } from '../../src/store/store-client.js';
+import { CborClient, type Response } from '../../src/transport/http.js';
+import type { Found, CompareAndSwapResult } from '../../src/store/store-client.js';
 import { LinearizableReads } from '../../src/store/linearizable-reads.js';
 import { WatchCache } from '../../src/store/watch-cache.js';
 import { userRoutes } from '../../src/users/api.js';
 import { JobReader } from '../../src/users/job-reader.js';
 import { Jobs } from '../../src/users/jobs.js';
-import { transactionBody, type Condition, type Write } from '../../src/wire/schemas.js';
+import { transactionBody, type Guard, type Write } from '../../src/wire/schemas.js';
 import { machineType, settings } from '../helpers.js';
 import type { AnswerHistory } from './answer-history.js';
 import { type UserCall } from './answer-history.js';
@@ -100,8 +100,8 @@
   async open(): Promise<void> {
     await this.list();
     const client = {
-      transact: (_class: unknown, when: readonly Condition[], writes: readonly Write[]) =>
-        this.#transact(when, writes),
+      compareAndSwap: (_class: unknown, guards: readonly Guard[], writes: readonly Write[]) =>
+        this.#compareAndSwap(guards, writes),
       expectedMs: () => 0,
     };
     const linearizable = {
@@ -137,7 +137,7 @@
         progress: () => ({ done: 0, running: 0 }),
         cancelled: () => undefined,
         ready: () => true,
-        stateUp: () => true,
+        storeAvailable: () => true,
         timeOfDay: () => 0,
         steady: steadyMs,
         random: () => 0,
@@ -159,14 +159,14 @@
   }
 
   /** A call of a user; every answer is judged. */
-  async ask(call: UserCall, body: { readonly Uid: string }): Promise<Answer | null> {
+  async ask(call: UserCall, body: { readonly Uid: string }): Promise<Response | null> {
     const sent = this.history.sent(call, body.Uid);
     const answer = await this.#send(call, body).catch(() => null);
     this.history.received(sent, answer, this.name);
     return answer;
   }
 
-  #send(call: UserCall, body: { readonly Uid: string }): Promise<Answer> {
+  #send(call: UserCall, body: { readonly Uid: string }): Promise<Response> {
     const client = this.#client!;
     const path = `/submissions/${body.Uid}`;
     if (call === 'submit') return client.call('POST', '/submissions', body, USER_PATIENCE_MS);
@@ -183,9 +183,12 @@
     return { key, value: item.value, revision: item.revision };
   }
 
-  async #transact(when: readonly Condition[], writes: readonly Write[]): Promise<Outcome> {
+  async #compareAndSwap(
+    guards: readonly Guard[],
+    writes: readonly Write[],
+  ): Promise<CompareAndSwapResult> {
     await this.writeRequest.pass();
-    const body = transactionBody(when, writes);
+    const body = transactionBody(guards, writes);
     const query = new URLSearchParams();
     const reply = await this.state.handle({ method: 'POST', path: '/multi', query, body });
     if (reply === 'hang') throw new Error('the stand-in answers every transaction');
--- a/test/standins/worker.ts
+++ b/test/standins/worker.ts
@@ -1,4 +1,4 @@
-import type { Command, Report, ReportedTask } from '../../src/core/model.js';
+import type { Command, Heartbeat, ReportedTask } from '../../src/core/model.js';
 
 export interface JobRules {
   readonly team: string;
@@ -113,7 +113,7 @@
 
 /** Stand-in for a worker: tokens, sessions, leases and commands as the protocol says. */
 export class FakeWorker {
-  session = 1;
+  agentEpoch = 1;
   counter = 0;
   token = 0;
   noticeS: number | null = null;
@@ -139,7 +139,7 @@
     this.#at = now;
   }
 
-  report(): Report {
+  heartbeat(): Heartbeat {
     this.counter += 1;
     return {
       machine: this.name,
@@ -147,10 +147,10 @@
       type: this.type,
       zone: this.zone,
       spot: this.spot,
-      session: this.session,
+      agentEpoch: this.agentEpoch,
       counter: this.counter,
-      token: this.token,
-      noticeS: this.noticeS,
+      fencingToken: this.token,
+      preemptionNoticeS: this.noticeS,
       tasks: [...this.tasks.values()].map((t) => ({
         uid: t.uid,
         index: t.index,
@@ -163,16 +163,16 @@
   }
 
   /** The answer to the report sent at `sentAt` in the given session. */
-  answered(token: number, commands: readonly Command[], sentAt: number, session: number): void {
-    if (session !== this.session || token < this.token) return;
+  answered(token: number, commands: readonly Command[], sentAt: number, agentEpoch: number): void {
+    if (agentEpoch !== this.agentEpoch || token < this.token) return;
     this.token = token;
     this.#leaseFrom = sentAt;
     for (const c of commands) this.#execute(c);
   }
 
   /** A direct command; true if executed. */
-  direct(token: number, session: number, commands: readonly Command[]): boolean {
-    if (token < this.token || session !== this.session) return false;
+  direct(token: number, agentEpoch: number, commands: readonly Command[]): boolean {
+    if (token < this.token || agentEpoch !== this.agentEpoch) return false;
     this.token = token;
     for (const c of commands) this.#execute(c);
     return true;
@@ -219,7 +219,7 @@
     if (now - this.#leaseFrom > this.leaseMs) {
       for (const t of this.tasks.values()) if (t.state === 'running') this.#exit(t, 'stopped');
       this.tasks.clear();
-      this.session += 1;
+      this.agentEpoch += 1;
       this.#leaseFrom = now;
     }
     for (const t of this.tasks.values()) {
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -153,8 +153,8 @@
   const w = new FakeWorker('vm-000001', world, 1000, 18_000, 0);
   w.answered(5, [{ op: 'start', uid: 'job-000001', index: 6, attempt: 5 * 2 ** 23 }], 0, 1);
   for (let now = 0; now < 2000; now += 500) {
-    const r = w.report();
-    const result = shard.beat(r, now, true);
+    const r = w.heartbeat();
+    const result = shard.handleHeartbeat(r, now, true);
     if (result.kind === 'answer') w.answered(shard.term, result.commands, now, 1);
   }
   assert.equal(shard.rebuilt, true);
--- a/test/wire.test.ts
+++ b/test/wire.test.ts
@@ -88,7 +88,7 @@
       ['job-000398', 1, 'exited', 'error'],
     ],
   );
-  assert.equal(parsed.noticeS, null);
+  assert.equal(parsed.preemptionNoticeS, null);
 });
 
 test('orders: the verbs of the wire', () => {
