--- a/packages/duties/test/parts.test.ts
+++ b/packages/leader-election/test/components.test.ts
@@ -13,7 +13,7 @@
   StoreUnavailableError,
   type DutyView,
   type FencingToken,
-} from '@sumacstep/duties';
+} from '@sumacstep/leader-election';
 
 const LEASE = { ttlMs: 6000, clockDrift: 0.001, marginMs: 500 };
 
--- a/packages/duties/test/manager.test.ts
+++ b/packages/leader-election/test/manager.test.ts
@@ -10,7 +10,7 @@
   type Guard,
   type DutyView,
   type CompareAndSwapResult,
-} from '@sumacstep/duties';
+} from '@sumacstep/leader-election';
 
 const ME = { node: 'a', incarnation: 'one' };
 const member = (node: string, revision: number) => ({
--- a/packages/duties/test/simulated-holders.ts
+++ b/packages/leader-election/test/simulated-holders.ts
@@ -17,7 +17,7 @@
   type LivingMember,
   type CompareAndSwapStore,
   type Versioned,
-} from '@sumacstep/duties';
+} from '@sumacstep/leader-election';
 import type { DutyEvent } from './history.js';
 import { SimulatedStore, type Weather } from './simulated-store.js';
 import { VirtualTime } from './virtual-time.js';
--- a/packages/duties/test/simulated-store.ts
+++ b/packages/leader-election/test/simulated-store.ts
@@ -6,7 +6,7 @@
   type CompareAndSwapStore,
   type Versioned,
   type Write,
-} from '@sumacstep/duties';
+} from '@sumacstep/leader-election';
 import type { VirtualTime } from './virtual-time.js';
 
 interface Item extends Versioned<unknown> {
--- a/packages/shares/test/moves.test.ts
+++ b/packages/shard-rebalancing/test/moves.test.ts
@@ -10,7 +10,7 @@
   select,
   type Candidate,
   type Move,
-} from '@sumacstep/shares';
+} from '@sumacstep/shard-rebalancing';
 
 const REQUEST = { id: 'a', from: 0, to: 1, count: 2, deadlineMs: 1000 };
 const move = (over: Partial<Move> = {}): Move => ({ ...requested(parseRequest(REQUEST)), ...over });
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -6,7 +6,7 @@
   LIST_SHARE,
   TOKEN_POLL_MS,
 } from '../constants.js';
-import type { Authorization, RecordedIntent } from '@sumacstep/duties';
+import type { Authorization, RecordedIntent } from '@sumacstep/leader-election';
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { MachineType } from '../core/model.js';
 import { CborClient, NoResponseError, type Response } from '../transport/http.js';
--- a/src/commands/duties.ts
+++ b/src/commands/duties.ts
@@ -5,9 +5,9 @@
   type DutiesReport,
   type DutyStatus,
   type HandOverRequest,
-} from '@sumacstep/duties';
+} from '@sumacstep/leader-election';
 import type { PlatformConfig } from '../config/platform.js';
-import { DUTY_NAMES, dutyView } from '../duties/duty-controller.js';
+import { DUTY_NAMES, dutyView } from '../singletons/singleton-controller.js';
 import { CALL_PRIORITY } from '../store/store-client.js';
 import { key } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
@@ -33,8 +33,8 @@
 }
 
 const describeParts = ({ tables }: WatchCache): PartStatus[] =>
-  [...tables['parts/']].map(([index, { value }]) => {
-    const living = tables['nodes/'].has(`${value.owner}/${value.incarnation}`);
+  [...tables.shards].map(([index, { value }]) => {
+    const living = tables.nodes.has(`${value.owner}/${value.incarnation}`);
     return {
       duty: key.shard(Number(index)),
       holder: value.owner,
--- a/src/commands/shares.ts
+++ b/src/commands/shares.ts
@@ -11,11 +11,11 @@
   requestProblems,
   type Move,
   type MoveRequest,
-} from '@sumacstep/shares';
+} from '@sumacstep/shard-rebalancing';
 import type { PlatformConfig } from '../config/platform.js';
 import { hasGuarantee, hasLimit, shardOfTeam } from '../core/jobs/jobs.js';
 import type { MachineRecord } from '../core/model.js';
-import { movesIn, obstacleOf } from '../shares/mover.js';
+import { movesIn, obstacleOf } from '../rebalancing/move-coordinator.js';
 import { CALL_PRIORITY } from '../store/store-client.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import { CommandError, EXIT } from './exit-codes.js';
@@ -97,7 +97,7 @@
 };
 
 const shareOf = (cache: WatchCache, shard: number): Share => {
-  const owner = cache.tables['parts/'].get(String(shard))?.value;
+  const owner = cache.tables.shards.get(String(shard))?.value;
   const machines = machinesOf(cache, shard);
   return {
     part: shard,
@@ -165,7 +165,7 @@
 
 /** The move that holds one of the shards; null if none does. */
 const holderOf = (cache: WatchCache, { from, to }: MoveRequest): string | null => {
-  for (const { value } of cache.tables['shares/'].values()) {
+  for (const { value } of cache.tables.moves.values()) {
     if (value.kind === 'lock' && (value.shard === from || value.shard === to)) return value.move;
   }
   return null;
@@ -176,8 +176,8 @@
   withStore(config, async (store) => {
     const cache = await store.read(['parts/', 'nodes/', 'machines/', 'shares/', 'active/']);
     const matching = machinesOf(cache, request.from).filter((m) => matches(request.filter, m));
-    const term = (shard: number) => cache.tables['parts/'].get(String(shard))?.value.term ?? 0;
-    const jobs = [...cache.tables['active/'].values()];
+    const term = (shard: number) => cache.tables.shards.get(String(shard))?.value.term ?? 0;
+    const jobs = [...cache.tables.activeJobs.values()];
     return {
       request,
       matching: matching.map((m) => m.name),
--- a/src/shares/mover.ts
+++ b/src/rebalancing/move-coordinator.ts
@@ -1,4 +1,8 @@
-import { fencedCompareAndSwap, type Authorization, type Versioned } from '@sumacstep/duties';
+import {
+  fencedCompareAndSwap,
+  type Authorization,
+  type Versioned,
+} from '@sumacstep/leader-election';
 import {
   advance,
   isOver,
@@ -6,17 +10,17 @@
   shardLockKey,
   type Move,
   type MoverFacts,
-} from '@sumacstep/shares';
+} from '@sumacstep/shard-rebalancing';
 import type { Logger } from 'pino';
-import { MOVE, type DutyController } from '../duties/duty-controller.js';
+import { MOVE, type DutyController } from '../singletons/singleton-controller.js';
 import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { Write } from '../wire/schemas.js';
 
-type Tables = Pick<WatchCache['tables'], 'nodes/' | 'parts/' | 'shares/'>;
+type Tables = Pick<WatchCache['tables'], 'nodes' | 'shards' | 'moves'>;
 
 /** All moves that the state service holds, by id. */
-export const movesIn = ({ 'shares/': table }: Pick<Tables, 'shares/'>) => {
+export const movesIn = ({ moves: table }: Pick<Tables, 'moves'>) => {
   const moves = new Map<string, Versioned<Move>>();
   for (const { value: entry, revision } of table.values()) {
     if (entry.kind === 'move') moves.set(entry.move.id, { value: entry.move, revision });
@@ -25,7 +29,7 @@
 };
 
 /** Whether every living node takes part in moves. */
-export const allKnowShares = ({ 'nodes/': nodes }: Pick<Tables, 'nodes/'>): boolean => {
+export const allKnowShares = ({ nodes }: Pick<Tables, 'nodes'>): boolean => {
   for (const { value } of nodes.values()) if (!value.knowsShares) return false;
   return nodes.size > 0;
 };
@@ -34,9 +38,8 @@
 export const obstacleOf = (tables: Tables, move: Move): string | null => {
   if (!allKnowShares(tables)) return 'a node that does not know moves';
   for (const shard of [move.from, move.to]) {
-    const owner = tables['parts/'].get(String(shard))?.value;
-    const lives =
-      owner !== undefined && tables['nodes/'].has(`${owner.owner}/${owner.incarnation}`);
+    const owner = tables.shards.get(String(shard))?.value;
+    const lives = owner !== undefined && tables.nodes.has(`${owner.owner}/${owner.incarnation}`);
     if (!lives) return `an owner of part ${shard}`;
   }
   return null;
--- a/src/shares/share-owner.ts
+++ b/src/rebalancing/shard-mover.ts
@@ -1,5 +1,12 @@
-import { fencedCompareAndSwap, type Versioned } from '@sumacstep/duties';
-import { ends, isOver, moveKey, select, type Candidate, type Move } from '@sumacstep/shares';
+import { fencedCompareAndSwap, type Versioned } from '@sumacstep/leader-election';
+import {
+  ends,
+  isOver,
+  moveKey,
+  select,
+  type Candidate,
+  type Move,
+} from '@sumacstep/shard-rebalancing';
 import type { Logger } from 'pino';
 import type { SharesConfig } from '../config/shares.js';
 import { MOVE_REASON_MS } from '../constants.js';
@@ -7,7 +14,7 @@
 import type { Owned, ShardController } from '../shards/shard-controller.js';
 import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
 import type { WatchCache } from '../store/watch-cache.js';
-import { movesIn, obstacleOf } from './mover.js';
+import { movesIn, obstacleOf } from './move-coordinator.js';
 
 const unfitness = (shard: Shard, m: MachineState, now: number): string | null => {
   if (m.terminating || m.draining || m.quarantined || m.orphaned) return 'is to be returned';
@@ -186,7 +193,7 @@
     ready: readonly string[],
   ): Promise<void> {
     const { shardController, cache, log } = this.ports;
-    const to = cache.tables['parts/'].get(String(target));
+    const to = cache.tables.shards.get(String(target));
     if (to === undefined) return;
     const key = moveKey(move.id);
     const after = (names: readonly string[]): Move => ({
--- a/src/service/service.ts
+++ b/src/service/service.ts
@@ -1,4 +1,4 @@
-import { Refusals, type SessionLease } from '@sumacstep/duties';
+import { Refusals, type SessionLease } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import { steadyMs, timeOfDayMs } from '../clock.js';
 import { CloudClient } from '../cloud/client.js';
@@ -23,7 +23,7 @@
 } from '../core/cancellation/cancellations.js';
 import { WorkloadStatistics } from '../core/capacity/workload-statistics.js';
 import { type Heartbeat } from '../core/model.js';
-import { Duties } from '../duties/duties.js';
+import { Duties } from '../singletons/singleton-controllers.js';
 import { ShardController, type PeerView } from '../shards/shard-controller.js';
 import { Gossip, type OwnStatus } from '../peers/gossip.js';
 import type { PeerStatus } from '../peers/frames.js';
@@ -38,7 +38,7 @@
 import { Readiness } from './readiness.js';
 import { Summary } from './summary.js';
 import { shareSockets } from './socket-budget.js';
-import { ShareOwner } from '../shares/share-owner.js';
+import { ShareOwner } from '../rebalancing/shard-mover.js';
 import { StoreClient } from '../store/store-client.js';
 import { LinearizableReads } from '../store/linearizable-reads.js';
 import { nodeSession } from '../store/node-session.js';
@@ -349,10 +349,10 @@
     if (this.#learned === this.#cache.version) return;
     this.#learned = this.#cache.version;
     const nowS = timeOfDayMs() / 1000;
-    for (const { value } of this.#cache.tables['active/'].values()) {
+    for (const { value } of this.#cache.tables.activeJobs.values()) {
       this.#workload.arrived(value.spec, Math.min(nowS, value.at / 1000));
     }
-    this.#workload.keepOnly(this.#cache.tables['active/']);
+    this.#workload.keepOnly(this.#cache.tables.activeJobs);
     for (const status of this.#gossip.heard()) {
       for (const c of status.classes) this.#workload.adopt(c.jobClass, c.runS, c.finished);
     }
@@ -440,7 +440,7 @@
   }
 
   #summarize(): void {
-    const activeJobs = this.#cache.tables['active/'].size;
+    const activeJobs = this.#cache.tables.activeJobs.size;
     const refusals = this.#refusals.counts;
     this.#summary.write(this.#shardController.owned, activeJobs, this.#store.available, refusals);
   }
--- a/src/service/summary.ts
+++ b/src/service/summary.ts
@@ -1,5 +1,5 @@
 import hdr from 'hdr-histogram-js';
-import type { RefusalCounts } from '@sumacstep/duties';
+import type { RefusalCounts } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import type { Shard } from '../core/shard/shard.js';
 
--- a/src/shards/completions.ts
+++ b/src/shards/completions.ts
@@ -1,4 +1,4 @@
-import { fencedCompareAndSwap } from '@sumacstep/duties';
+import { fencedCompareAndSwap } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import type { PlatformConfig } from '../config/platform.js';
 import { BATCH_BYTES, PROGRESS_MS, MAX_RANGE_TASKS, SAVE_MS, SLOT_FILL } from '../constants.js';
@@ -7,7 +7,7 @@
 import type { JobRecord, TaskRange } from '../core/model.js';
 import type { Owned } from './shard-controller.js';
 import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
-import { encodeActive, encodeDoneSlot, key, type DoneSlot } from '../store/keys.js';
+import { encodeJob, encodeDoneSlot, key, type DoneSlot } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { Guard, Write } from '../wire/schemas.js';
 
@@ -77,7 +77,7 @@
       const open = job.waiting.length + job.placed.size + job.migrating.length > 0;
       if (job.ended || job.spec.kind === 'service' || (job.unsaved.size === 0 && open)) continue;
       const { uid, tasks } = job.spec;
-      const active = this.cache.tables['active/'].get(uid);
+      const active = this.cache.tables.activeJobs.get(uid);
       if (active === undefined) continue;
       const mine = active.value.ranges.filter((r) => r.shard === index);
       const bits = open ? null : this.#bits(job, mine);
@@ -92,15 +92,15 @@
         continue;
       }
       const add: Write[] = [
-        { drop: key.active(uid) },
-        { put: key.final(uid), value: { status: 'done', tasks, done: tasks } },
+        { drop: key.activeJob(uid) },
+        { put: key.finalState(uid), value: { status: 'done', tasks, done: tasks } },
       ];
       const size = JSON.stringify(add).length;
       const over = batch.writes.length + add.length > this.config.storeLimits.transactionOps;
       if (batch.writes.length > 0 && (over || bytes + size > BATCH_BYTES)) continue;
       bytes += size;
       batch.writes.push(...add);
-      batch.guards.push({ key: key.active(uid), revision: active.revision });
+      batch.guards.push({ key: key.activeJob(uid), revision: active.revision });
       batch.finished.push(uid);
       batch.saved.push({ uid, indexes: [...job.unsaved] });
     }
@@ -155,7 +155,7 @@
     const most = maxRangeTasks(valueBytes);
     if (most >= MAX_RANGE_TASKS) return null;
     for (const { spec, ended: over } of owned.shard.jobs.values()) {
-      const active = over ? undefined : this.cache.tables['active/'].get(spec.uid);
+      const active = over ? undefined : this.cache.tables.activeJobs.get(spec.uid);
       const long = active?.value.ranges.find((r) => r.shard === index && r.to - r.from > most);
       if (active === undefined || long === undefined) continue;
       const middle = long.from + Math.ceil((long.to - long.from - most) / 4) * 4;
@@ -168,10 +168,10 @@
           : [r],
       );
       const batch: Batch = { guards: [], writes: [], saved: [], finished: [] };
-      const value = encodeActive({ ...active.value, ranges });
+      const value = encodeJob({ ...active.value, ranges });
       if (JSON.stringify(value).length > valueBytes) continue;
-      batch.writes.push({ put: key.active(spec.uid), value });
-      batch.guards.push({ key: key.active(spec.uid), revision: active.revision });
+      batch.writes.push({ put: key.activeJob(spec.uid), value });
+      batch.guards.push({ key: key.activeJob(spec.uid), revision: active.revision });
       // The value may still hold the bitmap of an earlier, longer cut.
       const ends = [middle - long.from, long.to - long.from].map((i) => Math.ceil(i / 4));
       const bits = this.cache.done(index, spec.uid, long.from)?.slice(...ends);
@@ -231,7 +231,7 @@
   /** Looked at several times a second, so the size of a value is taken once. */
   #anyTooLarge(index: number): boolean {
     const { valueBytes } = this.config.storeLimits;
-    for (const [id, { value }] of this.cache.tables['done/']) {
+    for (const [id, { value }] of this.cache.tables.completions) {
       if (!id.startsWith(`${index}/`)) continue;
       const size = this.#slotSizes.get(value) ?? sizeOf(value);
       this.#slotSizes.set(value, size);
@@ -241,14 +241,14 @@
   }
 
   #putSlot(batch: Batch, index: number, slot: number, value: DoneSlot): void {
-    batch.writes.push({ put: key.done(index, slot), value: encodeDoneSlot(value) });
+    batch.writes.push({ put: key.completions(index, slot), value: encodeDoneSlot(value) });
     // A write without an answer may be carried out after newer ones, and would undo what those saved.
-    const revision = this.cache.tables['done/'].get(`${index}/${slot}`)?.revision ?? 0;
-    batch.guards.push({ key: key.done(index, slot), revision });
+    const revision = this.cache.tables.completions.get(`${index}/${slot}`)?.revision ?? 0;
+    batch.guards.push({ key: key.completions(index, slot), revision });
   }
 
   #stored(index: number, slot: number): DoneSlot | undefined {
-    return this.cache.tables['done/'].get(`${index}/${slot}`)?.value;
+    return this.cache.tables.completions.get(`${index}/${slot}`)?.value;
   }
 
   /**
@@ -257,12 +257,12 @@
    */
   #slots(index: number): Map<number, Map<string, string>> {
     const out = new Map<number, Map<string, string>>();
-    for (const [id, { value }] of this.cache.tables['done/']) {
+    for (const [id, { value }] of this.cache.tables.completions) {
       if (!id.startsWith(`${index}/`)) continue;
       const live = [...value.keys()].flatMap((name): [string, string][] => {
         const uid = name.slice(0, name.lastIndexOf('/'));
         const from = Number(name.slice(name.lastIndexOf('/') + 1));
-        const job = this.cache.tables['active/'].get(uid);
+        const job = this.cache.tables.activeJobs.get(uid);
         const range = job?.value.ranges.find((r) => r.shard === index && r.from === from);
         const bits = this.cache.done(index, uid, from);
         if (range === undefined || bits === undefined) return [];
--- a/src/shards/machine-records.ts
+++ b/src/shards/machine-records.ts
@@ -1,11 +1,11 @@
-import { fencedCompareAndSwap } from '@sumacstep/duties';
+import { fencedCompareAndSwap } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import type { PlatformConfig } from '../config/platform.js';
 import { GROUP_BYTES, HOST_BYTES, MACHINES_MS, RETURNED_KEPT } from '../constants.js';
 import type { MachineState } from '../core/shard/types.js';
 import type { Owned } from './shard-controller.js';
 import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
-import { encodeGroup, key, type RentalRecord, type MachineGroup } from '../store/keys.js';
+import { encodeMachineGroup, key, type RentalRecord, type MachineGroup } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { Guard, Write } from '../wire/schemas.js';
 
@@ -72,9 +72,9 @@
     const writes: Write[] = [];
     const guards: Guard[] = [];
     for (const [id, { revision, group }] of changed) {
-      guards.push({ key: key.machines(id), revision });
-      if (group.hosts.size === 0) writes.push({ drop: key.machines(id) });
-      else writes.push({ put: key.machines(id), value: encodeGroup(group) });
+      guards.push({ key: key.machineGroup(id), revision });
+      if (group.hosts.size === 0) writes.push({ drop: key.machineGroup(id) });
+      else writes.push({ put: key.machineGroup(id), value: encodeMachineGroup(group) });
     }
     const done = await this.#write(index, owned, up.length > 0, guards, writes);
     if (!done) return;
@@ -100,7 +100,7 @@
       if (at?.value.shard !== index) return null;
       let entry = changed.get(at.group);
       if (entry === undefined) {
-        const record = this.cache.tables['machines/'].get(at.group);
+        const record = this.cache.tables.machineGroups.get(at.group);
         if (record === undefined || changed.size >= most) return null;
         const hosts = new Map(record.value.hosts);
         entry = { revision: record.revision, hosts, group: { ...record.value, hosts } };
@@ -145,13 +145,13 @@
     const fresh = names.filter((n) => !this.cache.machines.has(n));
     const hosts = new Map(fresh.map((n) => [n, false]));
     const group: MachineGroup = { shard, term: owned.shard.term, type, zone, spot, hosts };
-    const writes: Write[] = [{ drop: key.hire(shard, rental.name) }];
+    const writes: Write[] = [{ drop: key.rental(shard, rental.name) }];
     const guards: Guard[] = [];
     if (hosts.size > 0) {
-      writes.push({ put: key.machines(rental.name), value: encodeGroup(group) });
-      guards.push({ key: key.machines(rental.name), revision: 0 });
+      writes.push({ put: key.machineGroup(rental.name), value: encodeMachineGroup(group) });
+      guards.push({ key: key.machineGroup(rental.name), revision: 0 });
       guards.push({
-        key: key.hire(shard, rental.name),
+        key: key.rental(shard, rental.name),
         revision: this.#rentalRevision(shard, rental.name),
       });
     }
@@ -167,14 +167,14 @@
   }
 
   #rentalPending({ type, zone, spot }: { type: string; zone: string; spot: boolean }): boolean {
-    for (const { value: h } of this.cache.tables['hires/'].values()) {
+    for (const { value: h } of this.cache.tables.rentals.values()) {
       if (h.type === type && h.zone === zone && h.spot === spot) return true;
     }
     return false;
   }
 
   #rentalRevision(shard: number, name: string): number {
-    return this.cache.tables['hires/'].get(`${shard}/${name}`)?.revision ?? 0;
+    return this.cache.tables.rentals.get(`${shard}/${name}`)?.revision ?? 0;
   }
 
   /**
@@ -193,8 +193,8 @@
     if (this.cache.machines.has(name) || this.#rentalPending(machine)) return;
     const hosts = new Map([[name, false]]);
     const group: MachineGroup = { ...machine, term: owned.shard.term, hosts };
-    const adopted = key.adopted(name);
-    const writes: Write[] = [{ put: adopted, value: encodeGroup(group) }];
+    const adopted = key.adoptedMachineGroup(name);
+    const writes: Write[] = [{ put: adopted, value: encodeMachineGroup(group) }];
     const guards = [{ key: adopted, revision: 0 }, ...conditions];
     const { authorization } = owned;
     const result = await fencedCompareAndSwap(
@@ -226,11 +226,11 @@
     const { type, zone, spot } = this.cache.machines.get(first)!.value;
     const hosts = new Map(moved.map((name) => [name, true]));
     const group: MachineGroup = { shard: target.shard, term: target.term, type, zone, spot, hosts };
-    const put: Write = { put: key.machines(target.group), value: encodeGroup(group) };
+    const put: Write = { put: key.machineGroup(target.group), value: encodeMachineGroup(group) };
     const writes = [...groups.map((g) => g.write), put, ...target.writes(moved)];
     const guards = [
       target.condition,
-      { key: key.machines(target.group), revision: 0 },
+      { key: key.machineGroup(target.group), revision: 0 },
       ...groups.map((g) => g.condition),
       ...target.guards,
     ];
@@ -246,7 +246,7 @@
     let kind: string | null = null;
     for (const name of names) {
       const at = this.cache.machines.get(name);
-      const record = at === undefined ? undefined : this.cache.tables['machines/'].get(at.group);
+      const record = at === undefined ? undefined : this.cache.tables.machineGroups.get(at.group);
       if (at?.value.shard !== index || record === undefined || moved.length >= room) continue;
       const { type, zone, spot } = at.value;
       kind ??= `${type} ${zone} ${spot}`;
@@ -260,9 +260,11 @@
     }
     const changes = [...groups].map(([id, { revision, value, leave }]) => {
       const hosts = new Map([...value.hosts].filter(([name]) => !leave.includes(name)));
-      const name = key.machines(id);
+      const name = key.machineGroup(id);
       const write: Write =
-        hosts.size === 0 ? { drop: name } : { put: name, value: encodeGroup({ ...value, hosts }) };
+        hosts.size === 0
+          ? { drop: name }
+          : { put: name, value: encodeMachineGroup({ ...value, hosts }) };
       return { condition: { key: name, revision }, write };
     });
     return { groups: changes, moved };
--- a/src/shards/retryable-error.ts
+++ b/src/shards/retryable-error.ts
@@ -1,4 +1,4 @@
-import { NotEntitledError } from '@sumacstep/duties';
+import { NotEntitledError } from '@sumacstep/leader-election';
 import { CloudRequestError } from '../cloud/client.js';
 import { StoreRequestError } from '../store/store-client.js';
 
--- a/src/shards/scale-in.ts
+++ b/src/shards/scale-in.ts
@@ -1,7 +1,7 @@
 import type { Logger } from 'pino';
 import type { CloudClient } from '../cloud/client.js';
 import { MAX_RETURN_BATCH } from '../constants.js';
-import type { ReturnIntents } from '../duties/return-intents.js';
+import type { ReturnIntents } from '../singletons/return-intents.js';
 import type { Owned, ShardController } from './shard-controller.js';
 import { isRetryable } from './retryable-error.js';
 
--- a/src/shards/scale-out.ts
+++ b/src/shards/scale-out.ts
@@ -1,4 +1,4 @@
-import { fencedCompareAndSwap, RecordedIntent } from '@sumacstep/duties';
+import { fencedCompareAndSwap, RecordedIntent } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import type { OperatorConfig } from '../config/operator.js';
 import type { PlatformConfig } from '../config/platform.js';
@@ -74,7 +74,7 @@
   }
 
   #plan(index: number, owned: Owned, types: ReadonlyMap<string, MachineType>, now: number): void {
-    const pending = [...this.cache.tables['hires/'].values()]
+    const pending = [...this.cache.tables.rentals.values()]
       .map((h) => h.value)
       .filter((h) => h.shard === index);
     if (this.#planning.has(index)) return;
@@ -134,7 +134,7 @@
       const writes = some.map((wish): Write => {
         this.#sequence += 1;
         const name = `${this.config.node}-${this.incarnation}-${this.#sequence}`;
-        return { put: key.hire(shard, name), value: wish };
+        return { put: key.rental(shard, name), value: wish };
       });
       const { authorization } = owned;
       const result = await fencedCompareAndSwap(
@@ -151,10 +151,10 @@
   }
 
   #rentals(index: number, owned: Owned): void {
-    for (const { value: rental, revision } of this.cache.tables['hires/'].values()) {
+    for (const { value: rental, revision } of this.cache.tables.rentals.values()) {
       if (rental.shard !== index || this.#renting.has(rental.name)) continue;
       this.#renting.add(rental.name);
-      const stored = { key: key.hire(index, rental.name), revision };
+      const stored = { key: key.rental(index, rental.name), revision };
       const intent = RecordedIntent.found(owned.authorization, stored);
       void this.#guard('rental not answered', () => this.#rent(owned, rental, intent)).finally(
         () => {
--- a/src/shards/shard-controller.ts
+++ b/src/shards/shard-controller.ts
@@ -1,4 +1,9 @@
-import { Authorization, fencingToken, type Refusals, type SessionLease } from '@sumacstep/duties';
+import {
+  Authorization,
+  fencingToken,
+  type Refusals,
+  type SessionLease,
+} from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import type { PlatformConfig } from '../config/platform.js';
 import type { OperatorConfig } from '../config/operator.js';
@@ -170,12 +175,12 @@
   }
 
   termOf(shard: number): number | null {
-    return this.cache.tables['parts/'].get(String(shard))?.value.term ?? null;
+    return this.cache.tables.shards.get(String(shard))?.value.term ?? null;
   }
 
   #alive(): Map<string, Set<string>> {
     const alive = new Map<string, Set<string>>();
-    for (const { value } of this.cache.tables['nodes/'].values()) {
+    for (const { value } of this.cache.tables.nodes.values()) {
       const set = alive.get(value.node) ?? new Set();
       set.add(value.incarnation);
       alive.set(value.node, set);
@@ -218,7 +223,7 @@
     const types = this.types();
     const changes = this.cache.takeChanges();
     for (let index = 0; index < this.config.nodes; index++) {
-      const record = this.cache.tables['parts/'].get(String(index));
+      const record = this.cache.tables.shards.get(String(index));
       const mine =
         record !== undefined &&
         record.value.owner === this.config.node &&
@@ -275,7 +280,7 @@
       present.fresh = false;
       present.shard.sync(
         {
-          jobs: this.cache.tables['active/'],
+          jobs: this.cache.tables.activeJobs,
           done: (uid, from) => this.cache.done(index, uid, from),
           machines: this.cache.machines,
         },
@@ -290,7 +295,7 @@
 
   #ownShards(now: number): void {
     const shards = new Map<number, ShardRecord>();
-    for (const [id, { value }] of this.cache.tables['parts/']) shards.set(Number(id), value);
+    for (const [id, { value }] of this.cache.tables.shards) shards.set(Number(id), value);
     const view: OwnershipView = {
       me: this.config.node,
       incarnation: this.incarnation,
@@ -351,7 +356,7 @@
 
   #ownerWrite(index: number, owner: string, incarnation: string): [Guard[], Write[]] {
     const term = this.cache.tables.term.get('');
-    const old = this.cache.tables['parts/'].get(String(index));
+    const old = this.cache.tables.shards.get(String(index));
     const next = (term?.value ?? 0) + 1;
     const guards: Guard[] = [
       { key: key.term, revision: term?.revision ?? 0 },
@@ -404,7 +409,7 @@
   }
 
   #nodeRevision(node: string, incarnation: string): number {
-    return this.cache.tables['nodes/'].get(`${node}/${incarnation}`)?.revision ?? 0;
+    return this.cache.tables.nodes.get(`${node}/${incarnation}`)?.revision ?? 0;
   }
 
   // --- workers -----------------------------------------------------------------------------------
@@ -466,7 +471,7 @@
   }
 
   #sendOn(heartbeat: Heartbeat, shard: number, now: number): HeartbeatReply {
-    const owner = this.cache.tables['parts/'].get(String(shard))?.value;
+    const owner = this.cache.tables.shards.get(String(shard))?.value;
     if (owner === undefined) return { kind: 'unavailable' };
     const me = owner.owner === this.config.node;
     if (!me) this.observedElsewhere.set(heartbeat.machine, { shard, at: now });
--- a/src/shards/task-migration.ts
+++ b/src/shards/task-migration.ts
@@ -1,5 +1,5 @@
 import { setTimeout as sleep } from 'node:timers/promises';
-import { fencedCompareAndSwap } from '@sumacstep/duties';
+import { fencedCompareAndSwap } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import type { PlatformConfig } from '../config/platform.js';
 import {
@@ -17,7 +17,7 @@
 import type { JobState } from '../core/shard/shard.js';
 import type { Owned } from './shard-controller.js';
 import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
-import { decodeActive, encodeActive, key } from '../store/keys.js';
+import { decodeJob, encodeJob, key } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { Write } from '../wire/schemas.js';
 
@@ -67,7 +67,7 @@
       if (now < job.migrateAfter || job.migrating.length > 0) continue;
       const team = this.config.teams.get(job.spec.team);
       if (hasLimit(team) || hasGuarantee(team)) continue;
-      const active = this.cache.tables['active/'].get(job.spec.uid);
+      const active = this.cache.tables.activeJobs.get(job.spec.uid);
       if (active === undefined || active.value.ranges.length >= MAX_RANGES) continue;
       tries += 1;
       if (tries > TRANSFER_TRIES) return;
@@ -75,9 +75,7 @@
         this.otherShards.capacityElsewhere(job.spec, index) ?? this.#lessAllocated(job, index, now);
       const can = to === null ? null : owned.shard.migratable(job, active.value);
       const term =
-        to === null
-          ? null
-          : (this.cache.tables['parts/'].get(String(to.shard))?.value.term ?? null);
+        to === null ? null : (this.cache.tables.shards.get(String(to.shard))?.value.term ?? null);
       if (can === null || to === null || term === null) continue;
       const { range } = can;
       const whole = job.spec.kind === 'gang' || job.spec.oneZone || job.spec.spread;
@@ -107,18 +105,18 @@
     to: { shard: number; term: number },
   ): Promise<void> {
     const { uid } = job.spec;
-    const active = this.cache.tables['active/'].get(uid)!;
+    const active = this.cache.tables.activeJobs.get(uid)!;
     const ranges = active.value.ranges.flatMap((r) => {
       if (r.from !== range.from) return [r];
       const moved = { from, to: r.to, ...to };
       return from > r.from ? [{ ...r, to: from }, moved] : [moved];
     });
-    const value = encodeActive({ ...active.value, ranges });
+    const value = encodeJob({ ...active.value, ranges });
     const { valueBytes } = this.config.storeLimits;
     if (JSON.stringify(value).length > valueBytes * RECORD_FILL) return;
-    const writes: Write[] = [{ put: key.active(uid), value }];
+    const writes: Write[] = [{ put: key.activeJob(uid), value }];
     // A part of the range may be saved under the old cut; the bitmap's end is simply cut off.
-    const guards = [{ key: key.active(uid), revision: active.revision }];
+    const guards = [{ key: key.activeJob(uid), revision: active.revision }];
     owned.shard.beginMigration(job, from, range.to);
     for (;;) {
       try {
@@ -138,11 +136,11 @@
         }
         // A conflict after a lost answer may be our own success: only the present record tells. The
         // cache must show it too, or the old one would bring the tasks back as fresh.
-        const found = await this.client.get(key.active(uid), CALL_PRIORITY.completion);
+        const found = await this.client.get(key.activeJob(uid), CALL_PRIORITY.completion);
         let passed = false;
         if (!('missing' in found)) {
-          this.cache.applyOwn([{ put: key.active(uid), value: found.value }], found.revision);
-          const { ranges: present } = decodeActive(uid, found.value);
+          this.cache.applyOwn([{ put: key.activeJob(uid), value: found.value }], found.revision);
+          const { ranges: present } = decodeJob(uid, found.value);
           passed = !present.some((r) => r.shard === index && r.from <= from && r.to > from);
         }
         owned.shard.endMigration(job, passed, this.now());
--- a/src/duties/clearing.ts
+++ b/src/singletons/garbage-collector.ts
@@ -7,8 +7,8 @@
   type Guard,
   type RetentionRecord,
   type Write,
-} from '@sumacstep/duties';
-import { isOver, moveKey } from '@sumacstep/shares';
+} from '@sumacstep/leader-election';
+import { isOver, moveKey } from '@sumacstep/shard-rebalancing';
 import type { Logger } from 'pino';
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { DutiesConfig } from '../config/duties.js';
@@ -19,10 +19,10 @@
   type Entry,
   type StoreClient,
 } from '../store/store-client.js';
-import { dutyEntryKey } from '../store/duty-entries.js';
+import { dutyEntryKey } from '../store/election-entries.js';
 import { FINAL, key } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
-import { CLEAR, type DutyController } from './duty-controller.js';
+import { CLEAR, type DutyController } from './singleton-controller.js';
 
 /** What clearing needs of the process. */
 export interface ClearingPorts {
@@ -126,7 +126,7 @@
       this.#sweptTo = -1;
     }
     const passedMs = now - this.#observed.at;
-    const stored = this.ports.cache.tables['duties/'].get('retention');
+    const stored = this.ports.cache.tables.elections.get('retention');
     const old = stored?.value.kind === 'retention' ? stored.value.retention : NOTHING_OBSERVED;
     if (stored !== undefined && passedMs < this.#every(RETENTION_WRITE_MS)) return null;
     const options = { keepMs: this.config.finalKeepMs, clockDrift: CLOCK_DRIFT };
@@ -186,7 +186,7 @@
 
   /** Moves of machines that were over before: they are kept for people alone. */
   async #clearMoves(authorization: Authorization, expired: number): Promise<void> {
-    for (const { value: entry, revision } of this.ports.cache.tables['shares/'].values()) {
+    for (const { value: entry, revision } of this.ports.cache.tables.moves.values()) {
       if (entry.kind !== 'move' || !isOver(entry.move) || revision > expired) continue;
       if (!(await this.#drop(authorization, { key: moveKey(entry.move.id), revision }))) return;
     }
@@ -195,9 +195,9 @@
   /** Rentals of shards that no setting names and nobody owns. Machines that they got are reclaimed. */
   async #clearRentals(authorization: Authorization): Promise<void> {
     const { tables } = this.ports.cache;
-    for (const { value: rental, revision } of tables['hires/'].values()) {
+    for (const { value: rental, revision } of tables.rentals.values()) {
       if (rental.shard < this.ports.shards || this.#ownerLives(rental.shard)) continue;
-      const name = key.hire(rental.shard, rental.name);
+      const name = key.rental(rental.shard, rental.name);
       if (!(await this.#drop(authorization, { key: name, revision }))) return;
       this.ports.log.info({ shard: rental.shard, hire: rental.name }, 'rental of no shard cleared');
     }
@@ -205,8 +205,8 @@
 
   #ownerLives(shard: number): boolean {
     const { tables } = this.ports.cache;
-    const owner = tables['parts/'].get(String(shard))?.value;
-    return owner !== undefined && tables['nodes/'].has(`${owner.owner}/${owner.incarnation}`);
+    const owner = tables.shards.get(String(shard))?.value;
+    return owner !== undefined && tables.nodes.has(`${owner.owner}/${owner.incarnation}`);
   }
 
   /**
@@ -217,7 +217,7 @@
     const { client, cache, ownNodeKey, log } = this.ports;
     const own = await client.get(ownNodeKey, CALL_PRIORITY.rest);
     if ('missing' in own || (own.lease ?? null) === null) return;
-    for (const { value } of cache.tables['nodes/'].values()) {
+    for (const { value } of cache.tables.nodes.values()) {
       const name = key.node(value.node, value.incarnation);
       if (name === ownNodeKey) continue;
       const found = await client.get(name, CALL_PRIORITY.rest);
--- a/src/duties/reclaiming.ts
+++ b/src/singletons/orphan-collector.ts
@@ -1,11 +1,11 @@
-import { type Authorization } from '@sumacstep/duties';
+import { type Authorization } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import type { CloudClient } from '../cloud/client.js';
 import { CONDITIONS_PER_OP, MAX_RETURN_BATCH } from '../constants.js';
 import { key } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { ListedMachine } from '../wire/schemas.js';
-import { RECLAIM, type DutyController } from './duty-controller.js';
+import { RECLAIM, type DutyController } from './singleton-controller.js';
 import type { ReturnIntents } from './return-intents.js';
 
 /** conditions of the transaction that records returns besides those of the machines: duty and list */
@@ -73,7 +73,7 @@
       .map((machine) => machine.name)
       .slice(0, most);
     if (names.length === 0) return [];
-    const unadopted = names.map((name) => ({ key: key.adopted(name), revision: 0 }));
+    const unadopted = names.map((name) => ({ key: key.adoptedMachineGroup(name), revision: 0 }));
     const present = new Set(listed.map((machine) => machine.name));
     const needed = (name: string) => present.has(name);
     const list = 'unrecorded';
@@ -87,7 +87,7 @@
   #nobodys({ name, type, zone, spot }: ListedMachine): boolean {
     const { cache } = this.ports;
     if (cache.machines.has(name)) return false;
-    for (const { value: rental } of cache.tables['hires/'].values()) {
+    for (const { value: rental } of cache.tables.rentals.values()) {
       if (rental.type === type && rental.zone === zone && rental.spot === spot) return false;
     }
     return true;
--- a/src/duties/return-intents.ts
+++ b/src/singletons/return-intents.ts
@@ -3,9 +3,9 @@
   type Authorization,
   type Guard,
   type Write,
-} from '@sumacstep/duties';
+} from '@sumacstep/leader-election';
 import { CALL_PRIORITY, type StoreClient } from '../store/store-client.js';
-import { dutyEntryKey, encodeReturns, type ReturnList } from '../store/duty-entries.js';
+import { dutyEntryKey, encodeReturns, type ReturnList } from '../store/election-entries.js';
 import type { WatchCache } from '../store/watch-cache.js';
 
 const NONE: ReadonlySet<string> = new Set();
@@ -68,7 +68,7 @@
   }
 
   #entry(list: ReturnList) {
-    return this.cache.tables['duties/'].get(dutyEntryKey.returns(list).slice('duties/'.length));
+    return this.cache.tables.elections.get(dutyEntryKey.returns(list).slice('duties/'.length));
   }
 
   #thatFit(names: readonly string[]): string[] {
--- a/src/duties/duty-controller.ts
+++ b/src/singletons/singleton-controller.ts
@@ -11,12 +11,12 @@
   type CompareAndSwapStore,
   type Urgency,
   type Versioned,
-} from '@sumacstep/duties';
+} from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import type { DutiesConfig } from '../config/duties.js';
 import { DUTY_GRACE_MS } from '../constants.js';
 import { CALL_PRIORITY, type CallPriority, type StoreClient } from '../store/store-client.js';
-import { key, type Decoded } from '../store/keys.js';
+import { key, type Entries } from '../store/keys.js';
 import type { Cached, WatchCache } from '../store/watch-cache.js';
 
 /** Returning machines that no record knows. */
@@ -34,20 +34,20 @@
   background: CALL_PRIORITY.rest,
 };
 
-type Tables = Pick<WatchCache['tables'], 'nodes/' | 'duties/'>;
+type Tables = Pick<WatchCache['tables'], 'nodes' | 'elections'>;
 
-const livingMembers = (nodes: ReadonlyMap<string, Cached<Decoded['nodes/']>>): LivingMember[] =>
+const livingMembers = (nodes: ReadonlyMap<string, Cached<Entries['nodes/']>>): LivingMember[] =>
   [...nodes.values()].map(({ value, revision }) => ({ ...value, revision }));
 
 /** Members, duties and requests as the tables show them. */
 export const dutyView = (tables: Tables): DutyView => {
   const records = new Map<string, Versioned<DutyRecord>>();
   const requests = new Map<string, Versioned<HandOverRequest>>();
-  for (const { value: entry, revision } of tables['duties/'].values()) {
+  for (const { value: entry, revision } of tables.elections.values()) {
     if (entry.kind === 'record') records.set(entry.duty, { value: entry.record, revision });
     else if (entry.kind === 'request') requests.set(entry.duty, { value: entry.request, revision });
   }
-  return { members: livingMembers(tables['nodes/']), records, requests };
+  return { members: livingMembers(tables.nodes), records, requests };
 };
 
 /** What the duty controller needs of the process. */
--- a/src/duties/duties.ts
+++ b/src/singletons/singleton-controllers.ts
@@ -1,19 +1,19 @@
-import type { Refusals } from '@sumacstep/duties';
+import type { Refusals } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import type { CloudClient } from '../cloud/client.js';
 import type { DutiesConfig } from '../config/duties.js';
 import type { PlatformConfig } from '../config/platform.js';
 import type { SharesConfig } from '../config/shares.js';
-import { Mover } from '../shares/mover.js';
+import { Mover } from '../rebalancing/move-coordinator.js';
 import type { Reclaimer } from '../shards/orphaned-instances.js';
 import type { StoreClient } from '../store/store-client.js';
-import { dutyEntryKey } from '../store/duty-entries.js';
+import { dutyEntryKey } from '../store/election-entries.js';
 import { key } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { Guard } from '../wire/schemas.js';
-import { Clearing } from './clearing.js';
-import { DutyController } from './duty-controller.js';
-import { Reclaiming } from './reclaiming.js';
+import { Clearing } from './garbage-collector.js';
+import { DutyController } from './singleton-controller.js';
+import { Reclaiming } from './orphan-collector.js';
 import { ReturnIntents } from './return-intents.js';
 
 /** What the duties need of the process. */
@@ -87,7 +87,7 @@
   /** What acceptances depend on: it changes whenever final states are cleared. */
   acceptanceCondition(): Guard {
     const name = dutyEntryKey.acceptance;
-    const known = this.#cache.tables['duties/'].get(name.slice('duties/'.length));
+    const known = this.#cache.tables.elections.get(name.slice('duties/'.length));
     return { key: name, revision: known?.revision ?? 0 };
   }
 }
--- a/src/store/duty-entries.ts
+++ b/src/store/election-entries.ts
@@ -7,7 +7,7 @@
   type DutyRecord,
   type HandOverRequest,
   type RetentionRecord,
-} from '@sumacstep/duties';
+} from '@sumacstep/leader-election';
 import * as z from 'zod';
 
 /** What the state service holds of exclusive duties, all under one prefix. */
--- a/src/store/keys.ts
+++ b/src/store/keys.ts
@@ -1,7 +1,7 @@
 import * as z from 'zod';
 import type { JobRecord, JobSpec, MachineRecord } from '../core/model.js';
-import { decodeDutyEntry, type DutyEntry } from './duty-entries.js';
-import { decodeShareEntry, type ShareEntry } from './share-entries.js';
+import { decodeDutyEntry, type DutyEntry } from './election-entries.js';
+import { decodeShareEntry, type ShareEntry } from './rebalancing-entries.js';
 
 /** The machines of one rental that are in the same shard, in one value: they cost one write. */
 export interface MachineGroup extends Omit<MachineRecord, 'name' | 'up'> {
@@ -27,19 +27,32 @@
 ] as const;
 export type Prefix = (typeof CACHED_PREFIXES)[number];
 
+/** The cache's table of the values under each prefix. */
+export const TABLE_OF_PREFIX = {
+  'parts/': 'shards',
+  'nodes/': 'nodes',
+  'machines/': 'machineGroups',
+  'hires/': 'rentals',
+  'active/': 'activeJobs',
+  'done/': 'completions',
+  'duties/': 'elections',
+  'shares/': 'moves',
+  term: 'term',
+} as const satisfies Record<Prefix, string>;
+
 export const prefixOf = (key: string): Prefix | null =>
   CACHED_PREFIXES.find((p) => key.startsWith(p)) ?? null;
 
 export const key = {
   shard: (index: number) => `parts/${index}`,
   node: (name: string, incarnation: string) => `nodes/${name}/${incarnation}`,
-  machines: (group: string) => `machines/${group}`,
+  machineGroup: (group: string) => `machines/${group}`,
   /** the group of a machine that no rental recorded */
-  adopted: (machine: string) => `machines/found-${machine}`,
-  hire: (shard: number, name: string) => `hires/${shard}/${name}`,
-  active: (uid: string) => `active/${uid}`,
-  final: (uid: string) => `${FINAL}${uid}`,
-  done: (shard: number, slot: number) => `done/${shard}/${slot}`,
+  adoptedMachineGroup: (machine: string) => `machines/found-${machine}`,
+  rental: (shard: number, name: string) => `hires/${shard}/${name}`,
+  activeJob: (uid: string) => `active/${uid}`,
+  finalState: (uid: string) => `${FINAL}${uid}`,
+  completions: (shard: number, slot: number) => `done/${shard}/${slot}`,
   term: 'term',
   /** never written: a read of it tells the present epoch */
   never: 'never',
@@ -131,7 +144,7 @@
   ranges: z.array(z.tuple([int, int, int, int])),
 });
 
-export interface Decoded {
+export interface Entries {
   'active/': JobRecord;
   'done/': DoneSlot;
   'machines/': MachineGroup;
@@ -143,7 +156,7 @@
   term: number;
 }
 
-export const decodeActive = (uid: string, value: unknown): JobRecord => {
+export const decodeJob = (uid: string, value: unknown): JobRecord => {
   const a = active.parse(value);
   return {
     spec: { uid, ...a.spec } satisfies JobSpec,
@@ -151,7 +164,7 @@
     ranges: a.ranges.map(([from, to, shard, term]) => ({ from, to, shard, term })),
   };
 };
-export const encodeActive = (job: JobRecord): unknown => {
+export const encodeJob = (job: JobRecord): unknown => {
   // The key names the job already.
   const spec: Partial<JobSpec> = { ...job.spec };
   delete (spec as { uid?: string }).uid;
@@ -161,7 +174,7 @@
     ranges: job.ranges.map((r) => [r.from, r.to, r.shard, r.term]),
   };
 };
-export const encodeGroup = (g: MachineGroup): unknown => {
+export const encodeMachineGroup = (g: MachineGroup): unknown => {
   const { shard, term, type, zone, spot, hosts } = g;
   const up = Object.fromEntries([...hosts].map(([name, isUp]) => [name, Number(isUp)]));
   return { part: shard, era: term, type, zone, spot, hosts: up };
@@ -174,8 +187,8 @@
 };
 export const decodeFinal = (value: unknown): FinalState => final.parse(value);
 
-export const decoders: { [P in Prefix]: (id: string, value: unknown) => Decoded[P] } = {
-  'active/': decodeActive,
+export const decoders: { [P in Prefix]: (id: string, value: unknown) => Entries[P] } = {
+  'active/': decodeJob,
   'done/': (_, value) => new Map(Object.entries(z.record(z.string(), z.string()).parse(value))),
   'machines/': (_, value) => {
     const { part: shard, era: term, hosts, ...rest } = machine.parse(value);
--- a/src/store/node-session.ts
+++ b/src/store/node-session.ts
@@ -1,4 +1,4 @@
-import { SessionLease } from '@sumacstep/duties';
+import { SessionLease } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import {
   CLOCK_DRIFT,
--- a/src/store/share-entries.ts
+++ b/src/store/rebalancing-entries.ts
@@ -1,4 +1,4 @@
-import { decodeLock, decodeMove, type Move } from '@sumacstep/shares';
+import { decodeLock, decodeMove, type Move } from '@sumacstep/shard-rebalancing';
 
 /** What the state service holds of moves of machines, all under one prefix. */
 export type ShareEntry =
--- a/src/store/store-client.ts
+++ b/src/store/store-client.ts
@@ -1,4 +1,4 @@
-import { StoreUnavailableError, type CompareAndSwapResult } from '@sumacstep/duties';
+import { StoreUnavailableError, type CompareAndSwapResult } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import {
   BACKOFF_429_MS,
--- a/src/store/watch-cache.ts
+++ b/src/store/watch-cache.ts
@@ -12,11 +12,12 @@
   decodeFinal,
   machinesOf,
   prefixOf,
+  TABLE_OF_PREFIX,
   type FinalState,
   type MachineGroup,
   type Prefix,
   decoders,
-  type Decoded,
+  type Entries,
 } from './keys.js';
 
 /** A value of the state service, and the revision of its last change. */
@@ -34,7 +35,7 @@
 export interface CachedMachine extends Cached<MachineRecord> {
   readonly group: string;
 }
-type Tables = { [P in Prefix]: Map<string, Cached<Decoded[P]>> };
+type Tables = { [P in Prefix as (typeof TABLE_OF_PREFIX)[P]]: Map<string, Cached<Entries[P]>> };
 
 /** The protocol promises no order of a watch's changes; taken in another one, a removal could come first. */
 const inOrder = ({ fresh, changes }: WatchBatch): readonly Change[] =>
@@ -47,14 +48,14 @@
     : { key: write.put, revision, value: write.value, removed: false };
 
 const emptyTables = (): Tables => ({
-  'active/': new Map(),
-  'done/': new Map(),
-  'machines/': new Map(),
-  'parts/': new Map(),
-  'nodes/': new Map(),
-  'hires/': new Map(),
-  'duties/': new Map(),
-  'shares/': new Map(),
+  activeJobs: new Map(),
+  completions: new Map(),
+  machineGroups: new Map(),
+  shards: new Map(),
+  nodes: new Map(),
+  rentals: new Map(),
+  elections: new Map(),
+  moves: new Map(),
   term: new Map(),
 });
 
@@ -136,7 +137,7 @@
     const prefix = prefixOf(change.key);
     if (prefix === null) return;
     const id = change.key.slice(prefix.length);
-    const table = this.tables[prefix] as Map<string, Cached<unknown>>;
+    const table = this.tables[TABLE_OF_PREFIX[prefix]] as Map<string, Cached<unknown>>;
     const known = table.get(id);
     // Of the same revision: our own write, which is shown already.
     if (known !== undefined && known.revision >= change.revision) return;
@@ -185,7 +186,7 @@
     const range = `${uid}/${from}`;
     let found: string | undefined;
     // A shard has a handful of slots at most.
-    for (const [id, { value }] of this.tables['done/']) {
+    for (const [id, { value }] of this.tables.completions) {
       if (!id.startsWith(`${shard}/`)) continue;
       const bits = value.get(range);
       if (bits === undefined) continue;
@@ -198,7 +199,10 @@
   learnCancelled({ uid, tasks, done, epoch }: Cancellation): void {
     if (this.finals.has(uid)) return;
     const final: FinalState = { status: 'cancelled', tasks, done };
-    this.applyOwn([{ drop: key.active(uid) }, { put: key.final(uid), value: final }], epoch);
+    this.applyOwn(
+      [{ drop: key.activeJob(uid) }, { put: key.finalState(uid), value: final }],
+      epoch,
+    );
   }
 
   /** Takes in a final state as of an epoch, and returns the one that holds: the first never changes. */
--- a/src/users/job-reader.ts
+++ b/src/users/job-reader.ts
@@ -53,14 +53,14 @@
     const before = this.knownFinal(uid);
     if (before !== undefined) return finalReading(before);
     const currentSince = await this.linearizable.wait();
-    const active = this.cache.tables['active/'].get(uid);
+    const active = this.cache.tables.activeJobs.get(uid);
     if (active !== undefined) {
       const { value: job, revision } = active;
       return { answer: { kind: 'active', job, revision }, currentSince };
     }
     const shown = this.knownFinal(uid);
     if (shown !== undefined) return finalReading(shown);
-    const found = await this.#finals.read(key.final(uid));
+    const found = await this.#finals.read(key.finalState(uid));
     if ('missing' in found) return { answer: { kind: 'missing' }, currentSince };
     return finalReading(this.cache.learnFinal(uid, found.value, found.revision));
   }
--- a/src/users/jobs.ts
+++ b/src/users/jobs.ts
@@ -20,7 +20,7 @@
 import type { ShardLoad } from '../core/jobs/jobs.js';
 import type { JobRecord, JobSpec, MachineType, TaskRange, Team } from '../core/model.js';
 import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
-import { encodeActive, key, type FinalState } from '../store/keys.js';
+import { encodeJob, key, type FinalState } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { Guard, Write } from '../wire/schemas.js';
 import { finalReading, type JobReader, type JobReading } from './job-reader.js';
@@ -77,7 +77,7 @@
     const since = this.now() - SENT_AWAY_MS;
     const out: JobSpec[] = [];
     for (const [uid, { spec, at }] of this.#sentAway) {
-      if (at < since || this.cache.tables['active/'].has(uid)) this.#sentAway.delete(uid);
+      if (at < since || this.cache.tables.activeJobs.has(uid)) this.#sentAway.delete(uid);
       else out.push(spec);
     }
     return out;
@@ -94,7 +94,7 @@
       // A repeat of an accepted job is answered with its state, whatever the body says now.
       return this.#ifKnown(spec.uid, { kind: 'never', reason: verdict });
     }
-    if (this.cache.tables['active/'].has(spec.uid)) {
+    if (this.cache.tables.activeJobs.has(spec.uid)) {
       return { kind: 'known', reading: await this.reader.read(spec.uid) };
     }
     const earlier = this.#accepting.get(spec.uid);
@@ -135,7 +135,7 @@
     const ranges = this.#route(spec);
     if (ranges === null) return { kind: 'undecided', reason: 'parts have no owner yet' };
     const job: JobRecord = { spec: this.#compact(spec, types), at: acceptedAt, ranges };
-    const value = encodeActive(job);
+    const value = encodeJob(job);
     if (JSON.stringify(value).length > this.settings.valueBytes) {
       return this.#ifKnown(spec.uid, { kind: 'never', reason: 'record_too_large' });
     }
@@ -144,10 +144,10 @@
 
   async #writeAcceptance(job: JobRecord, value: unknown, tries: number): Promise<Submitted> {
     const { uid } = job.spec;
-    const writes: Write[] = [{ put: key.active(uid), value }];
+    const writes: Write[] = [{ put: key.activeJob(uid), value }];
     const guards: Guard[] = [
-      { key: key.active(uid), revision: 0 },
-      { key: key.final(uid), revision: 0 },
+      { key: key.activeJob(uid), revision: 0 },
+      { key: key.finalState(uid), revision: 0 },
     ];
     const clearing = this.acceptanceCondition();
     if (clearing !== null) guards.push(clearing);
@@ -205,10 +205,13 @@
       const { answer } = reading;
       if (answer.kind !== 'active') return reading;
       const final: FinalState = { status: 'cancelled', tasks: answer.job.spec.tasks, done: 0 };
-      const writes: Write[] = [{ drop: key.active(uid) }, { put: key.final(uid), value: final }];
+      const writes: Write[] = [
+        { drop: key.activeJob(uid) },
+        { put: key.finalState(uid), value: final },
+      ];
       const result = await this.client.compareAndSwap(
         CALL_PRIORITY.cancellation,
-        [{ key: key.active(uid), revision: answer.revision }],
+        [{ key: key.activeJob(uid), revision: answer.revision }],
         writes,
       );
       if (result.ok) {
--- a/src/wire/schemas.ts
+++ b/src/wire/schemas.ts
@@ -1,4 +1,4 @@
-import type { Guard, Write } from '@sumacstep/duties';
+import type { Guard, Write } from '@sumacstep/leader-election';
 import * as z from 'zod';
 import { NAME_LIMIT, TASKS_LIMIT } from '../constants.js';
 import type {
--- a/test/budget.test.ts
+++ b/test/budget.test.ts
@@ -9,7 +9,7 @@
 import { encodeDone } from '../src/core/jobs/jobs.js';
 import { StoreRequestError, type CompareAndSwapResult } from '../src/store/store-client.js';
 import { LinearizableReads } from '../src/store/linearizable-reads.js';
-import { encodeActive, encodeGroup } from '../src/store/keys.js';
+import { encodeJob, encodeMachineGroup } from '../src/store/keys.js';
 import { WatchCache } from '../src/store/watch-cache.js';
 import type { Guard, Write } from '../src/wire/schemas.js';
 import { job, machine, ownedShard, shardWith, Store } from './helpers.js';
@@ -52,7 +52,7 @@
   const names = Array.from({ length: 50 }, (_, i) => `m${i}`);
   const hosts = new Map(names.map((n) => [n, false]));
   const group = { shard: 0, term: 1, type: 'm', zone: 'z', spot: false, hosts };
-  show([['machines/rental-1', encodeGroup(group)]]);
+  show([['machines/rental-1', encodeMachineGroup(group)]]);
   const store = new Store().add(...names.map((n) => machine(n, { up: false })));
   const shard = shardWith(store);
   for (const n of names) {
@@ -90,7 +90,7 @@
   const { cache, written, client, show } = scene();
   const uids = Array.from({ length: 30 }, (_, i) => `job-${String(i).padStart(6, '0')}`);
   const records = uids.map((uid) => job({ uid, tasks: 4 }));
-  show(records.map((r) => [`active/${r.spec.uid}`, encodeActive(r)]));
+  show(records.map((r) => [`active/${r.spec.uid}`, encodeJob(r)]));
   const shard = shardWith(new Store().add(...records));
   const completions = new Completions(CONFIG, client, cache, () => 0, LOG);
   const owned = ownedShard(shard);
@@ -186,7 +186,7 @@
   };
   const record = job({ tasks: 3 });
   values.set('parts/0', { value: { owner: 'n', incarnation: 'a', term: 1 }, revision: 1 });
-  values.set('active/job-000001', { value: encodeActive(record), revision: 2 });
+  values.set('active/job-000001', { value: encodeJob(record), revision: 2 });
   show();
   const shard = shardWith(new Store().add(record));
   const state = shard.jobs.get('job-000001')!;
@@ -230,7 +230,7 @@
     ['a hire of another kind is open', [['hires/1/n-1', { ...rental, zone: 'y' }]], true],
     [
       'the hire has recorded it just now',
-      [['machines/n-1', encodeGroup({ ...group, hosts: new Map([['x', false]]) })]],
+      [['machines/n-1', encodeMachineGroup({ ...group, hosts: new Map([['x', false]]) })]],
       false,
     ],
   ];
--- a/test/duty-commands.test.ts
+++ b/test/duty-commands.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
-import { dutyKey, handOverKey, type DutyRecord } from '@sumacstep/duties';
+import { dutyKey, handOverKey, type DutyRecord } from '@sumacstep/leader-election';
 import type { DutiesOutput } from '../src/commands/duties.js';
 import { parseDuties } from '../src/config/duties.js';
 import { ConfigError } from '../src/config/platform.js';
-import { RECLAIM } from '../src/duties/duty-controller.js';
+import { RECLAIM } from '../src/singletons/singleton-controller.js';
 import { Cluster } from './standins/cluster.js';
 import { withCommands } from './standins/commands.js';
 
--- a/test/helpers.ts
+++ b/test/helpers.ts
@@ -1,4 +1,4 @@
-import { Authorization, fencingToken, Refusals } from '@sumacstep/duties';
+import { Authorization, fencingToken, Refusals } from '@sumacstep/leader-election';
 import pino from 'pino';
 import type { JobRecord, JobSpec, MachineRecord, MachineType, Team } from '../src/core/model.js';
 import { Shard, type ShardSettings } from '../src/core/shard/shard.js';
--- a/test/linearizable-reads.test.ts
+++ b/test/linearizable-reads.test.ts
@@ -155,7 +155,7 @@
   const answers: ((found: Found) => void)[] = [];
   const get = () => new Promise<Found>((resolve) => answers.push(resolve));
   const reads = new SharedReads({ get });
-  const name = key.final('job-000001');
+  const name = key.finalState('job-000001');
   const early = [reads.read(name), reads.read(name)];
   await sleep(READ_GATHER_MS * 3);
   assert.equal(answers.length, 1, 'both left as one');
--- a/test/share-moves.test.ts
+++ b/test/machine-moves.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { ShareMoves } from './standins/share-moves.js';
+import { ShareMoves } from './standins/machine-moves.js';
 
 /**
  * Machines move between the shards of three controllers every few seconds while jobs run. However controllers and
--- a/test/measurements/duty-takeover.ts
+++ b/test/measurements/duty-takeover.ts
@@ -4,9 +4,9 @@
  */
 import { writeFileSync } from 'node:fs';
 import { setTimeout as sleep } from 'node:timers/promises';
-import { dutyKey, type DutyRecord } from '@sumacstep/duties';
+import { dutyKey, type DutyRecord } from '@sumacstep/leader-election';
 import { parseDuties, type DutiesConfig } from '../../src/config/duties.js';
-import { RECLAIM } from '../../src/duties/duty-controller.js';
+import { RECLAIM } from '../../src/singletons/singleton-controller.js';
 import type { ShardRecord } from '../../src/store/keys.js';
 import { Cluster } from '../standins/cluster.js';
 import type { Version } from '../standins/controllers.js';
--- a/test/measurements/share-moves.ts
+++ b/test/measurements/share-moves.ts
@@ -3,7 +3,7 @@
  * share-moves SECONDS REPORT.html SEED [SEED ...]
  */
 import { writeFileSync } from 'node:fs';
-import { ShareMoves } from '../standins/share-moves.js';
+import { ShareMoves } from '../standins/machine-moves.js';
 import { htmlReport, machineText, Series } from './report.js';
 
 const EVERY_S = 3;
--- a/test/mixed-versions.test.ts
+++ b/test/mixed-versions.test.ts
@@ -2,7 +2,7 @@
 import { readFileSync } from 'node:fs';
 import { describe, test } from 'node:test';
 import { encodeDone } from '../src/core/jobs/jobs.js';
-import { encodeActive } from '../src/store/keys.js';
+import { encodeJob } from '../src/store/keys.js';
 import { job } from './helpers.js';
 import { Cluster, type ClusterOptions } from './standins/cluster.js';
 
@@ -52,7 +52,7 @@
       const uid = `job-90${shard}0${String(n).padStart(2, '0')}`;
       const demand = { cpus: 1, gpus: 0, memoryGb: 1 };
       const record = job({ uid, tasks: SEEDED_TASKS, demand, estimateS: 20 }, 0, shard);
-      values[`active/${uid}`] = encodeActive({ ...record, at: Date.now() });
+      values[`active/${uid}`] = encodeJob({ ...record, at: Date.now() });
       slot[`${uid}/0`] = encodeDone(range, done);
       completed.set(uid, done);
     }
--- a/test/move-candidates.test.ts
+++ b/test/move-candidates.test.ts
@@ -3,9 +3,9 @@
 import pino from 'pino';
 import type { PlatformConfig } from '../src/config/platform.js';
 import { MachineRecords } from '../src/shards/machine-records.js';
-import { candidateOf } from '../src/shares/share-owner.js';
+import { candidateOf } from '../src/rebalancing/shard-mover.js';
 import type { MachineState } from '../src/core/shard/shard.js';
-import { encodeGroup } from '../src/store/keys.js';
+import { encodeMachineGroup } from '../src/store/keys.js';
 import { WatchCache } from '../src/store/watch-cache.js';
 import type { Guard, Write } from '../src/wire/schemas.js';
 import { job, machine, ownedShard, shardWith, Store } from './helpers.js';
@@ -62,7 +62,7 @@
 test('machines move in one transaction that depends on both shards, their groups and the move', async () => {
   const cache = new WatchCache();
   const group = (hosts: string[]) =>
-    encodeGroup({
+    encodeMachineGroup({
       ...machine('x', { shard: 0, term: 1 }),
       hosts: new Map(hosts.map((n) => [n, true])),
     });
--- a/test/quotas.test.ts
+++ b/test/quotas.test.ts
@@ -13,7 +13,7 @@
   StoreRequestError,
   type CompareAndSwapResult,
 } from '../src/store/store-client.js';
-import { encodeActive } from '../src/store/keys.js';
+import { encodeJob } from '../src/store/keys.js';
 import { WatchCache } from '../src/store/watch-cache.js';
 import type { Guard, Write } from '../src/wire/schemas.js';
 import { job, ownedShard, shardWith, PLATFORM, Store } from './helpers.js';
@@ -117,7 +117,7 @@
     const fresh = new WatchCache();
     show(fresh);
     const out = new Set<number>();
-    for (const r of fresh.tables['active/'].get(uid)!.value.ranges) {
+    for (const r of fresh.tables.activeJobs.get(uid)!.value.ranges) {
       const bits = fresh.done(r.shard, uid, r.from);
       if (bits !== undefined) for (const i of decodeDone(r, bits)) out.add(i);
     }
@@ -139,7 +139,7 @@
     for (let n = 0; n < 60; n++) {
       const record = job({ uid: `job-${n}`, tasks: 240 });
       records.push(record);
-      s.values.set(`active/job-${n}`, { value: encodeActive(record), revision: 2 });
+      s.values.set(`active/job-${n}`, { value: encodeJob(record), revision: 2 });
       slot[`job-${n}/0`] = encodeDone({ from: 0, to: 240 }, new Set([n, 239]));
     }
     assert.ok(JSON.stringify(slot).length > 4000);
@@ -179,7 +179,7 @@
   for (let n = 0; n < 20; n++) {
     const record = job({ uid: `job-${n}`, tasks });
     records.push(record);
-    s.values.set(`active/job-${n}`, { value: encodeActive(record), revision: 2 });
+    s.values.set(`active/job-${n}`, { value: encodeJob(record), revision: 2 });
     large[`job-${n}/0`] = encodeDone(range, new Set([n]));
   }
   s.values.set('done/0/0', { value: {}, revision: 3 });
@@ -235,7 +235,7 @@
   const record = job({ uid: 'job-1', tasks: 6000 });
   const done = new Set(Array.from({ length: 1500 }, (_, i) => i * 4 + 1));
   s.values.set('parts/0', { value: { owner: 'n', incarnation: 'a', term: 1 }, revision: 1 });
-  s.values.set('active/job-1', { value: encodeActive(record), revision: 2 });
+  s.values.set('active/job-1', { value: encodeJob(record), revision: 2 });
   s.values.set('done/0/0', {
     value: { 'job-1/0': encodeDone({ from: 0, to: 6000 }, done) },
     revision: 3,
@@ -244,7 +244,7 @@
   const store = new Store().add(record);
   store.bits.set('job-1/0', encodeDone({ from: 0, to: 6000 }, done));
   const shard = shardWith(store);
-  const ranges = () => s.cache.tables['active/'].get('job-1')!.value.ranges;
+  const ranges = () => s.cache.tables.activeJobs.get('job-1')!.value.ranges;
   for (let step = 0; step < 12; step++) {
     await s.save(shard);
     assert.deepEqual(
--- a/test/shard-controller.test.ts
+++ b/test/shard-controller.test.ts
@@ -15,7 +15,7 @@
 import { renewableMs } from '../src/core/cancellation/cancellations.js';
 import { ShardController } from '../src/shards/shard-controller.js';
 import { StoreRequestError, type CompareAndSwapResult } from '../src/store/store-client.js';
-import { encodeActive, encodeGroup } from '../src/store/keys.js';
+import { encodeJob, encodeMachineGroup } from '../src/store/keys.js';
 import { WatchCache } from '../src/store/watch-cache.js';
 import type { Write } from '../src/wire/schemas.js';
 import { job, machine, machineType, settings, silentRefusals } from './helpers.js';
@@ -51,11 +51,11 @@
   const client = {
     get: (name: string) => {
       if (world.current !== null) return Promise.resolve(world.current);
-      const item = cache.tables['active/'].get(name.slice('active/'.length));
+      const item = cache.tables.activeJobs.get(name.slice('active/'.length));
       if (item === undefined) return Promise.resolve({ missing: true as const, epoch: 0 });
       return Promise.resolve({
         key: name,
-        value: encodeActive(item.value),
+        value: encodeJob(item.value),
         revision: item.revision,
       });
     },
@@ -105,8 +105,12 @@
       put('parts/1', { owner: 'n0', incarnation: 'a', term: 5 }, 10),
       put('nodes/n0/a', { incarnation: 'a' }, 2),
       put('nodes/n1/b', { incarnation: 'b' }, 11),
-      put('machines/g', encodeGroup({ ...machine('x', { shard: 1, term: 5 }), hosts: X_UP }), 12),
-      put('active/job-000001', encodeActive(job({}, 5, 1)), 13),
+      put(
+        'machines/g',
+        encodeMachineGroup({ ...machine('x', { shard: 1, term: 5 }), hosts: X_UP }),
+        12,
+      ),
+      put('active/job-000001', encodeJob(job({}, 5, 1)), 13),
     ],
   });
   shardController.tick();
@@ -144,7 +148,7 @@
   s.world.now += TRANSFER_SETTLE_MS + 1;
   s.shardController.tick();
   await settle();
-  assert.equal(s.cache.tables['parts/'].get('1')?.value.term, 6);
+  assert.equal(s.cache.tables.shards.get('1')?.value.term, 6);
   s.cache.apply({ fresh: false, changes: [], epoch: 60 });
   s.shardController.tick();
   assert.equal(s.shardController.owned.get(1)?.shard.term, 6);
@@ -157,7 +161,7 @@
 
 test('a shard that was lost from sight is not built again under its term', async () => {
   const s = scene();
-  s.cache.tables['parts/'].delete('1');
+  s.cache.tables.shards.delete('1');
   s.shardController.tick();
   assert.equal(s.shardController.owned.has(1), false);
   s.cache.apply({
@@ -175,7 +179,7 @@
   s.shardController.tick();
   assert.equal(s.shardController.owned.has(1), false);
   await settle();
-  assert.equal(s.cache.tables['parts/'].get('1')?.value.term, 6, 'taken anew instead');
+  assert.equal(s.cache.tables.shards.get('1')?.value.term, 6, 'taken anew instead');
 });
 
 test('a worker of a suspended or lost shard gets no answer that renews its lease for us', async () => {
@@ -268,13 +272,13 @@
     changes: [
       {
         key: 'active/job-000001',
-        value: encodeActive(job({}, 5, 1)),
+        value: encodeJob(job({}, 5, 1)),
         revision: 13,
         removed: false,
       },
     ],
   });
-  assert.equal(s.cache.tables['active/'].has('job-000001'), false);
+  assert.equal(s.cache.tables.activeJobs.has('job-000001'), false);
   assert.equal(s.cache.finals.get('job-000001')?.status, 'cancelled');
 });
 
@@ -294,7 +298,7 @@
     return s;
   };
   const ranges = (s: ReturnType<typeof scene>) =>
-    s.cache.tables['active/'].get('job-000001')?.value.ranges;
+    s.cache.tables.activeJobs.get('job-000001')?.value.ranges;
   const moved = [{ from: 0, to: 1, shard: 0, term: 4 }];
 
   const good = await stuck(() => ({ ok: true, epoch: 50 }));
@@ -349,7 +353,7 @@
   s.shardController.tick();
   await settle();
   assert.equal(passes(), 1);
-  assert.deepEqual(s.cache.tables['active/'].get('job-000001')?.value.ranges, [
+  assert.deepEqual(s.cache.tables.activeJobs.get('job-000001')?.value.ranges, [
     { from: 0, to: 1, shard: 0, term: 4 },
   ]);
 });
@@ -375,7 +379,7 @@
   const { shardController: shardController, cache } = scene();
   const uid = 'job-000002';
   const name = `active/${uid}`;
-  const value = encodeActive(job({ uid }, 5, 1));
+  const value = encodeJob(job({ uid }, 5, 1));
   const final = { status: 'cancelled', tasks: 1, done: 0 };
   cache.apply({
     fresh: false,
--- a/test/share-commands.test.ts
+++ b/test/share-commands.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
-import { decodeMove, moveKey, shardLockKey, type Move } from '@sumacstep/shares';
+import { decodeMove, moveKey, shardLockKey, type Move } from '@sumacstep/shard-rebalancing';
 import type { PlanOutput, SharesOutput } from '../src/commands/shares.js';
 import { parseDuties } from '../src/config/duties.js';
 import { parseShares } from '../src/config/shares.js';
--- a/test/single-holder.test.ts
+++ b/test/single-holder.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
-import { dutyKey, handOverKey, type DutyRecord } from '@sumacstep/duties';
+import { dutyKey, handOverKey, type DutyRecord } from '@sumacstep/leader-election';
 import type { DutiesConfig } from '../src/config/duties.js';
-import { CLEAR, RECLAIM } from '../src/duties/duty-controller.js';
-import { dutyEntryKey } from '../src/store/duty-entries.js';
+import { CLEAR, RECLAIM } from '../src/singletons/singleton-controller.js';
+import { dutyEntryKey } from '../src/store/election-entries.js';
 import { Cluster, type ClusterOptions } from './standins/cluster.js';
 import type { Version } from './standins/controllers.js';
 import type { Request } from './standins/server.js';
--- a/test/socket-budget.test.ts
+++ b/test/socket-budget.test.ts
@@ -1,4 +1,4 @@
-import { NotEntitledError, RecordedIntent } from '@sumacstep/duties';
+import { NotEntitledError, RecordedIntent } from '@sumacstep/leader-election';
 import assert from 'node:assert/strict';
 import { createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
--- a/test/standins/share-moves.ts
+++ b/test/standins/machine-moves.ts
@@ -6,8 +6,8 @@
   moveKey,
   shardLockKey,
   requested,
-} from '@sumacstep/shares';
-import type { Move } from '@sumacstep/shares';
+} from '@sumacstep/shard-rebalancing';
+import type { Move } from '@sumacstep/shard-rebalancing';
 import { parseDuties } from '../../src/config/duties.js';
 import { parseShares } from '../../src/config/shares.js';
 import { randomFrom } from '../../src/random.js';
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -7,12 +7,12 @@
 import type { JobRecord } from '../src/core/model.js';
 import { StatusDecoder, StatusEncoder, type PeerStatus } from '../src/peers/frames.js';
 import {
-  decodeActive,
+  decodeJob,
   decodeFinal,
   decoders,
-  encodeActive,
+  encodeJob,
   encodeDoneSlot,
-  encodeGroup,
+  encodeMachineGroup,
   prefixOf,
 } from '../src/store/keys.js';
 import { WatchCache } from '../src/store/watch-cache.js';
@@ -90,8 +90,8 @@
     const id = key.slice(prefix.length);
     const known = decoders[prefix](id, value);
     seen += 1;
-    if (prefix === 'active/') assert.deepEqual(encodeActive(decodeActive(id, value)), value, key);
-    if (prefix === 'machines/') assert.deepEqual(encodeGroup(known as never), value, key);
+    if (prefix === 'active/') assert.deepEqual(encodeJob(decodeJob(id, value)), value, key);
+    if (prefix === 'machines/') assert.deepEqual(encodeMachineGroup(known as never), value, key);
     if (prefix === 'done/') assert.deepEqual(encodeDoneSlot(known as never), value, key);
     CONTRACT[prefix]!.parse(value);
   }
@@ -99,14 +99,14 @@
 });
 
 test('what the new version writes of jobs keeps to what the old one reads: table', () => {
-  const base = decodeActive('job-000001', OLD.values['active/job-000001']);
+  const base = decodeJob('job-000001', OLD.values['active/job-000001']);
   const cases: [string, JobRecord][] = [
     ['a service', { ...base, spec: { ...base.spec, kind: 'service', estimateS: 0 } }],
     ['many ranges', { ...base, ranges: base.ranges.flatMap((r) => [r, { ...r, shard: 1 }]) }],
     ['nothing optional', { ...base, spec: { ...base.spec, types: null, deadlineS: null } }],
   ];
   for (const [name, record] of cases) {
-    const result = CONTRACT['active/']!.safeParse(JSON.parse(JSON.stringify(encodeActive(record))));
+    const result = CONTRACT['active/']!.safeParse(JSON.parse(JSON.stringify(encodeJob(record))));
     assert.ok(result.success, name);
   }
 });
@@ -136,7 +136,7 @@
   }));
   cache.apply({ fresh: true, epoch: 50, whole: 50, changes });
   const store = new Store();
-  for (const { value } of cache.tables['active/'].values()) store.add(value);
+  for (const { value } of cache.tables.activeJobs.values()) store.add(value);
   for (const { value } of cache.machines.values()) store.add({ ...value, shard: 0 });
   const bits = cache.done(0, 'job-000001', 0);
   assert.ok(bits !== undefined);
--- a/test/user-answers.test.ts
+++ b/test/user-answers.test.ts
@@ -74,12 +74,12 @@
   },
   done: async ({ nodes, state, history }: Scene) => {
     await nodes.b.ask('submit', BODY);
-    const active = state.items.get(key.active(BODY.Uid));
+    const active = state.items.get(key.activeJob(BODY.Uid));
     // A cancellation that is sent first may have ended it already.
     if (active !== undefined) {
-      const When = [{ K: key.active(BODY.Uid), Stamp: active.revision }];
+      const When = [{ K: key.activeJob(BODY.Uid), Stamp: active.revision }];
       const Value = { status: 'done', tasks: 2, done: 2 };
-      const Writes = [{ Drop: key.active(BODY.Uid) }, { Put: key.final(BODY.Uid), Value }];
+      const Writes = [{ Drop: key.activeJob(BODY.Uid) }, { Put: key.finalState(BODY.Uid), Value }];
       const query = new URLSearchParams();
       await state.handle({ method: 'POST', path: '/multi', query, body: { When, Writes } });
     }
@@ -202,7 +202,7 @@
       await a.list();
       a.writeAnswer.open();
       await accepted;
-      assert.equal(a.cache.tables['active/'].size, 0);
+      assert.equal(a.cache.tables.activeJobs.size, 0);
       await a.ask('query', BODY);
     }));
 
--- a/test/watch-cache.test.ts
+++ b/test/watch-cache.test.ts
@@ -2,7 +2,13 @@
 import { describe, test } from 'node:test';
 import { randomFrom } from '../src/random.js';
 import type { Change } from '../src/store/store-client.js';
-import { CACHED_PREFIXES, encodeActive, encodeGroup, key } from '../src/store/keys.js';
+import {
+  CACHED_PREFIXES,
+  encodeJob,
+  encodeMachineGroup,
+  key,
+  TABLE_OF_PREFIX,
+} from '../src/store/keys.js';
 import type { WatchBatch } from '../src/store/watch.js';
 import { WatchCache } from '../src/store/watch-cache.js';
 import type { Write } from '../src/wire/schemas.js';
@@ -17,11 +23,11 @@
 const GROUP = { ...machine('x'), hosts: new Map([['x', true]]) };
 /** a value for each kind of key */
 const VALUES: readonly (readonly [name: string, value: unknown])[] = [
-  [key.active(UID), encodeActive(job())],
-  [key.machines('g'), encodeGroup(GROUP)],
-  [key.hire(0, 'h'), { type: 'm', zone: 'z', spot: false, count: 1 }],
+  [key.activeJob(UID), encodeJob(job())],
+  [key.machineGroup('g'), encodeMachineGroup(GROUP)],
+  [key.rental(0, 'h'), { type: 'm', zone: 'z', spot: false, count: 1 }],
   [key.shard(0), { owner: 'n', incarnation: 'i', term: 1 }],
-  [key.done(0, 0), { [`${UID}/0`]: 'f' }],
+  [key.completions(0, 0), { [`${UID}/0`]: 'f' }],
   [key.node('n', 'i'), { incarnation: 'i' }],
 ];
 const FINAL = { status: 'cancelled', tasks: 1, done: 0 };
@@ -43,7 +49,8 @@
 const shown = (cache: WatchCache): Map<string, number> => {
   const out = new Map<string, number>();
   for (const prefix of CACHED_PREFIXES) {
-    for (const [id, { revision }] of cache.tables[prefix]) out.set(prefix + id, revision);
+    for (const [id, { revision }] of cache.tables[TABLE_OF_PREFIX[prefix]])
+      out.set(prefix + id, revision);
   }
   return out;
 };
@@ -112,7 +119,7 @@
         cache.applyOwn([{ put: name, value }], 5);
         assert.equal(shown(cache).get(name) ?? null, row.shows, name);
         const group = cache.machines.get('x')?.revision ?? null;
-        if (name === key.machines('g')) assert.equal(group, row.shows);
+        if (name === key.machineGroup('g')) assert.equal(group, row.shows);
       }
     });
   }
@@ -121,7 +128,7 @@
 test('a final state never changes: a later one of another kind is not taken in', () => {
   const cache = new WatchCache();
   cache.apply(listing(1, []));
-  cache.apply(news(3, [put(key.final(UID), { status: 'done', tasks: 1, done: 1 }, 3)]));
+  cache.apply(news(3, [put(key.finalState(UID), { status: 'done', tasks: 1, done: 1 }, 3)]));
   cache.learnCancelled({ uid: UID, tasks: 1, done: 0, epoch: 4 });
   cache.learnFinal(UID, FINAL, 4);
   assert.equal(cache.finals.get(UID)?.status, 'done');
@@ -203,15 +210,15 @@
 
   #jobWrites(): Write[] {
     const uid = `job-${this.#random(this.#jobs + 1)}`;
-    const present = this.#store.at(key.active(uid), this.#store.epoch);
+    const present = this.#store.at(key.activeJob(uid), this.#store.epoch);
     if (present?.removed === true) return [{ put: 'term', value: this.#store.epoch }];
     if (present === undefined) this.#jobs += 1;
     const end = present !== undefined && this.#random(2) === 0;
-    if (!end) return [{ put: key.active(uid), value: encodeActive(job({ uid })) }];
+    if (!end) return [{ put: key.activeJob(uid), value: encodeJob(job({ uid })) }];
     const status = this.#random(2) === 0 ? 'done' : 'cancelled';
     if (status === 'cancelled') this.#peerNews.push({ uid, epoch: this.#store.epoch + 1 });
     const value = { status, tasks: 1, done: 0 };
-    return [{ drop: key.active(uid) }, { put: key.final(uid), value }];
+    return [{ drop: key.activeJob(uid) }, { put: key.finalState(uid), value }];
   }
 
   #ownWrite(): void {
@@ -234,7 +241,7 @@
     const told = this.#peerNews[this.#random(this.#peerNews.length)];
     if (told === undefined) return;
     this.#cache.learnCancelled({ ...told, tasks: 1, done: 0 });
-    this.#toldRemoval(key.active(told.uid), told.epoch);
+    this.#toldRemoval(key.activeJob(told.uid), told.epoch);
   }
 
   /** The watch's answer is made at one step and arrives at another; a listing is made page by page. */
@@ -286,10 +293,10 @@
         `step ${step}: ${c.key} of ${c.revision} is missing at ${epoch}`,
       );
     }
-    const hosts = this.#cache.tables['machines/'].has('g') ? ['x'] : [];
+    const hosts = this.#cache.tables.machineGroups.has('g') ? ['x'] : [];
     assert.deepEqual([...this.#cache.machines.keys()], hosts, `step ${step}: machines by name`);
     for (const [uid, { status }] of this.#cache.finals) {
-      const stored = this.#store.at(key.final(uid), this.#store.epoch)?.value as typeof FINAL;
+      const stored = this.#store.at(key.finalState(uid), this.#store.epoch)?.value as typeof FINAL;
       assert.equal(status, stored.status, `step ${step}: ${uid}`);
     }
   }
