--- a/packages/leader-election/test/single-holder.test.ts
+++ b/packages/leader-election/test/single-holder.test.ts
@@ -39,8 +39,7 @@
     assert.notEqual(promoted.node, old.node);
     // Woken between its check and its calls: the command and the write are on their way already.
     world.commandMachine(old, authorization);
-    const { fencedCompareAndSwap: fencedCompareAndSwap } =
-      await import('@sumacstep/leader-election');
+    const { fencedCompareAndSwap } = await import('@sumacstep/leader-election');
     const client = world.store.client({ ...CALM }, (work) => old.resume(work));
     const late = fencedCompareAndSwap(
       client,
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -5,7 +5,7 @@
   CLOUD_SOCKETS,
   LIST_SHARE,
   TOKEN_POLL_MS,
-} from '../constants.js';
+} from './constants.js';
 import type { Authorization, RecordedIntent } from '@sumacstep/leader-election';
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { MachineType } from '../core/model.js';
--- a/src/cloud/machine-types.ts
+++ b/src/cloud/machine-types.ts
@@ -1,6 +1,6 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { Logger } from 'pino';
-import { TYPES_MS, TYPES_RETRY_MS } from '../constants.js';
+import { TYPES_MS, TYPES_RETRY_MS } from './constants.js';
 import type { MachineType } from '../core/model.js';
 import { CloudRequestError, type CloudClient } from './client.js';
 
--- a/src/commands/store-access.ts
+++ b/src/commands/store-access.ts
@@ -2,7 +2,7 @@
 import pino from 'pino';
 import { steadyMs } from '../clock.js';
 import type { PlatformConfig } from '../config/platform.js';
-import { STORE_RETRY_MS } from '../constants.js';
+import { STORE_RETRY_MS } from '../store/constants.js';
 import { StoreClient, StoreRequestError } from '../store/store-client.js';
 import type { Prefix } from '../store/keys.js';
 import { listPrefixes } from '../store/watch.js';
--- a/src/core/cancellation/cancellations.ts
+++ b/src/core/cancellation/cancellations.ts
@@ -1,8 +1,5 @@
-import {
-  CLOCK_DRIFT,
-  LEASE_WITHHOLDING_MARGIN_MS,
-  GOSSIPED_CANCELLATIONS_LIMIT,
-} from '../../constants.js';
+import { CLOCK_DRIFT } from '../../constants.js';
+import { LEASE_WITHHOLDING_MARGIN_MS, GOSSIPED_CANCELLATIONS_LIMIT } from './constants.js';
 
 /**
  * What the nodes tell each other of confirmed cancellations, so that an owner whom the state service
--- a/src/core/capacity/capacity-planner.ts
+++ b/src/core/capacity/capacity-planner.ts
@@ -1,4 +1,4 @@
-import { BOOT_GIVE_UP } from '../../constants.js';
+import { BOOT_GIVE_UP } from './constants.js';
 import { tasksInNeed } from '../reachability/failure-tracker.js';
 import { timesIn, type JobSpec, type MachineType } from '../model.js';
 import type { JobState, MachineState } from '../shard/shard.js';
--- a/src/core/capacity/wanted-machines.ts
+++ b/src/core/capacity/wanted-machines.ts
@@ -1,4 +1,4 @@
-import { CEIL_SLACK, RUN_UNKNOWN_S } from '../../constants.js';
+import { CEIL_SLACK, RUN_UNKNOWN_S } from './constants.js';
 import { typesFor } from '../jobs/admission.js';
 import { tasksInNeed } from '../reachability/failure-tracker.js';
 import type { ClassStats } from './workload-statistics.js';
--- a/src/core/capacity/workload-statistics.ts
+++ b/src/core/capacity/workload-statistics.ts
@@ -4,7 +4,7 @@
   RATE_WINDOW_S,
   RUN_WEIGHT,
   SEEN_JOBS_LIMIT,
-} from '../../constants.js';
+} from './constants.js';
 import type { JobSpec } from '../model.js';
 
 /** What is known of a class of jobs. */
--- a/src/core/jobs/jobs.ts
+++ b/src/core/jobs/jobs.ts
@@ -1,4 +1,4 @@
-import { MIN_RANGE_TASKS, MAX_RANGE_TASKS, RANGE_NAME_BYTES, SLOT_FILL } from '../../constants.js';
+import { MIN_RANGE_TASKS, MAX_RANGE_TASKS, RANGE_NAME_BYTES, SLOT_FILL } from './constants.js';
 import type { JobRecord, JobSpec, TaskRange, Team } from '../model.js';
 
 /** Completed tasks of a range as a bitmap in hex, four tasks a character, first task first. */
--- a/src/core/model.ts
+++ b/src/core/model.ts
@@ -1,4 +1,4 @@
-import { ROUNDING, TASKS_WITHOUT_DEMAND } from '../constants.js';
+import { ROUNDING, TASKS_WITHOUT_DEMAND } from './constants.js';
 /** The vocabulary of the scheduler. Nothing here does input or output. */
 
 export interface Resources {
--- a/src/core/ownership/ownership.ts
+++ b/src/core/ownership/ownership.ts
@@ -1,9 +1,4 @@
-import {
-  FAILBACK_HOLD_MS,
-  MAX_FAILBACK_MS,
-  FAILBACK_MS,
-  FAILOVER_GRACE_MS,
-} from '../../constants.js';
+import { FAILBACK_HOLD_MS, MAX_FAILBACK_MS, FAILBACK_MS, FAILOVER_GRACE_MS } from './constants.js';
 
 /** Who should own which shard: pure decisions over what the state service shows. */
 
--- a/src/core/placement/scheduler.ts
+++ b/src/core/placement/scheduler.ts
@@ -1,4 +1,4 @@
-import { BEGIN_MS, NO_AIM_S } from '../../constants.js';
+import { BEGIN_MS, NO_AIM_S } from './constants.js';
 import { placeableTasks } from '../reachability/failure-tracker.js';
 import { taskKey, type JobState, type MachineState, type Placement } from '../shard/types.js';
 import { type ShardState } from '../shard/shard-state.js';
--- a/src/core/placement/unused-volume-index.ts
+++ b/src/core/placement/unused-volume-index.ts
@@ -1,4 +1,5 @@
-import { EQUAL_VOLUME, ORDER_BLOCK, ROUNDING, VOLUME_SLACK } from '../../constants.js';
+import { ROUNDING } from '../constants.js';
+import { EQUAL_VOLUME, ORDER_BLOCK, VOLUME_SLACK } from './constants.js';
 import { unusedVolume } from './unused-volume.js';
 import type { MachineState } from '../shard/types.js';
 import type { Resources } from '../model.js';
--- a/src/core/placement/unused-volume.ts
+++ b/src/core/placement/unused-volume.ts
@@ -1,4 +1,4 @@
-import { EQUAL_VOLUME } from '../../constants.js';
+import { EQUAL_VOLUME } from './constants.js';
 import { RESOURCE_KINDS, type Resources } from '../model.js';
 
 /** Unused resource volume, equation (2) of the paper. */
--- a/src/core/preemption/preemption.ts
+++ b/src/core/preemption/preemption.ts
@@ -1,4 +1,4 @@
-import { COLLECT_SHARE, RESERVATION_MS, ROOM_TRIES } from '../../constants.js';
+import { COLLECT_SHARE, RESERVATION_MS, ROOM_TRIES } from './constants.js';
 import { isFeasible } from '../placement/constraints.js';
 import type { JobState, MachineState, Placement } from '../shard/types.js';
 import type { ShardState } from '../shard/shard-state.js';
--- a/src/core/reachability/failure-tracker.ts
+++ b/src/core/reachability/failure-tracker.ts
@@ -6,7 +6,7 @@
   QUARANTINE_FAILED_JOBS,
   QUARANTINE_SUSPECT_JOBS,
   SUSPECT_FAILURES,
-} from '../../constants.js';
+} from './constants.js';
 import type { JobState, MachineState } from '../shard/types.js';
 import type { ShardState } from '../shard/shard-state.js';
 
--- a/src/core/reachability/machine-health.ts
+++ b/src/core/reachability/machine-health.ts
@@ -4,7 +4,7 @@
   UNREACHABLE_HEARTBEAT_INTERVALS_SERVICE,
   MISSED_HEARTBEAT_INTERVALS,
   STOP_PATIENCE,
-} from '../../constants.js';
+} from './constants.js';
 import { serves, type MachineState, type ShardSettings } from '../shard/types.js';
 
 /**
--- a/src/core/shard/command-planner.ts
+++ b/src/core/shard/command-planner.ts
@@ -1,4 +1,4 @@
-import { FORGET_AFTER_MS, FORGET_BATCH_LIMIT, STOP_OVERDUE_S } from '../../constants.js';
+import { FORGET_AFTER_MS, FORGET_BATCH_LIMIT, STOP_OVERDUE_S } from './constants.js';
 import { attemptKey, neverSent, taskKey, type MachineState, type Placement } from './types.js';
 import { type ShardState } from './shard-state.js';
 import type { Command, Heartbeat } from '../model.js';
--- a/src/core/shard/heartbeat-reconciler.ts
+++ b/src/core/shard/heartbeat-reconciler.ts
@@ -1,4 +1,4 @@
-import { NO_ROOM_BACKOFF_MS, LOST_COMMANDS_LIMIT } from '../../constants.js';
+import { NO_ROOM_BACKOFF_MS, LOST_COMMANDS_LIMIT } from './constants.js';
 import { FailureTracker } from '../reachability/failure-tracker.js';
 import { neverSent, taskKey, type JobState, type MachineState, type Placement } from './types.js';
 import { type ShardState } from './shard-state.js';
--- a/src/core/shard/shard-state.ts
+++ b/src/core/shard/shard-state.ts
@@ -1,11 +1,11 @@
+import { CLOCK_DRIFT } from '../../constants.js';
+import { ROUNDING } from '../constants.js';
 import {
   ATTEMPTS_PER_TERM,
-  CLOCK_DRIFT,
   COMMAND_UNSENT_MS,
   TRANSFER_AGAIN_MS,
-  ROUNDING,
   WORKER_LEASE_MARGIN_MS,
-} from '../../constants.js';
+} from './constants.js';
 import { constraintKey } from '../placement/constraints.js';
 import { tasksInNeed } from '../reachability/failure-tracker.js';
 import { decodeDone } from '../jobs/jobs.js';
--- a/src/peers/frames.ts
+++ b/src/peers/frames.ts
@@ -2,7 +2,7 @@
 import { Transform, type TransformCallback } from 'node:stream';
 import { fileURLToPath } from 'node:url';
 import protobuf from 'protobufjs';
-import { PEER_FRAME_BYTES } from '../constants.js';
+import { PEER_FRAME_BYTES } from './constants.js';
 import type { Cancellation } from '../core/cancellation/cancellations.js';
 
 export interface RoomStatus {
--- a/src/peers/gossip.ts
+++ b/src/peers/gossip.ts
@@ -1,13 +1,8 @@
 import { connect, createServer, type Server, type Socket } from 'node:net';
 import { finished, pipeline } from 'node:stream';
 import type { Logger } from 'pino';
-import {
-  DETAIL_EVERY,
-  GOSSIP_MS,
-  PEER_FRESH_MS,
-  SUMMARY_MS,
-  CANCELLATION_FLUSH_MS,
-} from '../constants.js';
+import { SUMMARY_MS } from '../constants.js';
+import { DETAIL_EVERY, GOSSIP_MS, PEER_FRESH_MS, CANCELLATION_FLUSH_MS } from './constants.js';
 import { StatusDecoder, StatusEncoder, type PeerStatus } from './frames.js';
 
 export interface Peer {
--- a/src/peers/shard-directory.ts
+++ b/src/peers/shard-directory.ts
@@ -1,4 +1,5 @@
-import { BALANCE_MARGIN, BALANCE_RATIO, DEBOUNCE_MS, UNKNOWN_LOAD } from '../constants.js';
+import { DEBOUNCE_MS } from '../constants.js';
+import { BALANCE_MARGIN, BALANCE_RATIO, UNKNOWN_LOAD } from './constants.js';
 import { loadIndex } from '../core/capacity/allocation-ratio.js';
 import type { ShardLoad } from '../core/jobs/jobs.js';
 import { fits, PRIORITY_RANK, timesIn, type JobSpec, type Resources } from '../core/model.js';
--- a/src/rebalancing/shard-mover.ts
+++ b/src/rebalancing/shard-mover.ts
@@ -9,7 +9,7 @@
 } from '@sumacstep/shard-rebalancing';
 import type { Logger } from 'pino';
 import type { SharesConfig } from '../config/shares.js';
-import { MOVE_REASON_MS } from '../constants.js';
+import { MOVE_REASON_MS } from './constants.js';
 import { serves, type MachineState, type Shard } from '../core/shard/shard.js';
 import type { Owned, ShardController } from '../shards/shard-controller.js';
 import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
--- a/src/service/http-server.ts
+++ b/src/service/http-server.ts
@@ -1,7 +1,7 @@
 import { createServer, type Server } from 'node:http';
 import Koa, { type Middleware } from 'koa';
 import type { Logger } from 'pino';
-import { REQUEST_MS } from '../constants.js';
+import { REQUEST_MS } from './constants.js';
 import { InboundConnections } from './socket-budget.js';
 
 /** How connections of workers and users are bounded. */
--- a/src/service/readiness.ts
+++ b/src/service/readiness.ts
@@ -1,4 +1,4 @@
-import { CUT_OFF_MS, READY_GRACE_MS } from '../constants.js';
+import { CUT_OFF_MS, READY_GRACE_MS } from './constants.js';
 
 /** What readiness depends on, as of one look. */
 export interface Surroundings {
--- a/src/service/service.ts
+++ b/src/service/service.ts
@@ -7,15 +7,8 @@
 import type { OperatorConfig } from '../config/operator.js';
 import type { PlatformConfig } from '../config/platform.js';
 import type { SharesConfig } from '../config/shares.js';
-import {
-  FEED_SHARE,
-  FOLLOW_PAUSE_MS,
-  IDLE_LEASES,
-  LOOP_MS,
-  DEBOUNCE_MS,
-  STORE_FRESH_MS,
-  SUMMARY_MS,
-} from '../constants.js';
+import { LOOP_MS, DEBOUNCE_MS, SUMMARY_MS } from '../constants.js';
+import { FEED_SHARE, FOLLOW_PAUSE_MS, IDLE_LEASES, STORE_FRESH_MS } from './constants.js';
 import {
   CancellationReceiver,
   CancellationBroadcast,
--- a/src/service/shard-status.ts
+++ b/src/service/shard-status.ts
@@ -1,4 +1,4 @@
-import { SIGHTING_MS } from '../constants.js';
+import { SIGHTING_MS } from './constants.js';
 import type { ShardController } from '../shards/shard-controller.js';
 import type { OwnStatus } from '../peers/gossip.js';
 import { progressIn, type ShardDirectory } from '../peers/shard-directory.js';
--- a/src/service/socket-budget.ts
+++ b/src/service/socket-budget.ts
@@ -1,13 +1,8 @@
 import type { Server, ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
-import {
-  CLOUD_SOCKETS,
-  CROWDED_SHARE,
-  DIRECT_SHARE,
-  PEER_SOCKETS,
-  SPARE_SOCKETS,
-  STORE_SOCKETS,
-} from '../constants.js';
+import { CLOUD_SOCKETS } from '../cloud/constants.js';
+import { CROWDED_SHARE, DIRECT_SHARE, PEER_SOCKETS, SPARE_SOCKETS } from './constants.js';
+import { STORE_SOCKETS } from '../store/constants.js';
 
 /**
  * Inbound connections of a server. Workers and users keep theirs open, and one survivor may have more workers
--- a/src/shards/completions.ts
+++ b/src/shards/completions.ts
@@ -1,7 +1,8 @@
 import { fencedCompareAndSwap } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import type { PlatformConfig } from '../config/platform.js';
-import { BATCH_BYTES, PROGRESS_MS, MAX_RANGE_TASKS, SAVE_MS, SLOT_FILL } from '../constants.js';
+import { MAX_RANGE_TASKS, SLOT_FILL } from '../core/jobs/constants.js';
+import { BATCH_BYTES, PROGRESS_MS, SAVE_MS } from './constants.js';
 import type { JobState } from '../core/shard/types.js';
 import { allDone, encodeDone, maxRangeTasks } from '../core/jobs/jobs.js';
 import type { JobRecord, TaskRange } from '../core/model.js';
--- a/src/shards/direct-commands.ts
+++ b/src/shards/direct-commands.ts
@@ -1,4 +1,4 @@
-import { CLAIM_PAUSE_MS } from '../constants.js';
+import { CLAIM_PAUSE_MS } from './constants.js';
 import type { Command } from '../core/model.js';
 import type { MachineState, Shard, Placement } from '../core/shard/shard.js';
 import { sendDirect } from '../workers/heartbeats.js';
--- a/src/shards/machine-records.ts
+++ b/src/shards/machine-records.ts
@@ -1,7 +1,7 @@
 import { fencedCompareAndSwap } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import type { PlatformConfig } from '../config/platform.js';
-import { GROUP_BYTES, HOST_BYTES, MACHINES_MS, RETURNED_KEPT } from '../constants.js';
+import { GROUP_BYTES, HOST_BYTES, MACHINES_MS, RETURNED_KEPT } from './constants.js';
 import type { MachineState } from '../core/shard/types.js';
 import type { Owned } from './shard-controller.js';
 import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
--- a/src/shards/orphaned-instances.ts
+++ b/src/shards/orphaned-instances.ts
@@ -1,7 +1,7 @@
 import type { Logger } from 'pino';
 import type { CloudClient } from '../cloud/client.js';
 import type { PlatformConfig } from '../config/platform.js';
-import { ADOPT_MS, LIST_MS } from '../constants.js';
+import { ADOPT_MS, LIST_MS } from './constants.js';
 import { shardOfMachine } from '../core/jobs/jobs.js';
 import type { Heartbeat } from '../core/model.js';
 import type { Reclaiming } from '../singletons/orphan-collector.js';
--- a/src/shards/scale-out.ts
+++ b/src/shards/scale-out.ts
@@ -2,15 +2,15 @@
 import type { Logger } from 'pino';
 import type { OperatorConfig } from '../config/operator.js';
 import type { PlatformConfig } from '../config/platform.js';
+import { SUMMARY_MS } from '../constants.js';
 import {
   GROUP_BYTES,
   HOST_BYTES,
   NO_CAPACITY_MS,
-  RENT_MOST,
+  MAX_RENTAL_BATCH,
   RENT_MS,
   RENT_RETRY_MS,
-  SUMMARY_MS,
-} from '../constants.js';
+} from './constants.js';
 import type { CloudClient } from '../cloud/client.js';
 import { planCapacity } from '../core/capacity/capacity-planner.js';
 import type { WorkloadStatistics } from '../core/capacity/workload-statistics.js';
@@ -56,7 +56,7 @@
     private readonly log: Logger,
   ) {
     const room = Math.floor((config.storeLimits.valueBytes - GROUP_BYTES) / HOST_BYTES);
-    this.#rentMost = Math.max(1, Math.min(RENT_MOST, room));
+    this.#rentMost = Math.max(1, Math.min(MAX_RENTAL_BATCH, room));
   }
 
   tick(): void {
--- a/src/shards/shard-controller.ts
+++ b/src/shards/shard-controller.ts
@@ -7,13 +7,9 @@
 import type { Logger } from 'pino';
 import type { PlatformConfig } from '../config/platform.js';
 import type { OperatorConfig } from '../config/operator.js';
-import {
-  NO_HEARTBEATS_MS,
-  NO_HEARTBEATS_INTERVALS,
-  FAILBACK_MS,
-  TRANSFER_SETTLE_MS,
-  LOOP_MS,
-} from '../constants.js';
+import { LOOP_MS } from '../constants.js';
+import { FAILBACK_MS } from '../core/ownership/constants.js';
+import { NO_HEARTBEATS_MS, NO_HEARTBEATS_INTERVALS, TRANSFER_SETTLE_MS } from './constants.js';
 import { Completions } from './completions.js';
 import { DirectCommands } from './direct-commands.js';
 import { renewableMs } from '../core/cancellation/cancellations.js';
--- a/src/shards/task-migration.ts
+++ b/src/shards/task-migration.ts
@@ -10,8 +10,8 @@
   TRANSFER_TRIES,
   MAX_RANGES,
   RECORD_FILL,
-  STORE_RETRY_MS,
-} from '../constants.js';
+} from './constants.js';
+import { STORE_RETRY_MS } from '../store/constants.js';
 import { hasGuarantee, hasLimit } from '../core/jobs/jobs.js';
 import type { JobSpec, TaskRange } from '../core/model.js';
 import type { JobState } from '../core/shard/shard.js';
--- a/src/singletons/garbage-collector.ts
+++ b/src/singletons/garbage-collector.ts
@@ -12,7 +12,9 @@
 import type { Logger } from 'pino';
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { DutiesConfig } from '../config/duties.js';
-import { CLEAR_ROUND_MS, CLOCK_DRIFT, LIST_PAGE, RETENTION_WRITE_MS } from '../constants.js';
+import { CLOCK_DRIFT } from '../constants.js';
+import { CLEAR_ROUND_MS, RETENTION_WRITE_MS } from './constants.js';
+import { LIST_PAGE } from '../store/constants.js';
 import {
   CALL_PRIORITY,
   StoreRequestError,
--- a/src/singletons/orphan-collector.ts
+++ b/src/singletons/orphan-collector.ts
@@ -1,7 +1,8 @@
 import { type Authorization } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import type { CloudClient } from '../cloud/client.js';
-import { CONDITIONS_PER_OP, MAX_RETURN_BATCH } from '../constants.js';
+import { MAX_RETURN_BATCH } from '../constants.js';
+import { CONDITIONS_PER_OP } from '../store/constants.js';
 import { key } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { ListedMachine } from '../wire/schemas.js';
--- a/src/singletons/singleton-controller.ts
+++ b/src/singletons/singleton-controller.ts
@@ -14,7 +14,7 @@
 } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import type { DutiesConfig } from '../config/duties.js';
-import { DUTY_GRACE_MS } from '../constants.js';
+import { DUTY_GRACE_MS } from './constants.js';
 import { CALL_PRIORITY, type CallPriority, type StoreClient } from '../store/store-client.js';
 import { key, type Entries } from '../store/keys.js';
 import type { Cached, WatchCache } from '../store/watch-cache.js';
--- a/src/store/linearizable-reads.ts
+++ b/src/store/linearizable-reads.ts
@@ -1,4 +1,5 @@
-import { HELD_READ_MS, USER_CALL_MS } from '../constants.js';
+import { USER_CALL_MS } from '../constants.js';
+import { HELD_READ_MS } from './constants.js';
 import { CALL_PRIORITY, StoreRequestError, type StoreClient } from './store-client.js';
 import { key } from './keys.js';
 import type { WatchCache } from './watch-cache.js';
--- a/src/store/node-session.ts
+++ b/src/store/node-session.ts
@@ -1,12 +1,7 @@
 import { SessionLease } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
-import {
-  CLOCK_DRIFT,
-  LEASE_MARGIN_MS,
-  LEASE_RENEW_MS,
-  LEASE_RETRY_MS,
-  LEASE_TTL_MS,
-} from '../constants.js';
+import { CLOCK_DRIFT } from '../constants.js';
+import { LEASE_MARGIN_MS, LEASE_RENEW_MS, LEASE_RETRY_MS, LEASE_TTL_MS } from './constants.js';
 import type { StoreClient } from './store-client.js';
 import { encodeNode, key, type Abilities } from './keys.js';
 
--- a/src/store/shared-reads.ts
+++ b/src/store/shared-reads.ts
@@ -1,4 +1,4 @@
-import { READ_GATHER_MS } from '../constants.js';
+import { READ_GATHER_MS } from './constants.js';
 import { CALL_PRIORITY, type Found, type StoreClient } from './store-client.js';
 
 /**
--- a/src/store/store-client.ts
+++ b/src/store/store-client.ts
@@ -10,7 +10,7 @@
   STORE_QUEUE_LIMIT,
   STORE_SOCKETS,
   STORE_FAILURES_LIMIT,
-} from '../constants.js';
+} from './constants.js';
 import { CborClient, NoResponseError, type Response } from '../transport/http.js';
 import { TokenBucket } from '../transport/token-bucket.js';
 import {
--- a/src/store/watch-cache.ts
+++ b/src/store/watch-cache.ts
@@ -1,5 +1,5 @@
 import { EventEmitter } from 'node:events';
-import { FINALS_IN_MEMORY } from '../constants.js';
+import { FINALS_IN_MEMORY } from './constants.js';
 import type { Change } from './store-client.js';
 import type { WatchBatch } from './watch.js';
 import type { Write } from '../wire/schemas.js';
--- a/src/store/watch.ts
+++ b/src/store/watch.ts
@@ -1,6 +1,6 @@
 import { Readable } from 'node:stream';
 import { setTimeout as sleep } from 'node:timers/promises';
-import { FOLLOW_BLOCK_MS, LIST_PAGE, STORE_RETRY_MS } from '../constants.js';
+import { FOLLOW_BLOCK_MS, LIST_PAGE, STORE_RETRY_MS } from './constants.js';
 import { StoreRequestError, type Change, type StoreClient } from './store-client.js';
 import { CACHED_PREFIXES, type Prefix } from './keys.js';
 
--- a/src/transport/http.ts
+++ b/src/transport/http.ts
@@ -1,7 +1,7 @@
 import { Agent, request } from 'node:http';
 import type { Readable } from 'node:stream';
 import type Koa from 'koa';
-import { BODY_LIMIT_BYTES } from '../constants.js';
+import { BODY_LIMIT_BYTES } from './constants.js';
 import { fromBytes, toBytes } from '../wire/cbor.js';
 
 /** No answer: the request may have been carried out, or may yet be. */
--- a/src/users/api.ts
+++ b/src/users/api.ts
@@ -1,5 +1,6 @@
 import type Koa from 'koa';
-import { RETRY_AFTER_S, USER_CALL_MS, USER_WAITING_LIMIT } from '../constants.js';
+import { USER_CALL_MS } from '../constants.js';
+import { RETRY_AFTER_S, USER_WAITING_LIMIT } from './constants.js';
 import type { JobSpec } from '../core/model.js';
 import { readBody, reply as send } from '../transport/http.js';
 import { StoreRequestError } from '../store/store-client.js';
--- a/src/users/jobs.ts
+++ b/src/users/jobs.ts
@@ -2,11 +2,11 @@
   ACCEPT_TRIES,
   CANCEL_TRIES,
   LOAD_PER_RANGE,
-  NAME_LIMIT,
   SENT_AWAY_MS,
   SUBMIT_WAIT_MS,
   TYPE_LIST_BYTES,
-} from '../constants.js';
+} from './constants.js';
+import { NAME_LIMIT } from '../wire/constants.js';
 import { admit } from '../core/jobs/admission.js';
 import {
   chooseShard,
--- a/src/wire/schemas.ts
+++ b/src/wire/schemas.ts
@@ -1,6 +1,6 @@
 import type { Guard, Write } from '@sumacstep/leader-election';
 import * as z from 'zod';
-import { NAME_LIMIT, TASKS_LIMIT } from '../constants.js';
+import { NAME_LIMIT, TASKS_LIMIT } from './constants.js';
 import type {
   Command,
   ExitReason,
--- /dev/null
+++ b/src/workers/constants.ts
@@ -0,0 +1,4 @@
+/** Timing of direct commands to workers. */
+
+/** ms; a direct command that takes longer than this is given up. */
+export const COMMAND_MS = 1500;
--- a/src/workers/heartbeats.ts
+++ b/src/workers/heartbeats.ts
@@ -3,7 +3,7 @@
 import { CborClient, NoResponseError, readBody, reply as send } from '../transport/http.js';
 import { fromBytes, WireError } from '../wire/cbor.js';
 import { answerBody, commandsBody, redirectBody, report as reportSchema } from '../wire/schemas.js';
-import { COMMAND_MS } from '../constants.js';
+import { COMMAND_MS } from './constants.js';
 
 export type HeartbeatReply =
   | {
--- a/test/cancellations.test.ts
+++ b/test/cancellations.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { GOSSIPED_CANCELLATIONS_LIMIT } from '../src/constants.js';
+import { GOSSIPED_CANCELLATIONS_LIMIT } from '../src/core/cancellation/constants.js';
 import {
   CancellationReceiver,
   renewableMs,
--- a/test/candidates.test.ts
+++ b/test/candidates.test.ts
@@ -34,7 +34,7 @@
     }
   }
   shard.placeAll(2);
-  return { store, shard: shard };
+  return { store, shard };
 };
 
 test('the machines of a pass give the same choice as a search through all of them', () => {
@@ -42,7 +42,7 @@
   let none = 0;
   for (let seed = 1; seed <= 200; seed++) {
     const random = randomFrom(seed);
-    const { store, shard: shard } = crowd(random);
+    const { store, shard } = crowd(random);
     const { state } = shard;
     const demand = { cpus: 1 + random(6), gpus: random(2), memoryGb: 1 + random(30) };
     const more = {
--- a/test/linearizable-reads.test.ts
+++ b/test/linearizable-reads.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { setImmediate as turn, setTimeout as sleep } from 'node:timers/promises';
-import { HELD_READ_MS, READ_GATHER_MS } from '../src/constants.js';
+import { HELD_READ_MS, READ_GATHER_MS } from '../src/store/constants.js';
 import type { Found } from '../src/store/store-client.js';
 import { key } from '../src/store/keys.js';
 import { LinearizableReads } from '../src/store/linearizable-reads.js';
--- a/test/machine-faults.test.ts
+++ b/test/machine-faults.test.ts
@@ -142,7 +142,7 @@
       beat(shard, a, now);
       sent.push({ ...a.heartbeat(), counter: a.counter - 1 });
     };
-    return { world, store, shard: shard, a, sent, say };
+    return { world, store, shard, a, sent, say };
   };
   type Scene = ReturnType<typeof scene>;
   const cases: [string, (s: Scene) => Shard, (s: Scene) => void][] = [
--- a/test/move-candidates.test.ts
+++ b/test/move-candidates.test.ts
@@ -21,7 +21,7 @@
   const m = shard.machines.get('x')!;
   Object.assign(m, { known: true, lastStatusAt: NOW, lastHeartbeatAt: NOW, cordoned: true });
   Object.assign(m, { record: { ...m.record, up: true } });
-  return { shard: shard, m };
+  return { shard, m };
 };
 
 const rows: [string, (m: MachineState) => void, boolean][] = [
@@ -44,14 +44,14 @@
 
 for (const [name, spoil, settled] of rows) {
   test(`may a machine move: ${name}`, () => {
-    const { shard: shard, m } = settledMachine();
+    const { shard, m } = settledMachine();
     spoil(m);
     assert.equal(candidateOf(shard, m, NOW).settled, settled);
   });
 }
 
 test('a chosen machine gets no work, and gets it again when it is let go', () => {
-  const { shard: shard, m } = settledMachine();
+  const { shard, m } = settledMachine();
   shard.placeAll(NOW);
   assert.equal(m.tasks.size, 0);
   m.cordoned = false;
@@ -89,7 +89,7 @@
     () => 0,
     pino({ level: 'silent' }),
   );
-  const { shard: shard } = settledMachine();
+  const { shard } = settledMachine();
   const moved = await records.move(ownedShard(shard), ['x', 'z'], {
     shard: 1,
     term: 8,
--- a/test/ownership.test.ts
+++ b/test/ownership.test.ts
@@ -5,7 +5,7 @@
   MAX_FAILBACK_MS,
   FAILBACK_MS,
   FAILOVER_GRACE_MS,
-} from '../src/constants.js';
+} from '../src/core/ownership/constants.js';
 import { Ownership, type OwnershipView } from '../src/core/ownership/ownership.js';
 
 const NODES = ['n0', 'n1', 'n2'];
--- a/test/random.test.ts
+++ b/test/random.test.ts
@@ -123,7 +123,7 @@
       const worker = new FakeWorker(name, world, 4000 + random(20_000), LEASE_MS, now);
       worker.faulty = chance(5);
       workers.set(name, worker);
-      store.add(machine(name, { term: term }));
+      store.add(machine(name, { term }));
     }
     if (chance(20) && store.jobs.size < 12) {
       jobs += 1;
--- a/test/services.test.ts
+++ b/test/services.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { planCapacity, type CapacityInput } from '../src/core/capacity/capacity-planner.js';
 import type { Shard } from '../src/core/shard/shard.js';
-import { REPLICA_WELL_MS } from '../src/constants.js';
+import { REPLICA_WELL_MS } from '../src/core/reachability/constants.js';
 import { job, LEASE_MS, machine, machineType, shardWith, settings, Store } from './helpers.js';
 import { FakeWorker, World } from './standins/worker.js';
 
@@ -60,7 +60,7 @@
   store.add(service(over));
   shard.sync(store, 0);
   const on = (n: string) => [...world.on].filter(([, m]) => m.has(n)).length;
-  return { world, store, shard: shard, workers, beat, run, on };
+  return { world, store, shard, workers, beat, run, on };
 };
 
 test('replicas are not all put on one machine, as long as others have room', () => {
@@ -293,7 +293,7 @@
       shard.handleHeartbeat(w.heartbeat(), now + 1, true);
     }
     const stats = new Map([['c', { tasksPerS: 0, runS: null, sample: record.spec }]]);
-    const { rentals: rent, returns: returns } = plan(shard, now + HEARTBEAT_MS, { stats });
+    const { rentals: rent, returns } = plan(shard, now + HEARTBEAT_MS, { stats });
     assert.deepEqual(
       rent.filter((r) => !r.spot).map((r) => [r.zone, r.count]),
       zones.map((z) => [z, 1]),
--- a/test/shard-controller.test.ts
+++ b/test/shard-controller.test.ts
@@ -3,15 +3,15 @@
 import pino from 'pino';
 import { parseOperator } from '../src/config/operator.js';
 import type { PlatformConfig } from '../src/config/platform.js';
+import { FAILBACK_MS } from '../src/core/ownership/constants.js';
+import { ATTEMPTS_PER_TERM } from '../src/core/shard/constants.js';
 import {
-  ATTEMPTS_PER_TERM,
-  FAILBACK_MS,
   TRANSFER_SETTLE_MS,
   BALANCE_AFTER_MS,
   TRANSFER_AFTER_MS,
   TRANSFER_EVERY_MS,
-  STORE_RETRY_MS,
-} from '../src/constants.js';
+} from '../src/shards/constants.js';
+import { STORE_RETRY_MS } from '../src/store/constants.js';
 import { renewableMs } from '../src/core/cancellation/cancellations.js';
 import { ShardController } from '../src/shards/shard-controller.js';
 import { StoreRequestError, type CompareAndSwapResult } from '../src/store/store-client.js';
@@ -114,11 +114,11 @@
     ],
   });
   shardController.tick();
-  return { shardController: shardController, cache, world };
+  return { shardController, cache, world };
 };
 const settle = () => new Promise((resolve) => setImmediate(resolve));
 /** Lets the time come at which shard 1 is given back. */
-const returns = async ({ shardController: shardController, world }: ReturnType<typeof scene>) => {
+const returns = async ({ shardController, world }: ReturnType<typeof scene>) => {
   world.now = FAILBACK_MS;
   shardController.tick();
   await settle();
@@ -376,7 +376,7 @@
 test('an own write shown late does not bring a cancelled job back to its shard', () => {
   // The shard would have started the tasks of a job whose user was told that it is cancelled
   // (docs/incidents/2026-12-02-went-back.md).
-  const { shardController: shardController, cache } = scene();
+  const { shardController, cache } = scene();
   const uid = 'job-000002';
   const name = `active/${uid}`;
   const value = encodeJob(job({ uid }, 5, 1));
--- a/test/shard.test.ts
+++ b/test/shard.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { FORGET_AFTER_MS } from '../src/constants.js';
+import { FORGET_AFTER_MS } from '../src/core/shard/constants.js';
 import type { Command } from '../src/core/model.js';
 import type { Shard } from '../src/core/shard/shard.js';
 import { job, LEASE_MS, machine, shardWith, Store } from './helpers.js';
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -6,7 +6,7 @@
 import { unusedVolume } from '../src/core/placement/unused-volume.js';
 import { UnusedVolumeIndex } from '../src/core/placement/unused-volume-index.js';
 import { randomFrom } from '../src/random.js';
-import { FIRST_SPAN_S, SEEN_JOBS_LIMIT } from '../src/constants.js';
+import { FIRST_SPAN_S, SEEN_JOBS_LIMIT } from '../src/core/capacity/constants.js';
 import { countDone, decodeDone, encodeDone } from '../src/core/jobs/jobs.js';
 import { WorkloadStatistics } from '../src/core/capacity/workload-statistics.js';
 import { TaskSet } from '../src/core/jobs/task-set.js';
@@ -168,7 +168,7 @@
     machinesMost: machines,
     now: 5000,
   };
-  const { returns: returns } = planCapacity(input);
+  const { returns } = planCapacity(input);
   assert.ok(returns.length > machines - 10, `${returns.length} given back`);
   assert.ok(looked < 100 * machines, `${looked / machines} looks at each machine`);
 });
