--- a/test/known-red.test.ts
+++ b/test/known-red.test.ts
@@ -3,7 +3,7 @@
 import { judge } from './runner/known-red.js';
 
 /** Only what is listed may fail, and all that is listed must. */
-const LINE = (name: string) => `${name} | a cause | issue 1`;
+const LINE = (name: string) => `${name} | npm test, seed 1 | what was seen | issue 1`;
 
 const CASES: readonly {
   readonly name: string;
@@ -31,7 +31,24 @@
     failed: ['a', 'b', 'c', 'd'],
     problem: /at most 3/,
   },
-  { name: 'a line without its issue', text: 'a | cause', failed: ['a'], problem: /not "test/ },
+  ...[
+    { name: 'without a test', text: ' | npm test | seen | issue 1', lacks: 'test' },
+    { name: 'without a command', text: 'a | | seen | issue 1', lacks: 'command and seed' },
+    { name: 'without what was seen', text: 'a | npm test | | issue 1', lacks: 'what was seen' },
+    { name: 'without its issue', text: 'a | npm test | seen', lacks: 'issue' },
+    { name: 'in the earlier form', text: 'a | cause | issue 1', lacks: 'issue' },
+  ].map(({ name, text, lacks }) => ({
+    name: `an entry ${name}`,
+    text,
+    failed: ['a'],
+    problem: new RegExp(`lacks ${lacks}, not "test`),
+  })),
+  {
+    name: 'an entry with a field too many',
+    text: `${LINE('a')} | more`,
+    failed: ['a'],
+    problem: /too many fields, not "test/,
+  },
 ];
 
 test('failures judged by KNOWN-RED.txt: table', () => {
