--- a/src/rebalancing/shard-mover.ts
+++ b/src/rebalancing/shard-mover.ts
@@ -11,7 +11,8 @@
 import type { SharesConfig } from '../config/shares.js';
 import { MOVE_REASON_MS } from './constants.js';
 import { serves, type MachineState, type Shard } from '../core/shard/shard.js';
-import type { Owned, ShardController } from '../shards/shard-controller.js';
+import type { OwnedShard } from '../shards/owned-shard.js';
+import type { ShardController } from '../shards/shard-controller.js';
 import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import { movesIn, obstacleOf } from './move-coordinator.js';
@@ -113,7 +114,7 @@
     return (shardController.termOf(target) ?? 0) > (shardController.termOf(source) ?? Infinity);
   }
 
-  #asSource({ value: move, revision }: Versioned<Move>, owned: Owned, target: number): void {
+  #asSource({ value: move, revision }: Versioned<Move>, owned: OwnedShard, target: number): void {
     if (this.#busy.has(move.id)) return;
     const { shard } = owned;
     const now = this.ports.now();
@@ -167,7 +168,7 @@
     }
   }
 
-  async #write(owned: Owned, move: Move, revision: number): Promise<void> {
+  async #write(owned: OwnedShard, move: Move, revision: number): Promise<void> {
     const { client, cache } = this.ports;
     const key = moveKey(move.id);
     const writes = [{ put: key, value: move }];
@@ -188,7 +189,7 @@
   async #moveReady(
     move: Move,
     revision: number,
-    owned: Owned,
+    owned: OwnedShard,
     target: number,
     ready: readonly string[],
   ): Promise<void> {
--- a/src/shards/completions.ts
+++ b/src/shards/completions.ts
@@ -2,11 +2,11 @@
 import type { Logger } from 'pino';
 import type { PlatformConfig } from '../config/platform.js';
 import { MAX_RANGE_TASKS, SLOT_FILL } from '../core/jobs/constants.js';
-import { BATCH_BYTES, PROGRESS_MS, SAVE_MS } from './constants.js';
+import { BATCH_BYTES } from './constants.js';
 import type { JobState } from '../core/shard/types.js';
 import { allDone, encodeDone, maxRangeTasks } from '../core/jobs/jobs.js';
 import type { JobRecord, TaskRange } from '../core/model.js';
-import type { Owned } from './shard-controller.js';
+import type { OwnedShard } from './owned-shard.js';
 import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
 import { encodeJob, encodeDoneSlot, key, type DoneSlot } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
@@ -40,12 +40,12 @@
     private readonly log: Logger,
   ) {}
 
-  async save(index: number, owned: Owned, now: number): Promise<void> {
-    if (owned.saving || now - owned.lastSave < SAVE_MS) return;
+  async save(index: number, owned: OwnedShard, now: number): Promise<void> {
+    if (!owned.saveDue(now)) return;
     const smaller = this.#recut(index, owned) ?? this.#split(index);
     const batch = smaller ?? this.#collect(index, owned, now);
     if (batch.writes.length === 0) return;
-    owned.saving = true;
+    owned.beginSave();
     try {
       const { guards, writes } = batch;
       const result = await fencedCompareAndSwap(
@@ -65,12 +65,11 @@
       if (!(error instanceof StoreRequestError)) throw error;
       this.log.debug({ shard: index, error: error.message }, 'completions not saved');
     } finally {
-      owned.saving = false;
-      owned.lastSave = this.now();
+      owned.endSave(this.now());
     }
   }
 
-  #collect(index: number, owned: Owned, now: number): Batch {
+  #collect(index: number, owned: OwnedShard, now: number): Batch {
     const batch: Batch = { guards: [], writes: [], saved: [], finished: [] };
     const progress: { job: JobState; active: JobRecord; range: TaskRange; whole: boolean }[] = [];
     let bytes = 0;
@@ -106,10 +105,10 @@
       batch.saved.push({ uid, indexes: [...job.unsaved] });
     }
     // Somebody waits for the end of a range, if it is the last one of its job.
-    const due = now - owned.lastProgress >= PROGRESS_MS || progress.some((p) => p.whole);
+    const due = owned.progressDue(now) || progress.some((p) => p.whole);
     if (due && progress.length > 0) {
       this.#addProgress(index, progress, batch, bytes);
-      owned.lastProgress = now;
+      owned.noteProgress(now);
     }
     return batch;
   }
@@ -151,7 +150,7 @@
    * A range from a time of larger values, whose bitmap fits none now: its end becomes a range of its
    * own, with its part of the bitmap, in one transaction. Whoever reads before or after sees all of it.
    */
-  #recut(index: number, owned: Owned): Batch | null {
+  #recut(index: number, owned: OwnedShard): Batch | null {
     const { valueBytes } = this.config.storeLimits;
     const most = maxRangeTasks(valueBytes);
     if (most >= MAX_RANGE_TASKS) return null;
--- a/src/shards/direct-commands.ts
+++ b/src/shards/direct-commands.ts
@@ -2,7 +2,7 @@
 import type { Command } from '../core/model.js';
 import type { MachineState, Shard, Placement } from '../core/shard/shard.js';
 import { sendDirect } from '../workers/heartbeats.js';
-import type { Owned } from './shard-controller.js';
+import type { OwnedShard } from './owned-shard.js';
 
 /** times that a worker of a session that we did not know is tried */
 const TRIES = 2;
@@ -22,7 +22,7 @@
   ) {}
 
   /** Stopping under our own term can only be safe, whatever we know: it needs no authority. */
-  stops(owned: Owned, now: number): void {
+  stops(owned: OwnedShard, now: number): void {
     const { shard } = owned;
     const room = this.most - this.#underWay;
     for (const { machine, commands } of shard.directCommands(now, room, false)) {
@@ -31,7 +31,7 @@
   }
 
   /** Starts and stops, and the news of our term to workers that may not know it. */
-  tick(owned: Owned, now: number): void {
+  tick(owned: OwnedShard, now: number): void {
     const { shard } = owned;
     const room = this.most - this.#underWay;
     for (const { machine, commands, starts } of shard.directCommands(now, room, true)) {
@@ -40,21 +40,20 @@
     this.#claim(owned);
   }
 
-  #claim(owned: Owned): void {
-    const { shard, claiming } = owned;
+  #claim(owned: OwnedShard): void {
+    const { shard } = owned;
     for (const m of shard.machinesToProbe()) {
       const { name } = m.record;
       if (this.#underWay >= this.most) return;
-      if (m.address === null || claiming.has(name)) continue;
-      claiming.add(name);
+      if (m.address === null || !owned.beginProbe(name)) continue;
       void this.#send(owned, m, []).finally(() => {
-        setTimeout(() => claiming.delete(name), CLAIM_PAUSE_MS);
+        setTimeout(() => owned.endProbe(name), CLAIM_PAUSE_MS);
       });
     }
   }
 
   async #send(
-    { shard, authorization }: Owned,
+    { shard, authorization }: OwnedShard,
     m: MachineState,
     commands: readonly Command[],
     starts: readonly Placement[] = [],
--- a/src/shards/machine-records.ts
+++ b/src/shards/machine-records.ts
@@ -3,7 +3,7 @@
 import type { PlatformConfig } from '../config/platform.js';
 import { GROUP_BYTES, HOST_BYTES, MACHINES_MS, RETURNED_KEPT } from './constants.js';
 import type { MachineState } from '../core/shard/types.js';
-import type { Owned } from './shard-controller.js';
+import type { OwnedShard } from './owned-shard.js';
 import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
 import { encodeMachineGroup, key, type RentalRecord, type MachineGroup } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
@@ -64,7 +64,7 @@
   }
 
   /** Writes what differs: machines that are up and not recorded so, records of returned ones. */
-  async tick(index: number, owned: Owned, now: number): Promise<void> {
+  async tick(index: number, owned: OwnedShard, now: number): Promise<void> {
     if (this.#busy.has(index) || now - (this.#last.get(index) ?? -Infinity) < MACHINES_MS) return;
     const up = owned.shard.justUp();
     const changed = this.#changes(index, up);
@@ -118,7 +118,7 @@
 
   async #write(
     index: number,
-    { authorization }: Owned,
+    { authorization }: OwnedShard,
     urgent: boolean,
     guards: readonly Guard[],
     writes: readonly Write[],
@@ -140,7 +140,7 @@
   }
 
   /** Records the machines of an answered hire and drops the hire, in one transaction. */
-  async hired(owned: Owned, rental: RentalRecord, names: readonly string[]): Promise<void> {
+  async hired(owned: OwnedShard, rental: RentalRecord, names: readonly string[]): Promise<void> {
     const { shard, type, zone, spot } = rental;
     const fresh = names.filter((n) => !this.cache.machines.has(n));
     const hosts = new Map(fresh.map((n) => [n, false]));
@@ -184,7 +184,7 @@
    * cache shows neither a hire of the machine's kind nor the machine, none can record it any more.
    */
   async adopt(
-    owned: Owned,
+    owned: OwnedShard,
     machine: Omit<MachineGroup, 'term' | 'hosts'>,
     name: string,
     conditions: readonly Guard[] = [],
@@ -214,7 +214,7 @@
    * transaction. As many as it holds go; resolves with their names, none if the records have changed.
    */
   async move(
-    owned: Owned,
+    owned: OwnedShard,
     names: readonly string[],
     target: MoveTarget,
   ): Promise<readonly string[]> {
--- a/src/shards/orphaned-instances.ts
+++ b/src/shards/orphaned-instances.ts
@@ -43,8 +43,8 @@
   tick(): void {
     const now = this.now();
     if (!this.shardController.authority(now)) return;
-    for (const { shard, suspended } of this.shardController.owned.values()) {
-      if (suspended) continue;
+    for (const { shard, isActive } of this.shardController.owned.values()) {
+      if (!isActive) continue;
       for (const machine of shard.machines.values()) {
         machine.address ??= this.#addresses.get(machine.record.name) ?? null;
       }
--- a/src/shards/scale-in.ts
+++ b/src/shards/scale-in.ts
@@ -2,7 +2,8 @@
 import type { CloudClient } from '../cloud/client.js';
 import { MAX_RETURN_BATCH } from '../constants.js';
 import type { ReturnIntents } from '../singletons/return-intents.js';
-import type { Owned, ShardController } from './shard-controller.js';
+import type { OwnedShard } from './owned-shard.js';
+import type { ShardController } from './shard-controller.js';
 import { isRetryable } from './retryable-error.js';
 
 /** A machine to be returned, and why. */
@@ -26,7 +27,7 @@
   ) {}
 
   /** Takes machines out of use, for a return. */
-  mark(index: number, owned: Owned, planned: readonly PlannedReturn[]): void {
+  mark(index: number, owned: OwnedShard, planned: readonly PlannedReturn[]): void {
     for (const { name, reason } of planned) {
       const machine = owned.shard.machines.get(name);
       if (machine === undefined || this.#sending.has(name)) continue;
@@ -49,14 +50,14 @@
   }
 
   /** Returns whatever is out of use and not on its way yet. */
-  send(index: number, owned: Owned): void {
+  send(index: number, owned: OwnedShard): void {
     const names = [...owned.shard.machines.values()]
       .filter((machine) => machine.terminating && !this.#sending.has(machine.record.name))
       .map((machine) => machine.record.name);
     if (names.length > 0) void this.#send(index, owned, names);
   }
 
-  async #send(index: number, owned: Owned, names: readonly string[]): Promise<void> {
+  async #send(index: number, owned: OwnedShard, names: readonly string[]): Promise<void> {
     for (const name of names) this.#sending.add(name);
     try {
       const recorded = await this.#record(index, owned, names);
@@ -71,13 +72,13 @@
     }
   }
 
-  async #record(index: number, owned: Owned, names: readonly string[]) {
+  async #record(index: number, owned: OwnedShard, names: readonly string[]) {
     if (this.intents === null) return names;
     const needed = (name: string) => owned.shard.machines.has(name);
     return this.intents.record(index, owned.authorization, names, needed);
   }
 
-  async #giveBack(owned: Owned, names: readonly string[]): Promise<void> {
+  async #giveBack(owned: OwnedShard, names: readonly string[]): Promise<void> {
     await this.cloud.returnMachines(names, owned.authorization);
     for (const name of names) owned.shard.removeMachine(name, this.now());
     this.shardController.machines.returned(names);
--- a/src/shards/scale-out.ts
+++ b/src/shards/scale-out.ts
@@ -15,7 +15,8 @@
 import { planCapacity } from '../core/capacity/capacity-planner.js';
 import type { WorkloadStatistics } from '../core/capacity/workload-statistics.js';
 import type { JobSpec, MachineType } from '../core/model.js';
-import type { ShardController, Owned } from './shard-controller.js';
+import type { OwnedShard } from './owned-shard.js';
+import type { ShardController } from './shard-controller.js';
 import { CALL_PRIORITY, type StoreClient } from '../store/store-client.js';
 import { key, type RentalRecord } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
@@ -64,16 +65,21 @@
     const types = this.types();
     if (types === null || !this.shardController.authority(now)) return;
     for (const [index, owned] of this.shardController.owned) {
-      if (!owned.suspended) this.#rentals(index, owned);
+      if (owned.isActive) this.#rentals(index, owned);
     }
     if (now - this.#lastPlan < RENT_MS) return;
     this.#lastPlan = now;
     for (const [index, owned] of this.shardController.owned) {
-      if (!owned.suspended) this.#plan(index, owned, types, now);
+      if (owned.isActive) this.#plan(index, owned, types, now);
     }
   }
 
-  #plan(index: number, owned: Owned, types: ReadonlyMap<string, MachineType>, now: number): void {
+  #plan(
+    index: number,
+    owned: OwnedShard,
+    types: ReadonlyMap<string, MachineType>,
+    now: number,
+  ): void {
     const pending = [...this.cache.tables.rentals.values()]
       .map((h) => h.value)
       .filter((h) => h.shard === index);
@@ -127,7 +133,7 @@
   // --- renting -----------------------------------------------------------------------------------
 
   /** The names are written before the calls, so that whoever owns the shard can ask again. */
-  async #newRentals(shard: number, owned: Owned, wishes: readonly Wish[]): Promise<void> {
+  async #newRentals(shard: number, owned: OwnedShard, wishes: readonly Wish[]): Promise<void> {
     this.#planning.add(shard);
     const some = wishes.slice(0, this.config.storeLimits.transactionOps);
     await this.#guard('hires not recorded', async () => {
@@ -150,7 +156,7 @@
     this.#rentals(shard, owned);
   }
 
-  #rentals(index: number, owned: Owned): void {
+  #rentals(index: number, owned: OwnedShard): void {
     for (const { value: rental, revision } of this.cache.tables.rentals.values()) {
       if (rental.shard !== index || this.#renting.has(rental.name)) continue;
       this.#renting.add(rental.name);
@@ -164,7 +170,7 @@
     }
   }
 
-  async #rent(owned: Owned, rental: RentalRecord, intent: RecordedIntent): Promise<void> {
+  async #rent(owned: OwnedShard, rental: RentalRecord, intent: RecordedIntent): Promise<void> {
     const result = await this.cloud.rent({ request: rental.name, ...rental }, intent);
     const where = { type: rental.type, zone: rental.zone, spot: rental.spot, part: rental.shard };
     if (result.kind !== 'rented') {
--- a/src/shards/shard-controller.ts
+++ b/src/shards/shard-controller.ts
@@ -17,6 +17,7 @@
 import { Ownership, type OwnershipView } from '../core/ownership/ownership.js';
 import { Shard, type ShardSettings } from '../core/shard/shard.js';
 import { MachineRecords } from './machine-records.js';
+import { OwnedShard } from './owned-shard.js';
 import { TaskMigration } from './task-migration.js';
 import { shareSockets } from '../service/socket-budget.js';
 import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
@@ -25,20 +26,6 @@
 import type { Guard, Write } from '../wire/schemas.js';
 import type { HeartbeatReply } from '../workers/heartbeats.js';
 
-export interface Owned {
-  readonly shard: Shard;
-  /** the right to act for the shard under its term */
-  readonly authorization: Authorization;
-  /** handed over by a transaction whose outcome is not known: we act for the shard no more */
-  suspended: boolean;
-  saving: boolean;
-  lastSave: number;
-  lastProgress: number;
-  /** built just now: it has to take in everything once */
-  fresh: boolean;
-  readonly claiming: Set<string>;
-}
-
 /** What other nodes tell that matters for owning shards. */
 export interface PeerView {
   /** a reachable node that has state, other than this one; null if none */
@@ -59,7 +46,7 @@
 
 /** Takes shards, gives them back, and runs the loops of those that this node owns. */
 export class ShardController {
-  readonly owned = new Map<number, Owned>();
+  readonly owned = new Map<number, OwnedShard>();
   readonly #ownership = new Ownership();
   /** when shards were given away by a transaction whose outcome is not known */
   readonly #given = new Map<number, number>();
@@ -147,8 +134,8 @@
   }
 
   /** Whether this node acts for the shard now, under the term that `owned` stands for. */
-  actsFor(owned: Owned): boolean {
-    const present = this.owned.get(owned.shard.index) === owned && !owned.suspended;
+  actsFor(owned: OwnedShard): boolean {
+    const present = this.owned.get(owned.shard.index) === owned && owned.isActive;
     return present && this.authority(this.now());
   }
 
@@ -201,7 +188,7 @@
     }
     for (const [index, owned] of this.owned) {
       const { shard } = owned;
-      if (owned.suspended) continue;
+      if (!owned.isActive) continue;
       shard.age(now);
       if (!authority) {
         this.#direct.stops(owned, now);
@@ -252,28 +239,19 @@
           startObjectives: this.startObjectives,
           imagesOf: (machine) => this.peers.imagesOf(machine),
         });
-        this.owned.set(index, {
-          shard,
-          authorization: this.#authorization(shard, record.revision),
-          suspended: false,
-          saving: false,
-          lastSave: now,
-          lastProgress: now,
-          fresh: true,
-          claiming: new Set(),
-        });
+        const authorization = this.#authorization(shard, record.revision);
+        this.owned.set(index, new OwnedShard(shard, authorization, now));
         this.log.info({ shard: index, term: shard.term }, 'shard owned');
       }
       const present = this.owned.get(index)!;
-      if (present.suspended) {
-        present.fresh = true;
+      if (!present.isActive) {
+        present.requireFullSync();
         continue;
       }
-      const everything = present.fresh || changes.all;
+      const everything = present.takeFullSync() || changes.all;
       const { unsynced } = present.shard.state;
       const changed = changes.machines || changes.jobs.size > 0 || unsynced.size > 0;
       if (!everything && !changed) continue;
-      present.fresh = false;
       present.shard.sync(
         {
           jobs: this.cache.tables.activeJobs,
@@ -311,8 +289,8 @@
       // transactions comes second fails.
       if (now - at > TRANSFER_SETTLE_MS) void this.#take(index);
     }
-    for (const [index, { shard, suspended }] of this.owned) {
-      if (!suspended) this.#handOverIfCutOff(index, shard, now);
+    for (const [index, { shard, isActive }] of this.owned) {
+      if (isActive) this.#handOverIfCutOff(index, shard, now);
     }
   }
 
@@ -385,14 +363,14 @@
   #give(index: number, to: string, incarnation: string): Promise<void> {
     return this.#once(index, async () => {
       const owned = this.owned.get(index);
-      if (owned === undefined || owned.suspended) return;
+      if (owned === undefined || !owned.isActive) return;
       const [guards, writes] = this.#ownerWrite(index, to, incarnation);
       guards.push({
         key: key.node(to, incarnation),
         revision: this.#nodeRevision(to, incarnation),
       });
       // From here on we act for the shard no more, whatever becomes of the transaction.
-      owned.suspended = true;
+      owned.suspend();
       this.#given.set(index, this.now());
       const result = await this.client.compareAndSwap(CALL_PRIORITY.renew, guards, writes);
       this.#given.delete(index);
@@ -400,7 +378,7 @@
         this.#ownership.handedOver(index);
         this.cache.applyOwn(writes, result.epoch);
         this.log.info({ shard: index, to }, 'shard handed over');
-      } else owned.suspended = false;
+      } else owned.resume();
     });
   }
 
@@ -416,7 +394,7 @@
     const record = this.cache.machines.get(heartbeat.machine)?.value;
     if (record === undefined) return { kind: 'unavailable' };
     const owned = this.owned.get(record.shard);
-    if (owned === undefined || owned.suspended) return this.#sendOn(heartbeat, record.shard, now);
+    if (owned === undefined || !owned.isActive) return this.#sendOn(heartbeat, record.shard, now);
     const authority = this.authority(now);
     if (!authority) {
       // Running work must survive an outage of the state service, so its leases are kept. But if
--- a/src/shards/task-migration.ts
+++ b/src/shards/task-migration.ts
@@ -15,7 +15,7 @@
 import { hasGuarantee, hasLimit } from '../core/jobs/jobs.js';
 import type { JobSpec, TaskRange } from '../core/model.js';
 import type { JobState } from '../core/shard/shard.js';
-import type { Owned } from './shard-controller.js';
+import type { OwnedShard } from './owned-shard.js';
 import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
 import { decodeJob, encodeJob, key } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
@@ -46,7 +46,7 @@
     private readonly config: PlatformConfig,
     private readonly client: Pick<StoreClient, 'compareAndSwap' | 'get'>,
     private readonly cache: WatchCache,
-    private readonly stillOwned: (index: number, owned: Owned) => boolean,
+    private readonly stillOwned: (index: number, owned: OwnedShard) => boolean,
     private readonly otherShards: OtherShards,
     private readonly now: () => number,
     private readonly log: Logger,
@@ -57,7 +57,7 @@
    * no shard has room, what has waited for long passes to one that is booked far less. A shard whose owner
    * began to rent late may get no machines, and an array has ranges in most shards.
    */
-  migrateUnschedulable(index: number, owned: Owned, now: number): void {
+  migrateUnschedulable(index: number, owned: OwnedShard, now: number): void {
     if (now - (this.#lastTry.get(index) ?? -Infinity) < TRANSFER_EVERY_MS) return;
     this.#lastTry.set(index, now);
     let tries = 0;
@@ -98,7 +98,7 @@
 
   async #pass(
     index: number,
-    owned: Owned,
+    owned: OwnedShard,
     job: JobState,
     range: TaskRange,
     from: number,
--- a/test/budget.test.ts
+++ b/test/budget.test.ts
@@ -113,7 +113,6 @@
   assert.ok(uids.every((uid) => shard.jobs.get(uid)!.saved.has(0)));
 
   for (const i of [1, 2, 3]) finish(uids[0]!, i);
-  owned.lastSave = 0;
   await completions.save(0, owned, PROGRESS_MS + SAVE_MS);
   assert.deepEqual(written[1]?.map((w) => ('put' in w ? w.put : w.drop)).sort(), [
     `active/${uids[0]}`,
--- a/test/helpers.ts
+++ b/test/helpers.ts
@@ -2,7 +2,7 @@
 import pino from 'pino';
 import type { JobRecord, JobSpec, MachineRecord, MachineType, Team } from '../src/core/model.js';
 import { Shard, type ShardSettings } from '../src/core/shard/shard.js';
-import type { Owned } from '../src/shards/shard-controller.js';
+import { OwnedShard } from '../src/shards/owned-shard.js';
 
 export const machineType = (over: Partial<MachineType> = {}): MachineType => ({
   name: 'm',
@@ -157,13 +157,5 @@
 };
 
 /** A shard as its controller holds it, whose record has revision 1. */
-export const ownedShard = (shard: Shard): Owned => ({
-  shard,
-  authorization: authorization(`parts/${shard.index}`, shard.term, 1),
-  suspended: false,
-  saving: false,
-  lastSave: 0,
-  lastProgress: 0,
-  fresh: false,
-  claiming: new Set(),
-});
+export const ownedShard = (shard: Shard): OwnedShard =>
+  new OwnedShard(shard, authorization(`parts/${shard.index}`, shard.term, 1), 0);
--- a/test/shard-controller.test.ts
+++ b/test/shard-controller.test.ts
@@ -143,7 +143,7 @@
   s.world.outcome = () => new StoreRequestError('no_answer', 'lost');
   await returns(s);
   s.shardController.tick();
-  assert.equal(s.shardController.owned.get(1)?.suspended, true);
+  assert.equal(s.shardController.owned.get(1)?.state, 'transferring');
   s.world.outcome = () => ({ ok: true, epoch: 60 });
   s.world.now += TRANSFER_SETTLE_MS + 1;
   s.shardController.tick();
