--- a/src/peers/frames.ts
+++ b/src/peers/frames.ts
@@ -3,7 +3,7 @@
 import { fileURLToPath } from 'node:url';
 import protobuf from 'protobufjs';
 import { PEER_FRAME_BYTES } from './constants.js';
-import type { Cancellation } from '../core/cancellation/cancellations.js';
+import type { Cancellation } from '../core/cancellation/cancellation.js';
 
 export interface RoomStatus {
   cpus: number;
--- a/src/service/service.ts
+++ b/src/service/service.ts
@@ -9,11 +9,9 @@
 import type { SharesConfig } from '../config/shares.js';
 import { LOOP_MS, DEBOUNCE_MS, SUMMARY_MS } from '../constants.js';
 import { FEED_SHARE, FOLLOW_PAUSE_MS, IDLE_LEASES, STORE_FRESH_MS } from './constants.js';
-import {
-  CancellationReceiver,
-  CancellationBroadcast,
-  type Cancellation,
-} from '../core/cancellation/cancellations.js';
+import type { Cancellation } from '../core/cancellation/cancellation.js';
+import { CancellationBroadcast } from '../core/cancellation/cancellation-broadcast.js';
+import { CancellationCoverage } from '../core/cancellation/cancellation-coverage.js';
 import { WorkloadStatistics } from '../core/capacity/workload-statistics.js';
 import { type Heartbeat } from '../core/model.js';
 import { Duties } from '../singletons/singleton-controllers.js';
@@ -71,7 +69,7 @@
   readonly #workload = new WorkloadStatistics();
   readonly #gossip: Gossip;
   readonly #broadcast: CancellationBroadcast;
-  readonly #receiver: CancellationReceiver;
+  readonly #coverage: CancellationCoverage;
   readonly #types: MachineTypes;
   readonly #directory: ShardDirectory;
   readonly #readiness = new Readiness();
@@ -123,7 +121,7 @@
     this.#refusals = new Refusals((duty) => this.#currentToken(duty), log);
     const others = config.peers.map((p) => p.node);
     this.#broadcast = new CancellationBroadcast(others, config.workers.cancelS * 1000);
-    this.#receiver = new CancellationReceiver(others);
+    this.#coverage = new CancellationCoverage(others);
     this.#gossip = new Gossip(
       config.node,
       this.#incarnation,
@@ -233,7 +231,7 @@
       this.#now,
     );
     this.#cache.on('change', () => this.#reconcileDebounced());
-    this.#cache.on('cancelled', (c: Cancellation) => this.#broadcast.learned(c, this.#now()));
+    this.#cache.on('cancelled', (c: Cancellation) => this.#broadcast.add(c, this.#now()));
   }
 
   async start(): Promise<void> {
@@ -266,7 +264,7 @@
       progress: (uid) => this.#directory.progress(uid),
       // Whoever runs the job should stop it now, whether or not the state service tells it.
       cancelled: (uid) => {
-        if (this.#broadcast.has(uid)) this.#gossip.flush();
+        if (this.#broadcast.isPending(uid)) this.#gossip.flush();
       },
       ready: () => this.#ready(),
       storeAvailable: () => this.#store.available,
@@ -402,22 +400,22 @@
       lessAllocated: (spec, than) => this.#directory.lessAllocated(spec, than),
       imagesOf: (machine) => this.#directory.imagesOf(machine),
       hears: (shard) => this.#directory.hearsMost(shard),
-      cancellationsKnownUntil: () => this.#receiver.knownUntil(this.#cache.currentAt),
+      cancellationsKnownUntil: () => this.#coverage.knownUntil(this.#cache.currentAt),
     };
   }
 
   #heard(status: PeerStatus, echoed: number): void {
     const { node, incarnation, cancellations, cancellationsComplete: complete } = status;
     for (const c of cancellations) this.#cache.learnCancelled(c);
-    const from = { node, incarnation, complete, echoed };
-    this.#receiver.heard(from, this.#cache.currentAt, this.#now());
-    this.#broadcast.acknowledged(node, echoed);
+    const broadcast = { node, incarnation, complete, acknowledgedSentAt: echoed };
+    this.#coverage.receive(broadcast, this.#cache.currentAt, this.#now());
+    this.#broadcast.acknowledge(node, echoed);
   }
 
   #status(detailed: boolean, sentAt: number): OwnStatus {
     return {
-      cancellations: this.#broadcast.tell(sentAt),
-      cancellationsComplete: this.#broadcast.complete(sentAt),
+      cancellations: this.#broadcast.nextMessage(sentAt),
+      cancellationsComplete: this.#broadcast.isComplete(sentAt),
       hasState: this.#hasStore(),
       ...describeShards(this.#shardController, this.#directory, detailed, this.#now()),
       classes: this.#workload.runs(),
--- a/src/shards/shard-controller.ts
+++ b/src/shards/shard-controller.ts
@@ -12,7 +12,7 @@
 import { NO_HEARTBEATS_MS, NO_HEARTBEATS_INTERVALS, TRANSFER_SETTLE_MS } from './constants.js';
 import { Completions } from './completions.js';
 import { DirectCommands } from './direct-commands.js';
-import { renewableMs } from '../core/cancellation/cancellations.js';
+import { renewableMs } from '../core/cancellation/lease-renewal.js';
 import type { JobSpec, MachineType, Heartbeat } from '../core/model.js';
 import { Ownership, type OwnershipView } from '../core/ownership/ownership.js';
 import { Shard, type ShardSettings } from '../core/shard/shard.js';
--- a/src/store/watch-cache.ts
+++ b/src/store/watch-cache.ts
@@ -3,7 +3,7 @@
 import type { Change } from './store-client.js';
 import type { WatchBatch } from './watch.js';
 import type { Write } from '../wire/schemas.js';
-import type { Cancellation } from '../core/cancellation/cancellations.js';
+import type { Cancellation } from '../core/cancellation/cancellation.js';
 import { eitherDone } from '../core/jobs/jobs.js';
 import type { MachineRecord } from '../core/model.js';
 import {
--- a/test/random.test.ts
+++ b/test/random.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { renewableMs } from '../src/core/cancellation/cancellations.js';
+import { renewableMs } from '../src/core/cancellation/lease-renewal.js';
 import { decodeDone, encodeDone } from '../src/core/jobs/jobs.js';
 import type { Command, Heartbeat } from '../src/core/model.js';
 import type { Shard } from '../src/core/shard/shard.js';
--- a/test/shard-controller.test.ts
+++ b/test/shard-controller.test.ts
@@ -12,7 +12,7 @@
   TRANSFER_EVERY_MS,
 } from '../src/shards/constants.js';
 import { STORE_RETRY_MS } from '../src/store/constants.js';
-import { renewableMs } from '../src/core/cancellation/cancellations.js';
+import { renewableMs } from '../src/core/cancellation/lease-renewal.js';
 import { ShardController } from '../src/shards/shard-controller.js';
 import { StoreRequestError, type CompareAndSwapResult } from '../src/store/store-client.js';
 import { encodeJob, encodeMachineGroup } from '../src/store/keys.js';
