--- a/src/peers/frames.ts
+++ b/src/peers/frames.ts
@@ -7,7 +7,7 @@
 import { fileURLToPath } from 'node:url';
 import protobuf from 'protobufjs';
 import { MAX_FRAME_BYTES } from './constants.js';
-import type { Cancellation } from '../core/cancellation/cancellations.js';
+import type { Cancellation } from '../core/cancellation/cancellation.js';
 
 /** Free resources of each of `count` machines that are alike. */
 export interface FreeCapacity {
