--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -1,9 +1,9 @@
 import {
   CLOUD_BURST_S,
-  CLOUD_CALL_MS,
-  CLOUD_LIST_PAGE,
-  CLOUD_SOCKETS,
-  LIST_SHARE,
+  CLOUD_CALL_TIMEOUT_MS,
+  CLOUD_LIST_PAGE_SIZE,
+  MAX_CLOUD_SOCKETS,
+  LIST_RATE_SHARE,
   TOKEN_POLL_MS,
 } from './constants.js';
 import type { Authorization, RecordedIntent } from '@sumacstep/leader-election';
@@ -12,10 +12,10 @@
 import { CborClient, NoResponseError, type Response } from '../transport/http.js';
 import { TokenBucket } from '../transport/token-bucket.js';
 import {
-  machineList,
-  machineTypes,
+  machineListSchema,
+  machineTypesSchema,
   rentBody,
-  rented,
+  rentedSchema,
   returnBody,
   type ListedMachine,
   type RentRequest,
@@ -49,7 +49,7 @@
     rps: number,
     private readonly now: () => number,
   ) {
-    this.#http = new CborClient(address, CLOUD_SOCKETS);
+    this.#http = new CborClient(address, MAX_CLOUD_SOCKETS);
     this.#rps = rps;
     this.#tokens = new TokenBucket(rps, burst(rps), now());
   }
@@ -61,8 +61,8 @@
   }
 
   /** ms; a list of so many pages may be read this often without taking the calls from the rest. */
-  listEveryMs(): number {
-    return (this.#pages * 1000) / (this.#rps * LIST_SHARE);
+  minListIntervalMs(): number {
+    return (this.#pages * 1000) / (this.#rps * LIST_RATE_SHARE);
   }
 
   async #token(cls: CallPriority): Promise<void> {
@@ -89,7 +89,7 @@
     // The wait may have been long, or the process may have stood still: what it was decided on is over.
     authorization?.ensureHeld();
     try {
-      const answer = await this.#http.call(method, path, body, CLOUD_CALL_MS);
+      const answer = await this.#http.call(method, path, body, CLOUD_CALL_TIMEOUT_MS);
       if (answer.status === 429) throw new CloudRequestError(`${method} ${path}: 429`);
       return answer;
     } catch (error) {
@@ -98,10 +98,10 @@
     }
   }
 
-  async types(): Promise<MachineType[]> {
+  async listMachineTypes(): Promise<MachineType[]> {
     const a = await this.#call(CALL_PRIORITY.rent, 'GET', '/machine_types');
     if (a.status !== 200) throw new CloudRequestError(`machine types: ${a.status}`);
-    return machineTypes.parse(a.body).Hosttypes;
+    return machineTypesSchema.parse(a.body).Hosttypes;
   }
 
   /** Throws `NotEntitledError` if the tenure is over at the moment of sending. */
@@ -113,7 +113,7 @@
       rentBody(request),
       authorization,
     );
-    if (a.status === 200) return { kind: 'rented', machines: rented.parse(a.body).Hosts };
+    if (a.status === 200) return { kind: 'rented', machines: rentedSchema.parse(a.body).Hosts };
     if (a.status === 400) return { kind: 'malformed', answer: JSON.stringify(a.body) };
     const error = (a.body as { error?: unknown } | null)?.error;
     if (a.status === 503 && error === 'no capacity') return { kind: 'no_capacity' };
@@ -136,7 +136,7 @@
     if (a.status !== 200) throw new CloudRequestError(`return: ${a.status}`);
   }
 
-  async list(): Promise<ListedMachine[]> {
+  async listMachines(): Promise<ListedMachine[]> {
     const out: ListedMachine[] = [];
     let pages = 0;
     for (let since = ''; ;) {
@@ -145,10 +145,10 @@
       const a = await this.#call(
         CALL_PRIORITY.list,
         'GET',
-        `/rentals?${after}Limit=${CLOUD_LIST_PAGE}`,
+        `/rentals?${after}Limit=${CLOUD_LIST_PAGE_SIZE}`,
       );
       if (a.status !== 200) throw new CloudRequestError(`machine list: ${a.status}`);
-      const page = machineList.parse(a.body);
+      const page = machineListSchema.parse(a.body);
       out.push(...page.Hosts);
       const last = page.Hosts.at(-1);
       if (!(page.Truncated ?? false) || last === undefined) {
--- a/src/cloud/machine-types.ts
+++ b/src/cloud/machine-types.ts
@@ -1,6 +1,6 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { Logger } from 'pino';
-import { TYPES_MS, TYPES_RETRY_MS } from './constants.js';
+import { TYPES_REFRESH_MS, TYPES_RETRY_MS } from './constants.js';
 import type { MachineType } from '../core/model.js';
 import { CloudRequestError, type CloudClient } from './client.js';
 
@@ -9,7 +9,7 @@
   #types: ReadonlyMap<string, MachineType> | null = null;
 
   constructor(
-    private readonly cloud: Pick<CloudClient, 'types'>,
+    private readonly cloud: Pick<CloudClient, 'listMachineTypes'>,
     private readonly log: Logger,
   ) {}
 
@@ -22,13 +22,13 @@
   async run(stop: AbortSignal): Promise<void> {
     while (!stop.aborted) {
       const read = await this.#read();
-      await sleep(read ? TYPES_MS : TYPES_RETRY_MS, undefined, { signal: stop });
+      await sleep(read ? TYPES_REFRESH_MS : TYPES_RETRY_MS, undefined, { signal: stop });
     }
   }
 
   async #read(): Promise<boolean> {
     try {
-      const types = await this.cloud.types();
+      const types = await this.cloud.listMachineTypes();
       this.#types = new Map(types.map((t) => [t.name, t]));
       return true;
     } catch (error) {
--- a/src/commands/duties.ts
+++ b/src/commands/duties.ts
@@ -135,7 +135,7 @@
       const guards = [{ key: name, revision: 0 }];
       const writes = [{ put: name, value: request }];
       const result = await store.attempt(() =>
-        store.client.compareAndSwap(CALL_PRIORITY.rest, guards, writes),
+        store.client.compareAndSwap(CALL_PRIORITY.background, guards, writes),
       );
       if (result.ok) return { duty, request, written: true };
     }
@@ -156,7 +156,7 @@
     const guards = [{ key: name, revision: found.revision }];
     const writes = [{ drop: name }];
     const result = await store.attempt(() =>
-      store.client.compareAndSwap(CALL_PRIORITY.rest, guards, writes),
+      store.client.compareAndSwap(CALL_PRIORITY.background, guards, writes),
     );
     return result.ok;
   } finally {
--- a/src/commands/shares.ts
+++ b/src/commands/shares.ts
@@ -220,7 +220,7 @@
       const lock = encodeLock(request.id);
       const writes = [{ put: key, value: move }, ...locks.map((put) => ({ put, value: lock }))];
       const result = await store.attempt(() =>
-        store.client.compareAndSwap(CALL_PRIORITY.rest, guards, writes),
+        store.client.compareAndSwap(CALL_PRIORITY.background, guards, writes),
       );
       if (result.ok) return { move, written: true };
       const held = result.failed.find((name) => locks.includes(name));
@@ -250,7 +250,7 @@
       const guards = [{ key, revision: found.revision }];
       const writes = [{ put: key, value: next }];
       const result = await store.attempt(() =>
-        store.client.compareAndSwap(CALL_PRIORITY.rest, guards, writes),
+        store.client.compareAndSwap(CALL_PRIORITY.background, guards, writes),
       );
       if (result.ok) return { move: next, written: true };
     }
--- a/src/commands/store-access.ts
+++ b/src/commands/store-access.ts
@@ -4,7 +4,7 @@
 import type { PlatformConfig } from '../config/platform.js';
 import { STORE_RETRY_MS } from '../store/constants.js';
 import { StoreClient, StoreRequestError } from '../store/store-client.js';
-import type { Prefix } from '../store/keys.js';
+import type { CachedPrefix } from '../store/keys.js';
 import { listPrefixes } from '../store/watch.js';
 import { WatchCache } from '../store/watch-cache.js';
 import { CommandError, EXIT } from './exit-codes.js';
@@ -45,7 +45,7 @@
   }
 
   /** What stands under some prefixes now, read for this call alone. */
-  async read(prefixes: readonly Prefix[]): Promise<WatchCache> {
+  async read(prefixes: readonly CachedPrefix[]): Promise<WatchCache> {
     const listing = await this.attempt(() => listPrefixes(this.client, prefixes));
     const cache = new WatchCache();
     cache.apply(listing);
--- a/src/rebalancing/move-coordinator.ts
+++ b/src/rebalancing/move-coordinator.ts
@@ -30,7 +30,7 @@
 
 /** Whether every living node takes part in moves. */
 export const allKnowShares = ({ nodes }: Pick<Tables, 'nodes'>): boolean => {
-  for (const { value } of nodes.values()) if (!value.knowsShares) return false;
+  for (const { value } of nodes.values()) if (!value.supportsRebalancing) return false;
   return nodes.size > 0;
 };
 
@@ -89,7 +89,7 @@
       const outcome = await fencedCompareAndSwap(
         client,
         authorization,
-        CALL_PRIORITY.rest,
+        CALL_PRIORITY.background,
         guards,
         writes,
       );
--- a/src/rebalancing/shard-mover.ts
+++ b/src/rebalancing/shard-mover.ts
@@ -176,7 +176,7 @@
     const outcome = await fencedCompareAndSwap(
       client,
       authorization,
-      CALL_PRIORITY.rest,
+      CALL_PRIORITY.background,
       guards,
       writes,
     );
--- a/src/service/service.ts
+++ b/src/service/service.ts
@@ -34,7 +34,7 @@
 import { ShareOwner } from '../rebalancing/shard-mover.js';
 import { StoreClient } from '../store/store-client.js';
 import { LinearizableReads } from '../store/linearizable-reads.js';
-import { nodeSession } from '../store/node-session.js';
+import { createNodeSession } from '../store/node-session.js';
 import { watch, type WatchBatch } from '../store/watch.js';
 import { WatchCache } from '../store/watch-cache.js';
 import { userRoutes } from '../users/api.js';
@@ -116,10 +116,10 @@
     const life = {
       node: config.node,
       incarnation: this.#incarnation,
-      knowsDuties: dutiesConfig !== null,
-      knowsShares: shares !== null,
+      supportsElections: dutiesConfig !== null,
+      supportsRebalancing: shares !== null,
     };
-    this.#lease = nodeSession(this.#store, life, this.#now, log);
+    this.#lease = createNodeSession(this.#store, life, this.#now, log);
     this.#refusals = new Refusals((duty) => this.#currentToken(duty), log);
     const others = config.peers.map((p) => p.node);
     this.#broadcast = new CancellationBroadcast(others, config.workers.cancelS * 1000);
@@ -146,7 +146,7 @@
       this.#store,
       this.#cache,
       this.#lease,
-      () => this.#linearizable.wait(),
+      () => this.#linearizable.waitUntilCurrent(),
       this.#peerView(),
       this.#refusals,
       () => this.#types.current,
@@ -163,7 +163,7 @@
             cloud: this.#cloud,
             cache: this.#cache,
             authority: () => this.#shardController.authority(this.#now()),
-            current: () => this.#linearizable.wait(),
+            current: () => this.#linearizable.waitUntilCurrent(),
             refusals: this.#refusals,
             now: this.#now,
             timeOfDay: timeOfDayMs,
@@ -294,7 +294,7 @@
     const options = {
       pauseMs: Math.max(FOLLOW_PAUSE_MS, 1000 / (rps * FEED_SHARE)),
       now: this.#now,
-      reading: (since: number | null) => this.#linearizable.reading(since),
+      reading: (since: number | null) => this.#linearizable.onReadState(since),
     };
     for await (const batch of watch(this.#store, this.#stop.signal, options)) {
       this.#cache.apply(batch as WatchBatch);
@@ -386,7 +386,7 @@
   // --- other nodes -------------------------------------------------------------------------------
 
   #hasStore(): boolean {
-    return this.#store.available && this.#now() - this.#store.lastGood < STORE_FRESH_MS;
+    return this.#store.available && this.#now() - this.#store.lastSuccessAt < STORE_FRESH_MS;
   }
 
   #peerWithStore(): string | null {
@@ -426,7 +426,7 @@
 
   /** The token of the present tenure, by a current read. */
   async #currentToken(duty: string): Promise<number | null> {
-    await this.#linearizable.wait();
+    await this.#linearizable.waitUntilCurrent();
     const shard = SHARD_DUTY.exec(duty)?.[1];
     if (shard !== undefined) return this.#shardController.termOf(Number(shard));
     return this.#duties?.tokenOf(duty) ?? null;
--- a/src/service/socket-budget.ts
+++ b/src/service/socket-budget.ts
@@ -1,8 +1,8 @@
 import type { Server, ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
-import { CLOUD_SOCKETS } from '../cloud/constants.js';
+import { MAX_CLOUD_SOCKETS } from '../cloud/constants.js';
 import { CROWDED_SHARE, DIRECT_SHARE, PEER_SOCKETS, SPARE_SOCKETS } from './constants.js';
-import { STORE_SOCKETS } from '../store/constants.js';
+import { MAX_STORE_SOCKETS } from '../store/constants.js';
 
 /**
  * Inbound connections of a server. Workers and users keep theirs open, and one survivor may have more workers
@@ -40,6 +40,7 @@
 /** What each use may have of the sockets that the platform allows this process. */
 export const shareSockets = (most: number, peers: number): SocketShares => {
   const direct = Math.max(1, Math.floor(most * DIRECT_SHARE));
-  const others = direct + STORE_SOCKETS + CLOUD_SOCKETS + peers * PEER_SOCKETS + SPARE_SOCKETS;
+  const others =
+    direct + MAX_STORE_SOCKETS + MAX_CLOUD_SOCKETS + peers * PEER_SOCKETS + SPARE_SOCKETS;
   return { direct, inbound: Math.max(1, most - others) };
 };
--- a/src/shards/completions.ts
+++ b/src/shards/completions.ts
@@ -8,7 +8,7 @@
 import type { JobRecord, TaskRange } from '../core/model.js';
 import type { Owned } from './shard-controller.js';
 import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
-import { encodeJob, encodeDoneSlot, key, type DoneSlot } from '../store/keys.js';
+import { encodeJob, encodeCompletions, key, type CompletionBitmaps } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { Guard, Write } from '../wire/schemas.js';
 
@@ -19,7 +19,7 @@
   readonly finished: string[];
 }
 
-const sizeOf = (slot: DoneSlot): number => JSON.stringify(encodeDoneSlot(slot)).length;
+const sizeOf = (slot: CompletionBitmaps): number => JSON.stringify(encodeCompletions(slot)).length;
 
 /** Names of a range within a slot. */
 const rangeKey = (uid: string, from: number): string => `${uid}/${from}`;
@@ -30,7 +30,7 @@
  * about one write in a while, however many arrays it runs.
  */
 export class Completions {
-  readonly #slotSizes = new WeakMap<DoneSlot, number>();
+  readonly #slotSizes = new WeakMap<CompletionBitmaps, number>();
 
   constructor(
     private readonly config: PlatformConfig,
@@ -84,7 +84,10 @@
       const bits = open ? null : this.#bits(job, mine);
       const complete =
         bits !== null &&
-        allDone(active.value, (r) => bits.get(r.from) ?? this.cache.done(r.shard, uid, r.from));
+        allDone(
+          active.value,
+          (r) => bits.get(r.from) ?? this.cache.completedTasks(r.shard, uid, r.from),
+        );
       if (!complete) {
         for (const range of mine) {
           const fresh = [...job.unsaved].some((i) => i >= range.from && i < range.to);
@@ -175,7 +178,7 @@
       batch.guards.push({ key: key.activeJob(spec.uid), revision: active.revision });
       // The value may still hold the bitmap of an earlier, longer cut.
       const ends = [middle - long.from, long.to - long.from].map((i) => Math.ceil(i / 4));
-      const bits = this.cache.done(index, spec.uid, long.from)?.slice(...ends);
+      const bits = this.cache.completedTasks(index, spec.uid, long.from)?.slice(...ends);
       if (bits !== undefined && bits.length > 0) {
         const slots = this.#slots(index);
         const name = rangeKey(spec.uid, middle);
@@ -241,14 +244,14 @@
     return false;
   }
 
-  #putSlot(batch: Batch, index: number, slot: number, value: DoneSlot): void {
-    batch.writes.push({ put: key.completions(index, slot), value: encodeDoneSlot(value) });
+  #putSlot(batch: Batch, index: number, slot: number, value: CompletionBitmaps): void {
+    batch.writes.push({ put: key.completions(index, slot), value: encodeCompletions(value) });
     // A write without an answer may be carried out after newer ones, and would undo what those saved.
     const revision = this.cache.tables.completions.get(`${index}/${slot}`)?.revision ?? 0;
     batch.guards.push({ key: key.completions(index, slot), revision });
   }
 
-  #stored(index: number, slot: number): DoneSlot | undefined {
+  #stored(index: number, slot: number): CompletionBitmaps | undefined {
     return this.cache.tables.completions.get(`${index}/${slot}`)?.value;
   }
 
@@ -265,7 +268,7 @@
         const from = Number(name.slice(name.lastIndexOf('/') + 1));
         const job = this.cache.tables.activeJobs.get(uid);
         const range = job?.value.ranges.find((r) => r.shard === index && r.from === from);
-        const bits = this.cache.done(index, uid, from);
+        const bits = this.cache.completedTasks(index, uid, from);
         if (range === undefined || bits === undefined) return [];
         return [[name, bits.slice(0, Math.ceil((range.to - from) / 4))]];
       });
--- a/src/shards/machine-records.ts
+++ b/src/shards/machine-records.ts
@@ -73,12 +73,14 @@
     const guards: Guard[] = [];
     for (const [id, { revision, group }] of changed) {
       guards.push({ key: key.machineGroup(id), revision });
-      if (group.hosts.size === 0) writes.push({ drop: key.machineGroup(id) });
+      if (group.machines.size === 0) writes.push({ drop: key.machineGroup(id) });
       else writes.push({ put: key.machineGroup(id), value: encodeMachineGroup(group) });
     }
     const done = await this.#write(index, owned, up.length > 0, guards, writes);
     if (!done) return;
-    const written = new Set([...changed.values()].flatMap(({ group }) => [...group.hosts.keys()]));
+    const written = new Set(
+      [...changed.values()].flatMap(({ group }) => [...group.machines.keys()]),
+    );
     for (const m of up) {
       if (written.has(m.record.name)) {
         this.log.info({ machine: m.record.name, shard: index }, 'up');
@@ -102,8 +104,8 @@
       if (entry === undefined) {
         const record = this.cache.tables.machineGroups.get(at.group);
         if (record === undefined || changed.size >= most) return null;
-        const hosts = new Map(record.value.hosts);
-        entry = { revision: record.revision, hosts, group: { ...record.value, hosts } };
+        const hosts = new Map(record.value.machines);
+        entry = { revision: record.revision, hosts, group: { ...record.value, machines: hosts } };
         changed.set(at.group, entry);
       }
       return entry.hosts;
@@ -125,7 +127,7 @@
   ): Promise<boolean> {
     this.#busy.add(index);
     try {
-      const cls = urgent ? CALL_PRIORITY.completion : CALL_PRIORITY.rest;
+      const cls = urgent ? CALL_PRIORITY.completion : CALL_PRIORITY.background;
       const result = await fencedCompareAndSwap(this.client, authorization, cls, guards, writes);
       if (result.ok) this.cache.applyOwn(writes, result.epoch);
       return result.ok;
@@ -144,7 +146,14 @@
     const { shard, type, zone, spot } = rental;
     const fresh = names.filter((n) => !this.cache.machines.has(n));
     const hosts = new Map(fresh.map((n) => [n, false]));
-    const group: MachineGroup = { shard, term: owned.shard.term, type, zone, spot, hosts };
+    const group: MachineGroup = {
+      shard,
+      term: owned.shard.term,
+      type,
+      zone,
+      spot,
+      machines: hosts,
+    };
     const writes: Write[] = [{ drop: key.rental(shard, rental.name) }];
     const guards: Guard[] = [];
     if (hosts.size > 0) {
@@ -185,14 +194,14 @@
    */
   async adopt(
     owned: Owned,
-    machine: Omit<MachineGroup, 'term' | 'hosts'>,
+    machine: Omit<MachineGroup, 'term' | 'machines'>,
     name: string,
     conditions: readonly Guard[] = [],
   ): Promise<void> {
     await this.current();
     if (this.cache.machines.has(name) || this.#rentalPending(machine)) return;
     const hosts = new Map([[name, false]]);
-    const group: MachineGroup = { ...machine, term: owned.shard.term, hosts };
+    const group: MachineGroup = { ...machine, term: owned.shard.term, machines: hosts };
     const adopted = key.adoptedMachineGroup(name);
     const writes: Write[] = [{ put: adopted, value: encodeMachineGroup(group) }];
     const guards = [{ key: adopted, revision: 0 }, ...conditions];
@@ -200,7 +209,7 @@
     const result = await fencedCompareAndSwap(
       this.client,
       authorization,
-      CALL_PRIORITY.rest,
+      CALL_PRIORITY.background,
       guards,
       writes,
     );
@@ -225,7 +234,14 @@
     if (first === undefined) return [];
     const { type, zone, spot } = this.cache.machines.get(first)!.value;
     const hosts = new Map(moved.map((name) => [name, true]));
-    const group: MachineGroup = { shard: target.shard, term: target.term, type, zone, spot, hosts };
+    const group: MachineGroup = {
+      shard: target.shard,
+      term: target.term,
+      type,
+      zone,
+      spot,
+      machines: hosts,
+    };
     const put: Write = { put: key.machineGroup(target.group), value: encodeMachineGroup(group) };
     const writes = [...groups.map((g) => g.write), put, ...target.writes(moved)];
     const guards = [
@@ -259,12 +275,12 @@
       moved.push(name);
     }
     const changes = [...groups].map(([id, { revision, value, leave }]) => {
-      const hosts = new Map([...value.hosts].filter(([name]) => !leave.includes(name)));
+      const hosts = new Map([...value.machines].filter(([name]) => !leave.includes(name)));
       const name = key.machineGroup(id);
       const write: Write =
         hosts.size === 0
           ? { drop: name }
-          : { put: name, value: encodeMachineGroup({ ...value, hosts }) };
+          : { put: name, value: encodeMachineGroup({ ...value, machines: hosts }) };
       return { condition: { key: name, revision }, write };
     });
     return { groups: changes, moved };
--- a/src/shards/orphaned-instances.ts
+++ b/src/shards/orphaned-instances.ts
@@ -31,7 +31,7 @@
 
   constructor(
     private readonly config: Pick<PlatformConfig, 'nodes' | 'cloudLimits'>,
-    private readonly cloud: Pick<CloudClient, 'list' | 'listEveryMs'>,
+    private readonly cloud: Pick<CloudClient, 'listMachines' | 'minListIntervalMs'>,
     private readonly cache: WatchCache,
     private readonly shardController: ShardController,
     private readonly reclaimer: Reclaimer | null,
@@ -49,7 +49,7 @@
         machine.address ??= this.#addresses.get(machine.record.name) ?? null;
       }
     }
-    const listMs = Math.max(LIST_MS, this.cloud.listEveryMs());
+    const listMs = Math.max(LIST_MS, this.cloud.minListIntervalMs());
     if (now - this.#lastList > listMs && this.#needsList()) void this.#list();
   }
 
@@ -61,7 +61,7 @@
     if (this.#listing) return;
     this.#listing = true;
     await this.#guarded('machine list not answered', async () => {
-      await this.#listed(await this.cloud.list());
+      await this.#listed(await this.cloud.listMachines());
     });
     this.#listing = false;
     this.#lastList = this.now();
--- a/src/shards/shard-controller.ts
+++ b/src/shards/shard-controller.ts
@@ -119,7 +119,7 @@
   /** Whether this node provably owns what the cache shows as its own. */
   authority(now: number): boolean {
     const valid =
-      this.lease.valid(now) && this.cache.ready && this.cache.epoch >= this.lease.registeredAt;
+      this.lease.valid(now) && this.cache.ready && this.cache.revision >= this.lease.registeredAt;
     if (!valid) return false;
     // After an outage the lease lives again before the feed has told what happened: jobs may have been
     // cancelled, and would be started.
@@ -240,7 +240,7 @@
           continue;
         }
         // Everything that earlier owners knew must be known here first.
-        if (types === null || this.cache.epoch < record.revision) continue;
+        if (types === null || this.cache.revision < record.revision) continue;
         this.#built.set(index, record.value.term);
         const shard = new Shard(index, record.value.term, {
           heartbeatIntervalMs: this.config.workers.heartbeatIntervalS * 1000,
@@ -269,7 +269,7 @@
         present.fresh = true;
         continue;
       }
-      const everything = present.fresh || changes.all;
+      const everything = present.fresh || changes.everything;
       const { unsynced } = present.shard.state;
       const changed = changes.machines || changes.jobs.size > 0 || unsynced.size > 0;
       if (!everything && !changed) continue;
@@ -277,7 +277,7 @@
       present.shard.sync(
         {
           jobs: this.cache.tables.activeJobs,
-          done: (uid, from) => this.cache.done(index, uid, from),
+          done: (uid, from) => this.cache.completedTasks(index, uid, from),
           machines: this.cache.machines,
         },
         now,
--- a/src/singletons/garbage-collector.ts
+++ b/src/singletons/garbage-collector.ts
@@ -14,15 +14,15 @@
 import type { DutiesConfig } from '../config/duties.js';
 import { CLOCK_DRIFT } from '../constants.js';
 import { CLEAR_ROUND_MS, RETENTION_WRITE_MS } from './constants.js';
-import { LIST_PAGE } from '../store/constants.js';
+import { LIST_PAGE_SIZE } from '../store/constants.js';
 import {
   CALL_PRIORITY,
   StoreRequestError,
   type Entry,
   type StoreClient,
 } from '../store/store-client.js';
-import { dutyEntryKey } from '../store/election-entries.js';
-import { FINAL, key } from '../store/keys.js';
+import { electionEntryKey } from '../store/election-entries.js';
+import { FINAL_STATE_PREFIX, key } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import { CLEAR, type DutyController } from './singleton-controller.js';
 
@@ -132,9 +132,9 @@
     const old = stored?.value.kind === 'retention' ? stored.value.retention : NOTHING_OBSERVED;
     if (stored !== undefined && passedMs < this.#every(RETENTION_WRITE_MS)) return null;
     const options = { keepMs: this.config.finalKeepMs, clockDrift: CLOCK_DRIFT };
-    const value = observe(old, passedMs, this.ports.cache.epoch, options);
-    const writes = [{ put: dutyEntryKey.retention, value }];
-    const guards = [{ key: dutyEntryKey.retention, revision: stored?.revision ?? 0 }];
+    const value = observe(old, passedMs, this.ports.cache.revision, options);
+    const writes = [{ put: electionEntryKey.retention, value }];
+    const guards = [{ key: electionEntryKey.retention, revision: stored?.revision ?? 0 }];
     if (!(await this.#compareAndSwap(authorization, guards, writes))) return null;
     this.#observed = { token, at: now };
     return value;
@@ -149,7 +149,7 @@
     const outcome = await fencedCompareAndSwap(
       client,
       authorization,
-      CALL_PRIORITY.rest,
+      CALL_PRIORITY.background,
       guards,
       writes,
     );
@@ -165,7 +165,12 @@
     const most = Math.max(1, this.ports.transactionOps - 1);
     let cleared = 0;
     for (let since: string | null = null; ;) {
-      const page = await this.ports.client.list(FINAL, since, LIST_PAGE, CALL_PRIORITY.rest);
+      const page = await this.ports.client.list(
+        FINAL_STATE_PREFIX,
+        since,
+        LIST_PAGE_SIZE,
+        CALL_PRIORITY.background,
+      );
       const old = page.entries.filter((entry) => entry.revision <= expired);
       for (let at = 0; at < old.length; at += most) {
         if (!authorization.holds()) return cleared;
@@ -182,7 +187,7 @@
   #dropFinals(authorization: Authorization, batch: readonly Clearable[]): Promise<boolean> {
     const guards = batch.map(({ key: name, revision }) => ({ key: name, revision }));
     const drops: Write[] = batch.map(({ key: name }) => ({ drop: name }));
-    const acceptance = { put: dutyEntryKey.acceptance, value: { token: authorization.token } };
+    const acceptance = { put: electionEntryKey.acceptance, value: { token: authorization.token } };
     return this.#compareAndSwap(authorization, guards, [...drops, acceptance]);
   }
 
@@ -217,12 +222,12 @@
    */
   async #clearNodes(authorization: Authorization): Promise<void> {
     const { client, cache, ownNodeKey, log } = this.ports;
-    const own = await client.get(ownNodeKey, CALL_PRIORITY.rest);
+    const own = await client.get(ownNodeKey, CALL_PRIORITY.background);
     if ('missing' in own || (own.lease ?? null) === null) return;
     for (const { value } of cache.tables.nodes.values()) {
       const name = key.node(value.node, value.incarnation);
       if (name === ownNodeKey) continue;
-      const found = await client.get(name, CALL_PRIORITY.rest);
+      const found = await client.get(name, CALL_PRIORITY.background);
       if ('missing' in found || (found.lease ?? null) !== null) continue;
       if (!(await this.#drop(authorization, found))) return;
       log.info({ node: value.node, incarnation: value.incarnation }, 'node record cleared');
--- a/src/singletons/orphan-collector.ts
+++ b/src/singletons/orphan-collector.ts
@@ -2,7 +2,7 @@
 import type { Logger } from 'pino';
 import type { CloudClient } from '../cloud/client.js';
 import { MAX_RETURN_BATCH } from '../constants.js';
-import { CONDITIONS_PER_OP } from '../store/constants.js';
+import { MAX_GUARDS_PER_WRITE } from '../store/constants.js';
 import { key } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { ListedMachine } from '../wire/schemas.js';
@@ -67,7 +67,7 @@
     await current();
     const most = Math.min(
       MAX_RETURN_BATCH,
-      this.transactionOps * CONDITIONS_PER_OP - OTHER_CONDITIONS,
+      this.transactionOps * MAX_GUARDS_PER_WRITE - OTHER_CONDITIONS,
     );
     const names = listed
       .filter((machine) => this.#nobodys(machine))
--- a/src/singletons/return-intents.ts
+++ b/src/singletons/return-intents.ts
@@ -5,7 +5,11 @@
   type Write,
 } from '@sumacstep/leader-election';
 import { CALL_PRIORITY, type StoreClient } from '../store/store-client.js';
-import { dutyEntryKey, encodeReturns, type ReturnList } from '../store/election-entries.js';
+import {
+  electionEntryKey,
+  encodeReturnIntents,
+  type ReturnIntentList,
+} from '../store/election-entries.js';
 import type { WatchCache } from '../store/watch-cache.js';
 
 const NONE: ReadonlySet<string> = new Set();
@@ -27,14 +31,14 @@
   ) {}
 
   /** The machines of a list, as far as this node knows it. */
-  recorded(list: ReturnList): ReadonlySet<string> {
+  recorded(list: ReturnIntentList): ReadonlySet<string> {
     const entry = this.#entry(list)?.value;
     return entry?.kind === 'returns' ? entry.machines : NONE;
   }
 
   /** The list as it is known here, as a condition of writes that depend on what is not in it. */
-  condition(list: ReturnList): Guard {
-    return { key: dutyEntryKey.returns(list), revision: this.#entry(list)?.revision ?? 0 };
+  condition(list: ReturnIntentList): Guard {
+    return { key: electionEntryKey.returns(list), revision: this.#entry(list)?.revision ?? 0 };
   }
 
   /**
@@ -42,7 +46,7 @@
    * stand in the state service and may be returned now; what has no room waits for another round.
    */
   async record(
-    list: ReturnList,
+    list: ReturnIntentList,
     authorization: Authorization,
     names: readonly string[],
     needed: (name: string) => boolean,
@@ -52,7 +56,10 @@
     if (names.every((name) => known.has(name))) return names;
     const kept = [...known].filter(needed);
     const machines = this.#thatFit([...new Set([...kept, ...names])]);
-    const put: Write = { put: dutyEntryKey.returns(list), value: encodeReturns(machines) };
+    const put: Write = {
+      put: electionEntryKey.returns(list),
+      value: encodeReturnIntents(machines),
+    };
     const guards = [this.condition(list), ...conditions];
     const outcome = await fencedCompareAndSwap(
       this.client,
@@ -67,8 +74,8 @@
     return names.filter((name) => written.has(name));
   }
 
-  #entry(list: ReturnList) {
-    return this.cache.tables.elections.get(dutyEntryKey.returns(list).slice('duties/'.length));
+  #entry(list: ReturnIntentList) {
+    return this.cache.tables.elections.get(electionEntryKey.returns(list).slice('duties/'.length));
   }
 
   #thatFit(names: readonly string[]): string[] {
--- a/src/singletons/singleton-controller.ts
+++ b/src/singletons/singleton-controller.ts
@@ -16,7 +16,7 @@
 import type { DutiesConfig } from '../config/duties.js';
 import { DUTY_GRACE_MS } from './constants.js';
 import { CALL_PRIORITY, type CallPriority, type StoreClient } from '../store/store-client.js';
-import { key, type Entries } from '../store/keys.js';
+import { key, type CachedValues } from '../store/keys.js';
 import type { Cached, WatchCache } from '../store/watch-cache.js';
 
 /** Returning machines that no record knows. */
@@ -31,13 +31,20 @@
 const CALL_OF: Readonly<Record<Urgency, CallPriority>> = {
   lease: CALL_PRIORITY.renew,
   normal: CALL_PRIORITY.completion,
-  background: CALL_PRIORITY.rest,
+  background: CALL_PRIORITY.background,
 };
 
 type Tables = Pick<WatchCache['tables'], 'nodes' | 'elections'>;
 
-const livingMembers = (nodes: ReadonlyMap<string, Cached<Entries['nodes/']>>): LivingMember[] =>
-  [...nodes.values()].map(({ value, revision }) => ({ ...value, revision }));
+const livingMembers = (
+  nodes: ReadonlyMap<string, Cached<CachedValues['nodes/']>>,
+): LivingMember[] =>
+  [...nodes.values()].map(({ value: { node, incarnation, supportsElections }, revision }) => ({
+    node,
+    incarnation,
+    knowsDuties: supportsElections,
+    revision,
+  }));
 
 /** Members, duties and requests as the tables show them. */
 export const dutyView = (tables: Tables): DutyView => {
--- a/src/singletons/singleton-controllers.ts
+++ b/src/singletons/singleton-controllers.ts
@@ -7,7 +7,7 @@
 import { Mover } from '../rebalancing/move-coordinator.js';
 import type { Reclaimer } from '../shards/orphaned-instances.js';
 import type { StoreClient } from '../store/store-client.js';
-import { dutyEntryKey } from '../store/election-entries.js';
+import { electionEntryKey } from '../store/election-entries.js';
 import { key } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { Guard } from '../wire/schemas.js';
@@ -86,7 +86,7 @@
 
   /** What acceptances depend on: it changes whenever final states are cleared. */
   acceptanceCondition(): Guard {
-    const name = dutyEntryKey.acceptance;
+    const name = electionEntryKey.acceptance;
     const known = this.#cache.tables.elections.get(name.slice('duties/'.length));
     return { key: name, revision: known?.revision ?? 0 };
   }
--- a/src/store/constants.ts
+++ b/src/store/constants.ts
@@ -1,28 +1,28 @@
 /** Timing and limits of the calls to the key-value store. */
 
 /** final states kept in memory; at about 100 bytes each this stays below 3 MB. */
-export const FINALS_IN_MEMORY = 20_000;
+export const MAX_FINAL_STATES_IN_MEMORY = 20_000;
 
 /** transactions remembered as refused for good, by keys and sizes; there should be none at all. */
-export const INVALID_KEPT = 200;
+export const MAX_REMEMBERED_REJECTIONS = 200;
 
 /** conditions of a transaction for each put or delete that it may have; the protocol's limit. */
-export const CONDITIONS_PER_OP = 4;
+export const MAX_GUARDS_PER_WRITE = 4;
 
 /** tokens; a node with a small share may still send a transaction of this size at once. */
-export const MIN_STORE_BURST = 4;
+export const MIN_STORE_BURST_TOKENS = 4;
 
 /** ms; a read of the feed that takes longer is held: nothing changes. Usual answers take 10 ms. */
-export const HELD_READ_MS = 40;
+export const HELD_WATCH_MS = 40;
 
 /** ms; polls of the same job that come within this time share a read. */
-export const READ_GATHER_MS = 4;
+export const READ_BATCH_WINDOW_MS = 4;
 
 /** calls; a single one may be lost on the way without the service being out. */
-export const STORE_FAILURES_LIMIT = 2;
+export const CONSECUTIVE_FAILURES_LIMIT = 2;
 
 /** connections; a node has few calls in flight at a time. */
-export const STORE_SOCKETS = 12;
+export const MAX_STORE_SOCKETS = 12;
 
 /** ms; between tries while there is no lease, or after a slow renewal. */
 export const LEASE_RETRY_MS = 300;
@@ -40,10 +40,10 @@
 export const LEASE_MARGIN_MS = 500;
 
 /** ms; how long a watch blocks. A held watch shows an outage only by its end, so not for long. */
-export const FOLLOW_BLOCK_MS = 10_000;
+export const WATCH_BLOCK_MS = 10_000;
 
 /** items in one page of a listing; the service returns no more than 1,000. */
-export const LIST_PAGE = 500;
+export const LIST_PAGE_SIZE = 500;
 
 /** ms; pause after a failed call in the feeds, so that an outage causes no storm of retries. */
 export const STORE_RETRY_MS = 400;
@@ -55,4 +55,4 @@
 export const STORE_BURST_S = 0.8;
 
 /** ms; calls stop for this long after a 429, since somebody has spent the shared budget. */
-export const BACKOFF_429_MS = 300;
+export const RATE_LIMITED_BACKOFF_MS = 300;
--- a/src/store/election-entries.ts
+++ b/src/store/election-entries.ts
@@ -16,11 +16,11 @@
 const RETURNS = `${DUTIES}returns/`;
 
 /** Machines of a shard that are being returned, or machines that no shard has a record of. */
-export type ReturnList = number | 'unrecorded';
+export type ReturnIntentList = number | 'unrecorded';
 
-export const dutyEntryKey = {
+export const electionEntryKey = {
   /** machines whose return was decided: nobody may count on them any more */
-  returns: (list: ReturnList) => `${RETURNS}${list}`,
+  returns: (list: ReturnIntentList) => `${RETURNS}${list}`,
   /** how much time has been observed since which revision */
   retention: `${DUTIES}retention`,
   /** changes whenever a final state is cleared: acceptances from before then fail */
@@ -28,7 +28,7 @@
 } as const;
 
 /** One value under the prefix. */
-export type DutyEntry =
+export type ElectionEntry =
   | { readonly kind: 'record'; readonly duty: string; readonly record: DutyRecord }
   | { readonly kind: 'request'; readonly duty: string; readonly request: HandOverRequest }
   | { readonly kind: 'returns'; readonly machines: ReadonlySet<string> }
@@ -37,10 +37,10 @@
 
 const returns = z.object({ machines: z.array(z.string()) });
 
-export const encodeReturns = (machines: readonly string[]): unknown => ({ machines });
+export const encodeReturnIntents = (machines: readonly string[]): unknown => ({ machines });
 
 /** `id` is the key without the prefix. */
-export const decodeDutyEntry = (id: string, value: unknown): DutyEntry => {
+export const decodeElectionEntry = (id: string, value: unknown): ElectionEntry => {
   const key = `${DUTIES}${id}`;
   if (key.startsWith(DUTY_PREFIX)) {
     return { kind: 'record', duty: key.slice(DUTY_PREFIX.length), record: decodeDuty(value) };
@@ -53,7 +53,7 @@
   if (key.startsWith(RETURNS)) {
     return { kind: 'returns', machines: new Set(returns.parse(value).machines) };
   }
-  if (key === dutyEntryKey.retention) {
+  if (key === electionEntryKey.retention) {
     return { kind: 'retention', retention: decodeRetention(value) };
   }
   return { kind: 'other' };
--- a/src/store/keys.ts
+++ b/src/store/keys.ts
@@ -1,19 +1,19 @@
 import * as z from 'zod';
 import type { JobRecord, JobSpec, MachineRecord } from '../core/model.js';
-import { decodeDutyEntry, type DutyEntry } from './election-entries.js';
-import { decodeShareEntry, type ShareEntry } from './rebalancing-entries.js';
+import { decodeElectionEntry, type ElectionEntry } from './election-entries.js';
+import { decodeRebalancingEntry, type RebalancingEntry } from './rebalancing-entries.js';
 
 /** The machines of one rental that are in the same shard, in one value: they cost one write. */
 export interface MachineGroup extends Omit<MachineRecord, 'name' | 'up'> {
   /** by name: whether the machine is recorded as up */
-  readonly hosts: ReadonlyMap<string, boolean>;
+  readonly machines: ReadonlyMap<string, boolean>;
 }
 /** Bitmaps of completed tasks by `<uid>/<first task>`: many ranges of a shard in one value. */
-export type DoneSlot = ReadonlyMap<string, string>;
+export type CompletionBitmaps = ReadonlyMap<string, string>;
 
 /** Names and values of everything that the service keeps in the state service. */
 
-export const FINAL = 'final/';
+export const FINAL_STATE_PREFIX = 'final/';
 export const CACHED_PREFIXES = [
   'parts/',
   'nodes/',
@@ -25,7 +25,7 @@
   'shares/',
   'term',
 ] as const;
-export type Prefix = (typeof CACHED_PREFIXES)[number];
+export type CachedPrefix = (typeof CACHED_PREFIXES)[number];
 
 /** The cache's table of the values under each prefix. */
 export const TABLE_OF_PREFIX = {
@@ -38,9 +38,9 @@
   'duties/': 'elections',
   'shares/': 'moves',
   term: 'term',
-} as const satisfies Record<Prefix, string>;
+} as const satisfies Record<CachedPrefix, string>;
 
-export const prefixOf = (key: string): Prefix | null =>
+export const prefixOf = (key: string): CachedPrefix | null =>
   CACHED_PREFIXES.find((p) => key.startsWith(p)) ?? null;
 
 export const key = {
@@ -51,11 +51,11 @@
   adoptedMachineGroup: (machine: string) => `machines/found-${machine}`,
   rental: (shard: number, name: string) => `hires/${shard}/${name}`,
   activeJob: (uid: string) => `active/${uid}`,
-  finalState: (uid: string) => `${FINAL}${uid}`,
+  finalState: (uid: string) => `${FINAL_STATE_PREFIX}${uid}`,
   completions: (shard: number, slot: number) => `done/${shard}/${slot}`,
   term: 'term',
   /** never written: a read of it tells the present epoch */
-  never: 'never',
+  probe: 'never',
 } as const;
 
 export interface ShardRecord {
@@ -68,9 +68,9 @@
   readonly node: string;
   readonly incarnation: string;
   /** whether this life takes part in exclusive duties; versions that don't know them say nothing */
-  readonly knowsDuties: boolean;
+  readonly supportsElections: boolean;
   /** whether this life takes part in moves of machines between shards */
-  readonly knowsShares: boolean;
+  readonly supportsRebalancing: boolean;
 }
 
 /** Version of the duties that a node's record names. */
@@ -80,12 +80,12 @@
 const SHARES_VERSION = 1;
 
 /** What a life of a node takes part in. */
-export type Abilities = Pick<NodeRecord, 'knowsDuties' | 'knowsShares'>;
+export type NodeCapabilities = Pick<NodeRecord, 'supportsElections' | 'supportsRebalancing'>;
 
-export const encodeNode = (incarnation: string, abilities: Abilities): unknown => ({
+export const encodeNode = (incarnation: string, abilities: NodeCapabilities): unknown => ({
   incarnation,
-  ...(abilities.knowsDuties ? { duties: DUTIES_VERSION } : {}),
-  ...(abilities.knowsShares ? { shares: SHARES_VERSION } : {}),
+  ...(abilities.supportsElections ? { duties: DUTIES_VERSION } : {}),
+  ...(abilities.supportsRebalancing ? { shares: SHARES_VERSION } : {}),
 });
 export interface RentalRecord {
   readonly shard: number;
@@ -144,15 +144,15 @@
   ranges: z.array(z.tuple([int, int, int, int])),
 });
 
-export interface Entries {
+export interface CachedValues {
   'active/': JobRecord;
-  'done/': DoneSlot;
+  'done/': CompletionBitmaps;
   'machines/': MachineGroup;
   'parts/': ShardRecord;
   'nodes/': NodeRecord;
   'hires/': RentalRecord;
-  'duties/': DutyEntry;
-  'shares/': ShareEntry;
+  'duties/': ElectionEntry;
+  'shares/': RebalancingEntry;
   term: number;
 }
 
@@ -175,19 +175,19 @@
   };
 };
 export const encodeMachineGroup = (g: MachineGroup): unknown => {
-  const { shard, term, type, zone, spot, hosts } = g;
+  const { shard, term, type, zone, spot, machines: hosts } = g;
   const up = Object.fromEntries([...hosts].map(([name, isUp]) => [name, Number(isUp)]));
   return { part: shard, era: term, type, zone, spot, hosts: up };
 };
-export const encodeDoneSlot = (slot: DoneSlot): unknown => Object.fromEntries(slot);
+export const encodeCompletions = (slot: CompletionBitmaps): unknown => Object.fromEntries(slot);
 /** The machines of a group one by one, as the core knows them. */
 export const machinesOf = (g: MachineGroup): MachineRecord[] => {
   const { shard, term, type, zone, spot } = g;
-  return [...g.hosts].map(([name, up]) => ({ name, shard, term, type, zone, spot, up }));
+  return [...g.machines].map(([name, up]) => ({ name, shard, term, type, zone, spot, up }));
 };
-export const decodeFinal = (value: unknown): FinalState => final.parse(value);
+export const decodeFinalState = (value: unknown): FinalState => final.parse(value);
 
-export const decoders: { [P in Prefix]: (id: string, value: unknown) => Entries[P] } = {
+export const decoders: { [P in CachedPrefix]: (id: string, value: unknown) => CachedValues[P] } = {
   'active/': decodeJob,
   'done/': (_, value) => new Map(Object.entries(z.record(z.string(), z.string()).parse(value))),
   'machines/': (_, value) => {
@@ -196,7 +196,7 @@
       ...rest,
       shard,
       term,
-      hosts: new Map(Object.entries(hosts).map(([n, up]) => [n, up !== 0])),
+      machines: new Map(Object.entries(hosts).map(([n, up]) => [n, up !== 0])),
     };
   },
   'parts/': (_, value) => shard.parse(value),
@@ -204,13 +204,18 @@
     const { incarnation, duties, shares } = node.parse(value);
     const name = id.slice(0, id.lastIndexOf('/'));
     const knowsDuties = duties === DUTIES_VERSION;
-    return { node: name, incarnation, knowsDuties, knowsShares: shares === SHARES_VERSION };
+    return {
+      node: name,
+      incarnation,
+      supportsElections: knowsDuties,
+      supportsRebalancing: shares === SHARES_VERSION,
+    };
   },
   'hires/': (id, value) => {
     const slash = id.indexOf('/');
     return { shard: Number(id.slice(0, slash)), name: id.slice(slash + 1), ...rental.parse(value) };
   },
-  'duties/': decodeDutyEntry,
-  'shares/': decodeShareEntry,
+  'duties/': decodeElectionEntry,
+  'shares/': decodeRebalancingEntry,
   term: (_, value) => int.parse(value),
 };
--- a/src/store/linearizable-reads.ts
+++ b/src/store/linearizable-reads.ts
@@ -1,5 +1,5 @@
 import { USER_CALL_MS } from '../constants.js';
-import { HELD_READ_MS } from './constants.js';
+import { HELD_WATCH_MS } from './constants.js';
 import { CALL_PRIORITY, StoreRequestError, type StoreClient } from './store-client.js';
 import { key } from './keys.js';
 import type { WatchCache } from './watch-cache.js';
@@ -36,7 +36,7 @@
     cache.on('change', () => this.#settle());
   }
 
-  reading(since: number | null): void {
+  onReadState(since: number | null): void {
     this.#reading = since;
     if (this.#timer !== null) clearTimeout(this.#timer);
     this.#timer = null;
@@ -44,7 +44,7 @@
   }
 
   /** Resolves with the steady ms since which the cache is current: the moment of the call. */
-  wait(): Promise<number> {
+  waitUntilCurrent(): Promise<number> {
     return new Promise((resolve, reject) => {
       this.#waiters.push({ asked: this.now(), epoch: null, resolve, reject });
       this.#look();
@@ -53,7 +53,7 @@
 
   #settle(): void {
     if (!this.cache.ready) return;
-    const { currentAt, epoch } = this.cache;
+    const { currentAt, revision: epoch } = this.cache;
     this.#waiters = this.#waiters.filter((waiter) => {
       const probed = waiter.epoch !== null && epoch >= waiter.epoch;
       const shown = probed || waiter.asked <= currentAt;
@@ -66,11 +66,11 @@
   #look(): void {
     if (this.#timer !== null || this.#waiters.length === 0) return;
     const between = this.#reading === null;
-    const waitMs = between ? 2 * USER_CALL_MS : HELD_READ_MS;
+    const waitMs = between ? 2 * USER_CALL_MS : HELD_WATCH_MS;
     const timer = setTimeout(() => {
       if (this.#timer === timer) this.#timer = null;
       this.#expire();
-      const held = this.#reading !== null && this.now() - this.#reading >= HELD_READ_MS;
+      const held = this.#reading !== null && this.now() - this.#reading >= HELD_WATCH_MS;
       if (held && !this.#probing && this.#waiters.some((w) => w.epoch === null)) {
         void this.#probe();
       }
@@ -92,8 +92,8 @@
     this.#probing = true;
     const asked = this.#waiters.filter((w) => w.epoch === null);
     try {
-      const found = await this.client.get(key.never, CALL_PRIORITY.read);
-      const epoch = 'missing' in found ? found.epoch : found.revision;
+      const found = await this.client.get(key.probe, CALL_PRIORITY.read);
+      const epoch = 'missing' in found ? found.storeRevision : found.revision;
       for (const waiter of asked) waiter.epoch = epoch;
       this.#settle();
     } catch (error) {
--- a/src/store/node-session.ts
+++ b/src/store/node-session.ts
@@ -3,7 +3,7 @@
 import { CLOCK_DRIFT } from '../constants.js';
 import { LEASE_MARGIN_MS, LEASE_RENEW_MS, LEASE_RETRY_MS, LEASE_TTL_MS } from './constants.js';
 import type { StoreClient } from './store-client.js';
-import { encodeNode, key, type Abilities } from './keys.js';
+import { encodeNode, key, type NodeCapabilities } from './keys.js';
 
 const TIMING = {
   ttlMs: LEASE_TTL_MS,
@@ -14,15 +14,15 @@
 };
 
 /** One life of a node, as its record says it. */
-export interface NodeLife extends Abilities {
+export interface NodeRegistration extends NodeCapabilities {
   readonly node: string;
   readonly incarnation: string;
 }
 
 /** This node's lease on the state service and the node key attached to it. */
-export const nodeSession = (
+export const createNodeSession = (
   client: Pick<StoreClient, 'grant' | 'renew' | 'register'>,
-  { node, incarnation, ...abilities }: NodeLife,
+  { node, incarnation, ...abilities }: NodeRegistration,
   now: () => number,
   log: Logger,
 ): SessionLease => {
--- a/src/store/rebalancing-entries.ts
+++ b/src/store/rebalancing-entries.ts
@@ -1,13 +1,13 @@
 import { decodeLock, decodeMove, type Move } from '@sumacstep/shard-rebalancing';
 
 /** What the state service holds of moves of machines, all under one prefix. */
-export type ShareEntry =
+export type RebalancingEntry =
   | { readonly kind: 'move'; readonly move: Move }
   | { readonly kind: 'lock'; readonly shard: number; readonly move: string }
   | { readonly kind: 'other' };
 
 /** `id` is the key without the prefix. */
-export const decodeShareEntry = (id: string, value: unknown): ShareEntry => {
+export const decodeRebalancingEntry = (id: string, value: unknown): RebalancingEntry => {
   if (id.startsWith('moves/')) {
     const move = decodeMove(value);
     return move === null ? { kind: 'other' } : { kind: 'move', move };
--- a/src/store/shared-reads.ts
+++ b/src/store/shared-reads.ts
@@ -1,4 +1,4 @@
-import { READ_GATHER_MS } from './constants.js';
+import { READ_BATCH_WINDOW_MS } from './constants.js';
 import { CALL_PRIORITY, type Found, type StoreClient } from './store-client.js';
 
 /**
@@ -13,10 +13,12 @@
   read(key: string): Promise<Found> {
     const open = this.#next.get(key);
     if (open !== undefined) return open;
-    const promise = new Promise<void>((resolve) => setTimeout(resolve, READ_GATHER_MS)).then(() => {
-      this.#next.delete(key);
-      return this.client.get(key, CALL_PRIORITY.read);
-    });
+    const promise = new Promise<void>((resolve) => setTimeout(resolve, READ_BATCH_WINDOW_MS)).then(
+      () => {
+        this.#next.delete(key);
+        return this.client.get(key, CALL_PRIORITY.read);
+      },
+    );
     this.#next.set(key, promise);
     return promise;
   }
--- a/src/store/store-client.ts
+++ b/src/store/store-client.ts
@@ -1,27 +1,27 @@
 import { StoreUnavailableError, type CompareAndSwapResult } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import {
-  BACKOFF_429_MS,
-  CONDITIONS_PER_OP,
-  INVALID_KEPT,
-  MIN_STORE_BURST,
+  RATE_LIMITED_BACKOFF_MS,
+  MAX_GUARDS_PER_WRITE,
+  MAX_REMEMBERED_REJECTIONS,
+  MIN_STORE_BURST_TOKENS,
   STORE_BURST_S,
   STORE_CALL_TIMEOUT_MS,
   STORE_QUEUE_LIMIT,
-  STORE_SOCKETS,
-  STORE_FAILURES_LIMIT,
+  MAX_STORE_SOCKETS,
+  CONSECUTIVE_FAILURES_LIMIT,
 } from './constants.js';
 import { CborClient, NoResponseError, type Response } from '../transport/http.js';
 import { TokenBucket } from '../transport/token-bucket.js';
 import {
-  committed,
-  conflict,
-  entries,
-  entry,
-  lease,
+  committedSchema,
+  conflictSchema,
+  listingSchema,
+  entrySchema,
+  leaseSchema,
   leaseBody,
-  missing,
-  news,
+  missingSchema,
+  watchSchema,
   transactionBody,
   type Guard,
   type Write,
@@ -40,12 +40,12 @@
 /** Order in which calls get tokens. */
 export const CALL_PRIORITY = {
   renew: 0,
-  feed: 1,
+  watch: 1,
   cancellation: 2,
   acceptance: 3,
   completion: 4,
   read: 5,
-  rest: 6,
+  background: 6,
 } as const;
 export type CallPriority = (typeof CALL_PRIORITY)[keyof typeof CALL_PRIORITY];
 
@@ -59,9 +59,9 @@
 export interface Page {
   readonly entries: readonly Entry[];
   readonly more: boolean;
-  readonly epoch: number;
+  readonly storeRevision: number;
 }
-export type Found = Entry | { readonly missing: true; readonly epoch: number };
+export type Found = Entry | { readonly missing: true; readonly storeRevision: number };
 export type { CompareAndSwapResult };
 export interface Change {
   readonly key: string;
@@ -91,7 +91,7 @@
 
 const keyOf = (write: Write): string => ('put' in write ? write.put : write.drop);
 
-const burst = (rate: number) => Math.max(MIN_STORE_BURST, rate * STORE_BURST_S);
+const burst = (rate: number) => Math.max(MIN_STORE_BURST_TOKENS, rate * STORE_BURST_S);
 
 /** The one place for calls to the state service. */
 export class StoreClient {
@@ -103,7 +103,7 @@
   #queued = 0;
   #timer: NodeJS.Timeout | null = null;
   /** steady ms of the last answer that shows the service working */
-  lastGood = -Infinity;
+  lastSuccessAt = -Infinity;
   #troubles = 0;
   /** what was refused for good: the same is not sent again */
   readonly #invalid = new Set<string>();
@@ -117,7 +117,7 @@
     private readonly now: () => number,
     private readonly log: Logger,
   ) {
-    this.#http = new CborClient(address, STORE_SOCKETS);
+    this.#http = new CborClient(address, MAX_STORE_SOCKETS);
     this.#watch = new CborClient(address, 2);
     this.#requests = new TokenBucket(limits.rps, burst(limits.rps), now());
     this.#writes = new TokenBucket(limits.writeRps, burst(limits.writeRps), now());
@@ -185,7 +185,7 @@
   }
 
   /** ms until a write of this class that comes now would probably leave. */
-  expectedMs(cls: CallPriority): number {
+  expectedWaitMs(cls: CallPriority): number {
     let writes = 1;
     for (const queue of this.#queues.slice(0, cls + 1)) {
       for (const w of queue) writes += w.cost.writes;
@@ -195,7 +195,7 @@
 
   /** False once calls fail in a row: an outage, or one that only this node sees. */
   get available(): boolean {
-    return this.#troubles < STORE_FAILURES_LIMIT;
+    return this.#troubles < CONSECUTIVE_FAILURES_LIMIT;
   }
 
   async #call(
@@ -217,7 +217,7 @@
       throw new StoreRequestError('no_answer', text);
     }
     if (answer.status === 429) {
-      (writes > 0 ? this.#writes : this.#requests).block(BACKOFF_429_MS, this.now());
+      (writes > 0 ? this.#writes : this.#requests).block(RATE_LIMITED_BACKOFF_MS, this.now());
       this.#lower(writes > 0 ? 'writeRps' : 'rps');
       throw new StoreRequestError('refused', `${method} ${path}: 429`);
     }
@@ -225,15 +225,16 @@
       this.#troubles += 1;
       throw new StoreRequestError('refused', `${method} ${path}: ${answer.status}`);
     }
-    this.lastGood = this.now();
+    this.lastSuccessAt = this.now();
     this.#troubles = 0;
     return answer;
   }
 
   async get(key: string, cls: CallPriority): Promise<Found> {
     const a = await this.#call(cls, 'GET', `/store/${key}`);
-    if (a.status === 404) return { missing: true, epoch: missing.parse(a.body).Epoch };
-    const e = entry.parse(a.body);
+    if (a.status === 404)
+      return { missing: true, storeRevision: missingSchema.parse(a.body).Epoch };
+    const e = entrySchema.parse(a.body);
     return { key: e.K, value: e.Value, revision: e.Stamp, lease: e.Permit ?? null };
   }
 
@@ -241,16 +242,16 @@
     prefix: string,
     since: string | null,
     limit: number,
-    cls: CallPriority = CALL_PRIORITY.feed,
+    cls: CallPriority = CALL_PRIORITY.watch,
   ): Promise<Page> {
     const after = since === null ? '' : `&Since=${encodeURIComponent(since)}`;
     const path = `/store?Starts=${encodeURIComponent(prefix)}${after}&Limit=${limit}`;
     const a = await this.#call(cls, 'GET', path);
-    const page = entries.parse(a.body);
+    const page = listingSchema.parse(a.body);
     return {
       entries: page.Entries.map((e) => ({ key: e.K, value: e.Value, revision: e.Stamp })),
       more: page.Truncated ?? false,
-      epoch: page.Epoch,
+      storeRevision: page.Epoch,
     };
   }
 
@@ -262,14 +263,14 @@
     if (this.#invalid.has(shape)) throw new StoreRequestError('invalid', 'refused before as it is');
     const large = writes.find((_, i) => sizes[i]! > valueBytes);
     const many =
-      writes.length > transactionOps || guards.length > transactionOps * CONDITIONS_PER_OP;
+      writes.length > transactionOps || guards.length > transactionOps * MAX_GUARDS_PER_WRITE;
     if (large === undefined && !many) return shape;
     const key = large === undefined ? null : keyOf(large);
     return this.#refused(shape, { key, writes: writes.length, conditions: guards.length });
   }
 
   #refused(shape: string, what: object): never {
-    if (this.#invalid.size >= INVALID_KEPT) this.#invalid.clear();
+    if (this.#invalid.size >= MAX_REMEMBERED_REJECTIONS) this.#invalid.clear();
     this.#invalid.add(shape);
     this.log.error(what, 'transaction over the limits of the state service');
     throw new StoreRequestError('invalid', `transaction over the limits: ${JSON.stringify(what)}`);
@@ -284,8 +285,8 @@
     const shape = this.#checkSizes(guards, writes);
     const body = transactionBody(guards, writes);
     const a = await this.#call(cls, 'POST', '/multi', body, Math.max(1, writes.length));
-    if (a.status === 200) return { ok: true, epoch: committed.parse(a.body).Epoch };
-    if (a.status === 409) return { ok: false, failed: conflict.parse(a.body).failed ?? [] };
+    if (a.status === 200) return { ok: true, epoch: committedSchema.parse(a.body).Epoch };
+    if (a.status === 409) return { ok: false, failed: conflictSchema.parse(a.body).failed ?? [] };
     return this.#refused(shape, { status: a.status, answer: a.body, keys: writes.map(keyOf) });
   }
 
@@ -293,13 +294,13 @@
   async register(name: string, value: unknown, id: number): Promise<number | null> {
     const body = transactionBody([], [{ put: name, value, lease: id }]);
     const a = await this.#call(CALL_PRIORITY.renew, 'POST', '/multi', body, 1);
-    return a.status === 200 ? committed.parse(a.body).Epoch : null;
+    return a.status === 200 ? committedSchema.parse(a.body).Epoch : null;
   }
 
   async grant(ttlMs: number): Promise<number> {
     const a = await this.#call(CALL_PRIORITY.renew, 'POST', '/leases', leaseBody(ttlMs));
     if (a.status !== 200) throw new StoreRequestError('refused', `no lease: ${a.status}`);
-    return lease.parse(a.body).Permit;
+    return leaseSchema.parse(a.body).Permit;
   }
 
   /** False if the lease has ended. */
@@ -311,12 +312,12 @@
   }
 
   /** Changes after `since`; null if the service no longer keeps them. */
-  async follow(since: number, blockMs: number) {
+  async watch(since: number, blockMs: number) {
     const path = `/follow?Starts=&Since=${since}&BlockMs=${blockMs}`;
     const limit = blockMs + STORE_CALL_TIMEOUT_MS;
-    const a = await this.#call(CALL_PRIORITY.feed, 'GET', path, undefined, 0, limit, this.#watch);
+    const a = await this.#call(CALL_PRIORITY.watch, 'GET', path, undefined, 0, limit, this.#watch);
     if (a.status === 410) return null;
-    const n = news.parse(a.body);
+    const n = watchSchema.parse(a.body);
     const changes: Change[] = n.News.map((c) => {
       const removed = c.Drop !== undefined && c.Drop !== null;
       return { key: (removed ? c.Drop : c.Put) ?? '', revision: c.Stamp, value: c.Value, removed };
--- a/src/store/watch-cache.ts
+++ b/src/store/watch-cache.ts
@@ -1,5 +1,5 @@
 import { EventEmitter } from 'node:events';
-import { FINALS_IN_MEMORY } from './constants.js';
+import { MAX_FINAL_STATES_IN_MEMORY } from './constants.js';
 import type { Change } from './store-client.js';
 import type { WatchBatch } from './watch.js';
 import type { Write } from '../wire/schemas.js';
@@ -7,17 +7,17 @@
 import { eitherDone } from '../core/jobs/jobs.js';
 import type { MachineRecord } from '../core/model.js';
 import {
-  FINAL,
+  FINAL_STATE_PREFIX,
   key,
-  decodeFinal,
+  decodeFinalState,
   machinesOf,
   prefixOf,
   TABLE_OF_PREFIX,
   type FinalState,
   type MachineGroup,
-  type Prefix,
+  type CachedPrefix,
   decoders,
-  type Entries,
+  type CachedValues,
 } from './keys.js';
 
 /** A value of the state service, and the revision of its last change. */
@@ -27,7 +27,7 @@
 }
 /** What has changed since somebody last asked. */
 export interface CacheChanges {
-  all: boolean;
+  everything: boolean;
   readonly jobs: Set<string>;
   machines: boolean;
 }
@@ -35,10 +35,12 @@
 export interface CachedMachine extends Cached<MachineRecord> {
   readonly group: string;
 }
-type Tables = { [P in Prefix as (typeof TABLE_OF_PREFIX)[P]]: Map<string, Cached<Entries[P]>> };
+type Tables = {
+  [P in CachedPrefix as (typeof TABLE_OF_PREFIX)[P]]: Map<string, Cached<CachedValues[P]>>;
+};
 
 /** The protocol promises no order of a watch's changes; taken in another one, a removal could come first. */
-const inOrder = ({ fresh, changes }: WatchBatch): readonly Change[] =>
+const inOrder = ({ isListing: fresh, changes }: WatchBatch): readonly Change[] =>
   fresh ? changes : changes.toSorted((a, b) => a.revision - b.revision);
 
 /** A write of our own as the watch will show it. */
@@ -69,10 +71,10 @@
   readonly machines = new Map<string, CachedMachine>();
   /** counts what was taken in: as long as it stays, there is nothing new to compare with */
   version = 0;
-  #changed: CacheChanges = { all: true, jobs: new Set(), machines: true };
+  #changed: CacheChanges = { everything: true, jobs: new Set(), machines: true };
   /** final states seen; the oldest are forgotten first and can be read again */
-  readonly finals = new Map<string, FinalState>();
-  epoch = -1;
+  readonly finalStates = new Map<string, FinalState>();
+  revision = -1;
   /** steady ms: everything that was committed before is shown */
   currentAt = -Infinity;
   #ownEpoch = -1;
@@ -82,24 +84,24 @@
   #whole = Infinity;
 
   get ready(): boolean {
-    return this.epoch >= this.#whole;
+    return this.revision >= this.#whole;
   }
 
   apply(batch: WatchBatch): void {
-    if (batch.fresh) {
+    if (batch.isListing) {
       this.tables = emptyTables();
       this.machines.clear();
-      this.#changed.all = true;
+      this.#changed.everything = true;
       // A listing may be older than our own latest writes: without them it would show machines as
       // gone on which tasks run.
-      this.#whole = Math.max(batch.whole ?? batch.epoch, this.#ownEpoch);
+      this.#whole = Math.max(batch.consistentFrom ?? batch.revision, this.#ownEpoch);
     }
     for (const change of inOrder(batch)) this.#change(change);
-    this.epoch = batch.epoch;
-    this.currentAt = Math.max(this.currentAt, batch.began ?? -Infinity);
-    if (batch.fresh || batch.changes.length > 0) this.version += 1;
+    this.revision = batch.revision;
+    this.currentAt = Math.max(this.currentAt, batch.readStartedAt ?? -Infinity);
+    if (batch.isListing || batch.changes.length > 0) this.version += 1;
     for (const [name, revision] of this.#removed) {
-      if (revision <= this.epoch) this.#removed.delete(name);
+      if (revision <= this.revision) this.#removed.delete(name);
     }
     this.emit('change', batch);
   }
@@ -110,10 +112,10 @@
    * would come back for good. Final states never change, so they are learned however late.
    */
   applyOwn(writes: readonly Write[], epoch: number): void {
-    const covered = epoch <= this.epoch;
+    const covered = epoch <= this.revision;
     for (const write of writes) {
       const change = changeOf(write, epoch);
-      if (covered && !change.key.startsWith(FINAL)) continue;
+      if (covered && !change.key.startsWith(FINAL_STATE_PREFIX)) continue;
       this.#change(change);
       if (change.removed) this.#noteRemoval(change.key, epoch);
     }
@@ -129,9 +131,9 @@
   }
 
   #change(change: Change): void {
-    if (change.key.startsWith(FINAL)) {
-      const uid = change.key.slice(FINAL.length);
-      if (!change.removed) this.learnFinal(uid, change.value, change.revision);
+    if (change.key.startsWith(FINAL_STATE_PREFIX)) {
+      const uid = change.key.slice(FINAL_STATE_PREFIX.length);
+      if (!change.removed) this.learnFinalState(uid, change.value, change.revision);
       return;
     }
     const prefix = prefixOf(change.key);
@@ -152,7 +154,7 @@
     else table.set(id, { value, revision: change.revision });
   }
 
-  #noteChange(prefix: Prefix, id: string): void {
+  #noteChange(prefix: CachedPrefix, id: string): void {
     if (prefix === 'active/') this.#changed.jobs.add(id);
     else if (prefix === 'machines/') this.#changed.machines = true;
   }
@@ -163,7 +165,7 @@
     now: MachineGroup | undefined,
     revision: number,
   ): void {
-    for (const name of old?.hosts.keys() ?? []) {
+    for (const name of old?.machines.keys() ?? []) {
       // A machine that has moved to another group in the same transaction is there already.
       if (this.machines.get(name)?.group === group) this.machines.delete(name);
     }
@@ -174,7 +176,7 @@
   /** For the one who compares what is with what is wanted: only the changed needs looking at. */
   takeChanges(): CacheChanges {
     const changed = this.#changed;
-    this.#changed = { all: false, jobs: new Set(), machines: false };
+    this.#changed = { everything: false, jobs: new Set(), machines: false };
     return changed;
   }
 
@@ -182,7 +184,7 @@
    * Completed tasks of a range as its shard has saved them. While a value that has become too large is
    * taken apart, a range may stand in two of them; tasks that are done stay done.
    */
-  done(shard: number, uid: string, from: number): string | undefined {
+  completedTasks(shard: number, uid: string, from: number): string | undefined {
     const range = `${uid}/${from}`;
     let found: string | undefined;
     // A shard has a handful of slots at most.
@@ -197,7 +199,7 @@
 
   /** A cancellation that another node tells of, ahead of the watch, and without the state service. */
   learnCancelled({ uid, tasks, done, epoch }: Cancellation): void {
-    if (this.finals.has(uid)) return;
+    if (this.finalStates.has(uid)) return;
     const final: FinalState = { status: 'cancelled', tasks, done };
     this.applyOwn(
       [{ drop: key.activeJob(uid) }, { put: key.finalState(uid), value: final }],
@@ -206,17 +208,17 @@
   }
 
   /** Takes in a final state as of an epoch, and returns the one that holds: the first never changes. */
-  learnFinal(uid: string, value: unknown, epoch: number): FinalState {
-    const known = this.finals.get(uid);
+  learnFinalState(uid: string, value: unknown, epoch: number): FinalState {
+    const known = this.finalStates.get(uid);
     if (known !== undefined) return known;
-    const final = decodeFinal(value);
-    this.finals.set(uid, final);
+    const final = decodeFinalState(value);
+    this.finalStates.set(uid, final);
     if (final.status === 'cancelled') {
       this.emit('cancelled', { uid, tasks: final.tasks, done: final.done, epoch });
     }
-    if (this.finals.size > FINALS_IN_MEMORY) {
-      const oldest = this.finals.keys().next().value;
-      if (oldest !== undefined) this.finals.delete(oldest);
+    if (this.finalStates.size > MAX_FINAL_STATES_IN_MEMORY) {
+      const oldest = this.finalStates.keys().next().value;
+      if (oldest !== undefined) this.finalStates.delete(oldest);
     }
     return final;
   }
--- a/src/store/watch.ts
+++ b/src/store/watch.ts
@@ -1,20 +1,20 @@
 import { Readable } from 'node:stream';
 import { setTimeout as sleep } from 'node:timers/promises';
-import { FOLLOW_BLOCK_MS, LIST_PAGE, STORE_RETRY_MS } from './constants.js';
+import { WATCH_BLOCK_MS, LIST_PAGE_SIZE, STORE_RETRY_MS } from './constants.js';
 import { StoreRequestError, type Change, type StoreClient } from './store-client.js';
-import { CACHED_PREFIXES, type Prefix } from './keys.js';
+import { CACHED_PREFIXES, type CachedPrefix } from './keys.js';
 
 /** One answer of the watch: what changed, and up to which epoch everything is known. */
 export interface WatchBatch {
   /** a new listing replaces everything known before */
-  readonly fresh: boolean;
+  readonly isListing: boolean;
   readonly changes: readonly Change[];
   /** everything up to here is known; of a listing: the epoch of its first page */
-  readonly epoch: number;
+  readonly revision: number;
   /** a listing's last epoch: until the changes reach it, it shows a mixture */
-  readonly whole?: number;
+  readonly consistentFrom?: number;
   /** steady ms at which the read began: what was committed before it is in the cache now */
-  readonly began?: number;
+  readonly readStartedAt?: number;
 }
 
 /** How the watch reads. */
@@ -24,10 +24,10 @@
   /** the steady clock, in ms */
   readonly now: () => number;
   /** told when a read begins, and with null when it ends */
-  readonly reading?: (since: number | null) => void;
+  readonly onReadState?: (since: number | null) => void;
 }
 
-type WatchClient = Pick<StoreClient, 'list' | 'follow'>;
+type WatchClient = Pick<StoreClient, 'list' | 'watch'>;
 
 /**
  * Watches the state service, as a stream of `WatchBatch`: first a listing, then every change. An
@@ -39,7 +39,7 @@
 async function* batches(
   client: WatchClient,
   signal: AbortSignal,
-  { pauseMs, now, reading }: WatchOptions,
+  { pauseMs, now, onReadState: reading }: WatchOptions,
 ): AsyncGenerator<WatchBatch> {
   let since: number | null = null;
   while (!signal.aborted) {
@@ -47,18 +47,18 @@
     try {
       if (since === null) {
         const listing: WatchBatch = await listPrefixes(client, CACHED_PREFIXES);
-        yield { ...listing, began };
-        since = listing.epoch;
+        yield { ...listing, readStartedAt: began };
+        since = listing.revision;
       } else {
         reading?.(began);
-        const answer = await client.follow(since, FOLLOW_BLOCK_MS);
+        const answer = await client.watch(since, WATCH_BLOCK_MS);
         reading?.(null);
         if (answer === null) {
           since = null;
           continue;
         }
         since = Math.max(since, answer.epoch);
-        yield { fresh: false, changes: answer.changes, epoch: since, began };
+        yield { isListing: false, changes: answer.changes, revision: since, readStartedAt: began };
         await sleep(pauseMs);
       }
     } catch (error) {
@@ -75,7 +75,7 @@
  */
 export const listPrefixes = async (
   client: Pick<StoreClient, 'list'>,
-  prefixes: readonly Prefix[],
+  prefixes: readonly CachedPrefix[],
 ): Promise<WatchBatch> => {
   const changes: Change[] = [];
   let from = Infinity;
@@ -83,14 +83,14 @@
   for (const prefix of prefixes) {
     let since: string | null = null;
     for (;;) {
-      const page = await client.list(prefix, since, LIST_PAGE);
-      from = Math.min(from, page.epoch);
-      whole = Math.max(whole, page.epoch);
+      const page = await client.list(prefix, since, LIST_PAGE_SIZE);
+      from = Math.min(from, page.storeRevision);
+      whole = Math.max(whole, page.storeRevision);
       for (const entry of page.entries) changes.push({ ...entry, removed: false });
       const last = page.entries.at(-1);
       if (!page.more || last === undefined) break;
       since = last.key;
     }
   }
-  return { fresh: true, changes, epoch: from, whole };
+  return { isListing: true, changes, revision: from, consistentFrom: whole };
 };
--- a/src/transport/constants.ts
+++ b/src/transport/constants.ts
@@ -1,4 +1,4 @@
 /** Limits of requests and responses. */
 
 /** bytes; the protocol's limit for request bodies. */
-export const BODY_LIMIT_BYTES = 64 * 1024;
+export const MAX_BODY_BYTES = 64 * 1024;
--- a/src/transport/http.ts
+++ b/src/transport/http.ts
@@ -1,7 +1,7 @@
 import { Agent, request } from 'node:http';
 import type { Readable } from 'node:stream';
 import type Koa from 'koa';
-import { BODY_LIMIT_BYTES } from './constants.js';
+import { MAX_BODY_BYTES } from './constants.js';
 import { fromBytes, toBytes } from '../wire/cbor.js';
 
 /** No answer: the request may have been carried out, or may yet be. */
@@ -23,7 +23,7 @@
 const JUST_STATUS = new Set([204, 304]);
 
 /** Collects a stream up to `limit` bytes; null if it is longer. By events: it is done for every request. */
-export const collect = (stream: Readable, limit: number): Promise<Buffer | null> =>
+export const readStream = (stream: Readable, limit: number): Promise<Buffer | null> =>
   new Promise((resolve, reject) => {
     const chunks: Buffer[] = [];
     let size = 0;
@@ -88,7 +88,7 @@
       req.on('error', fail);
       req.on('response', (res) => {
         res.on('error', fail);
-        collect(res, Infinity)
+        readStream(res, Infinity)
           .then((data) => {
             clearTimeout(timer);
             const status = res.statusCode ?? 0;
@@ -107,7 +107,7 @@
 }
 
 /** Answers with a CBOR body. Koa's own way of sending costs more than all else that is done for a report. */
-export const reply = (ctx: Koa.Context, status: number, body: unknown): void => {
+export const sendCbor = (ctx: Koa.Context, status: number, body: unknown): void => {
   const bytes = toBytes(body);
   ctx.respond = false;
   ctx.res.statusCode = status;
@@ -118,4 +118,4 @@
 
 /** Reads a request body within the protocol's limit; null if it is over it. */
 export const readBody = (stream: Readable): Promise<Buffer | null> =>
-  collect(stream, BODY_LIMIT_BYTES);
+  readStream(stream, MAX_BODY_BYTES);
--- a/src/users/api.ts
+++ b/src/users/api.ts
@@ -2,10 +2,10 @@
 import { USER_CALL_MS } from '../constants.js';
 import { RETRY_AFTER_S, USER_WAITING_LIMIT } from './constants.js';
 import type { JobSpec } from '../core/model.js';
-import { readBody, reply as send } from '../transport/http.js';
+import { readBody, sendCbor as send } from '../transport/http.js';
 import { StoreRequestError } from '../store/store-client.js';
 import { fromBytes, WireError } from '../wire/cbor.js';
-import { statusBody, submission, UID_FORM, type JobStatus } from '../wire/schemas.js';
+import { statusBody, submissionSchema, JOB_UID_PATTERN, type JobStatus } from '../wire/schemas.js';
 import type { JobReader, JobReading } from './job-reader.js';
 import type { Jobs } from './jobs.js';
 import * as z from 'zod';
@@ -47,7 +47,7 @@
   readonly arrivedAt: number;
 }
 
-const claimedUid = z.object({ Uid: z.string().regex(UID_FORM) });
+const claimedUid = z.object({ Uid: z.string().regex(JOB_UID_PATTERN) });
 
 /** The users' routes of one controller. */
 class UserRoutes {
@@ -88,7 +88,7 @@
     if (uid === undefined || (verb !== undefined && verb !== 'withdraw')) return;
     if (verb === undefined && ctx.method !== 'GET') return;
     if (verb === 'withdraw' && ctx.method !== 'POST') return;
-    if (!UID_FORM.test(uid)) return send(ctx, 404, { error: 'no such job' });
+    if (!JOB_UID_PATTERN.test(uid)) return send(ctx, 404, { error: 'no such job' });
     const request = { ctx, uid, arrivedAt };
     return verb === undefined ? this.#query(request) : this.#withdraw(request);
   }
@@ -101,7 +101,7 @@
       return send(ctx, 400, { error: 'body over the limit' });
     }
     const body = fromBytes(bytes);
-    const parsed = submission.safeParse(body);
+    const parsed = submissionSchema.safeParse(body);
     if (!parsed.success) return this.#malformed(ctx, body, parsed.error, arrivedAt);
     const { uid } = parsed.data;
     if (!this.#answerable(uid)) return this.#refuseWithoutStore(ctx);
--- a/src/users/job-reader.ts
+++ b/src/users/job-reader.ts
@@ -35,14 +35,14 @@
   constructor(
     client: Pick<StoreClient, 'get'>,
     private readonly cache: WatchCache,
-    private readonly linearizable: Pick<LinearizableReads, 'wait'>,
+    private readonly linearizable: Pick<LinearizableReads, 'waitUntilCurrent'>,
   ) {
     this.#finals = new SharedReads(client);
   }
 
   /** The job's final state if it is known here: that needs no read, not even in an outage. */
   knownFinal(uid: string): FinalState | undefined {
-    return this.cache.finals.get(uid);
+    return this.cache.finalStates.get(uid);
   }
 
   /**
@@ -52,7 +52,7 @@
   async read(uid: string): Promise<JobReading> {
     const before = this.knownFinal(uid);
     if (before !== undefined) return finalReading(before);
-    const currentSince = await this.linearizable.wait();
+    const currentSince = await this.linearizable.waitUntilCurrent();
     const active = this.cache.tables.activeJobs.get(uid);
     if (active !== undefined) {
       const { value: job, revision } = active;
@@ -62,7 +62,7 @@
     if (shown !== undefined) return finalReading(shown);
     const found = await this.#finals.read(key.finalState(uid));
     if ('missing' in found) return { answer: { kind: 'missing' }, currentSince };
-    return finalReading(this.cache.learnFinal(uid, found.value, found.revision));
+    return finalReading(this.cache.learnFinalState(uid, found.value, found.revision));
   }
 
   /**
--- a/src/users/jobs.ts
+++ b/src/users/jobs.ts
@@ -6,7 +6,7 @@
   SUBMIT_WAIT_MS,
   TYPE_LIST_BYTES,
 } from './constants.js';
-import { NAME_LIMIT } from '../wire/constants.js';
+import { MAX_NAME_LENGTH } from '../wire/constants.js';
 import { admit } from '../core/jobs/admission.js';
 import {
   chooseShard,
@@ -58,7 +58,7 @@
   readonly #accepting = new Map<string, Promise<Submitted>>();
 
   constructor(
-    private readonly client: Pick<StoreClient, 'compareAndSwap' | 'expectedMs'>,
+    private readonly client: Pick<StoreClient, 'compareAndSwap' | 'expectedWaitMs'>,
     private readonly cache: WatchCache,
     private readonly reader: JobReader,
     private readonly routing: Routing,
@@ -126,7 +126,7 @@
     types: ReadonlyMap<string, MachineType>,
   ): Promise<Submitted> {
     // What would only be refused after a wait is refused at once.
-    const waitMs = this.client.expectedMs(CALL_PRIORITY.acceptance);
+    const waitMs = this.client.expectedWaitMs(CALL_PRIORITY.acceptance);
     if (waitMs > SUBMIT_WAIT_MS) {
       this.#sentAway.set(spec.uid, { spec, at: this.now() });
       return { kind: 'undecided', reason: 'more submissions than can be written', waitMs };
@@ -169,7 +169,7 @@
   /** Long lists of machine types are cut to those that exist, to fit a value's size. */
   #compact(spec: JobSpec, types: ReadonlyMap<string, MachineType>): JobSpec {
     const most = Math.min(TYPE_LIST_BYTES, this.settings.valueBytes / 4);
-    if (spec.types === null || spec.types.length * NAME_LIMIT < most) return spec;
+    if (spec.types === null || spec.types.length * MAX_NAME_LENGTH < most) return spec;
     return { ...spec, types: [...new Set(spec.types)].filter((name) => types.has(name)) };
   }
 
--- a/src/wire/constants.ts
+++ b/src/wire/constants.ts
@@ -1,7 +1,7 @@
 /** Limits of the protocol's messages. */
 
 /** characters; names inside a submission end up in values of the state service, which are small. */
-export const NAME_LIMIT = 200;
+export const MAX_NAME_LENGTH = 200;
 
 /** tasks; the protocol's limit for one job. */
-export const TASKS_LIMIT = 100_000;
+export const MAX_TASKS_PER_JOB = 100_000;
--- a/src/wire/schemas.ts
+++ b/src/wire/schemas.ts
@@ -1,6 +1,6 @@
 import type { Guard, Write } from '@sumacstep/leader-election';
 import * as z from 'zod';
-import { NAME_LIMIT, TASKS_LIMIT } from './constants.js';
+import { MAX_NAME_LENGTH, MAX_TASKS_PER_JOB } from './constants.js';
 import type {
   Command,
   ExitReason,
@@ -16,9 +16,9 @@
 
 const count = z.number().int().nonnegative().max(Number.MAX_SAFE_INTEGER);
 const amount = z.number().nonnegative().max(1e9);
-const name = z.string().min(1).max(NAME_LIMIT);
+const name = z.string().min(1).max(MAX_NAME_LENGTH);
 
-export const UID_FORM = /^job-[0-9]{1,20}$/;
+export const JOB_UID_PATTERN = /^job-[0-9]{1,20}$/;
 
 const PRIORITIES = { prod: 'production', urgent: 'high', normal: 'normal', idle: 'low' } as const;
 /** `service` is not in the protocol's page; see docs/questions.md. */
@@ -44,14 +44,14 @@
 const keysOf = <K extends string>(map: Record<K, unknown>): [K, ...K[]] =>
   Object.keys(map) as [K, ...K[]];
 
-export const submission = z
+export const submissionSchema = z
   .object({
-    Uid: z.string().regex(UID_FORM),
+    Uid: z.string().regex(JOB_UID_PATTERN),
     Jobclass: name,
     Owner: name,
     Shape: z.enum(keysOf(KINDS)),
     Rank: z.enum(keysOf(PRIORITIES)),
-    Pieces: z.number().int().min(1).max(TASKS_LIMIT),
+    Pieces: z.number().int().min(1).max(MAX_TASKS_PER_JOB),
     Vcpus: amount,
     Cards: amount,
     MemGb: amount,
@@ -112,7 +112,7 @@
 };
 
 /** One conversion for the whole report: a step for each of its tasks costs more than all the rest. */
-export const report = z
+export const heartbeatSchema = z
   .object({
     Host: name,
     Address: name,
@@ -145,7 +145,7 @@
   return { Verb: 'reap', ...piece };
 };
 
-export const answerBody = (token: number, commands: readonly Command[]): unknown => ({
+export const heartbeatResponseBody = (token: number, commands: readonly Command[]): unknown => ({
   Mandate: token,
   Orders: commands.map(order),
 });
@@ -164,7 +164,7 @@
     : { Uid: uid, Status: status, done, running: running ?? 0 };
 
 // --- cloud ---
-export const machineTypes = z.object({
+export const machineTypesSchema = z.object({
   Hosttypes: z.array(
     z
       .object({
@@ -208,7 +208,7 @@
   Reclaimable: r.spot,
   Number: r.count,
 });
-export const rented = z.object({ Hosts: z.array(name) });
+export const rentedSchema = z.object({ Hosts: z.array(name) });
 export const returnBody = (machines: readonly string[]): unknown => ({ Hosts: machines });
 
 export interface ListedMachine {
@@ -220,7 +220,7 @@
   readonly status: string;
   readonly ageS: number;
 }
-export const machineList = z.object({
+export const machineListSchema = z.object({
   Hosts: z.array(
     z
       .object({
@@ -247,25 +247,25 @@
 
 // --- state service ---
 const revision = z.number().int().nonnegative();
-export const entry = z.object({
+export const entrySchema = z.object({
   K: z.string(),
   Value: z.unknown().optional(),
   Stamp: revision,
   Permit: z.number().nullish(),
 });
-export const missing = z.object({ Epoch: revision });
-export const entries = z.object({
-  Entries: z.array(entry),
+export const missingSchema = z.object({ Epoch: revision });
+export const listingSchema = z.object({
+  Entries: z.array(entrySchema),
   Truncated: z.boolean().nullish(),
   Epoch: revision,
 });
-export const committed = z.object({ Epoch: revision });
-export const conflict = z.object({
+export const committedSchema = z.object({ Epoch: revision });
+export const conflictSchema = z.object({
   failed: z.array(z.string()).nullish(),
   Epoch: revision.nullish(),
 });
-export const lease = z.object({ Permit: z.number() });
-export const news = z.object({
+export const leaseSchema = z.object({ Permit: z.number() });
+export const watchSchema = z.object({
   Epoch: revision,
   News: z.array(
     z.object({
--- a/src/workers/heartbeats.ts
+++ b/src/workers/heartbeats.ts
@@ -1,8 +1,13 @@
 import type Koa from 'koa';
 import type { Command, Heartbeat } from '../core/model.js';
-import { CborClient, NoResponseError, readBody, reply as send } from '../transport/http.js';
+import { CborClient, NoResponseError, readBody, sendCbor as send } from '../transport/http.js';
 import { fromBytes, WireError } from '../wire/cbor.js';
-import { answerBody, commandsBody, redirectBody, report as reportSchema } from '../wire/schemas.js';
+import {
+  heartbeatResponseBody,
+  commandsBody,
+  redirectBody,
+  heartbeatSchema as reportSchema,
+} from '../wire/schemas.js';
 import { COMMAND_MS } from './constants.js';
 
 export type HeartbeatReply =
@@ -40,7 +45,8 @@
     }
     if (parsed === null || !parsed.success) return send(ctx, 400, { error: 'no report' });
     const reply = handleHeartbeat(parsed.data);
-    if (reply.kind === 'answer') send(ctx, 200, answerBody(reply.fencingToken, reply.commands));
+    if (reply.kind === 'answer')
+      send(ctx, 200, heartbeatResponseBody(reply.fencingToken, reply.commands));
     else if (reply.kind === 'redirect') send(ctx, 421, redirectBody(reply.node));
     else send(ctx, 503, { error: 'not now' });
   };
--- a/test/budget.test.ts
+++ b/test/budget.test.ts
@@ -5,7 +5,7 @@
 import { Completions } from '../src/shards/completions.js';
 import type { PlatformConfig } from '../src/config/platform.js';
 import { MACHINES_MS, PROGRESS_MS, SAVE_MS } from '../src/shards/constants.js';
-import { HELD_READ_MS } from '../src/store/constants.js';
+import { HELD_WATCH_MS } from '../src/store/constants.js';
 import { MachineRecords } from '../src/shards/machine-records.js';
 import { encodeDone } from '../src/core/jobs/jobs.js';
 import { StoreRequestError, type CompareAndSwapResult } from '../src/store/store-client.js';
@@ -39,9 +39,9 @@
   };
   const show = (changes: [string, unknown][]): void => {
     cache.apply({
-      fresh: true,
-      epoch,
-      whole: epoch,
+      isListing: true,
+      revision: epoch,
+      consistentFrom: epoch,
       changes: changes.map(([key, value], i) => ({ key, value, revision: i + 1, removed: false })),
     });
   };
@@ -51,8 +51,8 @@
 test('a wave of boots costs one write, and so does one of returns', async () => {
   const { cache, written, client, show } = scene();
   const names = Array.from({ length: 50 }, (_, i) => `m${i}`);
-  const hosts = new Map(names.map((n) => [n, false]));
-  const group = { shard: 0, term: 1, type: 'm', zone: 'z', spot: false, hosts };
+  const machines = new Map(names.map((n) => [n, false]));
+  const group = { shard: 0, term: 1, type: 'm', zone: 'z', spot: false, machines };
   show([['machines/rental-1', encodeMachineGroup(group)]]);
   const store = new Store().add(...names.map((n) => machine(n, { up: false })));
   const shard = shardWith(store);
@@ -109,7 +109,7 @@
     [1],
     'one value for thirty ranges',
   );
-  assert.ok(uids.every((uid) => cache.done(0, uid, 0) === '8'));
+  assert.ok(uids.every((uid) => cache.completedTasks(0, uid, 0) === '8'));
   assert.ok(uids.every((uid) => shard.jobs.get(uid)!.saved.has(0)));
 
   for (const i of [1, 2, 3]) finish(uids[0]!, i);
@@ -130,29 +130,30 @@
   const client = {
     get: () => {
       reads += 1;
-      return Promise.resolve({ missing: true as const, epoch: present });
+      return Promise.resolve({ missing: true as const, storeRevision: present });
     },
   };
   const linearizable = new LinearizableReads(client, cache, () => now);
   const ask = (count: number) => {
     let answered = 0;
-    for (let i = 0; i < count; i++) void linearizable.wait().then(() => (answered += 1));
+    for (let i = 0; i < count; i++)
+      void linearizable.waitUntilCurrent().then(() => (answered += 1));
     return () => answered;
   };
   // The feed's next read serves everybody who asked before it began, and nobody else.
   const early = ask(200);
   now = 10;
   const late = ask(1);
-  cache.apply({ fresh: false, epoch: 10, changes: [], began: 5 });
+  cache.apply({ isListing: false, revision: 10, changes: [], readStartedAt: 5 });
   await sleep(0);
   assert.deepEqual([early(), late(), reads], [200, 0, 0]);
   // While the feed's read is held one small read tells the epoch; the cache must then reach it.
-  linearizable.reading(10);
-  now = 10 + HELD_READ_MS;
+  linearizable.onReadState(10);
+  now = 10 + HELD_WATCH_MS;
   present = 12;
-  await sleep(3 * HELD_READ_MS);
+  await sleep(3 * HELD_WATCH_MS);
   assert.deepEqual([late(), reads], [0, 1], 'the mirror is behind');
-  cache.apply({ fresh: false, epoch: 12, changes: [], began: 0 });
+  cache.apply({ isListing: false, revision: 12, changes: [], readStartedAt: 0 });
   await sleep(0);
   assert.deepEqual([late(), reads], [1, 1]);
   linearizable.close();
@@ -174,7 +175,7 @@
   };
   const show = () => {
     const changes = [...values].map(([key, v]) => ({ key, ...v, removed: false }));
-    cache.apply({ fresh: false, epoch, changes });
+    cache.apply({ isListing: false, revision: epoch, changes });
   };
   const lost: (() => CompareAndSwapResult)[] = [];
   let losing = false;
@@ -209,7 +210,10 @@
   show();
   for (const late of lost) late();
   show();
-  assert.equal(cache.done(0, 'job-000001', 0), encodeDone({ from: 0, to: 3 }, new Set([0, 1])));
+  assert.equal(
+    cache.completedTasks(0, 'job-000001', 0),
+    encodeDone({ from: 0, to: 3 }, new Set([0, 1])),
+  );
   // The other way round: the late one comes first, and the newer one is repeated on what it left.
   losing = true;
   await save(2);
@@ -231,7 +235,7 @@
     ['a hire of another kind is open', [['hires/1/n-1', { ...rental, zone: 'y' }]], true],
     [
       'the hire has recorded it just now',
-      [['machines/n-1', encodeMachineGroup({ ...group, hosts: new Map([['x', false]]) })]],
+      [['machines/n-1', encodeMachineGroup({ ...group, machines: new Map([['x', false]]) })]],
       false,
     ],
   ];
--- a/test/linearizable-reads.test.ts
+++ b/test/linearizable-reads.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { setImmediate as turn, setTimeout as sleep } from 'node:timers/promises';
-import { HELD_READ_MS, READ_GATHER_MS } from '../src/store/constants.js';
+import { HELD_WATCH_MS, READ_BATCH_WINDOW_MS } from '../src/store/constants.js';
 import type { Found } from '../src/store/store-client.js';
 import { key } from '../src/store/keys.js';
 import { LinearizableReads } from '../src/store/linearizable-reads.js';
@@ -24,26 +24,32 @@
   }
 
   listing(epoch: number, began: number, whole = epoch): void {
-    this.cache.apply({ fresh: true, changes: [], epoch, whole, began });
+    this.cache.apply({
+      isListing: true,
+      changes: [],
+      revision: epoch,
+      consistentFrom: whole,
+      readStartedAt: began,
+    });
   }
 
   news(epoch: number, began: number): void {
-    this.cache.apply({ fresh: false, changes: [], epoch, began });
+    this.cache.apply({ isListing: false, changes: [], revision: epoch, readStartedAt: began });
   }
 
   ask(): void {
-    void this.reads.wait().then((since) => (this.shownSince = since));
+    void this.reads.waitUntilCurrent().then((since) => (this.shownSince = since));
   }
 
   /** A read of the watch is held for long enough that a probe is sent. */
   async heldUntilProbe(): Promise<void> {
-    this.reads.reading(this.now);
-    this.now += HELD_READ_MS;
-    while (this.probes.length === 0) await sleep(HELD_READ_MS / 4);
+    this.reads.onReadState(this.now);
+    this.now += HELD_WATCH_MS;
+    while (this.probes.length === 0) await sleep(HELD_WATCH_MS / 4);
   }
 
   answerProbe(epoch: number): void {
-    this.probes.shift()!({ missing: true, epoch });
+    this.probes.shift()!({ missing: true, storeRevision: epoch });
   }
 }
 
@@ -138,12 +144,12 @@
     scene.ask();
     await scene.heldUntilProbe();
     let second: number | null = null;
-    void scene.reads.wait().then((since) => (second = since));
+    void scene.reads.waitUntilCurrent().then((since) => (second = since));
     scene.answerProbe(10);
     await turn();
     assert.equal(scene.shownSince, 100);
     assert.equal(second, null);
-    while (scene.probes.length === 0) await sleep(HELD_READ_MS / 4);
+    while (scene.probes.length === 0) await sleep(HELD_WATCH_MS / 4);
     scene.answerProbe(10);
     await turn();
     assert.equal(second, scene.now);
@@ -157,12 +163,12 @@
   const reads = new SharedReads({ get });
   const name = key.finalState('job-000001');
   const early = [reads.read(name), reads.read(name)];
-  await sleep(READ_GATHER_MS * 3);
+  await sleep(READ_BATCH_WINDOW_MS * 3);
   assert.equal(answers.length, 1, 'both left as one');
   const late = reads.read(name);
-  await sleep(READ_GATHER_MS * 3);
+  await sleep(READ_BATCH_WINDOW_MS * 3);
   assert.equal(answers.length, 2, 'the third came after they had left');
-  answers[0]!({ missing: true, epoch: 1 });
+  answers[0]!({ missing: true, storeRevision: 1 });
   answers[1]!({ key: name, value: 1, revision: 2 });
   for (const found of await Promise.all(early)) assert.ok('missing' in found);
   assert.ok(!('missing' in (await late)));
--- a/test/move-candidates.test.ts
+++ b/test/move-candidates.test.ts
@@ -64,7 +64,7 @@
   const group = (hosts: string[]) =>
     encodeMachineGroup({
       ...machine('x', { shard: 0, term: 1 }),
-      hosts: new Map(hosts.map((n) => [n, true])),
+      machines: new Map(hosts.map((n) => [n, true])),
     });
   const put = (key: string, value: unknown, revision: number) => ({
     key,
@@ -73,7 +73,7 @@
     removed: false,
   });
   const changes = [put('machines/g', group(['x', 'y']), 5), put('machines/h', group(['z']), 6)];
-  cache.apply({ fresh: true, epoch: 9, whole: 9, changes });
+  cache.apply({ isListing: true, revision: 9, consistentFrom: 9, changes });
   const sent: { guards: readonly Guard[]; writes: readonly Write[] }[] = [];
   const client = {
     compareAndSwap: (_cls: unknown, guards: readonly Guard[], writes: readonly Write[]) => {
--- a/test/quotas.test.ts
+++ b/test/quotas.test.ts
@@ -78,7 +78,7 @@
   const world = { most: 0, now: 0 };
   const show = (target = cache) => {
     const changes = [...values].map(([key, v]) => ({ key, ...v, removed: false }));
-    target.apply({ fresh: true, epoch, whole: epoch, changes });
+    target.apply({ isListing: true, revision: epoch, consistentFrom: epoch, changes });
   };
   const client = {
     compareAndSwap: (
@@ -119,7 +119,7 @@
     show(fresh);
     const out = new Set<number>();
     for (const r of fresh.tables.activeJobs.get(uid)!.value.ranges) {
-      const bits = fresh.done(r.shard, uid, r.from);
+      const bits = fresh.completedTasks(r.shard, uid, r.from);
       if (bits !== undefined) for (const i of decodeDone(r, bits)) out.add(i);
     }
     return out;
@@ -225,8 +225,8 @@
         revision: n + 1,
         removed: false,
       }));
-      cache.apply({ fresh: true, epoch: 9, whole: 9, changes });
-      assert.equal(cache.done(0, 'job-1', 0), either);
+      cache.apply({ isListing: true, revision: 9, consistentFrom: 9, changes });
+      assert.equal(cache.completedTasks(0, 'job-1', 0), either);
     }
   }
 });
@@ -289,7 +289,7 @@
     ];
     for (const [name, writes, conditions, fits] of edges) {
       const guards = Array.from({ length: conditions }, (_, i) => ({ key: `k${i}`, revision: 0 }));
-      const sent = client.compareAndSwap(CALL_PRIORITY.rest, guards, writes).then(
+      const sent = client.compareAndSwap(CALL_PRIORITY.background, guards, writes).then(
         () => true,
         (e: unknown) => {
           assert.ok(e instanceof StoreRequestError && e.kind === 'invalid', name);
@@ -303,7 +303,7 @@
     state.limits = { ...state.limits, valueBytes: 50 };
     const logged = errors.length;
     for (let i = 0; i < 3; i++) {
-      await assert.rejects(client.compareAndSwap(CALL_PRIORITY.rest, [], [put('z', 80)]), {
+      await assert.rejects(client.compareAndSwap(CALL_PRIORITY.background, [], [put('z', 80)]), {
         kind: 'invalid',
       });
     }
@@ -314,7 +314,7 @@
     const began = Date.now();
     for (let i = 0; Date.now() - began < 4000; i++) {
       await client
-        .compareAndSwap(CALL_PRIORITY.rest, [], [put(`w${i}`, 9)])
+        .compareAndSwap(CALL_PRIORITY.background, [], [put(`w${i}`, 9)])
         .catch(() => (refused += 1));
     }
     assert.ok(state.refused.rate >= 1, 'the fall was noticed');
--- a/test/shard-controller.test.ts
+++ b/test/shard-controller.test.ts
@@ -52,7 +52,7 @@
     get: (name: string) => {
       if (world.current !== null) return Promise.resolve(world.current);
       const item = cache.tables.activeJobs.get(name.slice('active/'.length));
-      if (item === undefined) return Promise.resolve({ missing: true as const, epoch: 0 });
+      if (item === undefined) return Promise.resolve({ missing: true as const, storeRevision: 0 });
       return Promise.resolve({
         key: name,
         value: encodeJob(item.value),
@@ -96,9 +96,9 @@
     removed: false,
   });
   cache.apply({
-    fresh: true,
-    epoch: 20,
-    whole: 20,
+    isListing: true,
+    revision: 20,
+    consistentFrom: 20,
     changes: [
       put('term', 5, 10),
       put('parts/0', { owner: 'n0', incarnation: 'a', term: 4 }, 9),
@@ -107,7 +107,7 @@
       put('nodes/n1/b', { incarnation: 'b' }, 11),
       put(
         'machines/g',
-        encodeMachineGroup({ ...machine('x', { shard: 1, term: 5 }), hosts: X_UP }),
+        encodeMachineGroup({ ...machine('x', { shard: 1, term: 5 }), machines: X_UP }),
         12,
       ),
       put('active/job-000001', encodeJob(job({}, 5, 1)), 13),
@@ -149,7 +149,7 @@
   s.shardController.tick();
   await settle();
   assert.equal(s.cache.tables.shards.get('1')?.value.term, 6);
-  s.cache.apply({ fresh: false, changes: [], epoch: 60 });
+  s.cache.apply({ isListing: false, changes: [], revision: 60 });
   s.shardController.tick();
   assert.equal(s.shardController.owned.get(1)?.shard.term, 6);
   assert.equal(
@@ -165,8 +165,8 @@
   s.shardController.tick();
   assert.equal(s.shardController.owned.has(1), false);
   s.cache.apply({
-    fresh: false,
-    epoch: 21,
+    isListing: false,
+    revision: 21,
     changes: [
       {
         key: 'parts/1',
@@ -266,9 +266,9 @@
   ]);
   // A listing or a change from before the cancellation does not bring the job back.
   s.cache.apply({
-    fresh: true,
-    epoch: 30,
-    whole: 30,
+    isListing: true,
+    revision: 30,
+    consistentFrom: 30,
     changes: [
       {
         key: 'active/job-000001',
@@ -279,7 +279,7 @@
     ],
   });
   assert.equal(s.cache.tables.activeJobs.has('job-000001'), false);
-  assert.equal(s.cache.finals.get('job-000001')?.status, 'cancelled');
+  assert.equal(s.cache.finalStates.get('job-000001')?.status, 'cancelled');
 });
 
 let lostValue: unknown = null;
@@ -303,7 +303,7 @@
 
   const good = await stuck(() => ({ ok: true, epoch: 50 }));
   assert.deepEqual(ranges(good), moved);
-  good.cache.apply({ fresh: false, changes: [], epoch: 50 });
+  good.cache.apply({ isListing: false, changes: [], revision: 50 });
   good.shardController.tick();
   assert.equal(good.shardController.owned.get(1)?.shard.jobs.size, 0, 'gone from here');
   assert.equal(good.shardController.owned.get(0)?.shard.waiting(0, 0), 1, 'and waits there');
@@ -341,7 +341,7 @@
   s.world.lessAllocated = 0;
   // The other node is away, or it would get its shard back meanwhile.
   const away = { key: 'nodes/n1/b', value: undefined, revision: 21, removed: true };
-  s.cache.apply({ fresh: false, epoch: 21, changes: [away] });
+  s.cache.apply({ isListing: false, revision: 21, changes: [away] });
   s.shardController.tick();
   const passes = () =>
     s.world.written.flat().filter((w) => 'put' in w && w.put === 'active/job-000001').length;
@@ -382,8 +382,8 @@
   const value = encodeJob(job({ uid }, 5, 1));
   const final = { status: 'cancelled', tasks: 1, done: 0 };
   cache.apply({
-    fresh: false,
-    epoch: 22,
+    isListing: false,
+    revision: 22,
     changes: [
       { key: name, value, revision: 21, removed: false },
       { key: name, value: undefined, revision: 22, removed: true },
--- a/test/standins/server.ts
+++ b/test/standins/server.ts
@@ -1,6 +1,6 @@
 import { createServer, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
-import { collect } from '../../src/transport/http.js';
+import { readStream } from '../../src/transport/http.js';
 import { fromBytes, toBytes } from '../../src/wire/cbor.js';
 
 export interface Request {
@@ -21,7 +21,7 @@
   async listen(handle: (request: Request) => Reply | Promise<Reply>): Promise<void> {
     const server = createServer((req, res) => {
       void (async () => {
-        const bytes = await collect(req, Infinity);
+        const bytes = await readStream(req, Infinity);
         const url = new URL(req.url ?? '/', 'http://stand-in');
         const body = bytes === null || bytes.length === 0 ? null : fromBytes(bytes);
         const path = decodeURIComponent(url.pathname);
--- a/test/standins/user-node.ts
+++ b/test/standins/user-node.ts
@@ -102,11 +102,11 @@
     const client = {
       compareAndSwap: (_class: unknown, guards: readonly Guard[], writes: readonly Write[]) =>
         this.#compareAndSwap(guards, writes),
-      expectedMs: () => 0,
+      expectedWaitMs: () => 0,
     };
     const linearizable = {
-      wait: () => {
-        const shown = this.#reads.wait();
+      waitUntilCurrent: () => {
+        const shown = this.#reads.waitUntilCurrent();
         this.#follow();
         return shown;
       },
@@ -179,7 +179,7 @@
     const item = this.state.items.get(key);
     const epoch = this.state.epoch;
     await this.readAnswer.pass();
-    if (item === undefined) return { missing: true, epoch };
+    if (item === undefined) return { missing: true, storeRevision: epoch };
     return { key, value: item.value, revision: item.revision };
   }
 
@@ -207,7 +207,13 @@
     });
     await this.feedAnswer.pass();
     const cached = changes.filter(({ key }) => !key.startsWith('final/'));
-    this.cache.apply({ fresh: true, changes: cached, epoch, whole: epoch, began });
+    this.cache.apply({
+      isListing: true,
+      changes: cached,
+      revision: epoch,
+      consistentFrom: epoch,
+      readStartedAt: began,
+    });
   }
 
   /** Reads the watch until everybody who waits has had a read that began after they came. */
@@ -227,9 +233,9 @@
   /** One read of the watch. */
   async follow(): Promise<void> {
     const began = steadyMs();
-    this.#reads.reading(began);
+    this.#reads.onReadState(began);
     await this.feedRequest.pass();
-    const query = new URLSearchParams({ Since: String(this.cache.epoch), BlockMs: '0' });
+    const query = new URLSearchParams({ Since: String(this.cache.revision), BlockMs: '0' });
     const request = { method: 'GET', path: '/follow', query, body: null };
     const reply = await this.state.handle(request);
     if (reply === 'hang') throw new Error('the stand-in answers every watch');
@@ -241,8 +247,8 @@
       value: n.Value,
       removed: n.Drop !== undefined,
     }));
-    this.#reads.reading(null);
-    this.cache.apply({ fresh: false, changes, epoch, began });
+    this.#reads.onReadState(null);
+    this.cache.apply({ isListing: false, changes, revision: epoch, readStartedAt: began });
   }
 
   close(): void {
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -8,10 +8,10 @@
 import { StatusDecoder, StatusEncoder, type PeerStatus } from '../src/peers/frames.js';
 import {
   decodeJob,
-  decodeFinal,
+  decodeFinalState,
   decoders,
   encodeJob,
-  encodeDoneSlot,
+  encodeCompletions,
   encodeMachineGroup,
   prefixOf,
 } from '../src/store/keys.js';
@@ -82,7 +82,7 @@
   let seen = 0;
   for (const [key, value] of Object.entries(OLD.values)) {
     if (key.startsWith('final/')) {
-      assert.deepEqual(decodeFinal(value), value, key);
+      assert.deepEqual(decodeFinalState(value), value, key);
       continue;
     }
     const prefix = prefixOf(key);
@@ -92,7 +92,7 @@
     seen += 1;
     if (prefix === 'active/') assert.deepEqual(encodeJob(decodeJob(id, value)), value, key);
     if (prefix === 'machines/') assert.deepEqual(encodeMachineGroup(known as never), value, key);
-    if (prefix === 'done/') assert.deepEqual(encodeDoneSlot(known as never), value, key);
+    if (prefix === 'done/') assert.deepEqual(encodeCompletions(known as never), value, key);
     CONTRACT[prefix]!.parse(value);
   }
   assert.ok(seen >= 9);
@@ -134,11 +134,11 @@
     revision: i + 1,
     removed: false,
   }));
-  cache.apply({ fresh: true, epoch: 50, whole: 50, changes });
+  cache.apply({ isListing: true, revision: 50, consistentFrom: 50, changes });
   const store = new Store();
   for (const { value } of cache.tables.activeJobs.values()) store.add(value);
   for (const { value } of cache.machines.values()) store.add({ ...value, shard: 0 });
-  const bits = cache.done(0, 'job-000001', 0);
+  const bits = cache.completedTasks(0, 'job-000001', 0);
   assert.ok(bits !== undefined);
   store.bits.set('job-000001/0', bits);
   // The shard was the old version's; what it may have started waits for its machines' answers.
--- a/test/watch-cache.test.ts
+++ b/test/watch-cache.test.ts
@@ -20,7 +20,7 @@
  * job of such a key was active again in that cache, for good (docs/incidents/2026-12-02-went-back.md).
  */
 const UID = 'job-000001';
-const GROUP = { ...machine('x'), hosts: new Map([['x', true]]) };
+const GROUP = { ...machine('x'), machines: new Map([['x', true]]) };
 /** a value for each kind of key */
 const VALUES: readonly (readonly [name: string, value: unknown])[] = [
   [key.activeJob(UID), encodeJob(job())],
@@ -39,10 +39,10 @@
   return { key: name, value: undefined, revision, removed: true };
 };
 const listing = (epoch: number, changes: readonly Change[], whole = epoch): WatchBatch => {
-  return { fresh: true, epoch, whole, changes };
+  return { isListing: true, revision: epoch, consistentFrom: whole, changes };
 };
 const news = (epoch: number, changes: readonly Change[]): WatchBatch => {
-  return { fresh: false, epoch, changes };
+  return { isListing: false, revision: epoch, changes };
 };
 
 /** Keys that the cache shows, with their revisions. */
@@ -130,8 +130,8 @@
   cache.apply(listing(1, []));
   cache.apply(news(3, [put(key.finalState(UID), { status: 'done', tasks: 1, done: 1 }, 3)]));
   cache.learnCancelled({ uid: UID, tasks: 1, done: 0, epoch: 4 });
-  cache.learnFinal(UID, FINAL, 4);
-  assert.equal(cache.finals.get(UID)?.status, 'done');
+  cache.learnFinalState(UID, FINAL, 4);
+  assert.equal(cache.finalStates.get(UID)?.status, 'done');
 });
 
 /** The state service as it is, with all that ever happened to each key. */
@@ -253,7 +253,7 @@
     else if (this.#random(8) === 0) {
       this.#listed = { prefixes: 0, first: Infinity, whole: 0, changes: [] };
     } else {
-      this.#feed = news(this.#store.epoch, this.#store.since(this.#cache.epoch));
+      this.#feed = news(this.#store.epoch, this.#store.since(this.#cache.revision));
     }
   }
 
@@ -274,7 +274,7 @@
   }
 
   #check(step: number): void {
-    const { epoch } = this.#cache;
+    const { revision: epoch } = this.#cache;
     const present = shown(this.#cache);
     for (const [name, revision] of present) {
       const covered = this.#store.at(name, epoch);
@@ -295,7 +295,7 @@
     }
     const hosts = this.#cache.tables.machineGroups.has('g') ? ['x'] : [];
     assert.deepEqual([...this.#cache.machines.keys()], hosts, `step ${step}: machines by name`);
-    for (const [uid, { status }] of this.#cache.finals) {
+    for (const [uid, { status }] of this.#cache.finalStates) {
       const stored = this.#store.at(key.finalState(uid), this.#store.epoch)?.value as typeof FINAL;
       assert.equal(status, stored.status, `step ${step}: ${uid}`);
     }
--- a/test/wire.test.ts
+++ b/test/wire.test.ts
@@ -1,7 +1,12 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { fromBytes, toBytes, WireError } from '../src/wire/cbor.js';
-import { answerBody, news, report, submission } from '../src/wire/schemas.js';
+import {
+  heartbeatResponseBody,
+  watchSchema,
+  heartbeatSchema,
+  submissionSchema,
+} from '../src/wire/schemas.js';
 
 const GOOD = {
   Uid: 'job-000412',
@@ -45,9 +50,9 @@
     ['infinity', { GuessS: Infinity }, false],
   ];
   for (const [name, over, good] of cases) {
-    assert.equal(submission.safeParse({ ...GOOD, ...over }).success, good, name);
+    assert.equal(submissionSchema.safeParse({ ...GOOD, ...over }).success, good, name);
   }
-  assert.equal(submission.safeParse([]).success, false, 'not a map');
+  assert.equal(submissionSchema.safeParse([]).success, false, 'not a map');
 });
 
 test('CBOR: bytes that are none of the protocol', () => {
@@ -65,7 +70,7 @@
 });
 
 test('reports: the words of the wire become those of the model', () => {
-  const parsed = report.parse({
+  const parsed = heartbeatSchema.parse({
     Host: 'vm-1',
     Address: 'a:1',
     Hosttype: 'g8',
@@ -94,7 +99,7 @@
 test('orders: the verbs of the wire', () => {
   const task = { uid: 'job-1', index: 4, attempt: 2 };
   assert.deepEqual(
-    answerBody(41, [
+    heartbeatResponseBody(41, [
       { op: 'start', ...task },
       { op: 'stop', ...task, graceS: 10 },
       { op: 'forget', ...task },
@@ -112,6 +117,6 @@
 
 // The first feed stood still from the first finished job on: removals carry no value.
 test('changes: a removal has no value', () => {
-  const parsed = news.parse({ Epoch: 433, News: [{ Drop: 'c/d', Stamp: 432 }] });
+  const parsed = watchSchema.parse({ Epoch: 433, News: [{ Drop: 'c/d', Stamp: 432 }] });
   assert.equal(parsed.News[0]?.Drop, 'c/d');
 });
