--- a/src/service/socket-budget.ts
+++ b/src/service/socket-budget.ts
@@ -1,13 +1,13 @@
 import type { Server, ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
-import { CLOUD_SOCKETS } from '../cloud/constants.js';
+import { MAX_CLOUD_SOCKETS } from '../cloud/constants.js';
 import {
   CLOSE_AFTER_RESPONSE_SHARE,
   DIRECT_COMMAND_SOCKET_SHARE,
   PEER_SOCKETS,
   RESERVED_SOCKETS,
 } from './constants.js';
-import { STORE_SOCKETS } from '../store/constants.js';
+import { MAX_STORE_SOCKETS } from '../store/constants.js';
 
 /**
  * Inbound connections of a server. Workers and users keep theirs open, and one survivor may have more workers
@@ -46,6 +46,7 @@
 /** What each use may have of the sockets that the platform allows this process. */
 export const socketBudget = (maxConnections: number, peers: number): SocketBudget => {
   const direct = Math.max(1, Math.floor(maxConnections * DIRECT_COMMAND_SOCKET_SHARE));
-  const others = direct + STORE_SOCKETS + CLOUD_SOCKETS + peers * PEER_SOCKETS + RESERVED_SOCKETS;
+  const others =
+    direct + MAX_STORE_SOCKETS + MAX_CLOUD_SOCKETS + peers * PEER_SOCKETS + RESERVED_SOCKETS;
   return { direct, inbound: Math.max(1, maxConnections - others) };
 };
--- a/src/workers/heartbeats.ts
+++ b/src/workers/heartbeats.ts
@@ -1,8 +1,13 @@
 import type Koa from 'koa';
 import type { Command, Heartbeat } from '../core/model.js';
-import { CborClient, NoResponseError, readBody, reply as send } from '../transport/http.js';
+import { CborClient, NoResponseError, readBody, sendCbor as send } from '../transport/http.js';
 import { fromBytes, WireError } from '../wire/cbor.js';
-import { answerBody, commandsBody, redirectBody, report as reportSchema } from '../wire/schemas.js';
+import {
+  commandsBody,
+  heartbeatResponseBody,
+  heartbeatSchema,
+  redirectBody,
+} from '../wire/schemas.js';
 import { DIRECT_COMMAND_TIMEOUT_MS } from './constants.js';
 
 export type HeartbeatReply =
@@ -33,14 +38,15 @@
     const bytes = await readBody(ctx.req);
     let parsed;
     try {
-      parsed = bytes === null ? null : reportSchema.safeParse(fromBytes(bytes));
+      parsed = bytes === null ? null : heartbeatSchema.safeParse(fromBytes(bytes));
     } catch (error) {
       if (!(error instanceof WireError)) throw error;
       parsed = null;
     }
     if (parsed === null || !parsed.success) return send(ctx, 400, { error: 'no report' });
     const reply = handleHeartbeat(parsed.data);
-    if (reply.kind === 'answer') send(ctx, 200, answerBody(reply.fencingToken, reply.commands));
+    if (reply.kind === 'answer')
+      send(ctx, 200, heartbeatResponseBody(reply.fencingToken, reply.commands));
     else if (reply.kind === 'redirect') send(ctx, 421, redirectBody(reply.node));
     else send(ctx, 503, { error: 'not now' });
   };
@@ -64,7 +70,7 @@
   try {
     const body = commandsBody(fencingToken, agentEpoch, commands);
     const answer = await client.call('POST', '/commands', body, DIRECT_COMMAND_TIMEOUT_MS);
-    const parsed = reportSchema.safeParse(answer.body);
+    const parsed = heartbeatSchema.safeParse(answer.body);
     if (!parsed.success) return { kind: 'in_doubt' };
     return { kind: 'answered', executed: answer.status === 200, heartbeat: parsed.data };
   } catch (error) {
