--- a/packages/leader-election/src/authorization.ts
+++ b/packages/leader-election/src/authorization.ts
@@ -1,25 +1,25 @@
 import type { FencingToken } from './fencing-token.js';
-import type { Refusals, RefusedBy } from './refusals.js';
+import type { FencingRejections, RejectedBy } from './fencing-rejections.js';
 import type { Guard, CompareAndSwapResult, CompareAndSwapStore, Write } from './store.js';
 
 /** An order did not leave, because its holder might no longer be entitled to give it. */
-export class NotEntitledError extends Error {
+export class NotLeaderError extends Error {
   constructor(
-    readonly duty: string,
-    readonly token: FencingToken,
+    readonly role: string,
+    readonly fencingToken: FencingToken,
   ) {
-    super(`${duty}: tenure ${token} is over or in doubt`);
+    super(`${role}: tenure ${fencingToken} is over or in doubt`);
   }
 }
 
 /** One tenure of a duty, as its holder knows it. */
-export interface Tenure {
-  readonly duty: string;
-  readonly token: FencingToken;
+export interface Leadership {
+  readonly role: string;
+  readonly fencingToken: FencingToken;
   /** the record that names the holder, at the revision of this tenure */
-  readonly condition: Guard;
+  readonly guard: Guard;
   /** whether this process is provably still the holder, at the moment of the call */
-  readonly holds: () => boolean;
+  readonly isCurrent: () => boolean;
 }
 
 /**
@@ -27,43 +27,43 @@
  * compile. It does not end by itself: it is checked again when an order leaves.
  */
 export class Authorization {
-  readonly #tenure: Tenure;
-  readonly #refusals: Refusals;
+  readonly #leadership: Leadership;
+  readonly #rejections: FencingRejections;
 
-  constructor(tenure: Tenure, refusals: Refusals) {
-    this.#tenure = tenure;
-    this.#refusals = refusals;
+  constructor(leadership: Leadership, rejections: FencingRejections) {
+    this.#leadership = leadership;
+    this.#rejections = rejections;
   }
 
-  get duty(): string {
-    return this.#tenure.duty;
+  get role(): string {
+    return this.#leadership.role;
   }
 
-  get token(): FencingToken {
-    return this.#tenure.token;
+  get fencingToken(): FencingToken {
+    return this.#leadership.fencingToken;
   }
 
   /** What every write under this authorization depends on. */
-  get condition(): Guard {
-    return this.#tenure.condition;
+  get guard(): Guard {
+    return this.#leadership.guard;
   }
 
   /** Whether an order may leave now. */
-  holds(): boolean {
-    return this.#tenure.holds();
+  isValid(): boolean {
+    return this.#leadership.isCurrent();
   }
 
-  /** To be called at the moment of sending; throws `NotEntitledError` and notes the refusal. */
-  ensureHeld(): void {
-    if (this.holds()) return;
-    this.refused('sender');
-    throw new NotEntitledError(this.duty, this.token);
+  /** To be called at the moment of sending; throws `NotLeaderError` and notes the refusal. */
+  ensureValid(): void {
+    if (this.isValid()) return;
+    this.recordRejection('sender');
+    throw new NotLeaderError(this.role, this.fencingToken);
   }
 
   /** Notes that an order was refused, by somebody who may have told a newer token. */
-  refused(refusedBy: RefusedBy, newerToken: number | null = null): void {
-    const { duty, token } = this;
-    this.#refusals.note({ duty, token, refusedBy }, newerToken);
+  recordRejection(rejectedBy: RejectedBy, newerToken: number | null = null): void {
+    const { role, fencingToken } = this;
+    this.#rejections.record({ role, token: fencingToken, rejectedBy }, newerToken);
   }
 }
 
@@ -75,9 +75,9 @@
   guards: readonly Guard[],
   writes: readonly Write[],
 ): Promise<CompareAndSwapResult> => {
-  const { condition } = authorization;
+  const { guard: condition } = authorization;
   const outcome = await store.compareAndSwap(urgency, [condition, ...guards], writes);
-  if (!outcome.ok && outcome.failed.includes(condition.key)) authorization.refused('store');
+  if (!outcome.ok && outcome.failed.includes(condition.key)) authorization.recordRejection('store');
   return outcome;
 };
 
--- a/packages/leader-election/src/refusals.ts
+++ b/packages/leader-election/src/fencing-rejections.ts
@@ -8,18 +8,18 @@
 }
 
 /** Who refused an order of a holder: the store, a machine, or the check at the moment of sending. */
-export type RefusedBy = 'store' | 'machine' | 'sender';
+export type RejectedBy = 'store' | 'machine' | 'sender';
 
 /** One order that was not carried out because its holder might no longer be entitled. */
-export interface Refusal {
-  readonly duty: string;
+export interface FencingRejection {
+  readonly role: string;
   /** the token that the order carried */
   readonly token: FencingToken;
-  readonly refusedBy: RefusedBy;
+  readonly rejectedBy: RejectedBy;
 }
 
 /** How many orders were refused since the start. */
-export interface RefusalCounts {
+export interface FencingRejectionCounts {
   /** of holders that had been replaced */
   readonly replaced: number;
   /** of holders that nobody had replaced, but whose lease was in doubt */
@@ -30,28 +30,28 @@
  * Counts refused orders and writes one log line for each that comes from a replaced holder, with its token
  * and the newer one.
  */
-export class Refusals {
+export class FencingRejections {
   readonly #counts = { replaced: 0, leaseInDoubt: 0 };
   /** lines whose newer token is being looked up */
   readonly #pending = new Set<Promise<void>>();
 
   constructor(
     /** the token of the duty's present tenure by a current read; null if the duty has no record */
-    private readonly currentToken: (duty: string) => Promise<number | null>,
+    private readonly currentToken: (role: string) => Promise<number | null>,
     private readonly log: Log,
   ) {}
 
-  get counts(): RefusalCounts {
+  get counts(): FencingRejectionCounts {
     return { ...this.#counts };
   }
 
   /** Notes a refusal. `newerToken` is known if the refuser told it. */
-  note(refusal: Refusal, newerToken: number | null = null): void {
+  record(rejection: FencingRejection, newerToken: number | null = null): void {
     if (newerToken !== null) {
-      this.#write(refusal, newerToken);
+      this.#write(rejection, newerToken);
       return;
     }
-    const line = this.#lookUp(refusal).finally(() => this.#pending.delete(line));
+    const line = this.#lookUp(rejection).finally(() => this.#pending.delete(line));
     this.#pending.add(line);
   }
 
@@ -60,26 +60,26 @@
     while (this.#pending.size > 0) await Promise.all(this.#pending);
   }
 
-  async #lookUp(refusal: Refusal): Promise<void> {
+  async #lookUp(rejection: FencingRejection): Promise<void> {
     try {
-      this.#write(refusal, await this.currentToken(refusal.duty));
+      this.#write(rejection, await this.currentToken(rejection.role));
     } catch (error) {
       if (!(error instanceof StoreUnavailableError)) throw error;
-      this.#write(refusal, null);
+      this.#write(rejection, null);
     }
   }
 
-  #write(refusal: Refusal, newerToken: number | null): void {
-    const { duty, token, refusedBy } = refusal;
+  #write(rejection: FencingRejection, newerToken: number | null): void {
+    const { role, token, rejectedBy } = rejection;
     if (newerToken === null || newerToken <= token) {
       this.#counts.leaseInDoubt += 1;
-      this.log.debug({ duty, token, refusedBy }, 'order refused: lease in doubt');
+      this.log.debug({ duty: role, token, refusedBy: rejectedBy }, 'order refused: lease in doubt');
       return;
     }
     this.#counts.replaced += 1;
     const refusals = this.#counts.replaced;
     this.log.info(
-      { duty, token, newerToken, refusedBy, refusals },
+      { duty: role, token, newerToken, refusedBy: rejectedBy, refusals },
       'order of a replaced holder refused',
     );
   }
--- a/packages/leader-election/src/fencing-token.ts
+++ b/packages/leader-election/src/fencing-token.ts
@@ -9,7 +9,7 @@
 export type FencingToken = number & { readonly [fencing]: true };
 
 /** The token before the first tenure of a duty. */
-export const NO_TENURE = 0 as FencingToken;
+export const INITIAL_TOKEN = 0 as FencingToken;
 
 /** Takes a stored number for a token; throws a `RangeError` if it can't be one. */
 export const fencingToken = (value: number): FencingToken => {
--- a/packages/leader-election/src/index.ts
+++ b/packages/leader-election/src/index.ts
@@ -4,50 +4,59 @@
  */
 export {
   Authorization,
-  NotEntitledError,
+  NotLeaderError,
   RecordedIntent,
   fencedCompareAndSwap,
-  type Tenure,
+  type Leadership,
 } from './authorization.js';
 export {
-  allKnowDuties,
+  allSupportElection,
   candidateOrder,
-  Election,
-  type DutyStep,
-  type DutyView,
-  type LivingMember,
-} from './election.js';
+  ElectionPolicy,
+  type ElectionStep,
+  type ElectionView,
+  type LiveMember,
+} from './election-policy.js';
 export { fencingToken, type FencingToken } from './fencing-token.js';
 export { LeaseValidity, type LeaseTiming } from './lease-validity.js';
-export { DutyManager, type DutyPorts, type DutySettings } from './manager.js';
-export {
-  decodeDuty,
-  decodeHandOver,
-  DUTY_PREFIX,
-  dutyKey,
-  HAND_OVER_PREFIX,
-  handOverKey,
-  type DutyRecord,
-  type HandOverRequest,
+export {
+  LeaderElection,
+  type LeaderElectionDependencies,
+  type LeaderElectionOptions,
+} from './leader-election.js';
+export {
+  decodeLeaderRecord,
+  decodeTransferRequest,
+  LEADER_PREFIX,
+  leaderKey,
+  TRANSFER_REQUEST_PREFIX,
+  transferRequestKey,
+  type LeaderRecord,
+  type LeadershipTransferRequest,
   type Member,
 } from './records.js';
 export {
-  Refusals,
+  FencingRejections,
   type Log,
-  type Refusal,
-  type RefusalCounts,
-  type RefusedBy,
-} from './refusals.js';
+  type FencingRejection,
+  type FencingRejectionCounts,
+  type RejectedBy,
+} from './fencing-rejections.js';
 export {
   decodeRetention,
   expiredRevision,
-  NOTHING_OBSERVED,
-  observe,
+  EMPTY_RETENTION,
+  observeElapsed,
   type RetentionMark,
   type RetentionRecord,
 } from './retention.js';
-export { SessionLease, type Registration, type SessionTiming } from './session-lease.js';
-export { describeDuties, type DutiesReport, type DutyStatus, type HeldUntil } from './status.js';
+export { SessionLease, type Registration, type SessionLeaseTiming } from './session-lease.js';
+export {
+  describeLeadership,
+  type LeadershipReport,
+  type LeadershipStatus,
+  type LeadershipValidity,
+} from './status.js';
 export {
   StoreUnavailableError,
   type Guard,
--- a/packages/leader-election/src/records.ts
+++ b/packages/leader-election/src/records.ts
@@ -10,7 +10,7 @@
 }
 
 /** Who holds a duty. The record is never removed, so that tokens never repeat. */
-export interface DutyRecord {
+export interface LeaderRecord {
   /** null: released, anybody may take it */
   readonly holder: Member | null;
   /** the node that released it or handed it over; it comes last when a new holder is looked for */
@@ -21,7 +21,7 @@
 }
 
 /** What an operator wants: the duty at another node. */
-export interface HandOverRequest {
+export interface LeadershipTransferRequest {
   /** null: any other node */
   readonly to: string | null;
   /** chosen by whoever asks: the same id is the same request */
@@ -29,12 +29,12 @@
 }
 
 /** Keys begin with this; the rest is the duty's name. */
-export const DUTY_PREFIX = 'duties/holders/';
+export const LEADER_PREFIX = 'duties/holders/';
 /** Keys of requests begin with this; the rest is the duty's name. */
-export const HAND_OVER_PREFIX = 'duties/wanted/';
+export const TRANSFER_REQUEST_PREFIX = 'duties/wanted/';
 
-export const dutyKey = (duty: string): string => `${DUTY_PREFIX}${duty}`;
-export const handOverKey = (duty: string): string => `${HAND_OVER_PREFIX}${duty}`;
+export const leaderKey = (duty: string): string => `${LEADER_PREFIX}${duty}`;
+export const transferRequestKey = (duty: string): string => `${TRANSFER_REQUEST_PREFIX}${duty}`;
 
 const name = z.string().min(1);
 const member = z.object({ node: name, incarnation: name });
@@ -47,7 +47,7 @@
 const request = z.object({ to: name.nullable(), id: name });
 
 /** Reads a stored record; throws if it is none. */
-export const decodeDuty = (value: unknown): DutyRecord => record.parse(value);
+export const decodeLeaderRecord = (value: unknown): LeaderRecord => record.parse(value);
 /** Reads a stored request; null if it is none, since people write these with tools of any version. */
-export const decodeHandOver = (value: unknown): HandOverRequest | null =>
+export const decodeTransferRequest = (value: unknown): LeadershipTransferRequest | null =>
   request.safeParse(value).data ?? null;
--- a/packages/leader-election/src/retention.ts
+++ b/packages/leader-election/src/retention.ts
@@ -15,7 +15,7 @@
 }
 
 /** No time was observed yet. */
-export const NOTHING_OBSERVED: RetentionRecord = { observedMs: 0, marks: [] };
+export const EMPTY_RETENTION: RetentionRecord = { observedMs: 0, marks: [] };
 
 /** marks for one retention time: what is kept is cleared at most a sixteenth of that time late */
 const MARKS_PER_RETENTION = 16;
@@ -34,7 +34,7 @@
  * day that jumps, or a spell without a holder, can make the clock late and never early. `clockDrift` is the
  * share by which a steady clock may be fast. `revision` is one that the store had reached before.
  */
-export const observe = (
+export const observeElapsed = (
   old: RetentionRecord,
   passedMs: number,
   revision: number,
--- a/packages/leader-election/src/session-lease.ts
+++ b/packages/leader-election/src/session-lease.ts
@@ -1,10 +1,10 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { LeaseValidity, type LeaseTiming } from './lease-validity.js';
-import type { Log } from './refusals.js';
+import type { Log } from './fencing-rejections.js';
 import { StoreUnavailableError, type LeaseStore } from './store.js';
 
 /** When a lease is renewed. */
-export interface SessionTiming extends LeaseTiming {
+export interface SessionLeaseTiming extends LeaseTiming {
   /** ms between two renewals */
   readonly renewMs: number;
   /** ms until the next try after a failure */
@@ -31,7 +31,7 @@
   constructor(
     private readonly store: LeaseStore,
     private readonly registration: Registration,
-    private readonly timing: SessionTiming,
+    private readonly timing: SessionLeaseTiming,
     /** the steady clock, ms */
     private readonly now: () => number,
     private readonly log: Log,
--- a/packages/leader-election/test/components.test.ts
+++ b/packages/leader-election/test/components.test.ts
@@ -6,12 +6,12 @@
   expiredRevision,
   fencingToken,
   LeaseValidity,
-  NOTHING_OBSERVED,
-  observe,
+  EMPTY_RETENTION,
+  observeElapsed,
   RecordedIntent,
-  Refusals,
+  FencingRejections,
   StoreUnavailableError,
-  type DutyView,
+  type ElectionView,
   type FencingToken,
 } from '@sumacstep/leader-election';
 
@@ -46,21 +46,26 @@
 
 test('retention: only time that was observed counts, and a revision expires after all of it', () => {
   const options = { keepMs: 16_000, clockDrift: 0.001 };
-  let record = observe(NOTHING_OBSERVED, 0, 100, options);
+  let record = observeElapsed(EMPTY_RETENTION, 0, 100, options);
   const expiredAfter: (number | null)[] = [];
   for (let round = 1; round <= 20; round++) {
-    record = observe(record, 1002, 100 + round, options);
+    record = observeElapsed(record, 1002, 100 + round, options);
     expiredAfter.push(expiredRevision(record, options.keepMs));
   }
   assert.deepEqual(expiredAfter.slice(0, 15), Array(15).fill(null));
   assert.deepEqual(expiredAfter.slice(15), [100, 101, 102, 103, 104]);
   assert.ok(record.marks.length <= 18, `${record.marks.length} marks`);
-  const back = observe(record, -5_000_000, 200, options);
+  const back = observeElapsed(record, -5_000_000, 200, options);
   assert.equal(back.observedMs, record.observedMs, 'a clock that goes back observes nothing');
 });
 
 test('candidates: who gave a duty away comes last, who holds fewer comes first', () => {
-  const member = (node: string) => ({ node, incarnation: 'x', revision: 1, knowsDuties: true });
+  const member = (node: string) => ({
+    node,
+    incarnation: 'x',
+    revision: 1,
+    supportsElection: true,
+  });
   const holding = (node: string | null, former: string | null) => ({
     revision: 1,
     value: {
@@ -70,10 +75,10 @@
       sinceMs: 0,
     },
   });
-  const view = (records: DutyView['records']): DutyView => ({
+  const view = (records: ElectionView['records']): ElectionView => ({
     members: ['a', 'b', 'c'].map(member),
     records,
-    requests: new Map(),
+    transferRequests: new Map(),
   });
   const free = candidateOrder(view(new Map()), 'd');
   assert.deepEqual([...free].sort(), ['a', 'b', 'c']);
@@ -94,8 +99,8 @@
   for (const [name, currentToken, told, logged] of rows) {
     const lines: object[] = [];
     const log = { info: (fields: object) => void lines.push(fields), debug: () => undefined };
-    const refusals = new Refusals(currentToken, log);
-    refusals.note({ duty: 'd', token: fencingToken(7), refusedBy: 'store' }, told);
+    const refusals = new FencingRejections(currentToken, log);
+    refusals.record({ role: 'd', token: fencingToken(7), rejectedBy: 'store' }, told);
     await refusals.settled();
     const line = { duty: 'd', token: 7, newerToken: logged, refusedBy: 'store', refusals: 1 };
     assert.deepEqual(lines, logged === null ? [] : [line], name);
@@ -110,10 +115,13 @@
   assert.equal(act(3), 3);
   assert.equal(act(fencingToken(3)), 3);
   for (const wrong of [-1, 0.5, NaN, 2 ** 60]) assert.throws(() => fencingToken(wrong), RangeError);
-  const condition = { key: 'duties/holders/d', revision: 1 };
-  const tenure = { duty: 'd', token: fencingToken(3), condition, holds: () => true };
+  const guard = { key: 'duties/holders/d', revision: 1 };
+  const leadership = { role: 'd', fencingToken: fencingToken(3), guard, isCurrent: () => true };
   const log = { info: () => undefined, debug: () => undefined };
-  const authorization = new Authorization(tenure, new Refusals(() => Promise.resolve(null), log));
+  const authorization = new Authorization(
+    leadership,
+    new FencingRejections(() => Promise.resolve(null), log),
+  );
   assert.throws(() => RecordedIntent.found(authorization, { key: 'intent', revision: 0 }));
   assert.equal(RecordedIntent.found(authorization, { key: 'intent', revision: 4 }).key, 'intent');
 });
--- a/packages/leader-election/test/manager.test.ts
+++ b/packages/leader-election/test/leader-election.test.ts
@@ -2,13 +2,13 @@
 import { test } from 'node:test';
 import { setImmediate as turn } from 'node:timers/promises';
 import {
-  DutyManager,
-  dutyKey,
+  LeaderElection,
+  leaderKey,
   fencingToken,
-  Refusals,
+  FencingRejections,
   StoreUnavailableError,
   type Guard,
-  type DutyView,
+  type ElectionView,
   type CompareAndSwapResult,
 } from '@sumacstep/leader-election';
 
@@ -17,7 +17,7 @@
   node,
   incarnation: 'one',
   revision,
-  knowsDuties: true,
+  supportsElection: true,
 });
 
 /** A manager whose transactions are kept, and answered by the test. */
@@ -32,14 +32,19 @@
     token: fencingToken(4),
     sinceMs: 0,
   };
-  const view: DutyView = {
+  const view: ElectionView = {
     members: living.map((node, i) => member(node, 10 + i)),
     records: new Map([['d', { value: record, revision: 7 }]]),
-    requests: new Map(),
+    transferRequests: new Map(),
   };
   const log = { info: () => undefined, debug: () => undefined };
-  const manager = new DutyManager(
-    { me: ME, duties: ['d'], graceMs: 0, memberKey: (m) => `nodes/${m.node}/${m.incarnation}` },
+  const manager = new LeaderElection(
+    {
+      self: ME,
+      roles: ['d'],
+      candidateDelayMs: 0,
+      memberKey: (m) => `nodes/${m.node}/${m.incarnation}`,
+    },
     {
       store: {
         compareAndSwap: (_urgency, guards) =>
@@ -50,11 +55,11 @@
           }),
       },
       view: () => view,
-      authority: () => true,
-      committed: () => undefined,
-      now: () => 0,
-      timeOfDay: () => 0,
-      refusals: new Refusals(() => Promise.resolve(null), log),
+      hasAuthority: () => true,
+      onCommitted: () => undefined,
+      steadyMs: () => 0,
+      wallClockMs: () => 0,
+      rejections: new FencingRejections(() => Promise.resolve(null), log),
       log,
     },
   );
@@ -65,7 +70,7 @@
   const { manager, sent } = scene('b', ['a', 'c']);
   manager.tick();
   assert.deepEqual(sent[0]?.guards, [
-    { key: dutyKey('d'), revision: 7 },
+    { key: leaderKey('d'), revision: 7 },
     { key: 'nodes/a/one', revision: 10 },
     { key: 'nodes/b/one', revision: 0 },
   ]);
@@ -74,16 +79,16 @@
 test('while the outcome of a hand-over is unknown its sender does not act, and repeats it', async () => {
   const { manager, sent } = scene('a', ['a', 'c']);
   const authorization = manager.authorize('d');
-  assert.ok(authorization !== null && authorization.holds());
+  assert.ok(authorization !== null && authorization.isValid());
   manager.release('d');
-  assert.equal(authorization.holds(), false, 'not from here on');
+  assert.equal(authorization.isValid(), false, 'not from here on');
   assert.equal(manager.authorize('d'), null);
   sent[0]!.answer(new StoreUnavailableError('no answer'));
   await turn();
-  assert.equal(authorization.holds(), false, 'it may be carried out yet');
+  assert.equal(authorization.isValid(), false, 'it may be carried out yet');
   manager.tick();
   assert.deepEqual(sent[1]!.guards, sent[0]!.guards, 'the same again');
   sent[1]!.answer({ ok: false, failed: ['nodes/c/one'] });
   await turn();
-  assert.ok(authorization.holds(), 'refused, so no copy of it can be carried out any more');
+  assert.ok(authorization.isValid(), 'refused, so no copy of it can be carried out any more');
 });
--- a/packages/leader-election/test/simulated-holders.ts
+++ b/packages/leader-election/test/simulated-leaders.ts
@@ -1,20 +1,20 @@
 import {
-  decodeDuty,
-  decodeHandOver,
-  DUTY_PREFIX,
-  DutyManager,
-  dutyKey,
+  decodeLeaderRecord,
+  decodeTransferRequest,
+  LEADER_PREFIX,
+  LeaderElection,
+  leaderKey,
   fencedCompareAndSwap,
-  HAND_OVER_PREFIX,
-  NotEntitledError,
-  Refusals,
+  TRANSFER_REQUEST_PREFIX,
+  NotLeaderError,
+  FencingRejections,
   SessionLease,
   StoreUnavailableError,
   type Authorization,
-  type DutyRecord,
-  type DutyView,
-  type HandOverRequest,
-  type LivingMember,
+  type LeaderRecord,
+  type ElectionView,
+  type LeadershipTransferRequest,
+  type LiveMember,
   type CompareAndSwapStore,
   type Versioned,
 } from '@sumacstep/leader-election';
@@ -50,35 +50,35 @@
 export const CALM: Faults = { ...calm, drift: () => 0 };
 
 /** A view as a node's watch of the store last showed it. */
-const viewOf = (store: SimulatedStore): DutyView => {
-  const members: LivingMember[] = [];
-  const records = new Map<string, Versioned<DutyRecord>>();
-  const requests = new Map<string, Versioned<HandOverRequest>>();
+const viewOf = (store: SimulatedStore): ElectionView => {
+  const members: LiveMember[] = [];
+  const records = new Map<string, Versioned<LeaderRecord>>();
+  const requests = new Map<string, Versioned<LeadershipTransferRequest>>();
   for (const [key, { value, revision }] of store.items) {
     if (key.startsWith(NODES)) {
       const [node = '', incarnation = ''] = key.slice(NODES.length).split('/');
-      members.push({ node, incarnation, revision, knowsDuties: value === 'knows' });
-    } else if (key.startsWith(DUTY_PREFIX)) {
-      records.set(key.slice(DUTY_PREFIX.length), { value: decodeDuty(value), revision });
-    } else if (key.startsWith(HAND_OVER_PREFIX)) {
-      const request = decodeHandOver(value);
+      members.push({ node, incarnation, revision, supportsElection: value === 'knows' });
+    } else if (key.startsWith(LEADER_PREFIX)) {
+      records.set(key.slice(LEADER_PREFIX.length), { value: decodeLeaderRecord(value), revision });
+    } else if (key.startsWith(TRANSFER_REQUEST_PREFIX)) {
+      const request = decodeTransferRequest(value);
       if (request !== null) {
-        requests.set(key.slice(HAND_OVER_PREFIX.length), { value: request, revision });
+        requests.set(key.slice(TRANSFER_REQUEST_PREFIX.length), { value: request, revision });
       }
     }
   }
-  return { members, records, requests };
+  return { members, records, transferRequests: requests };
 };
 
 /** One life of a node that takes part in the duty. */
 export class Holder {
-  readonly refusals: Refusals;
+  readonly refusals: FencingRejections;
   readonly log: LogLine[] = [];
-  readonly manager: DutyManager;
+  readonly manager: LeaderElection;
   readonly #lease: SessionLease;
   readonly #store: CompareAndSwapStore;
   readonly #drift: number;
-  #view: DutyView;
+  #view: ElectionView;
   #viewAt = -Infinity;
   #frozenUntil = -Infinity;
   #dead = false;
@@ -88,7 +88,7 @@
     readonly node: string,
     readonly incarnation: string,
     faults: Faults,
-    knowsDuties: boolean,
+    supportsElection: boolean,
   ) {
     const { store, time } = world;
     this.#drift = faults.drift();
@@ -97,20 +97,20 @@
     this.#view = viewOf(store);
     const write = (fields: object, message: string) => void this.log.push({ ...fields, message });
     const log = { info: write, debug: () => undefined };
-    this.refusals = new Refusals((duty) => this.#currentToken(duty), log);
+    this.refusals = new FencingRejections((duty) => this.#currentToken(duty), log);
     const key = this.#memberKey(this);
-    const value = knowsDuties ? 'knows' : 'older';
+    const value = supportsElection ? 'knows' : 'older';
     this.#lease = new SessionLease(client, { key, value }, TIMING, () => this.steady(), log);
-    this.manager = new DutyManager(
-      { me: this, duties: [DUTY], graceMs: 1500, memberKey: (m) => this.#memberKey(m) },
+    this.manager = new LeaderElection(
+      { self: this, roles: [DUTY], candidateDelayMs: 1500, memberKey: (m) => this.#memberKey(m) },
       {
         store: client,
         view: () => this.#view,
-        authority: () => this.#authority(),
-        committed: () => this.#watch(),
-        now: () => this.steady(),
-        timeOfDay: () => world.timeOfDay,
-        refusals: this.refusals,
+        hasAuthority: () => this.#authority(),
+        onCommitted: () => this.#watch(),
+        steadyMs: () => this.steady(),
+        wallClockMs: () => world.timeOfDay,
+        rejections: this.refusals,
         log,
       },
     );
@@ -120,7 +120,7 @@
     };
     renew();
     time.every(WATCH_MS, () => this.#whenAwake(() => this.#watch()));
-    if (knowsDuties) time.every(TICK_MS, () => this.#whenAwake(() => this.#tick()));
+    if (supportsElection) time.every(TICK_MS, () => this.#whenAwake(() => this.#tick()));
   }
 
   /** The steady clock of this node: it runs on while the process stands still. */
@@ -178,7 +178,7 @@
   /** Orders of a holder: a write, a command to a machine, and now and then a machine's return or use. */
   async act(authorization: Authorization): Promise<void> {
     try {
-      authorization.ensureHeld();
+      authorization.ensureValid();
       this.world.sent(this, authorization);
       this.world.commandMachine(this, authorization);
       await fencedCompareAndSwap(
@@ -186,11 +186,11 @@
         authorization,
         'normal',
         [],
-        [{ put: MACHINE_KEY, value: authorization.token }],
+        [{ put: MACHINE_KEY, value: authorization.fencingToken }],
       );
       await this.world.useOrReturn(this, this.#store, authorization);
     } catch (error) {
-      if (error instanceof StoreUnavailableError || error instanceof NotEntitledError) return;
+      if (error instanceof StoreUnavailableError || error instanceof NotLeaderError) return;
       throw error;
     }
   }
@@ -227,16 +227,16 @@
         if (!('put' in write)) continue;
         if (write.put === MACHINE_KEY) {
           this.history.push({ kind: 'executed', by: 'store', token: write.value as number });
-        } else if (write.put === dutyKey(DUTY)) this.#noteRecord(decodeDuty(write.value));
+        } else if (write.put === leaderKey(DUTY)) this.#noteRecord(decodeLeaderRecord(write.value));
       }
     });
     this.time.every(50, () => this.store.expire());
   }
 
-  start(node: string, knowsDuties = true): Holder {
+  start(node: string, supportsElection = true): Holder {
     this.#lives += 1;
     const faults = { ...this.faults, refused: () => this.#unreachable.has(node) };
-    const holder = new Holder(this, node, `life${this.#lives}`, faults, knowsDuties);
+    const holder = new Holder(this, node, `life${this.#lives}`, faults, supportsElection);
     this.holders.push(holder);
     return holder;
   }
@@ -262,23 +262,23 @@
     return viewOf(this.store).records.get(DUTY)?.value.token ?? 0;
   }
 
-  #noteRecord({ holder, token }: DutyRecord): void {
+  #noteRecord({ holder, token }: LeaderRecord): void {
     if (holder === null) return;
     this.history.push({ kind: 'acquired', holder: holder.incarnation, token });
   }
 
-  sent(holder: Holder, { token }: Authorization): void {
+  sent(holder: Holder, { fencingToken: token }: Authorization): void {
     this.history.push({ kind: 'sent', holder: holder.incarnation, token });
   }
 
   /** The command is on its way for some time, and the machine compares its token. */
   commandMachine(holder: Holder, authorization: Authorization): void {
-    const { token } = authorization;
+    const { fencingToken: token } = authorization;
     this.time.after(this.faults.delayMs(), () => {
       if (token < this.#machineToken) {
         this.counts.machineRefused += 1;
         const newer = this.#machineToken;
-        holder.resume(() => authorization.refused('machine', newer));
+        holder.resume(() => authorization.recordRejection('machine', newer));
         return;
       }
       this.#machineToken = token;
@@ -314,7 +314,7 @@
       this.counts.used += 1;
       return;
     }
-    authorization.ensureHeld();
+    authorization.ensureValid();
     this.sent(holder, authorization);
     this.time.after(this.cloudMs(), () => {
       this.counts.returned += 1;
--- a/packages/leader-election/test/single-holder.test.ts
+++ b/packages/leader-election/test/single-holder.test.ts
@@ -3,7 +3,7 @@
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { checkHistory } from './history.js';
-import { CALM, DUTY, HolderWorld, type Faults, type Holder } from './simulated-holders.js';
+import { CALM, DUTY, HolderWorld, type Faults, type Holder } from './simulated-leaders.js';
 
 /** Longer than a lease and the grace of all candidates. */
 const TAKEN_OVER_MS = 12_000;
@@ -46,17 +46,17 @@
       authorization,
       'normal',
       [],
-      [{ put: 'machine', value: authorization.token }],
+      [{ put: 'machine', value: authorization.fencingToken }],
     );
     await world.time.runUntil(world.time.now + 1000);
     assert.equal((await late).ok, false, 'refused by the store');
     // Woken before its check.
-    assert.throws(() => authorization.ensureHeld());
+    assert.throws(() => authorization.ensureValid());
     await verified(world);
     for (const by of ['store', 'machine', 'sender']) {
       const [line, ...more] = refusedLines(old, by);
       assert.deepEqual(more, [], `one line of ${by}`);
-      assert.equal(line?.['token'], authorization.token);
+      assert.equal(line?.['token'], authorization.fencingToken);
       assert.equal(line?.['newerToken'], world.token);
     }
     assert.equal(old.refusals.counts.replaced, 3);
--- a/packages/shard-rebalancing/src/index.ts
+++ b/packages/shard-rebalancing/src/index.ts
@@ -2,20 +2,31 @@
  * Moves of machines between shards while jobs run: a stored state machine, steps that are computed from it
  * without any input or output, and the choice of the machines.
  */
-export { advance, ends, isOver, missing, type MoverFacts } from './move.js';
 export {
-  decodeLock,
+  advanceMove,
+  moveEndpoints,
+  isTerminal,
+  remainingCount,
+  type MoveFacts,
+} from './move-state-machine.js';
+export {
+  decodeShardLock,
   decodeMove,
-  encodeLock,
+  encodeShardLock,
   MOVE_PREFIX,
   moveKey,
-  parseRequest,
+  parseMoveRequest,
   shardLockKey,
-  requested,
-  requestProblems,
+  newMove,
+  moveRequestProblems,
   type MachineFilter,
   type Move,
   type MoveRequest,
   type MoveState,
 } from './records.js';
-export { matches, select, type Candidate, type Selection } from './selection.js';
+export {
+  matchesFilter,
+  selectMachines,
+  type Candidate,
+  type Selection,
+} from './machine-selection.js';
--- a/packages/shard-rebalancing/src/selection.ts
+++ b/packages/shard-rebalancing/src/machine-selection.ts
@@ -1,4 +1,4 @@
-import { missing } from './move.js';
+import { remainingCount } from './move-state-machine.js';
 import type { MachineFilter, Move } from './records.js';
 
 /** A machine of the source shard, as its owner knows it. */
@@ -10,15 +10,15 @@
   /** tasks on it, those that are on their way included */
   readonly tasks: number;
   /** whether something runs there that does not end by itself */
-  readonly endless: boolean;
+  readonly runsService: boolean;
   /** why it can't move now whatever it runs (silent, to be returned, with a notice), or null */
-  readonly unfit: string | null;
+  readonly ineligibleBecause: string | null;
   /** nothing is there, nothing may arrive, and the worker lists nothing: it may move at once */
-  readonly settled: boolean;
+  readonly readyToMove: boolean;
 }
 
 /** Whether a machine is of the kind that a move asks for. */
-export const matches = (
+export const matchesFilter = (
   { type, zone, spot }: MachineFilter,
   machine: Pick<Candidate, 'type' | 'zone' | 'spot'>,
 ): boolean =>
@@ -27,9 +27,9 @@
   (spot === null || spot === machine.spot);
 
 const eligible = (move: Move, machine: Candidate): boolean => {
-  if (machine.unfit !== null) return false;
+  if (machine.ineligibleBecause !== null) return false;
   if (move.direction === 'back') return move.moved.includes(machine.name);
-  return !machine.endless && matches(move.filter, machine);
+  return !machine.runsService && matchesFilter(move.filter, machine);
 };
 
 /** What the source's owner decides about a move. */
@@ -46,19 +46,23 @@
  * Chooses the machines that will be empty soonest. Those chosen before stay chosen while they are fit, so that
  * no machine loses its work twice for one move. At most `most` are chosen at a time.
  */
-export const select = (move: Move, machines: readonly Candidate[], most = Infinity): Selection => {
+export const selectMachines = (
+  move: Move,
+  machines: readonly Candidate[],
+  most = Infinity,
+): Selection => {
   const before = new Set(move.chosen);
   const chosen = machines
     .filter((machine) => eligible(move, machine))
     .sort(
       (a, b) =>
         Number(before.has(b.name)) - Number(before.has(a.name)) ||
-        Number(b.settled) - Number(a.settled) ||
+        Number(b.readyToMove) - Number(a.readyToMove) ||
         a.tasks - b.tasks ||
         (a.name < b.name ? -1 : 1),
     )
-    .slice(0, Math.min(most, missing(move)));
-  const ready = chosen.filter((machine) => machine.settled).map((machine) => machine.name);
+    .slice(0, Math.min(most, remainingCount(move)));
+  const ready = chosen.filter((machine) => machine.readyToMove).map((machine) => machine.name);
   return { chosen: chosen.map((m) => m.name), ready, waitsFor: reason(move, machines, chosen) };
 };
 
@@ -67,18 +71,18 @@
   machines: readonly Candidate[],
   chosen: readonly Candidate[],
 ): string | null => {
-  const busy = chosen.filter((machine) => !machine.settled);
+  const busy = chosen.filter((machine) => !machine.readyToMove);
   if (busy.length > 0) {
     const names = busy.map((machine) => machine.name);
     return `the work on ${names.slice(0, NAMED_MOST).join(', ')}${names.length > NAMED_MOST ? ', ...' : ''}`;
   }
-  const lacking = missing(move) - chosen.length;
+  const lacking = remainingCount(move) - chosen.length;
   if (lacking <= 0) return null;
-  const kind = machines.filter((m) => move.direction === 'back' || matches(move.filter, m));
-  const unfit = kind.find((machine) => machine.unfit !== null);
-  if (unfit !== undefined) return `${unfit.name}: ${unfit.unfit}`;
-  const endless = kind.find((machine) => machine.endless);
-  if (endless !== undefined) return `${endless.name}: a standing service runs there`;
+  const kind = machines.filter((m) => move.direction === 'back' || matchesFilter(move.filter, m));
+  const unfit = kind.find((machine) => machine.ineligibleBecause !== null);
+  if (unfit !== undefined) return `${unfit.name}: ${unfit.ineligibleBecause}`;
+  const runsService = kind.find((machine) => machine.runsService);
+  if (runsService !== undefined) return `${runsService.name}: a standing service runs there`;
   return `${lacking} more machines of the kind`;
 };
 
--- a/packages/shard-rebalancing/src/records.ts
+++ b/packages/shard-rebalancing/src/records.ts
@@ -61,7 +61,7 @@
 export const decodeMove = (value: unknown): Move | null => moveSchema.safeParse(value).data ?? null;
 
 /** What is wrong with a request, a line for each field; empty if nothing is. */
-export const requestProblems = (value: unknown): string[] => {
+export const moveRequestProblems = (value: unknown): string[] => {
   const result = requestSchema.safeParse(value);
   if (result.success) return [];
   return result.error.issues.map(
@@ -70,10 +70,10 @@
 };
 
 /** Reads a request; throws if it is none. */
-export const parseRequest = (value: unknown): MoveRequest => requestSchema.parse(value);
+export const parseMoveRequest = (value: unknown): MoveRequest => requestSchema.parse(value);
 
 /** The move that a request begins with. */
-export const requested = (request: MoveRequest): Move => ({
+export const newMove = (request: MoveRequest): Move => ({
   ...request,
   state: 'requested',
   direction: 'forth',
@@ -91,6 +91,6 @@
 export const shardLockKey = (part: number): string => `shares/parts/${part}`;
 const lockSchema = z.object({ move: z.string() });
 /** The id of the move that a lock names; null if the value is no lock. */
-export const decodeLock = (value: unknown): string | null =>
+export const decodeShardLock = (value: unknown): string | null =>
   lockSchema.safeParse(value).data?.move ?? null;
-export const encodeLock = (id: string): unknown => ({ move: id });
+export const encodeShardLock = (id: string): unknown => ({ move: id });
--- a/packages/shard-rebalancing/test/moves.test.ts
+++ b/packages/shard-rebalancing/test/moves.test.ts
@@ -1,19 +1,22 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import {
-  advance,
+  advanceMove,
   decodeMove,
-  ends,
-  parseRequest,
-  requested,
-  requestProblems,
-  select,
+  moveEndpoints,
+  parseMoveRequest,
+  newMove,
+  moveRequestProblems,
+  selectMachines,
   type Candidate,
   type Move,
 } from '@sumacstep/shard-rebalancing';
 
 const REQUEST = { id: 'a', from: 0, to: 1, count: 2, deadlineMs: 1000 };
-const move = (over: Partial<Move> = {}): Move => ({ ...requested(parseRequest(REQUEST)), ...over });
+const move = (over: Partial<Move> = {}): Move => ({
+  ...newMove(parseMoveRequest(REQUEST)),
+  ...over,
+});
 const BACK: Partial<Move> = { direction: 'back', state: 'moving', moved: ['x', 'y'] };
 
 describe('steps of a move', () => {
@@ -72,12 +75,12 @@
   ];
   for (const [name, before, nowMs, obstacle, changes] of rows) {
     test(name, () => {
-      const after = advance(before, { nowMs, obstacle });
+      const after = advanceMove(before, { nowMs, obstacle });
       assert.deepEqual(after, changes === null ? null : { ...before, ...changes });
       // Stored and read again it is the same, and the step is not taken twice.
       if (after === null) return;
       assert.deepEqual(decodeMove(JSON.parse(JSON.stringify(after))), after);
-      assert.equal(advance(after, { nowMs: Math.min(nowMs, 999), obstacle }), null);
+      assert.equal(advanceMove(after, { nowMs: Math.min(nowMs, 999), obstacle }), null);
     });
   }
 });
@@ -88,14 +91,14 @@
   zone: 'z',
   spot: false,
   tasks: 0,
-  endless: false,
-  unfit: null,
-  settled: false,
+  runsService: false,
+  ineligibleBecause: null,
+  readyToMove: false,
   ...over,
 });
 
 describe('choice of machines', () => {
-  const silent = { unfit: 'cannot be reached' };
+  const silent = { ineligibleBecause: 'cannot be reached' };
   const rows: [string, Move, Candidate[], number, string[], string[], string | null][] = [
     [
       'least work first',
@@ -118,7 +121,7 @@
     [
       'settled ones are ready',
       move({ chosen: ['a', 'b'] }),
-      [machine('a', { settled: true }), machine('b', { tasks: 1 })],
+      [machine('a', { readyToMove: true }), machine('b', { tasks: 1 })],
       9,
       ['a', 'b'],
       ['a'],
@@ -146,7 +149,7 @@
     [
       'not under a standing service',
       move(),
-      [machine('a', { endless: true })],
+      [machine('a', { runsService: true })],
       9,
       [],
       [],
@@ -155,7 +158,7 @@
     [
       'on the way back the moved ones alone',
       move({ ...BACK, moved: ['b'] }),
-      [machine('a'), machine('b', { endless: true })],
+      [machine('a'), machine('b', { runsService: true })],
       9,
       ['b'],
       [],
@@ -164,14 +167,14 @@
   ];
   for (const [name, present, machines, most, chosen, ready, waitsFor] of rows) {
     test(name, () => {
-      assert.deepEqual(select(present, machines, most), { chosen, ready, waitsFor });
+      assert.deepEqual(selectMachines(present, machines, most), { chosen, ready, waitsFor });
     });
   }
 });
 
 test('ends swap on the way back; bad requests are named by field', () => {
-  assert.deepEqual(ends(move()), { source: 0, target: 1 });
-  assert.deepEqual(ends(move(BACK)), { source: 1, target: 0 });
+  assert.deepEqual(moveEndpoints(move()), { source: 0, target: 1 });
+  assert.deepEqual(moveEndpoints(move(BACK)), { source: 1, target: 0 });
   const bad: [object, string][] = [
     [{ ...REQUEST, count: -1 }, 'count'],
     [{ ...REQUEST, to: 0 }, 'to'],
@@ -181,8 +184,8 @@
     [{ ...REQUEST, filter: { colour: 'red' } }, 'filter'],
   ];
   for (const [request, field] of bad) {
-    const [problem = ''] = requestProblems(request);
+    const [problem = ''] = moveRequestProblems(request);
     assert.ok(problem.startsWith(`${field}:`), `${field}: ${problem}`);
   }
-  assert.deepEqual(requestProblems(REQUEST), []);
+  assert.deepEqual(moveRequestProblems(REQUEST), []);
 });
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -87,7 +87,7 @@
   ): Promise<Response> {
     await this.#token(cls);
     // The wait may have been long, or the process may have stood still: what it was decided on is over.
-    authorization?.ensureHeld();
+    authorization?.ensureValid();
     try {
       const answer = await this.#http.call(method, path, body, CLOUD_CALL_MS);
       if (answer.status === 429) throw new CloudRequestError(`${method} ${path}: 429`);
@@ -104,7 +104,7 @@
     return machineTypes.parse(a.body).Hosttypes;
   }
 
-  /** Throws `NotEntitledError` if the tenure is over at the moment of sending. */
+  /** Throws `NotLeaderError` if the tenure is over at the moment of sending. */
   async rent(request: RentRequest, { authorization }: RecordedIntent): Promise<RentResult> {
     const a = await this.#call(
       CALL_PRIORITY.rent,
@@ -121,7 +121,7 @@
   }
 
   /**
-   * When this resolves, the machines and everything on them are gone. Throws `NotEntitledError` if the tenure
+   * When this resolves, the machines and everything on them are gone. Throws `NotLeaderError` if the tenure
    * is over at the moment of sending.
    */
   async returnMachines(machines: readonly string[], authorization: Authorization): Promise<void> {
--- a/src/commands/duties.ts
+++ b/src/commands/duties.ts
@@ -1,13 +1,13 @@
 import {
-  decodeHandOver,
-  describeDuties,
-  handOverKey,
-  type DutiesReport,
-  type DutyStatus,
-  type HandOverRequest,
+  decodeTransferRequest,
+  describeLeadership,
+  transferRequestKey,
+  type LeadershipReport,
+  type LeadershipStatus,
+  type LeadershipTransferRequest,
 } from '@sumacstep/leader-election';
 import type { PlatformConfig } from '../config/platform.js';
-import { DUTY_NAMES, dutyView } from '../singletons/singleton-controller.js';
+import { SINGLETON_ROLES, electionView } from '../singletons/singleton-election.js';
 import { CALL_PRIORITY } from '../store/store-client.js';
 import { key } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
@@ -19,20 +19,20 @@
 const TRIES = 3;
 
 /** A shard's ownership, which carries the duty of renting and returning its machines. */
-export interface PartStatus {
+export interface ShardOwnerStatus {
   readonly duty: string;
   readonly holder: string;
   readonly incarnation: string;
   readonly token: number;
-  readonly until: DutyStatus['until'];
+  readonly until: LeadershipStatus['until'];
 }
 
 /** What `sumacstep duties --json` prints. */
-export interface DutiesOutput extends DutiesReport {
-  readonly parts: readonly PartStatus[];
+export interface DutiesOutput extends LeadershipReport {
+  readonly parts: readonly ShardOwnerStatus[];
 }
 
-const describeParts = ({ tables }: WatchCache): PartStatus[] =>
+const describeParts = ({ tables }: WatchCache): ShardOwnerStatus[] =>
   [...tables.shards].map(([index, { value }]) => {
     const living = tables.nodes.has(`${value.owner}/${value.incarnation}`);
     return {
@@ -44,7 +44,7 @@
     };
   });
 
-const UNTIL: Readonly<Record<DutyStatus['until']['kind'], string>> = {
+const UNTIL: Readonly<Record<LeadershipStatus['until']['kind'], string>> = {
   lease_renewed: 'as long as its node renews its lease',
   lease_ended: 'over: the lease has ended',
   vacant: '-',
@@ -53,7 +53,7 @@
 const time = (ms: number | null): string =>
   ms === null ? '-' : new Date(ms).toISOString().replace(/\.\d+Z$/, 'Z');
 
-const handOver = (request: DutyStatus['handOver']): string =>
+const handOver = (request: LeadershipStatus['handOver']): string =>
   request === null
     ? '-'
     : `to ${request.to ?? 'any'} (${request.id}), waits for ${request.waitsFor}`;
@@ -82,11 +82,11 @@
 };
 
 /** Who holds each duty, since and until when. */
-export const showDuties = async (config: PlatformConfig, json: boolean): Promise<string> => {
+export const showLeadership = async (config: PlatformConfig, json: boolean): Promise<string> => {
   const store = new StoreAccess(config);
   try {
     const cache = await store.read(['parts/', 'nodes/', 'duties/']);
-    const report = describeDuties(dutyView(cache.tables), DUTY_NAMES);
+    const report = describeLeadership(electionView(cache.tables), SINGLETON_ROLES);
     const output: DutiesOutput = { ...report, parts: describeParts(cache) };
     return json ? `${JSON.stringify(output, null, 2)}\n` : render(output);
   } finally {
@@ -95,8 +95,8 @@
 };
 
 const checkDuty = (duty: string): void => {
-  if ((DUTY_NAMES as readonly string[]).includes(duty)) return;
-  throw new CommandError(EXIT.badInput, `no such duty: ${duty} (${DUTY_NAMES.join(', ')})`);
+  if ((SINGLETON_ROLES as readonly string[]).includes(duty)) return;
+  throw new CommandError(EXIT.badInput, `no such duty: ${duty} (${SINGLETON_ROLES.join(', ')})`);
 };
 
 const checkNode = (config: PlatformConfig, node: string): void => {
@@ -106,28 +106,28 @@
 };
 
 /** What became of a request. */
-export interface RequestOutput {
+export interface TransferRequestOutput {
   readonly duty: string;
-  readonly request: HandOverRequest;
+  readonly request: LeadershipTransferRequest;
   /** false: the same request stood there already */
   readonly written: boolean;
 }
 
 /** Asks that a duty goes to another node. The same id is the same request; another one's is a conflict. */
-export const requestHandOver = async (
+export const requestTransfer = async (
   config: PlatformConfig,
   duty: string,
-  request: HandOverRequest,
-): Promise<RequestOutput> => {
+  request: LeadershipTransferRequest,
+): Promise<TransferRequestOutput> => {
   checkDuty(duty);
   if (request.to !== null) checkNode(config, request.to);
   const store = new StoreAccess(config);
-  const name = handOverKey(duty);
+  const name = transferRequestKey(duty);
   try {
     for (let tries = 0; tries < TRIES; tries++) {
       const found = await store.attempt(() => store.client.get(name, CALL_PRIORITY.read));
       if (!('missing' in found)) {
-        const standing = decodeHandOver(found.value);
+        const standing = decodeTransferRequest(found.value);
         if (standing?.id === request.id) return { duty, request: standing, written: false };
         const id = standing?.id ?? 'one of another version';
         throw new CommandError(EXIT.conflict, `${duty}: another request waits (${id})`);
@@ -146,10 +146,10 @@
 };
 
 /** Takes a request back that is not carried out yet. False if there was none. */
-export const withdrawHandOver = async (config: PlatformConfig, duty: string): Promise<boolean> => {
+export const withdrawTransfer = async (config: PlatformConfig, duty: string): Promise<boolean> => {
   checkDuty(duty);
   const store = new StoreAccess(config);
-  const name = handOverKey(duty);
+  const name = transferRequestKey(duty);
   try {
     const found = await store.attempt(() => store.client.get(name, CALL_PRIORITY.read));
     if ('missing' in found) return false;
--- a/src/commands/program.ts
+++ b/src/commands/program.ts
@@ -2,14 +2,14 @@
 import type { Command } from 'commander';
 import { parse } from 'smol-toml';
 import { ConfigError, loadPlatform } from '../config/platform.js';
-import { requestHandOver, showDuties, withdrawHandOver } from './duties.js';
+import { requestTransfer, showLeadership, withdrawTransfer } from './duties.js';
 import { CommandError, EXIT } from './exit-codes.js';
 import {
   abortMove,
   checkRequest,
   planMove,
   requestMove,
-  showShares,
+  showShards,
   type MoveOutput,
   type PlanOutput,
 } from './shares.js';
@@ -51,7 +51,7 @@
   withCommandOptions(
     duties.command('show', { isDefault: true }).description('who holds which duty, until when'),
   ).action((options: CommandOptions) =>
-    run(() => showDuties(loadPlatform(options.config), options.json === true)),
+    run(() => showLeadership(loadPlatform(options.config), options.json === true)),
   );
 
   withCommandOptions(duties.command('hand-over <duty>'))
@@ -62,7 +62,7 @@
       run(async () => {
         const id = options.id ?? `request-${Date.now().toString(36)}`;
         const config = loadPlatform(options.config);
-        const output = await requestHandOver(config, duty, { to: options.to ?? null, id });
+        const output = await requestTransfer(config, duty, { to: options.to ?? null, id });
         const text = output.written ? `asked: ${id}` : `asked before: ${id}`;
         return print(output, text, options.json);
       }),
@@ -72,7 +72,7 @@
     .description('take back a request that is not carried out yet')
     .action((duty: string, options: CommandOptions) =>
       run(async () => {
-        const withdrawn = await withdrawHandOver(loadPlatform(options.config), duty);
+        const withdrawn = await withdrawTransfer(loadPlatform(options.config), duty);
         const text = withdrawn ? 'withdrawn' : 'there is no request, or it was just carried out';
         return print({ duty, withdrawn }, text, options.json);
       }),
@@ -182,7 +182,7 @@
   withCommandOptions(
     shares.command('show', { isDefault: true }).description('machines by part, and moves'),
   ).action((options: CommandOptions) =>
-    run(() => showShares(loadPlatform(options.config), options.json === true)),
+    run(() => showShards(loadPlatform(options.config), options.json === true)),
   );
 
   withMoveOptions(
--- a/src/commands/shares.ts
+++ b/src/commands/shares.ts
@@ -1,21 +1,21 @@
 import {
-  decodeLock,
+  decodeShardLock,
   decodeMove,
-  encodeLock,
-  isOver,
-  matches,
+  encodeShardLock,
+  isTerminal,
+  matchesFilter,
   moveKey,
-  parseRequest,
+  parseMoveRequest,
   shardLockKey,
-  requested,
-  requestProblems,
+  newMove,
+  moveRequestProblems,
   type Move,
   type MoveRequest,
 } from '@sumacstep/shard-rebalancing';
 import type { PlatformConfig } from '../config/platform.js';
 import { hasGuarantee, hasLimit, shardOfTeam } from '../core/jobs/jobs.js';
 import type { MachineRecord } from '../core/model.js';
-import { movesIn, obstacleOf } from '../rebalancing/move-coordinator.js';
+import { movesById, obstacleTo } from '../rebalancing/move-coordinator.js';
 import { CALL_PRIORITY } from '../store/store-client.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import { CommandError, EXIT } from './exit-codes.js';
@@ -38,7 +38,7 @@
 }
 
 /** One shard's share of the machines. */
-export interface Share {
+export interface ShardMachines {
   readonly part: number;
   readonly owner: string | null;
   readonly term: number | null;
@@ -48,7 +48,7 @@
 
 /** What `sumacstep shares show --json` prints. */
 export interface SharesOutput {
-  readonly shares: readonly Share[];
+  readonly shares: readonly ShardMachines[];
   readonly moves: readonly Move[];
 }
 
@@ -96,7 +96,7 @@
   return [...kinds.values()];
 };
 
-const shareOf = (cache: WatchCache, shard: number): Share => {
+const shareOf = (cache: WatchCache, shard: number): ShardMachines => {
   const owner = cache.tables.shards.get(String(shard))?.value;
   const machines = machinesOf(cache, shard);
   return {
@@ -133,11 +133,11 @@
 };
 
 /** Who has which machines, and what moves. */
-export const showShares = (config: PlatformConfig, json: boolean): Promise<string> =>
+export const showShards = (config: PlatformConfig, json: boolean): Promise<string> =>
   withStore(config, async (store) => {
     const cache = await store.read(['parts/', 'machines/', 'shares/']);
     const shares = Array.from({ length: config.nodes }, (_, part) => shareOf(cache, part));
-    const moves = [...movesIn(cache.tables).values()].map(({ value }) => value);
+    const moves = [...movesById(cache.tables).values()].map(({ value }) => value);
     const output: SharesOutput = { shares, moves };
     return json ? `${JSON.stringify(output, null, 2)}\n` : render(output);
   });
@@ -148,9 +148,9 @@
   value: unknown,
   nowMs: number,
 ): MoveRequest => {
-  const problems = requestProblems(value);
+  const problems = moveRequestProblems(value);
   if (problems.length === 0) {
-    const request = parseRequest(value);
+    const request = parseMoveRequest(value);
     for (const field of ['from', 'to'] as const) {
       const part = request[field];
       if (part >= config.nodes) problems.push(`${field}: no such part: ${part}`);
@@ -160,7 +160,7 @@
     if (request.count > most) problems.push(`count: one move holds ${most} machines at most`);
   }
   if (problems.length > 0) throw new CommandError(EXIT.badInput, problems.join('\n'));
-  return parseRequest(value);
+  return parseMoveRequest(value);
 };
 
 /** The move that holds one of the shards; null if none does. */
@@ -175,7 +175,9 @@
 export const planMove = (config: PlatformConfig, request: MoveRequest): Promise<PlanOutput> =>
   withStore(config, async (store) => {
     const cache = await store.read(['parts/', 'nodes/', 'machines/', 'shares/', 'active/']);
-    const matching = machinesOf(cache, request.from).filter((m) => matches(request.filter, m));
+    const matching = machinesOf(cache, request.from).filter((m) =>
+      matchesFilter(request.filter, m),
+    );
     const term = (shard: number) => cache.tables.shards.get(String(shard))?.value.term ?? 0;
     const jobs = [...cache.tables.activeJobs.values()];
     return {
@@ -189,7 +191,7 @@
         .map((team) => team.name),
       jobsInSource: jobs.filter((j) => j.value.ranges.some((r) => r.shard === request.from)).length,
       heldBy: holderOf(cache, request),
-      obstacle: obstacleOf(cache.tables, requested(request)),
+      obstacle: obstacleTo(cache.tables, newMove(request)),
     };
   });
 
@@ -215,9 +217,9 @@
         if (move !== null) return { move, written: false };
         throw new CommandError(EXIT.conflict, `${request.id}: a move of another version`);
       }
-      const move = requested(request);
+      const move = newMove(request);
       const guards = [key, ...locks].map((name) => ({ key: name, revision: 0 }));
-      const lock = encodeLock(request.id);
+      const lock = encodeShardLock(request.id);
       const writes = [{ put: key, value: move }, ...locks.map((put) => ({ put, value: lock }))];
       const result = await store.attempt(() =>
         store.client.compareAndSwap(CALL_PRIORITY.rest, guards, writes),
@@ -227,7 +229,7 @@
       if (held === undefined) continue;
       const holder = await store.attempt(() => store.client.get(held, CALL_PRIORITY.read));
       if ('missing' in holder) continue;
-      const id = decodeLock(holder.value) ?? 'one of another version';
+      const id = decodeShardLock(holder.value) ?? 'one of another version';
       // An answer that got lost: the lock is this move's own.
       if (id === request.id) continue;
       throw new CommandError(EXIT.conflict, `${held}: another move holds it (${id})`);
@@ -245,7 +247,7 @@
       if (move === null || 'missing' in found) {
         throw new CommandError(EXIT.badInput, `no such move: ${id}`);
       }
-      if (isOver(move) || move.abortAsked) return { move, written: false };
+      if (isTerminal(move) || move.abortAsked) return { move, written: false };
       const next: Move = { ...move, abortAsked: true };
       const guards = [{ key, revision: found.revision }];
       const writes = [{ put: key, value: next }];
--- a/src/rebalancing/move-coordinator.ts
+++ b/src/rebalancing/move-coordinator.ts
@@ -4,15 +4,15 @@
   type Versioned,
 } from '@sumacstep/leader-election';
 import {
-  advance,
-  isOver,
+  advanceMove,
+  isTerminal,
   moveKey,
   shardLockKey,
   type Move,
-  type MoverFacts,
+  type MoveFacts,
 } from '@sumacstep/shard-rebalancing';
 import type { Logger } from 'pino';
-import { MOVE, type DutyController } from '../singletons/singleton-controller.js';
+import { MOVE_COORDINATOR_ROLE, type SingletonElection } from '../singletons/singleton-election.js';
 import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { Write } from '../wire/schemas.js';
@@ -20,7 +20,7 @@
 type Tables = Pick<WatchCache['tables'], 'nodes' | 'shards' | 'moves'>;
 
 /** All moves that the state service holds, by id. */
-export const movesIn = ({ moves: table }: Pick<Tables, 'moves'>) => {
+export const movesById = ({ moves: table }: Pick<Tables, 'moves'>) => {
   const moves = new Map<string, Versioned<Move>>();
   for (const { value: entry, revision } of table.values()) {
     if (entry.kind === 'move') moves.set(entry.move.id, { value: entry.move, revision });
@@ -29,14 +29,14 @@
 };
 
 /** Whether every living node takes part in moves. */
-export const allKnowShares = ({ nodes }: Pick<Tables, 'nodes'>): boolean => {
-  for (const { value } of nodes.values()) if (!value.knowsShares) return false;
+export const allSupportRebalancing = ({ nodes }: Pick<Tables, 'nodes'>): boolean => {
+  for (const { value } of nodes.values()) if (!value.supportsRebalancing) return false;
   return nodes.size > 0;
 };
 
 /** Why no step of a move may be taken now; null if nothing stands in the way. */
-export const obstacleOf = (tables: Tables, move: Move): string | null => {
-  if (!allKnowShares(tables)) return 'a node that does not know moves';
+export const obstacleTo = (tables: Tables, move: Move): string | null => {
+  if (!allSupportRebalancing(tables)) return 'a node that does not know moves';
   for (const shard of [move.from, move.to]) {
     const owner = tables.shards.get(String(shard))?.value;
     const lives = owner !== undefined && tables.nodes.has(`${owner.owner}/${owner.incarnation}`);
@@ -46,8 +46,8 @@
 };
 
 /** What the duty of moving needs of the process. */
-export interface MoverPorts {
-  readonly duties: Pick<DutyController, 'authorize'>;
+export interface MoveCoordinatorDependencies {
+  readonly duties: Pick<SingletonElection, 'authorize'>;
   readonly client: Pick<StoreClient, 'compareAndSwap'>;
   readonly cache: WatchCache;
   readonly timeOfDay: () => number;
@@ -55,23 +55,23 @@
 }
 
 /** The duty of moving: begins moves, ends them, turns them back at their deadline or at a stated time. */
-export class Mover {
+export class MoveCoordinator {
   readonly #busy = new Set<string>();
 
-  constructor(private readonly ports: MoverPorts) {}
+  constructor(private readonly ports: MoveCoordinatorDependencies) {}
 
   /** One round, if this node holds the duty. */
   tick(): void {
     const { cache, duties, timeOfDay } = this.ports;
-    const moves = movesIn(cache.tables);
+    const moves = movesById(cache.tables);
     if (moves.size === 0) return;
-    const authorization = duties.authorize(MOVE);
+    const authorization = duties.authorize(MOVE_COORDINATOR_ROLE);
     if (authorization === null) return;
     for (const [id, { value: move, revision }] of moves) {
-      if (isOver(move) || this.#busy.has(id)) continue;
-      const obstacle = obstacleOf(cache.tables, move);
-      const facts: MoverFacts = { nowMs: timeOfDay(), obstacle };
-      const next = advance(move, facts);
+      if (isTerminal(move) || this.#busy.has(id)) continue;
+      const obstacle = obstacleTo(cache.tables, move);
+      const facts: MoveFacts = { nowMs: timeOfDay(), obstacle };
+      const next = advanceMove(move, facts);
       if (next !== null) void this.#write(authorization, next, revision);
     }
   }
@@ -80,7 +80,7 @@
     const { client, cache, log } = this.ports;
     const key = moveKey(move.id);
     const writes: Write[] = [{ put: key, value: move }];
-    if (isOver(move)) {
+    if (isTerminal(move)) {
       writes.push({ drop: shardLockKey(move.from) }, { drop: shardLockKey(move.to) });
     }
     this.#busy.add(move.id);
--- a/src/rebalancing/shard-mover.ts
+++ b/src/rebalancing/shard-mover.ts
@@ -1,20 +1,20 @@
 import { fencedCompareAndSwap, type Versioned } from '@sumacstep/leader-election';
 import {
-  ends,
-  isOver,
+  moveEndpoints,
+  isTerminal,
   moveKey,
-  select,
+  selectMachines,
   type Candidate,
   type Move,
 } from '@sumacstep/shard-rebalancing';
 import type { Logger } from 'pino';
 import type { SharesConfig } from '../config/shares.js';
-import { MOVE_REASON_MS } from './constants.js';
+import { WAIT_REASON_WRITE_INTERVAL_MS } from './constants.js';
 import { serves, type MachineState, type Shard } from '../core/shard/shard.js';
 import type { Owned, ShardController } from '../shards/shard-controller.js';
 import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
 import type { WatchCache } from '../store/watch-cache.js';
-import { movesIn, obstacleOf } from './move-coordinator.js';
+import { movesById, obstacleTo } from './move-coordinator.js';
 
 const unfitness = (shard: Shard, m: MachineState, now: number): string | null => {
   if (m.terminating || m.draining || m.quarantined || m.orphaned) return 'is to be returned';
@@ -36,9 +36,9 @@
     zone,
     spot,
     tasks: m.tasks.size,
-    endless: serves(m),
-    unfit,
-    settled: unfit === null && empty && m.cordoned,
+    runsService: serves(m),
+    ineligibleBecause: unfit,
+    readyToMove: unfit === null && empty && m.cordoned,
   };
 };
 
@@ -46,7 +46,7 @@
   a.length === b.length && a.every((name, i) => name === b[i]);
 
 /** What the owners' side of moves needs of the process. */
-export interface ShareOwnerPorts {
+export interface ShardMoverDependencies {
   readonly client: Pick<StoreClient, 'compareAndSwap'>;
   readonly cache: WatchCache;
   readonly shardController: ShardController;
@@ -60,7 +60,7 @@
  * transaction when nothing is there and nothing may arrive any more; the target's owner sees to it that its term is
  * the higher one, so that workers take its commands.
  */
-export class ShareOwner {
+export class ShardMover {
   readonly #busy = new Set<string>();
   /** whether machines may be marked as chosen since an earlier round */
   #marked = false;
@@ -69,20 +69,20 @@
 
   constructor(
     private readonly config: SharesConfig,
-    private readonly ports: ShareOwnerPorts,
+    private readonly ports: ShardMoverDependencies,
   ) {}
 
   /** One round over the moves that concern shards of this node. */
   tick(): void {
     const { cache, shardController } = this.ports;
-    const moves = [...movesIn(cache.tables).values()].filter(({ value }) => !isOver(value));
+    const moves = [...movesById(cache.tables).values()].filter(({ value }) => !isTerminal(value));
     if (moves.length > 0 || this.#marked) this.#mark(moves);
     this.#marked = moves.length > 0;
     for (const move of moves) {
       const { state } = move.value;
       if (state !== 'preparing' && state !== 'moving') continue;
-      if (obstacleOf(cache.tables, move.value) !== null) continue;
-      const { source, target } = ends(move.value);
+      if (obstacleTo(cache.tables, move.value) !== null) continue;
+      const { source, target } = moveEndpoints(move.value);
       if (!this.#targetIsNewer(source, target)) shardController.renewTerm(target);
       const owned = shardController.owned.get(source);
       if (owned !== undefined && shardController.actsFor(owned))
@@ -97,7 +97,7 @@
   #mark(moves: readonly Versioned<Move>[]): void {
     const chosen = new Map<number, Set<string>>();
     for (const { value: move } of moves) {
-      const { source } = ends(move);
+      const { source } = moveEndpoints(move);
       const names = chosen.get(source) ?? new Set();
       for (const name of move.chosen) names.add(name);
       chosen.set(source, names);
@@ -119,7 +119,7 @@
     const now = this.ports.now();
     const present = this.#withoutGone(move, shard.index);
     const machines = [...shard.machines.values()].map((m) => candidateOf(shard, m, now));
-    const selection = select(present, machines, this.config.emptyingMost);
+    const selection = selectMachines(present, machines, this.config.emptyingMost);
     const newer = this.#targetIsNewer(shard.index, target);
     if (newer && selection.ready.length > 0 && move.state === 'moving') {
       void this.#once(move.id, () =>
@@ -152,7 +152,7 @@
       old.state !== next.state || !same(old.chosen, next.chosen) || !same(old.moved, next.moved);
     if (changed) return true;
     if (old.waitsFor === next.waitsFor) return false;
-    return now - (this.#reasonAt.get(next.id) ?? -Infinity) >= MOVE_REASON_MS;
+    return now - (this.#reasonAt.get(next.id) ?? -Infinity) >= WAIT_REASON_WRITE_INTERVAL_MS;
   }
 
   async #once(id: string, work: () => Promise<void>): Promise<void> {
--- a/src/service/service.ts
+++ b/src/service/service.ts
@@ -1,4 +1,4 @@
-import { Refusals, type SessionLease } from '@sumacstep/leader-election';
+import { FencingRejections, type SessionLease } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import { steadyMs, timeOfDayMs } from '../clock.js';
 import { CloudClient } from '../cloud/client.js';
@@ -16,7 +16,7 @@
 } from '../core/cancellation/cancellations.js';
 import { WorkloadStatistics } from '../core/capacity/workload-statistics.js';
 import { type Heartbeat } from '../core/model.js';
-import { Duties } from '../singletons/singleton-controllers.js';
+import { SingletonControllers } from '../singletons/singleton-controllers.js';
 import { ShardController, type PeerView } from '../shards/shard-controller.js';
 import { Gossip, type OwnStatus } from '../peers/gossip.js';
 import type { PeerStatus } from '../peers/frames.js';
@@ -31,7 +31,7 @@
 import { Readiness } from './readiness.js';
 import { Summary } from './summary.js';
 import { shareSockets } from './socket-budget.js';
-import { ShareOwner } from '../rebalancing/shard-mover.js';
+import { ShardMover } from '../rebalancing/shard-mover.js';
 import { StoreClient } from '../store/store-client.js';
 import { LinearizableReads } from '../store/linearizable-reads.js';
 import { nodeSession } from '../store/node-session.js';
@@ -61,11 +61,11 @@
   readonly #cache = new WatchCache();
   readonly #linearizable: LinearizableReads;
   readonly #lease: SessionLease;
-  readonly #refusals: Refusals;
+  readonly #fencingRejections: FencingRejections;
   /** null: the duties are switched off */
-  readonly #duties: Duties | null;
+  readonly #duties: SingletonControllers | null;
   /** null: moves of machines between shards are switched off */
-  readonly #shareOwner: ShareOwner | null;
+  readonly #shareOwner: ShardMover | null;
   readonly #returns: ScaleIn;
   readonly #unrecorded: OrphanedInstances;
   readonly #workload = new WorkloadStatistics();
@@ -116,11 +116,11 @@
     const life = {
       node: config.node,
       incarnation: this.#incarnation,
-      knowsDuties: dutiesConfig !== null,
-      knowsShares: shares !== null,
+      supportsElection: dutiesConfig !== null,
+      supportsRebalancing: shares !== null,
     };
     this.#lease = nodeSession(this.#store, life, this.#now, log);
-    this.#refusals = new Refusals((duty) => this.#currentToken(duty), log);
+    this.#fencingRejections = new FencingRejections((duty) => this.#currentToken(duty), log);
     const others = config.peers.map((p) => p.node);
     this.#broadcast = new CancellationBroadcast(others, config.workers.cancelS * 1000);
     this.#receiver = new CancellationReceiver(others);
@@ -148,7 +148,7 @@
       this.#lease,
       () => this.#linearizable.wait(),
       this.#peerView(),
-      this.#refusals,
+      this.#fencingRejections,
       () => this.#types.current,
       (jobClass) => this.#startObjectives(jobClass),
       this.#now,
@@ -158,13 +158,13 @@
     this.#duties =
       dutiesConfig === null
         ? null
-        : new Duties(config, dutiesConfig, shares, this.#incarnation, {
+        : new SingletonControllers(config, dutiesConfig, shares, this.#incarnation, {
             client: this.#store,
             cloud: this.#cloud,
             cache: this.#cache,
             authority: () => this.#shardController.authority(this.#now()),
             current: () => this.#linearizable.wait(),
-            refusals: this.#refusals,
+            fencingRejections: this.#fencingRejections,
             now: this.#now,
             timeOfDay: timeOfDayMs,
             log,
@@ -172,7 +172,7 @@
     this.#shareOwner =
       shares === null
         ? null
-        : new ShareOwner(shares, {
+        : new ShardMover(shares, {
             client: this.#store,
             cache: this.#cache,
             shardController: this.#shardController,
@@ -434,8 +434,13 @@
 
   #summarize(): void {
     const activeJobs = this.#cache.tables.activeJobs.size;
-    const refusals = this.#refusals.counts;
-    this.#summary.write(this.#shardController.owned, activeJobs, this.#store.available, refusals);
+    const fencingRejections = this.#fencingRejections.counts;
+    this.#summary.write(
+      this.#shardController.owned,
+      activeJobs,
+      this.#store.available,
+      fencingRejections,
+    );
   }
 
   close(): void {
--- a/src/service/summary.ts
+++ b/src/service/summary.ts
@@ -1,5 +1,5 @@
 import hdr from 'hdr-histogram-js';
-import type { RefusalCounts } from '@sumacstep/leader-election';
+import type { FencingRejectionCounts } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import type { Shard } from '../core/shard/shard.js';
 
@@ -54,7 +54,7 @@
     shards: ReadonlyMap<number, { readonly shard: Shard }>,
     activeJobs: number,
     storeAvailable: boolean,
-    ordersRefused: RefusalCounts,
+    ordersRefused: FencingRejectionCounts,
   ): void {
     const percentile = (p: number) => this.#acceptMs.getValueAtPercentile(p);
     const count = this.#acceptMs.totalCount;
--- a/src/shards/direct-commands.ts
+++ b/src/shards/direct-commands.ts
@@ -67,7 +67,7 @@
       });
       if (sent.kind !== 'not_sent' && sent.kind !== 'in_doubt' && !sent.executed) {
         const { fencingToken } = sent.heartbeat;
-        if (fencingToken > shard.term) authorization.refused('machine', fencingToken);
+        if (fencingToken > shard.term) authorization.recordRejection('machine', fencingToken);
       }
       if (sent.kind === 'in_doubt' || !this.isOwned(shard)) return;
       if (sent.kind === 'not_sent') {
--- a/src/shards/orphaned-instances.ts
+++ b/src/shards/orphaned-instances.ts
@@ -4,7 +4,7 @@
 import { ADOPT_MS, LIST_MS } from './constants.js';
 import { shardOfMachine } from '../core/jobs/jobs.js';
 import type { Heartbeat } from '../core/model.js';
-import type { Reclaiming } from '../singletons/orphan-collector.js';
+import type { OrphanCollector } from '../singletons/orphan-collector.js';
 import type { ReturnIntents } from '../singletons/return-intents.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { ListedMachine } from '../wire/schemas.js';
@@ -13,7 +13,7 @@
 
 /** The duty of returning machines that no record knows, where it is switched on. */
 export interface Reclaimer {
-  readonly reclaiming: Reclaiming;
+  readonly reclaiming: OrphanCollector;
   readonly intents: ReturnIntents;
 }
 
--- a/src/shards/retryable-error.ts
+++ b/src/shards/retryable-error.ts
@@ -1,4 +1,4 @@
-import { NotEntitledError } from '@sumacstep/leader-election';
+import { NotLeaderError } from '@sumacstep/leader-election';
 import { CloudRequestError } from '../cloud/client.js';
 import { StoreRequestError } from '../store/store-client.js';
 
@@ -6,4 +6,4 @@
 export const isRetryable = (error: unknown): error is Error =>
   error instanceof StoreRequestError ||
   error instanceof CloudRequestError ||
-  error instanceof NotEntitledError;
+  error instanceof NotLeaderError;
--- a/src/shards/shard-controller.ts
+++ b/src/shards/shard-controller.ts
@@ -1,7 +1,7 @@
 import {
   Authorization,
   fencingToken,
-  type Refusals,
+  type FencingRejections,
   type SessionLease,
 } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
@@ -90,7 +90,7 @@
     /** resolves once the cache shows everything that was committed before the call */
     private readonly current: () => Promise<unknown>,
     private readonly peers: PeerView,
-    private readonly refusals: Refusals,
+    private readonly fencingRejections: FencingRejections,
     private readonly types: () => ReadonlyMap<string, MachineType> | null,
     private readonly startObjectives: ShardSettings['startObjectives'],
     private readonly now: () => number,
@@ -154,14 +154,14 @@
 
   /** The right to act for a shard under its term, which is its fencing token. */
   #authorization(shard: Shard, revision: number): Authorization {
-    const holds = () => {
+    const isCurrent = () => {
       const owned = this.owned.get(shard.index);
       return owned?.shard === shard && this.actsFor(owned);
     };
-    const duty = key.shard(shard.index);
-    const condition = { key: duty, revision };
-    const tenure = { duty, token: fencingToken(shard.term), condition, holds };
-    return new Authorization(tenure, this.refusals);
+    const role = key.shard(shard.index);
+    const guard = { key: role, revision };
+    const leadership = { role, fencingToken: fencingToken(shard.term), guard, isCurrent };
+    return new Authorization(leadership, this.fencingRejections);
   }
 
   /** Takes an own shard anew, under a higher term: workers then take its commands after those of another shard. */
--- a/src/singletons/constants.ts
+++ b/src/singletons/constants.ts
@@ -1,10 +1,10 @@
 /** Timing of the singleton controllers. */
 
 /** ms; a duty without a holder is left this long to each candidate before the next one tries. */
-export const DUTY_GRACE_MS = 1500;
+export const CANDIDATE_DELAY_MS = 1500;
 
 /** ms; between two looks at what may be cleared: nobody waits for it. */
-export const CLEAR_ROUND_MS = 10_000;
+export const GARBAGE_COLLECTION_INTERVAL_MS = 10_000;
 
 /** ms; observed time is written this often. A holder that ends sooner has observed nothing, so not rarely. */
-export const RETENTION_WRITE_MS = 600_000;
+export const RETENTION_WRITE_INTERVAL_MS = 600_000;
--- a/src/singletons/garbage-collector.ts
+++ b/src/singletons/garbage-collector.ts
@@ -1,19 +1,19 @@
 import {
   expiredRevision,
   fencedCompareAndSwap,
-  NOTHING_OBSERVED,
-  observe,
+  EMPTY_RETENTION,
+  observeElapsed,
   type Authorization,
   type Guard,
   type RetentionRecord,
   type Write,
 } from '@sumacstep/leader-election';
-import { isOver, moveKey } from '@sumacstep/shard-rebalancing';
+import { isTerminal, moveKey } from '@sumacstep/shard-rebalancing';
 import type { Logger } from 'pino';
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { DutiesConfig } from '../config/duties.js';
 import { CLOCK_DRIFT } from '../constants.js';
-import { CLEAR_ROUND_MS, RETENTION_WRITE_MS } from './constants.js';
+import { GARBAGE_COLLECTION_INTERVAL_MS, RETENTION_WRITE_INTERVAL_MS } from './constants.js';
 import { LIST_PAGE } from '../store/constants.js';
 import {
   CALL_PRIORITY,
@@ -24,11 +24,11 @@
 import { dutyEntryKey } from '../store/election-entries.js';
 import { FINAL, key } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
-import { CLEAR, type DutyController } from './singleton-controller.js';
+import { GARBAGE_COLLECTOR_ROLE, type SingletonElection } from './singleton-election.js';
 
 /** What clearing needs of the process. */
-export interface ClearingPorts {
-  readonly duties: Pick<DutyController, 'authorize'>;
+export interface GarbageCollectorDependencies {
+  readonly duties: Pick<SingletonElection, 'authorize'>;
   readonly client: Pick<StoreClient, 'compareAndSwap' | 'list' | 'get'>;
   readonly cache: WatchCache;
   /** the key of this node's own life, which a lease holds for sure */
@@ -56,7 +56,7 @@
  * observed time ago. Each transaction that clears final states also changes the acceptance key, which every
  * acceptance names as a condition. So an acceptance from before fails, however late it is carried out.
  */
-export class Clearing {
+export class GarbageCollector {
   #busy = false;
   #lastRound = -Infinity;
   /** the tenure whose time is observed, and up to when (steady ms) */
@@ -66,17 +66,17 @@
 
   constructor(
     private readonly config: Pick<DutiesConfig, 'finalKeepMs' | 'clearWritesPerS'>,
-    private readonly ports: ClearingPorts,
+    private readonly ports: GarbageCollectorDependencies,
   ) {}
 
   /** Runs a round if one is due and this node holds the duty. */
   tick(): void {
     const now = this.ports.now();
-    const authorization = this.ports.duties.authorize(CLEAR);
+    const authorization = this.ports.duties.authorize(GARBAGE_COLLECTOR_ROLE);
     if (
       authorization === null ||
       this.#busy ||
-      now - this.#lastRound < this.#every(CLEAR_ROUND_MS)
+      now - this.#lastRound < this.#every(GARBAGE_COLLECTION_INTERVAL_MS)
     ) {
       return;
     }
@@ -108,7 +108,7 @@
     const expired = expiredRevision(retention, this.config.finalKeepMs);
     if (expired !== null && expired > this.#sweptTo) {
       const cleared = await this.#clearFinals(authorization, expired);
-      if (!authorization.holds()) return;
+      if (!authorization.isValid()) return;
       await this.#clearMoves(authorization, expired);
       this.#sweptTo = expired;
       if (cleared > 0) this.ports.log.info({ cleared, expired }, 'final states cleared');
@@ -122,17 +122,17 @@
   /** Writes the observed time now and then; null while that is not due, or if the tenure is over. */
   async #observeTime(authorization: Authorization): Promise<RetentionRecord | null> {
     const now = this.ports.now();
-    const { token } = authorization;
+    const { fencingToken: token } = authorization;
     if (this.#observed?.token !== token) {
       this.#observed = { token, at: now };
       this.#sweptTo = -1;
     }
     const passedMs = now - this.#observed.at;
     const stored = this.ports.cache.tables.elections.get('retention');
-    const old = stored?.value.kind === 'retention' ? stored.value.retention : NOTHING_OBSERVED;
-    if (stored !== undefined && passedMs < this.#every(RETENTION_WRITE_MS)) return null;
+    const old = stored?.value.kind === 'retention' ? stored.value.retention : EMPTY_RETENTION;
+    if (stored !== undefined && passedMs < this.#every(RETENTION_WRITE_INTERVAL_MS)) return null;
     const options = { keepMs: this.config.finalKeepMs, clockDrift: CLOCK_DRIFT };
-    const value = observe(old, passedMs, this.ports.cache.epoch, options);
+    const value = observeElapsed(old, passedMs, this.ports.cache.epoch, options);
     const writes = [{ put: dutyEntryKey.retention, value }];
     const guards = [{ key: dutyEntryKey.retention, revision: stored?.revision ?? 0 }];
     if (!(await this.#compareAndSwap(authorization, guards, writes))) return null;
@@ -168,7 +168,7 @@
       const page = await this.ports.client.list(FINAL, since, LIST_PAGE, CALL_PRIORITY.rest);
       const old = page.entries.filter((entry) => entry.revision <= expired);
       for (let at = 0; at < old.length; at += most) {
-        if (!authorization.holds()) return cleared;
+        if (!authorization.isValid()) return cleared;
         const batch = old.slice(at, at + most);
         if (await this.#dropFinals(authorization, batch)) cleared += batch.length;
         await sleep(((batch.length + 1) * 1000) / this.config.clearWritesPerS);
@@ -182,14 +182,17 @@
   #dropFinals(authorization: Authorization, batch: readonly Clearable[]): Promise<boolean> {
     const guards = batch.map(({ key: name, revision }) => ({ key: name, revision }));
     const drops: Write[] = batch.map(({ key: name }) => ({ drop: name }));
-    const acceptance = { put: dutyEntryKey.acceptance, value: { token: authorization.token } };
+    const acceptance = {
+      put: dutyEntryKey.acceptance,
+      value: { token: authorization.fencingToken },
+    };
     return this.#compareAndSwap(authorization, guards, [...drops, acceptance]);
   }
 
   /** Moves of machines that were over before: they are kept for people alone. */
   async #clearMoves(authorization: Authorization, expired: number): Promise<void> {
     for (const { value: entry, revision } of this.ports.cache.tables.moves.values()) {
-      if (entry.kind !== 'move' || !isOver(entry.move) || revision > expired) continue;
+      if (entry.kind !== 'move' || !isTerminal(entry.move) || revision > expired) continue;
       if (!(await this.#drop(authorization, { key: moveKey(entry.move.id), revision }))) return;
     }
   }
--- a/src/singletons/orphan-collector.ts
+++ b/src/singletons/orphan-collector.ts
@@ -6,15 +6,15 @@
 import { key } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { ListedMachine } from '../wire/schemas.js';
-import { RECLAIM, type DutyController } from './singleton-controller.js';
+import { ORPHAN_COLLECTOR_ROLE, type SingletonElection } from './singleton-election.js';
 import type { ReturnIntents } from './return-intents.js';
 
 /** conditions of the transaction that records returns besides those of the machines: duty and list */
 const OTHER_CONDITIONS = 2;
 
 /** What reclaiming needs of the process. */
-export interface ReclaimingPorts {
-  readonly duties: Pick<DutyController, 'authorize' | 'begun'>;
+export interface OrphanCollectorDependencies {
+  readonly duties: Pick<SingletonElection, 'authorize' | 'begun'>;
   readonly intents: ReturnIntents;
   readonly cloud: Pick<CloudClient, 'returnMachines'>;
   readonly cache: WatchCache;
@@ -24,12 +24,12 @@
 }
 
 /** The duty of returning machines that no record knows: rentals that were carried out late, for instance. */
-export class Reclaiming {
+export class OrphanCollector {
   #busy = false;
 
   constructor(
     private readonly transactionOps: number,
-    private readonly ports: ReclaimingPorts,
+    private readonly ports: OrphanCollectorDependencies,
   ) {}
 
   /** Whether such machines are returned by the duty's holder, and not adopted by a shard. */
@@ -39,15 +39,15 @@
 
   /** Whether this node is the one that returns them. */
   get held(): boolean {
-    return this.ports.duties.authorize(RECLAIM) !== null;
+    return this.ports.duties.authorize(ORPHAN_COLLECTOR_ROLE) !== null;
   }
 
   /**
    * Returns machines that the cloud has listed for long without any record. Resolves with those that are gone.
-   * Rejects like the state service and the cloud do, and with `NotEntitledError`.
+   * Rejects like the state service and the cloud do, and with `NotLeaderError`.
    */
   async reclaim(listed: readonly ListedMachine[]): Promise<readonly string[]> {
-    const authorization = this.ports.duties.authorize(RECLAIM);
+    const authorization = this.ports.duties.authorize(ORPHAN_COLLECTOR_ROLE);
     if (authorization === null || this.#busy) return [];
     this.#busy = true;
     try {
@@ -81,7 +81,7 @@
     const recorded = await intents.record(list, authorization, names, needed, unadopted);
     if (recorded.length === 0) return [];
     await cloud.returnMachines(recorded, authorization);
-    log.info({ machines: recorded, token: authorization.token }, 'machines reclaimed');
+    log.info({ machines: recorded, token: authorization.fencingToken }, 'machines reclaimed');
     return recorded;
   }
 
--- a/src/singletons/singleton-controllers.ts
+++ b/src/singletons/singleton-controllers.ts
@@ -1,23 +1,23 @@
-import type { Refusals } from '@sumacstep/leader-election';
+import type { FencingRejections } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import type { CloudClient } from '../cloud/client.js';
 import type { DutiesConfig } from '../config/duties.js';
 import type { PlatformConfig } from '../config/platform.js';
 import type { SharesConfig } from '../config/shares.js';
-import { Mover } from '../rebalancing/move-coordinator.js';
+import { MoveCoordinator } from '../rebalancing/move-coordinator.js';
 import type { Reclaimer } from '../shards/orphaned-instances.js';
 import type { StoreClient } from '../store/store-client.js';
 import { dutyEntryKey } from '../store/election-entries.js';
 import { key } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { Guard } from '../wire/schemas.js';
-import { Clearing } from './garbage-collector.js';
-import { DutyController } from './singleton-controller.js';
-import { Reclaiming } from './orphan-collector.js';
+import { GarbageCollector } from './garbage-collector.js';
+import { SingletonElection } from './singleton-election.js';
+import { OrphanCollector } from './orphan-collector.js';
 import { ReturnIntents } from './return-intents.js';
 
 /** What the duties need of the process. */
-export interface DutiesPorts {
+export interface SingletonControllersDependencies {
   readonly client: StoreClient;
   readonly cloud: CloudClient;
   readonly cache: WatchCache;
@@ -25,7 +25,7 @@
   readonly authority: () => boolean;
   /** resolves once the cache shows everything that was committed before the call */
   readonly current: () => Promise<unknown>;
-  readonly refusals: Refusals;
+  readonly fencingRejections: FencingRejections;
   /** steady ms */
   readonly now: () => number;
   readonly timeOfDay: () => number;
@@ -35,10 +35,10 @@
 type Platform = Pick<PlatformConfig, 'node' | 'nodes' | 'storeLimits'>;
 
 /** The exclusive duties as they are switched on, put together. */
-export class Duties {
-  readonly #controller: DutyController;
-  readonly #clearing: Clearing;
-  readonly #mover: Mover | null;
+export class SingletonControllers {
+  readonly #controller: SingletonElection;
+  readonly #clearing: GarbageCollector;
+  readonly #mover: MoveCoordinator | null;
   readonly #cache: WatchCache;
   /** records returns of shards; null if that is switched off */
   readonly shardReturns: ReturnIntents | null;
@@ -50,20 +50,20 @@
     config: DutiesConfig,
     shares: SharesConfig | null,
     incarnation: string,
-    ports: DutiesPorts,
+    ports: SingletonControllersDependencies,
   ) {
     const { client, cache } = ports;
     const { valueBytes, transactionOps } = platform.storeLimits;
     this.#cache = cache;
     const switched = { ...config, move: shares !== null };
-    this.#controller = new DutyController({ node: platform.node, incarnation }, switched, ports);
+    this.#controller = new SingletonElection({ node: platform.node, incarnation }, switched, ports);
     const duties = this.#controller;
     const intents = new ReturnIntents(client, cache, valueBytes);
     this.shardReturns = config.recordReturns ? intents : null;
-    const reclaiming = new Reclaiming(transactionOps, { ...ports, duties, intents });
+    const reclaiming = new OrphanCollector(transactionOps, { ...ports, duties, intents });
     this.reclaimer = config.reclaim ? { reclaiming, intents } : null;
-    this.#mover = shares === null ? null : new Mover({ ...ports, duties });
-    this.#clearing = new Clearing(config, {
+    this.#mover = shares === null ? null : new MoveCoordinator({ ...ports, duties });
+    this.#clearing = new GarbageCollector(config, {
       ...ports,
       duties,
       ownNodeKey: key.node(platform.node, incarnation),
--- a/src/singletons/singleton-controller.ts
+++ b/src/singletons/singleton-election.ts
@@ -1,32 +1,36 @@
 import {
-  allKnowDuties,
-  DutyManager,
+  allSupportElection,
+  LeaderElection,
   type Authorization,
-  type DutyRecord,
-  type DutyView,
-  type HandOverRequest,
-  type LivingMember,
+  type LeaderRecord,
+  type ElectionView,
+  type LeadershipTransferRequest,
+  type LiveMember,
   type Member,
-  type Refusals,
+  type FencingRejections,
   type CompareAndSwapStore,
   type Urgency,
   type Versioned,
 } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import type { DutiesConfig } from '../config/duties.js';
-import { DUTY_GRACE_MS } from './constants.js';
+import { CANDIDATE_DELAY_MS } from './constants.js';
 import { CALL_PRIORITY, type CallPriority, type StoreClient } from '../store/store-client.js';
 import { key, type Entries } from '../store/keys.js';
 import type { Cached, WatchCache } from '../store/watch-cache.js';
 
 /** Returning machines that no record knows. */
-export const RECLAIM = 'reclaim';
+export const ORPHAN_COLLECTOR_ROLE = 'reclaim';
 /** Clearing old state. */
-export const CLEAR = 'clear';
+export const GARBAGE_COLLECTOR_ROLE = 'clear';
 /** Moving machines between shards. */
-export const MOVE = 'move';
+export const MOVE_COORDINATOR_ROLE = 'move';
 /** All duties that exist, whether switched on or not. */
-export const DUTY_NAMES = [RECLAIM, CLEAR, MOVE] as const;
+export const SINGLETON_ROLES = [
+  ORPHAN_COLLECTOR_ROLE,
+  GARBAGE_COLLECTOR_ROLE,
+  MOVE_COORDINATOR_ROLE,
+] as const;
 
 const CALL_OF: Readonly<Record<Urgency, CallPriority>> = {
   lease: CALL_PRIORITY.renew,
@@ -36,27 +40,27 @@
 
 type Tables = Pick<WatchCache['tables'], 'nodes' | 'elections'>;
 
-const livingMembers = (nodes: ReadonlyMap<string, Cached<Entries['nodes/']>>): LivingMember[] =>
+const livingMembers = (nodes: ReadonlyMap<string, Cached<Entries['nodes/']>>): LiveMember[] =>
   [...nodes.values()].map(({ value, revision }) => ({ ...value, revision }));
 
 /** Members, duties and requests as the tables show them. */
-export const dutyView = (tables: Tables): DutyView => {
-  const records = new Map<string, Versioned<DutyRecord>>();
-  const requests = new Map<string, Versioned<HandOverRequest>>();
+export const electionView = (tables: Tables): ElectionView => {
+  const records = new Map<string, Versioned<LeaderRecord>>();
+  const requests = new Map<string, Versioned<LeadershipTransferRequest>>();
   for (const { value: entry, revision } of tables.elections.values()) {
     if (entry.kind === 'record') records.set(entry.duty, { value: entry.record, revision });
     else if (entry.kind === 'request') requests.set(entry.duty, { value: entry.request, revision });
   }
-  return { members: livingMembers(tables.nodes), records, requests };
+  return { members: livingMembers(tables.nodes), records, transferRequests: requests };
 };
 
 /** What the duty controller needs of the process. */
-export interface DutyControllerPorts {
+export interface SingletonElectionDependencies {
   readonly client: Pick<StoreClient, 'compareAndSwap'>;
   readonly cache: WatchCache;
   /** whether this node provably owns what the cache shows as its own */
   readonly authority: () => boolean;
-  readonly refusals: Refusals;
+  readonly fencingRejections: FencingRejections;
   /** steady ms */
   readonly now: () => number;
   readonly timeOfDay: () => number;
@@ -64,50 +68,54 @@
 }
 
 /** The exclusive duties of this node: the package's manager on the state service and the watch cache. */
-export class DutyController {
-  readonly #manager: DutyManager;
+export class SingletonElection {
+  readonly #manager: LeaderElection;
   readonly #cache: WatchCache;
-  #view: DutyView | null = null;
+  #view: ElectionView | null = null;
   #viewVersion = -1;
 
   constructor(
-    me: Member,
+    self: Member,
     config: Pick<DutiesConfig, 'reclaim' | 'clear'> & { readonly move: boolean },
-    ports: DutyControllerPorts,
+    ports: SingletonElectionDependencies,
   ) {
-    const { client, cache, authority, refusals, now, timeOfDay, log } = ports;
+    const { client, cache, authority, fencingRejections, now, timeOfDay, log } = ports;
     this.#cache = cache;
-    const switched = { [RECLAIM]: config.reclaim, [CLEAR]: config.clear, [MOVE]: config.move };
-    const duties = DUTY_NAMES.filter((name) => switched[name]);
+    const switched = {
+      [ORPHAN_COLLECTOR_ROLE]: config.reclaim,
+      [GARBAGE_COLLECTOR_ROLE]: config.clear,
+      [MOVE_COORDINATOR_ROLE]: config.move,
+    };
+    const duties = SINGLETON_ROLES.filter((name) => switched[name]);
     const store: CompareAndSwapStore = {
       compareAndSwap: (urgency, guards, writes) =>
         client.compareAndSwap(CALL_OF[urgency], guards, writes),
     };
-    this.#manager = new DutyManager(
+    this.#manager = new LeaderElection(
       {
-        me,
-        duties,
-        graceMs: DUTY_GRACE_MS,
+        self,
+        roles: duties,
+        candidateDelayMs: CANDIDATE_DELAY_MS,
         memberKey: ({ node, incarnation }) => key.node(node, incarnation),
       },
       {
         store,
         view: () => this.view(),
-        authority,
-        committed: (writes, epoch) => cache.applyOwn(writes, epoch),
-        now,
-        timeOfDay,
-        refusals,
+        hasAuthority: authority,
+        onCommitted: (writes, epoch) => cache.applyOwn(writes, epoch),
+        steadyMs: now,
+        wallClockMs: timeOfDay,
+        rejections: fencingRejections,
         log,
       },
     );
   }
 
   /** Members, duties and requests as they are known here. */
-  view(): DutyView {
+  view(): ElectionView {
     const { version, tables } = this.#cache;
     if (this.#view === null || version !== this.#viewVersion) {
-      this.#view = dutyView(tables);
+      this.#view = electionView(tables);
       this.#viewVersion = version;
     }
     return this.#view;
@@ -115,7 +123,7 @@
 
   /** Whether all living nodes have the duties, so that they are carried out. */
   get begun(): boolean {
-    return allKnowDuties(this.view());
+    return allSupportElection(this.view());
   }
 
   /** One round of acquiring, handing over and releasing. */
--- a/src/store/election-entries.ts
+++ b/src/store/election-entries.ts
@@ -1,11 +1,11 @@
 import {
-  decodeDuty,
-  decodeHandOver,
+  decodeLeaderRecord,
+  decodeTransferRequest,
   decodeRetention,
-  DUTY_PREFIX,
-  HAND_OVER_PREFIX,
-  type DutyRecord,
-  type HandOverRequest,
+  LEADER_PREFIX,
+  TRANSFER_REQUEST_PREFIX,
+  type LeaderRecord,
+  type LeadershipTransferRequest,
   type RetentionRecord,
 } from '@sumacstep/leader-election';
 import * as z from 'zod';
@@ -29,8 +29,8 @@
 
 /** One value under the prefix. */
 export type DutyEntry =
-  | { readonly kind: 'record'; readonly duty: string; readonly record: DutyRecord }
-  | { readonly kind: 'request'; readonly duty: string; readonly request: HandOverRequest }
+  | { readonly kind: 'record'; readonly duty: string; readonly record: LeaderRecord }
+  | { readonly kind: 'request'; readonly duty: string; readonly request: LeadershipTransferRequest }
   | { readonly kind: 'returns'; readonly machines: ReadonlySet<string> }
   | { readonly kind: 'retention'; readonly retention: RetentionRecord }
   | { readonly kind: 'other' };
@@ -42,12 +42,16 @@
 /** `id` is the key without the prefix. */
 export const decodeDutyEntry = (id: string, value: unknown): DutyEntry => {
   const key = `${DUTIES}${id}`;
-  if (key.startsWith(DUTY_PREFIX)) {
-    return { kind: 'record', duty: key.slice(DUTY_PREFIX.length), record: decodeDuty(value) };
+  if (key.startsWith(LEADER_PREFIX)) {
+    return {
+      kind: 'record',
+      duty: key.slice(LEADER_PREFIX.length),
+      record: decodeLeaderRecord(value),
+    };
   }
-  if (key.startsWith(HAND_OVER_PREFIX)) {
-    const duty = key.slice(HAND_OVER_PREFIX.length);
-    const request = decodeHandOver(value);
+  if (key.startsWith(TRANSFER_REQUEST_PREFIX)) {
+    const duty = key.slice(TRANSFER_REQUEST_PREFIX.length);
+    const request = decodeTransferRequest(value);
     return request === null ? { kind: 'other' } : { kind: 'request', duty, request };
   }
   if (key.startsWith(RETURNS)) {
--- a/src/store/keys.ts
+++ b/src/store/keys.ts
@@ -68,9 +68,9 @@
   readonly node: string;
   readonly incarnation: string;
   /** whether this life takes part in exclusive duties; versions that don't know them say nothing */
-  readonly knowsDuties: boolean;
+  readonly supportsElection: boolean;
   /** whether this life takes part in moves of machines between shards */
-  readonly knowsShares: boolean;
+  readonly supportsRebalancing: boolean;
 }
 
 /** Version of the duties that a node's record names. */
@@ -80,12 +80,12 @@
 const SHARES_VERSION = 1;
 
 /** What a life of a node takes part in. */
-export type Abilities = Pick<NodeRecord, 'knowsDuties' | 'knowsShares'>;
+export type Abilities = Pick<NodeRecord, 'supportsElection' | 'supportsRebalancing'>;
 
 export const encodeNode = (incarnation: string, abilities: Abilities): unknown => ({
   incarnation,
-  ...(abilities.knowsDuties ? { duties: DUTIES_VERSION } : {}),
-  ...(abilities.knowsShares ? { shares: SHARES_VERSION } : {}),
+  ...(abilities.supportsElection ? { duties: DUTIES_VERSION } : {}),
+  ...(abilities.supportsRebalancing ? { shares: SHARES_VERSION } : {}),
 });
 export interface RentalRecord {
   readonly shard: number;
@@ -203,8 +203,13 @@
   'nodes/': (id, value) => {
     const { incarnation, duties, shares } = node.parse(value);
     const name = id.slice(0, id.lastIndexOf('/'));
-    const knowsDuties = duties === DUTIES_VERSION;
-    return { node: name, incarnation, knowsDuties, knowsShares: shares === SHARES_VERSION };
+    const supportsElection = duties === DUTIES_VERSION;
+    return {
+      node: name,
+      incarnation,
+      supportsElection,
+      supportsRebalancing: shares === SHARES_VERSION,
+    };
   },
   'hires/': (id, value) => {
     const slash = id.indexOf('/');
--- a/src/store/rebalancing-entries.ts
+++ b/src/store/rebalancing-entries.ts
@@ -1,4 +1,4 @@
-import { decodeLock, decodeMove, type Move } from '@sumacstep/shard-rebalancing';
+import { decodeShardLock, decodeMove, type Move } from '@sumacstep/shard-rebalancing';
 
 /** What the state service holds of moves of machines, all under one prefix. */
 export type ShareEntry =
@@ -13,7 +13,7 @@
     return move === null ? { kind: 'other' } : { kind: 'move', move };
   }
   if (id.startsWith('parts/')) {
-    const move = decodeLock(value);
+    const move = decodeShardLock(value);
     const shard = Number(id.slice('parts/'.length));
     return move === null ? { kind: 'other' } : { kind: 'lock', shard, move };
   }
--- a/test/duty-commands.test.ts
+++ b/test/duty-commands.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
-import { dutyKey, handOverKey, type DutyRecord } from '@sumacstep/leader-election';
+import { leaderKey, transferRequestKey, type LeaderRecord } from '@sumacstep/leader-election';
 import type { DutiesOutput } from '../src/commands/duties.js';
 import { parseDuties } from '../src/config/duties.js';
 import { ConfigError } from '../src/config/platform.js';
-import { RECLAIM } from '../src/singletons/singleton-controller.js';
+import { ORPHAN_COLLECTOR_ROLE } from '../src/singletons/singleton-election.js';
 import { Cluster } from './standins/cluster.js';
 import { withCommands } from './standins/commands.js';
 
@@ -13,7 +13,7 @@
   test('shows holders during a failover, and hands over by request', async () => {
     const features = { duties: parseDuties('', '') };
     const c = new Cluster({ runMs: 500, leaseS: 10, cancelS: 20, features });
-    const record = () => c.stored(dutyKey(RECLAIM)) as DutyRecord | undefined;
+    const record = () => c.stored(leaderKey(ORPHAN_COLLECTOR_ROLE)) as LeaderRecord | undefined;
     try {
       await c.open();
       await c.until('held', 20, () => record() !== undefined);
@@ -22,7 +22,7 @@
       await withCommands(c.state.address, 'duties', async (run) => {
         const first = record()!;
         const shown = JSON.parse((await run('--json')).out) as DutiesOutput;
-        const reclaim = shown.duties.find((d) => d.duty === RECLAIM)!;
+        const reclaim = shown.duties.find((d) => d.duty === ORPHAN_COLLECTOR_ROLE)!;
         assert.equal(reclaim.holder, first.holder!.node);
         assert.equal(reclaim.token, first.token);
         assert.equal(reclaim.until.kind, 'lease_renewed');
@@ -32,7 +32,7 @@
         const seen = new Set<string>();
         await c.until('another holder is shown', 20, async () => {
           const now = JSON.parse((await run('--json')).out) as DutiesOutput;
-          const status = now.duties.find((d) => d.duty === RECLAIM)!;
+          const status = now.duties.find((d) => d.duty === ORPHAN_COLLECTOR_ROLE)!;
           seen.add(`${status.until.kind} ${status.token}`);
           return status.token === first.token + 1 && status.until.kind === 'lease_renewed';
         });
@@ -40,8 +40,8 @@
 
         const to = c.names.find((n) => n !== first.holder!.node && n !== record()!.holder!.node)!;
         const asked = await Promise.all([
-          run('hand-over', RECLAIM, '--to', to, '--id', 'same'),
-          run('hand-over', RECLAIM, '--to', to, '--id', 'same'),
+          run('hand-over', ORPHAN_COLLECTOR_ROLE, '--to', to, '--id', 'same'),
+          run('hand-over', ORPHAN_COLLECTOR_ROLE, '--to', to, '--id', 'same'),
         ]);
         assert.deepEqual(
           asked.map((r) => r.code),
@@ -55,16 +55,19 @@
 
         // The node that ended: the request waits, visibly, until it is withdrawn.
         const gone = first.holder!.node;
-        assert.equal((await run('hand-over', RECLAIM, '--to', gone, '--id', 'a')).code, 0);
-        const other = await run('hand-over', RECLAIM, '--to', gone, '--id', 'b');
+        assert.equal(
+          (await run('hand-over', ORPHAN_COLLECTOR_ROLE, '--to', gone, '--id', 'a')).code,
+          0,
+        );
+        const other = await run('hand-over', ORPHAN_COLLECTOR_ROLE, '--to', gone, '--id', 'b');
         assert.equal(other.code, 3);
         assert.match(other.err, /another request waits \(a\)/);
         assert.match(
           (await run()).out,
           new RegExp(`to ${gone} \\(a\\), waits for ${gone} to live`),
         );
-        assert.equal((await run('withdraw', RECLAIM)).code, 0);
-        assert.equal(c.stored(handOverKey(RECLAIM)), undefined);
+        assert.equal((await run('withdraw', ORPHAN_COLLECTOR_ROLE)).code, 0);
+        assert.equal(c.stored(transferRequestKey(ORPHAN_COLLECTOR_ROLE)), undefined);
       });
     } finally {
       c.close();
@@ -75,7 +78,7 @@
     await withCommands('127.0.0.1:9', 'duties', async (run) => {
       const bad: [string[], RegExp][] = [
         [['hand-over', 'rent'], /no such duty: rent \(reclaim, clear, move\)/],
-        [['hand-over', RECLAIM, '--to', 'n7'], /no such node: n7 \(n0, n1, n2\)/],
+        [['hand-over', ORPHAN_COLLECTOR_ROLE, '--to', 'n7'], /no such node: n7 \(n0, n1, n2\)/],
         [['withdraw', 'rent'], /no such duty: rent/],
       ];
       for (const [args, says] of bad) {
@@ -83,7 +86,12 @@
         assert.equal(code, 2, args.join(' '));
         assert.match(err, says);
       }
-      for (const args of [[], ['--json'], ['hand-over', RECLAIM], ['withdraw', RECLAIM]]) {
+      for (const args of [
+        [],
+        ['--json'],
+        ['hand-over', ORPHAN_COLLECTOR_ROLE],
+        ['withdraw', ORPHAN_COLLECTOR_ROLE],
+      ]) {
         const { code, out, err } = await run(...args);
         assert.equal(code, 1, args.join(' '));
         assert.equal(out, '');
--- a/test/helpers.ts
+++ b/test/helpers.ts
@@ -1,4 +1,4 @@
-import { Authorization, fencingToken, Refusals } from '@sumacstep/leader-election';
+import { Authorization, fencingToken, FencingRejections } from '@sumacstep/leader-election';
 import pino from 'pino';
 import type { JobRecord, JobSpec, MachineRecord, MachineType, Team } from '../src/core/model.js';
 import { Shard, type ShardSettings } from '../src/core/shard/shard.js';
@@ -139,8 +139,8 @@
 `;
 
 /** Counts refusals, and logs nowhere. */
-export const silentRefusals = (): Refusals =>
-  new Refusals(() => Promise.resolve(null), pino({ level: 'silent' }));
+export const silentRejections = (): FencingRejections =>
+  new FencingRejections(() => Promise.resolve(null), pino({ level: 'silent' }));
 
 /** The right to act under a token, as long as `holds` says. */
 export const authorization = (
@@ -151,8 +151,8 @@
 ): Authorization => {
   const condition = { key: duty, revision };
   return new Authorization(
-    { duty, token: fencingToken(token), condition, holds },
-    silentRefusals(),
+    { role: duty, fencingToken: fencingToken(token), guard: condition, isCurrent: holds },
+    silentRejections(),
   );
 };
 
--- a/test/measurements/duty-takeover.ts
+++ b/test/measurements/duty-takeover.ts
@@ -4,9 +4,9 @@
  */
 import { writeFileSync } from 'node:fs';
 import { setTimeout as sleep } from 'node:timers/promises';
-import { dutyKey, type DutyRecord } from '@sumacstep/leader-election';
+import { leaderKey, type LeaderRecord } from '@sumacstep/leader-election';
 import { parseDuties, type DutiesConfig } from '../../src/config/duties.js';
-import { RECLAIM } from '../../src/singletons/singleton-controller.js';
+import { ORPHAN_COLLECTOR_ROLE } from '../../src/singletons/singleton-election.js';
 import type { ShardRecord } from '../../src/store/keys.js';
 import { Cluster } from '../standins/cluster.js';
 import type { Version } from '../standins/controllers.js';
@@ -20,7 +20,7 @@
 const rounds = Number(roundsText);
 
 const ownerOf = (c: Cluster, key: string): string | null => {
-  const value = c.stored(key) as ShardRecord | DutyRecord | undefined;
+  const value = c.stored(key) as ShardRecord | LeaderRecord | undefined;
   if (value === undefined) return null;
   return 'owner' in value ? value.owner : (value.holder?.node ?? null);
 };
@@ -57,14 +57,15 @@
   try {
     await c.open();
     await c.until('parts are owned', 30, () => ownerOf(c, 'parts/0') !== null);
-    if (duty !== null) await c.until('held', 30, () => ownerOf(c, dutyKey(RECLAIM)) !== null);
+    if (duty !== null)
+      await c.until('held', 30, () => ownerOf(c, leaderKey(ORPHAN_COLLECTOR_ROLE)) !== null);
     await sleep(SETTLE_MS);
     const before = c.state.requests;
     await sleep(IDLE_MS);
     const requestsPerS = ((c.state.requests - before) * 1000) / IDLE_MS;
     for (let round = 0; round < rounds; round++) {
       shards.add(await takeover(c, 'parts/0', version));
-      if (duty !== null) duty.add(await takeover(c, dutyKey(RECLAIM), version));
+      if (duty !== null) duty.add(await takeover(c, leaderKey(ORPHAN_COLLECTOR_ROLE), version));
     }
     return { shards, duty, requestsPerS };
   } finally {
--- a/test/move-candidates.test.ts
+++ b/test/move-candidates.test.ts
@@ -46,7 +46,7 @@
   test(`may a machine move: ${name}`, () => {
     const { shard, m } = settledMachine();
     spoil(m);
-    assert.equal(candidateOf(shard, m, NOW).settled, settled);
+    assert.equal(candidateOf(shard, m, NOW).readyToMove, settled);
   });
 }
 
--- a/test/shard-controller.test.ts
+++ b/test/shard-controller.test.ts
@@ -18,7 +18,7 @@
 import { encodeJob, encodeMachineGroup } from '../src/store/keys.js';
 import { WatchCache } from '../src/store/watch-cache.js';
 import type { Write } from '../src/wire/schemas.js';
-import { job, machine, machineType, settings, silentRefusals } from './helpers.js';
+import { job, machine, machineType, settings, silentRejections } from './helpers.js';
 
 const CONFIG = {
   node: 'n0',
@@ -82,7 +82,7 @@
       imagesOf: () => new Map(),
       cancellationsKnownUntil: () => world.knownUntil,
     },
-    silentRefusals(),
+    silentRejections(),
     () => new Map([['m', machineType()]]),
     () => [],
     () => world.now,
--- a/test/single-holder.test.ts
+++ b/test/single-holder.test.ts
@@ -1,8 +1,11 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
-import { dutyKey, handOverKey, type DutyRecord } from '@sumacstep/leader-election';
+import { leaderKey, transferRequestKey, type LeaderRecord } from '@sumacstep/leader-election';
 import type { DutiesConfig } from '../src/config/duties.js';
-import { CLEAR, RECLAIM } from '../src/singletons/singleton-controller.js';
+import {
+  GARBAGE_COLLECTOR_ROLE,
+  ORPHAN_COLLECTOR_ROLE,
+} from '../src/singletons/singleton-election.js';
 import { dutyEntryKey } from '../src/store/election-entries.js';
 import { Cluster, type ClusterOptions } from './standins/cluster.js';
 import type { Version } from './standins/controllers.js';
@@ -23,8 +26,8 @@
 };
 const IDLE_KEPT_S = 20;
 
-const holderOf = (c: Cluster, duty: string): DutyRecord | null => {
-  const record = c.stored(dutyKey(duty)) as DutyRecord | undefined;
+const holderOf = (c: Cluster, duty: string): LeaderRecord | null => {
+  const record = c.stored(leaderKey(duty)) as LeaderRecord | undefined;
   return record === undefined || record.holder === null ? null : record;
 };
 
@@ -71,8 +74,8 @@
     'a frozen holder is replaced, and does nothing for its duties and shards when it wakes',
     { versions: processes },
     async (c) => {
-      await held(c, RECLAIM);
-      const { holder, token } = holderOf(c, RECLAIM)!;
+      await held(c, ORPHAN_COLLECTOR_ROLE);
+      const { holder, token } = holderOf(c, ORPHAN_COLLECTOR_ROLE)!;
       const frozen = holder!.node;
       const other = c.names.find((n) => n !== frozen)!;
       const before = await c.submit(other, { Pieces: 12 });
@@ -81,10 +84,10 @@
       await c.pass(1);
       c.processOf(frozen).freeze(true);
       await c.until('another node has its duty', 20, () => {
-        const record = holderOf(c, RECLAIM);
+        const record = holderOf(c, ORPHAN_COLLECTOR_ROLE);
         return record !== null && record.holder!.node !== frozen;
       });
-      const promoted = holderOf(c, RECLAIM)!;
+      const promoted = holderOf(c, ORPHAN_COLLECTOR_ROLE)!;
       assert.ok(promoted.token > token);
       const during = await c.submit(other, { Pieces: 12 });
       await c.pass(8);
@@ -93,12 +96,16 @@
       await done(c, other, before);
       await done(c, other, during);
       await c.pass(4);
-      assert.deepEqual(holderOf(c, RECLAIM), promoted, 'nothing late changed the record');
+      assert.deepEqual(
+        holderOf(c, ORPHAN_COLLECTOR_ROLE),
+        promoted,
+        'nothing late changed the record',
+      );
     },
   );
 
   scene('a machine that no record knows is returned by the one holder, once', {}, async (c) => {
-    await held(c, RECLAIM);
+    await held(c, ORPHAN_COLLECTOR_ROLE);
     const name = await c.cloud.bootUnknown();
     await c.until('it is gone', 40, () => !c.cloud.machines.has(name));
     assert.deepEqual(
@@ -135,7 +142,7 @@
     'a final state is cleared after its time, and a late acceptance does not bring the job back',
     { features: { duties: { ...DUTIES, finalKeepMs: 4000 } } },
     async (c) => {
-      await held(c, CLEAR);
+      await held(c, GARBAGE_COLLECTOR_ROLE);
       const accepted: Request[] = [];
       for (const door of c.doors.values()) {
         door.seen = (request) => {
@@ -159,15 +166,23 @@
   );
 
   scene('a duty goes to the node that an operator asks for', {}, async (c) => {
-    await held(c, RECLAIM);
-    const { holder, token } = holderOf(c, RECLAIM)!;
+    await held(c, ORPHAN_COLLECTOR_ROLE);
+    const { holder, token } = holderOf(c, ORPHAN_COLLECTOR_ROLE)!;
     const to = c.names.find((n) => n !== holder!.node)!;
-    c.state.seed({ [handOverKey(RECLAIM)]: { to, id: 'r1' } });
-    await held(c, RECLAIM, to);
-    assert.equal(holderOf(c, RECLAIM)!.token, token + 1);
-    assert.equal(c.stored(handOverKey(RECLAIM)), undefined, 'the request is gone');
+    c.state.seed({ [transferRequestKey(ORPHAN_COLLECTOR_ROLE)]: { to, id: 'r1' } });
+    await held(c, ORPHAN_COLLECTOR_ROLE, to);
+    assert.equal(holderOf(c, ORPHAN_COLLECTOR_ROLE)!.token, token + 1);
+    assert.equal(
+      c.stored(transferRequestKey(ORPHAN_COLLECTOR_ROLE)),
+      undefined,
+      'the request is gone',
+    );
     c.kill(to);
-    await c.until('another one takes it over', 20, () => holderOf(c, RECLAIM)?.token === token + 2);
+    await c.until(
+      'another one takes it over',
+      20,
+      () => holderOf(c, ORPHAN_COLLECTOR_ROLE)?.token === token + 2,
+    );
   });
 
   scene(
@@ -182,7 +197,7 @@
       };
       await adopted();
       await c.replace('n2', 'current');
-      await held(c, RECLAIM);
+      await held(c, ORPHAN_COLLECTOR_ROLE);
       const reclaimed = await c.cloud.bootUnknown();
       await c.until('it is returned', 40, () => c.cloud.returned.includes(reclaimed));
       await c.replace('n2', 'production');
--- a/test/socket-budget.test.ts
+++ b/test/socket-budget.test.ts
@@ -1,4 +1,4 @@
-import { NotEntitledError, RecordedIntent } from '@sumacstep/leader-election';
+import { NotLeaderError, RecordedIntent } from '@sumacstep/leader-election';
 import assert from 'node:assert/strict';
 import { createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -104,7 +104,7 @@
       const waiting = call();
       may = false;
       now = 60_000;
-      await assert.rejects(waiting, NotEntitledError);
+      await assert.rejects(waiting, NotLeaderError);
       assert.equal(asked.length, before, 'nothing was sent');
     } finally {
       cloud.close();
--- a/test/standins/machine-moves.ts
+++ b/test/standins/machine-moves.ts
@@ -1,11 +1,11 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import {
   decodeMove,
-  encodeLock,
-  isOver,
+  encodeShardLock,
+  isTerminal,
   moveKey,
   shardLockKey,
-  requested,
+  newMove,
 } from '@sumacstep/shard-rebalancing';
 import type { Move } from '@sumacstep/shard-rebalancing';
 import { parseDuties } from '../../src/config/duties.js';
@@ -96,8 +96,8 @@
     const returnAtMs = this.#below(3) === 0 ? deadlineMs + 3000 : null;
     const filter = { type: null, zone: null, spot: null };
     const count = 1 + this.#below(3);
-    const move = requested({ id, from, to, count, filter, deadlineMs, returnAtMs });
-    const lock = encodeLock(id);
+    const move = newMove({ id, from, to, count, filter, deadlineMs, returnAtMs });
+    const lock = encodeShardLock(id);
     state.seed({ [moveKey(id)]: move, [shardLockKey(from)]: lock, [shardLockKey(to)]: lock });
     this.#requestedAt.set(id, Date.now());
   }
@@ -170,7 +170,7 @@
   #watchMoves(): void {
     for (const move of this.#moves()) {
       const at = this.#requestedAt.get(move.id);
-      if (at === undefined || !isOver(move)) continue;
+      if (at === undefined || !isTerminal(move)) continue;
       this.#requestedAt.delete(move.id);
       if (move.state === 'finished') this.#moveMs.push(Date.now() - at);
     }
@@ -247,11 +247,11 @@
       await this.cluster.pass(0.3);
     }
     // Lent machines go back at their time, which is soon.
-    while (this.#moves().some((move) => !isOver(move))) {
+    while (this.#moves().some((move) => !isTerminal(move))) {
       if (Date.now() >= end) break;
       await this.cluster.pass(0.3);
     }
-    const moves = this.#moves().filter((m) => !isOver(m));
+    const moves = this.#moves().filter((m) => !isTerminal(m));
     const stuck = moves.map(
       (m) => `move ${m.id}: ${m.state} ${m.direction}, waits for ${m.waitsFor}`,
     );
