--- a/packages/leader-election/src/authorization.ts
+++ b/packages/leader-election/src/authorization.ts
@@ -1,30 +1,40 @@
+/**
+ * The right of a leader to act: every write, command and call that a leader sends carries an `Authorization`,
+ * so that a leader which was replaced is fenced off at the sender, in the store and at the receiver.
+ */
 import type { FencingToken } from './fencing-token.js';
 import type { FencingRejections, RejectedBy } from './fencing-rejections.js';
-import type { Guard, CompareAndSwapResult, CompareAndSwapStore, Write } from './store.js';
+import type { CompareAndSwapResult, CompareAndSwapStore, Guard, Write } from './store.js';
 
-/** An order did not leave, because its holder might no longer be entitled to give it. */
+/**
+ * An order was not sent, because this process can no longer prove that it is the leader. Nothing was changed;
+ * whoever leads now does the work.
+ */
 export class NotLeaderError extends Error {
   constructor(
     readonly role: string,
     readonly fencingToken: FencingToken,
   ) {
-    super(`${role}: tenure ${fencingToken} is over or in doubt`);
+    super(
+      `${role}: order not sent, the leadership with fencing token ${fencingToken} has ended or its lease is in ` +
+        'doubt; the present leader will act',
+    );
   }
 }
 
-/** One tenure of a duty, as its holder knows it. */
+/** Leadership of a role under one fencing token, as the leader knows it. */
 export interface Leadership {
   readonly role: string;
   readonly fencingToken: FencingToken;
-  /** the record that names the holder, at the revision of this tenure */
+  /** the record that names the leader, at the revision of this leadership */
   readonly guard: Guard;
-  /** whether this process is provably still the holder, at the moment of the call */
+  /** whether this process is provably still the leader, at the moment of the call */
   readonly isCurrent: () => boolean;
 }
 
 /**
- * The right to act for a duty. Whatever acts asks for one, so that an action without a token does not
- * compile. It does not end by itself: it is checked again when an order leaves.
+ * The right to act as the leader of a role. Whatever acts asks for one, so that an action without a fencing
+ * token does not compile. It does not expire by itself: it is checked again when an order is sent.
  */
 export class Authorization {
   readonly #leadership: Leadership;
@@ -35,39 +45,41 @@
     this.#rejections = rejections;
   }
 
+  /** Name of the role, for logs and errors. */
   get role(): string {
     return this.#leadership.role;
   }
 
+  /** The token that every order under this authorization carries. */
   get fencingToken(): FencingToken {
     return this.#leadership.fencingToken;
   }
 
-  /** What every write under this authorization depends on. */
+  /** The guard that every write under this authorization depends on. */
   get guard(): Guard {
     return this.#leadership.guard;
   }
 
-  /** Whether an order may leave now. */
+  /** Whether an order may be sent now. */
   isValid(): boolean {
     return this.#leadership.isCurrent();
   }
 
-  /** To be called at the moment of sending; throws `NotLeaderError` and notes the refusal. */
+  /** Call it at the moment of sending; counts a rejection and throws `NotLeaderError` if the order may not be sent. */
   ensureValid(): void {
     if (this.isValid()) return;
     this.recordRejection('sender');
     throw new NotLeaderError(this.role, this.fencingToken);
   }
 
-  /** Notes that an order was refused, by somebody who may have told a newer token. */
+  /** Counts an order that was rejected. `newerToken` is the token that the receiver named, if it named one. */
   recordRejection(rejectedBy: RejectedBy, newerToken: number | null = null): void {
     const { role, fencingToken } = this;
-    this.#rejections.record({ role, token: fencingToken, rejectedBy }, newerToken);
+    this.#rejections.record({ role, fencingToken, rejectedBy }, newerToken);
   }
 }
 
-/** A transaction that the store carries out only while the tenure lasts. */
+/** A compare-and-swap that the store applies only while the leadership lasts. */
 export const fencedCompareAndSwap = async <U>(
   store: CompareAndSwapStore<U>,
   authorization: Authorization,
@@ -75,15 +87,18 @@
   guards: readonly Guard[],
   writes: readonly Write[],
 ): Promise<CompareAndSwapResult> => {
-  const { guard: condition } = authorization;
-  const outcome = await store.compareAndSwap(urgency, [condition, ...guards], writes);
-  if (!outcome.ok && outcome.failed.includes(condition.key)) authorization.recordRejection('store');
+  const { guard: leaderGuard } = authorization;
+  const outcome = await store.compareAndSwap(urgency, [leaderGuard, ...guards], writes);
+  if (!outcome.ok && outcome.failed.includes(leaderGuard.key)) {
+    authorization.recordRejection('store');
+  }
   return outcome;
 };
 
 /**
- * Shows that an action on a system that knows no tokens stands in the store. Whoever holds the duty later
- * finds it there: however late the action is carried out, it meets nobody who counts on its absence.
+ * Proof that an action on a system without fencing tokens was recorded in the store before it is sent
+ * (write-ahead intent). Later leaders find the intent there: however late the action is carried out, none of
+ * them relies on its absence.
  */
 export class RecordedIntent {
   private constructor(
@@ -91,7 +106,7 @@
     readonly authorization: Authorization,
   ) {}
 
-  /** Of an intent that stands in the store at some revision, written by this tenure or an earlier one. */
+  /** The intent at a stored revision, whether this leadership or an earlier one wrote it; throws a `RangeError` if it is absent. */
   static found(authorization: Authorization, stored: Guard): RecordedIntent {
     if (stored.revision === 0) throw new RangeError(`${stored.key} is not recorded`);
     return new RecordedIntent(stored.key, authorization);
--- a/packages/leader-election/src/fencing-rejections.ts
+++ b/packages/leader-election/src/fencing-rejections.ts
@@ -1,86 +1,90 @@
+/** Counts and logs orders that were rejected because their sender might no longer be the leader. */
 import type { FencingToken } from './fencing-token.js';
 import { StoreUnavailableError } from './store.js';
 
-/** The shard of a structured logger that the package uses. */
+/** The part of a structured logger that the package uses. */
 export interface Log {
   info(fields: object, message: string): void;
   debug(fields: object, message: string): void;
 }
 
-/** Who refused an order of a holder: the store, a machine, or the check at the moment of sending. */
+/** Who rejected an order of a leader: the store, a machine, or the sender's own check before sending. */
 export type RejectedBy = 'store' | 'machine' | 'sender';
 
-/** One order that was not carried out because its holder might no longer be entitled. */
+/** One order that was not carried out because its sender might no longer be the leader. */
 export interface FencingRejection {
   readonly role: string;
   /** the token that the order carried */
-  readonly token: FencingToken;
+  readonly fencingToken: FencingToken;
   readonly rejectedBy: RejectedBy;
 }
 
-/** How many orders were refused since the start. */
+/** Rejected orders since the process started. The summary log line prints it as it is. */
 export interface FencingRejectionCounts {
-  /** of holders that had been replaced */
+  /** orders of leaders that had been replaced */
   readonly replaced: number;
-  /** of holders that nobody had replaced, but whose lease was in doubt */
+  /** orders of leaders that had not been replaced, but whose lease was in doubt */
   readonly leaseInDoubt: number;
 }
 
 /**
- * Counts refused orders and writes one log line for each that comes from a replaced holder, with its token
- * and the newer one.
+ * Counts rejected orders, and writes one log line for each that comes from a replaced leader, with its fencing
+ * token and the newer one.
  */
 export class FencingRejections {
   readonly #counts = { replaced: 0, leaseInDoubt: 0 };
-  /** lines whose newer token is being looked up */
+  /** log lines whose newer token is being looked up */
   readonly #pending = new Set<Promise<void>>();
 
   constructor(
-    /** the token of the duty's present tenure by a current read; null if the duty has no record */
+    /** the fencing token of the role's present leadership by a current read; null if the role has no record */
     private readonly currentToken: (role: string) => Promise<number | null>,
     private readonly log: Log,
   ) {}
 
+  /** A copy of the counts. */
   get counts(): FencingRejectionCounts {
     return { ...this.#counts };
   }
 
-  /** Notes a refusal. `newerToken` is known if the refuser told it. */
+  /** Counts a rejection. `newerToken` is the token that the receiver named; without it the store is asked. */
   record(rejection: FencingRejection, newerToken: number | null = null): void {
     if (newerToken !== null) {
-      this.#write(rejection, newerToken);
+      this.#countAndLog(rejection, newerToken);
       return;
     }
-    const line = this.#lookUp(rejection).finally(() => this.#pending.delete(line));
-    this.#pending.add(line);
+    const pending = this.#lookUp(rejection).finally(() => this.#pending.delete(pending));
+    this.#pending.add(pending);
   }
 
-  /** Resolves once every refusal so far is counted and logged. */
+  /** Resolves once every rejection so far is counted and logged. */
   async settled(): Promise<void> {
     while (this.#pending.size > 0) await Promise.all(this.#pending);
   }
 
   async #lookUp(rejection: FencingRejection): Promise<void> {
     try {
-      this.#write(rejection, await this.currentToken(rejection.role));
+      this.#countAndLog(rejection, await this.currentToken(rejection.role));
     } catch (error) {
       if (!(error instanceof StoreUnavailableError)) throw error;
-      this.#write(rejection, null);
+      this.#countAndLog(rejection, null);
     }
   }
 
-  #write(rejection: FencingRejection, newerToken: number | null): void {
-    const { role, token, rejectedBy } = rejection;
-    if (newerToken === null || newerToken <= token) {
+  #countAndLog(
+    { role, fencingToken, rejectedBy }: FencingRejection,
+    newerToken: number | null,
+  ): void {
+    if (newerToken === null || newerToken <= fencingToken) {
       this.#counts.leaseInDoubt += 1;
-      this.log.debug({ duty: role, token, refusedBy: rejectedBy }, 'order refused: lease in doubt');
+      this.log.debug({ role, fencingToken, rejectedBy }, 'order rejected: lease in doubt');
       return;
     }
     this.#counts.replaced += 1;
-    const refusals = this.#counts.replaced;
+    const rejections = this.#counts.replaced;
     this.log.info(
-      { duty: role, token, newerToken, refusedBy: rejectedBy, refusals },
-      'order of a replaced holder refused',
+      { role, fencingToken, newerToken, rejectedBy, rejections },
+      'order of a replaced leader rejected',
     );
   }
 }
--- a/packages/leader-election/src/fencing-token.ts
+++ b/packages/leader-election/src/fencing-token.ts
@@ -1,14 +1,14 @@
-/** Fencing tokens: numbers that order the tenures of a duty. */
+/** Fencing tokens: numbers that order the successive leaderships of a role. */
 
 declare const fencing: unique symbol;
 
 /**
- * Identifies one tenure of a duty. Each tenure of the same duty has a larger token than the one before, so
- * whoever remembers the largest token that it has seen can refuse a holder that was replaced.
+ * Identifies one leadership of a role. Each leadership of the same role has a larger token than the one before,
+ * so whoever remembers the largest token that it has seen can reject a leader that was replaced.
  */
 export type FencingToken = number & { readonly [fencing]: true };
 
-/** The token before the first tenure of a duty. */
+/** The token before the first leadership of a role. */
 export const INITIAL_TOKEN = 0 as FencingToken;
 
 /** Takes a stored number for a token; throws a `RangeError` if it can't be one. */
@@ -19,5 +19,5 @@
   return value as FencingToken;
 };
 
-/** The token of the tenure that follows. */
+/** The token of the leadership that follows. */
 export const nextToken = (token: FencingToken): FencingToken => fencingToken(token + 1);
--- a/packages/leader-election/src/leader-election.ts
+++ b/packages/leader-election/src/leader-election.ts
@@ -1,4 +1,5 @@
-import { Authorization, type Leadership } from './authorization.js';
+/** Leader election for a set of roles: carries out what the election policy decides, in fenced transactions. */
+import { Authorization } from './authorization.js';
 import {
   ElectionPolicy,
   allSupportElection,
@@ -7,6 +8,7 @@
   type ElectionView,
 } from './election-policy.js';
 import { INITIAL_TOKEN, nextToken } from './fencing-token.js';
+import type { FencingRejections, Log } from './fencing-rejections.js';
 import {
   leaderKey,
   transferRequestKey,
@@ -14,25 +16,24 @@
   type LeadershipTransferRequest,
   type Member,
 } from './records.js';
-import type { Log, FencingRejections } from './fencing-rejections.js';
 import {
   StoreUnavailableError,
-  type Guard,
   type CompareAndSwapStore,
+  type Guard,
   type Versioned,
   type Write,
 } from './store.js';
 
-/** What the manager needs of the process that runs it. */
+/** What leader election needs of the process that runs it. */
 export interface LeaderElectionDependencies {
   readonly store: CompareAndSwapStore;
-  /** records, requests and members as they are known here */
+  /** leader records, transfer requests and members as they are known here */
   readonly view: () => ElectionView;
-  /** whether this process's lease provably lives and the view shows everything from before it did */
+  /** whether this process's lease is provably alive and the view shows everything from before it was */
   readonly hasAuthority: () => boolean;
   /** shows a committed transaction in the view, ahead of the store's watch */
   readonly onCommitted: (writes: readonly Write[], epoch: number) => void;
-  /** steady ms */
+  /** the steady clock, ms */
   readonly steadyMs: () => number;
   /** time of day in ms, for people only */
   readonly wallClockMs: () => number;
@@ -40,140 +41,163 @@
   readonly log: Log;
 }
 
-/** Which duties there are, and who this process is. */
+/** Which roles there are, and who this process is. */
 export interface LeaderElectionOptions {
   readonly self: Member;
   readonly roles: readonly string[];
-  /** ms that each later candidate for a vacant duty leaves to the one before it */
+  /** ms that each candidate for a vacant role waits for the one before it */
   readonly candidateDelayMs: number;
-  /** the key that stands for a member's life */
+  /** the key that a member's lease keeps alive */
   readonly memberKey: (member: Member) => string;
 }
 
-/** A transaction that moves a duty away, repeated as it is until its outcome is known. */
-interface PendingHandOver {
-  readonly revision: number;
+/** A transaction that transfers or releases a leadership, repeated unchanged until its outcome is known. */
+interface PendingTransfer {
   readonly guards: readonly Guard[];
   readonly writes: readonly Write[];
 }
 
+/** The transaction that acquires a role. */
+interface Acquisition {
+  readonly guards: readonly Guard[];
+  readonly record: LeaderRecord;
+}
+
 /**
- * Acquires, holds, releases and hands over duties. Nothing about the own tenures is remembered: what is
- * held is what the store's records say, as long as the lease provably lives. So an answer that got lost, or a
- * transaction that was carried out late, needs no care of its own.
+ * Acquires, releases and transfers the leadership of roles. It keeps no state about its own leaderships: this
+ * process leads what the store's records say, as long as its lease is provably alive. So an answer that got
+ * lost, or a transaction that was carried out late, needs no handling of its own.
  */
 export class LeaderElection {
   readonly #policy: ElectionPolicy;
+  /** roles with a call under way */
   readonly #busy = new Set<string>();
-  readonly #handingOver = new Map<string, PendingHandOver>();
+  readonly #transfers = new Map<string, PendingTransfer>();
 
   constructor(
-    private readonly settings: LeaderElectionOptions,
-    private readonly ports: LeaderElectionDependencies,
+    private readonly options: LeaderElectionOptions,
+    private readonly dependencies: LeaderElectionDependencies,
   ) {
-    this.#policy = new ElectionPolicy(settings.self, settings.roles, settings.candidateDelayMs);
+    this.#policy = new ElectionPolicy(options.self, options.roles, options.candidateDelayMs);
   }
 
-  /** One round: closes the difference between what is held and what should be. */
+  /** One reconciliation round: acquires vacant roles and carries out transfer requests. Starts calls, awaits none. */
   tick(): void {
-    if (!this.ports.hasAuthority()) return;
-    for (const [role, pending] of this.#handingOver) void this.#finishHandOver(role, pending);
-    const steps = this.#policy.steps(this.ports.view(), this.ports.steadyMs());
+    const { hasAuthority, view, steadyMs } = this.dependencies;
+    if (!hasAuthority()) return;
+    for (const [role, transfer] of this.#transfers) void this.#commitTransfer(role, transfer);
+    const steps = this.#policy.steps(view(), steadyMs());
     for (const step of steps) {
-      if (!this.#handingOver.has(step.role)) this.#carryOut(step);
+      if (!this.#transfers.has(step.role)) this.#carryOut(step);
     }
   }
 
-  /** The right to act for a duty; null while this process does not provably hold it. */
+  /** The right to act as the leader of a role; null while this process does not provably lead it. */
   authorize(role: string): Authorization | null {
     const record = this.#ownRecord(role);
     if (record === null) return null;
-    const leadership: Leadership = {
-      role,
-      fencingToken: record.value.token,
-      guard: { key: leaderKey(role), revision: record.revision },
-      isCurrent: () => this.#holds(role, record.revision),
-    };
-    return leadership.isCurrent() ? new Authorization(leadership, this.ports.rejections) : null;
+    const isCurrent = () => this.#isLeader(role, record.revision);
+    if (!isCurrent()) return null;
+    const { token: fencingToken } = record.value;
+    const guard = { key: leaderKey(role), revision: record.revision };
+    return new Authorization(
+      { role, fencingToken, guard, isCurrent },
+      this.dependencies.rejections,
+    );
   }
 
-  /** Lets go of a duty that this process holds, for any other node to take. */
+  /** Gives up the leadership of a role, for any other node to acquire; does nothing if this process does not lead. */
   release(role: string): void {
     const record = this.#ownRecord(role);
-    if (record === null || this.#handingOver.has(role)) return;
-    this.#beginHandOver(role, record, null, [], []);
+    if (record === null || this.#transfers.has(role)) return;
+    this.#beginTransfer(role, this.#transferOf(role, record, null));
   }
 
-  /** The duty's record if it names this life of the node. */
+  /** The role's record if it names this incarnation of the node. */
   #ownRecord(role: string): Versioned<LeaderRecord> | null {
-    const record = this.ports.view().records.get(role);
-    const holder = record?.value.holder ?? null;
-    if (record === undefined || holder === null) return null;
-    return sameMember(holder, this.settings.self) ? record : null;
+    const record = this.dependencies.view().records.get(role);
+    const leader = record?.value.holder ?? null;
+    if (record === undefined || leader === null) return null;
+    return sameMember(leader, this.options.self) ? record : null;
   }
 
-  #holds(role: string, revision: number): boolean {
-    if (!this.ports.hasAuthority() || this.#handingOver.has(role)) return false;
+  #isLeader(role: string, revision: number): boolean {
+    const { hasAuthority, view } = this.dependencies;
+    if (!hasAuthority() || this.#transfers.has(role)) return false;
     const record = this.#ownRecord(role);
-    return record?.revision === revision && allSupportElection(this.ports.view());
+    return record?.revision === revision && allSupportElection(view());
   }
 
   #carryOut(step: ElectionStep): void {
     switch (step.kind) {
       case 'acquire':
-        void this.#once(step.role, () => this.#acquire(step.role, step.previous));
+        void this.#exclusively(step.role, () => this.#acquire(step.role, step.previous));
         return;
-      case 'hand_over': {
+      case 'transfer': {
         const { role, record, request, to } = step;
-        const asked: Guard = { key: transferRequestKey(role), revision: request.revision };
-        const living = to === null ? [] : [{ key: this.#memberKey(to), revision: to.revision }];
-        this.#beginHandOver(role, record, to, [asked, ...living], [{ drop: asked.key }]);
+        const requestGuard: Guard = { key: transferRequestKey(role), revision: request.revision };
+        const targetGuards =
+          to === null ? [] : [{ key: this.#memberKey(to), revision: to.revision }];
+        const transfer = this.#transferOf(role, record, to);
+        this.#beginTransfer(role, {
+          guards: [...transfer.guards, requestGuard, ...targetGuards],
+          writes: [...transfer.writes, { drop: requestGuard.key }],
+        });
         return;
       }
-      case 'drop_request':
-        void this.#once(step.role, () => this.#dropRequest(step.role, step.request));
+      case 'discard_request':
+        void this.#exclusively(step.role, () => this.#discardRequest(step.role, step.request));
         return;
     }
   }
 
   #memberKey({ node, incarnation }: Member): string {
-    return this.settings.memberKey({ node, incarnation });
+    return this.options.memberKey({ node, incarnation });
   }
 
-  /** One call a duty at a time; the store's troubles are left to the next round. */
-  async #once(role: string, work: () => Promise<void>): Promise<void> {
+  /** One call at a time for each role; while the store is unavailable, the next round tries again. */
+  async #exclusively(role: string, work: () => Promise<void>): Promise<void> {
     if (this.#busy.has(role)) return;
     this.#busy.add(role);
     try {
       await work();
     } catch (error) {
       if (!(error instanceof StoreUnavailableError)) throw error;
-      this.ports.log.debug({ duty: role, error: error.message }, 'duty not written');
+      this.dependencies.log.debug({ role, error: error.message }, 'leadership not written');
     } finally {
       this.#busy.delete(role);
     }
   }
 
-  /** Depends on our own life being registered, and on the life of the former holder being over. */
   async #acquire(role: string, previous: Versioned<LeaderRecord> | null): Promise<void> {
-    const { self } = this.settings;
-    const own = this.ports.view().members.find((m) => sameMember(m, self));
-    if (own === undefined) return;
+    const acquisition = this.#acquisitionOf(role, previous);
+    if (acquisition === null) return;
+    const { guards, record } = acquisition;
+    const { store, onCommitted, log } = this.dependencies;
+    const writes = [{ put: leaderKey(role), value: record }];
+    const outcome = await store.compareAndSwap('lease', guards, writes);
+    if (!outcome.ok) return;
+    onCommitted(writes, outcome.epoch);
+    const from = previous?.value.holder?.node ?? null;
+    log.info({ role, fencingToken: record.token, from }, 'leadership acquired');
+  }
+
+  /** Depends on this incarnation being registered, and on the lease of the former leader having ended. */
+  #acquisitionOf(role: string, previous: Versioned<LeaderRecord> | null): Acquisition | null {
+    const { self } = this.options;
+    const own = this.dependencies.view().members.find((member) => sameMember(member, self));
+    if (own === undefined) return null;
     const guards: Guard[] = [
       { key: leaderKey(role), revision: previous?.revision ?? 0 },
       { key: this.#memberKey(self), revision: own.revision },
     ];
-    const holder = previous?.value.holder ?? null;
-    if (holder !== null && holder.node !== self.node) {
-      guards.push({ key: this.#memberKey(holder), revision: 0 });
+    if (previous === null)
+      return { guards, record: this.#record(self, null, nextToken(INITIAL_TOKEN)) };
+    const { holder: leader, former, token } = previous.value;
+    if (leader !== null && leader.node !== self.node) {
+      guards.push({ key: this.#memberKey(leader), revision: 0 });
     }
-    const token = nextToken(previous?.value.token ?? INITIAL_TOKEN);
-    const record = this.#record(self, holder?.node ?? previous?.value.former ?? null, token);
-    const writes = [{ put: leaderKey(role), value: record }];
-    const outcome = await this.ports.store.compareAndSwap('lease', guards, writes);
-    if (!outcome.ok) return;
-    this.ports.onCommitted(writes, outcome.epoch);
-    this.ports.log.info({ duty: role, token, from: holder?.node ?? null }, 'duty acquired');
+    return { guards, record: this.#record(self, leader?.node ?? former, nextToken(token)) };
   }
 
   #record(
@@ -181,56 +205,53 @@
     former: string | null,
     token: LeaderRecord['token'],
   ): LeaderRecord {
-    return { holder, former, token, sinceMs: this.ports.wallClockMs() };
+    return { holder, former, token, sinceMs: this.dependencies.wallClockMs() };
   }
 
-  async #dropRequest(role: string, request: Versioned<LeadershipTransferRequest>): Promise<void> {
+  async #discardRequest(
+    role: string,
+    request: Versioned<LeadershipTransferRequest>,
+  ): Promise<void> {
     const key = transferRequestKey(role);
     const writes = [{ drop: key }];
     const guards = [{ key, revision: request.revision }];
-    const outcome = await this.ports.store.compareAndSwap('normal', guards, writes);
-    if (outcome.ok) this.ports.onCommitted(writes, outcome.epoch);
+    const outcome = await this.dependencies.store.compareAndSwap('normal', guards, writes);
+    if (outcome.ok) this.dependencies.onCommitted(writes, outcome.epoch);
   }
 
-  /** From here on this process acts for the duty no more, whatever becomes of the transaction. */
-  #beginHandOver(
-    role: string,
-    record: Versioned<LeaderRecord>,
-    to: Member | null,
-    conditions: readonly Guard[],
-    writes: readonly Write[],
-  ): void {
-    const { self } = this.settings;
+  /** The transaction that writes the next record: led by `to`, or released if that is null. */
+  #transferOf(role: string, record: Versioned<LeaderRecord>, to: Member | null): PendingTransfer {
     const next = to === null ? null : { node: to.node, incarnation: to.incarnation };
-    // A release keeps its token: the tenure that follows takes the next one.
+    // A release keeps its token: the leadership that follows takes the next one.
     const { token } = record.value;
-    const value = this.#record(next, self.node, next === null ? token : nextToken(token));
-    const pending: PendingHandOver = {
-      revision: record.revision,
-      guards: [{ key: leaderKey(role), revision: record.revision }, ...conditions],
-      writes: [{ put: leaderKey(role), value }, ...writes],
+    const tokenAfter = next === null ? token : nextToken(token);
+    const value = this.#record(next, this.options.self.node, tokenAfter);
+    return {
+      guards: [{ key: leaderKey(role), revision: record.revision }],
+      writes: [{ put: leaderKey(role), value }],
     };
-    this.#handingOver.set(role, pending);
-    void this.#finishHandOver(role, pending);
+  }
+
+  /** From here on this process does not act as the leader, whatever becomes of the transaction. */
+  #beginTransfer(role: string, transfer: PendingTransfer): void {
+    this.#transfers.set(role, transfer);
+    void this.#commitTransfer(role, transfer);
   }
 
   /**
-   * Repeats the transaction until it is answered. Each condition names a revision, and a revision that has
-   * passed never comes back: once one copy is refused, no other copy can be carried out any more, and this
-   * process still holds the duty if its record is unchanged.
+   * Repeats the transaction until it is answered. Each guard names a revision, and a revision that has passed
+   * never comes back: once one copy is rejected, no other copy can be carried out any more, and this process
+   * still leads if its record is unchanged.
    */
-  #finishHandOver(role: string, pending: PendingHandOver): Promise<void> {
-    return this.#once(role, async () => {
-      const outcome = await this.ports.store.compareAndSwap(
-        'lease',
-        pending.guards,
-        pending.writes,
-      );
+  #commitTransfer(role: string, { guards, writes }: PendingTransfer): Promise<void> {
+    return this.#exclusively(role, async () => {
+      const { store, onCommitted, log } = this.dependencies;
+      const outcome = await store.compareAndSwap('lease', guards, writes);
       if (outcome.ok) {
-        this.ports.onCommitted(pending.writes, outcome.epoch);
-        this.ports.log.info({ duty: role }, 'duty handed over');
+        onCommitted(writes, outcome.epoch);
+        log.info({ role }, 'leadership transferred');
       }
-      this.#handingOver.delete(role);
+      this.#transfers.delete(role);
     });
   }
 }
--- a/packages/leader-election/src/lease-validity.ts
+++ b/packages/leader-election/src/lease-validity.ts
@@ -1,17 +1,19 @@
-/** How far a clock may be off, and what is kept back for it. */
+/** How long a lease is provably alive, by its owner's own clock. */
+
+/** A lease's duration, and the safety margin for clocks that differ. */
 export interface LeaseTiming {
   /** ms after the last renewal at which the store may end the lease */
   readonly ttlMs: number;
   /** share by which two steady clocks may differ */
   readonly clockDrift: number;
-  /** ms kept back on top of the drift */
+  /** ms subtracted on top of the drift */
   readonly marginMs: number;
 }
 
 /**
- * How long a lease is provably alive, by the holder's steady clock alone: the time of day may jump without
- * any effect. It counts from the moment at which the last renewal that succeeded was sent, since the store
- * counts from a later one.
+ * Tracks until when a lease is provably alive, by the owner's steady clock alone: jumps of the time of day have no
+ * effect. The time counts from the moment at which the last successful renewal was sent, since the store counts
+ * from a later one.
  */
 export class LeaseValidity {
   #validUntil = -Infinity;
@@ -19,24 +21,24 @@
 
   constructor(private readonly timing: LeaseTiming) {}
 
-  /** A renewal that was sent at `sentAt` has succeeded; it is `now` (steady ms). */
+  /** Records a renewal that was sent at `sentAt` and has succeeded; it is `now` (steady ms). */
   extend(sentAt: number, now: number): void {
     if (now >= this.#validUntil) this.#validSince = now;
     const { ttlMs, clockDrift, marginMs } = this.timing;
     this.#validUntil = sentAt + ttlMs * (1 - clockDrift) - marginMs;
   }
 
-  /** The lease has ended, or may have. */
+  /** Records that the lease has ended, or may have. */
   end(): void {
     this.#validUntil = -Infinity;
   }
 
-  /** True while the lease is provably alive, whatever the store would say now. */
+  /** Whether the lease is provably alive at `now` (steady ms). */
   valid(now: number): boolean {
     return now < this.#validUntil;
   }
 
-  /** Steady ms since when the lease has been valid without a break; Infinity before the first time. */
+  /** Steady ms since which the lease has been valid without a break; Infinity before the first time. */
   get validSince(): number {
     return this.#validSince;
   }
--- a/packages/leader-election/src/records.ts
+++ b/packages/leader-election/src/records.ts
@@ -1,26 +1,28 @@
+/**
+ * What the store holds of leader election. Property names and key prefixes are the stored form, shared with other
+ * versions and with `sumacstep duties --json`: they never change.
+ */
 import * as z from 'zod';
 import { fencingToken, type FencingToken } from './fencing-token.js';
 
-/** What the store holds of duties. */
-
-/** One life of a node. */
+/** One incarnation of a node. */
 export interface Member {
   readonly node: string;
   readonly incarnation: string;
 }
 
-/** Who holds a duty. The record is never removed, so that tokens never repeat. */
+/** Who leads a role. The record is never removed, so that fencing tokens never repeat. */
 export interface LeaderRecord {
-  /** null: released, anybody may take it */
+  /** the leader; null: released, any candidate may acquire the role */
   readonly holder: Member | null;
-  /** the node that released it or handed it over; it comes last when a new holder is looked for */
+  /** the node that released or transferred the role; it is the last candidate for the next leadership */
   readonly former: string | null;
   readonly token: FencingToken;
-  /** time of day at which the tenure began, ms; for people only */
+  /** time of day at which the leadership began, ms; for people only */
   readonly sinceMs: number;
 }
 
-/** What an operator wants: the duty at another node. */
+/** An operator's request that another node leads a role. */
 export interface LeadershipTransferRequest {
   /** null: any other node */
   readonly to: string | null;
@@ -28,26 +30,29 @@
   readonly id: string;
 }
 
-/** Keys begin with this; the rest is the duty's name. */
+/** Keys of leader records begin with this; the rest is the role. */
 export const LEADER_PREFIX = 'duties/holders/';
-/** Keys of requests begin with this; the rest is the duty's name. */
+/** Keys of transfer requests begin with this; the rest is the role. */
 export const TRANSFER_REQUEST_PREFIX = 'duties/wanted/';
 
-export const leaderKey = (duty: string): string => `${LEADER_PREFIX}${duty}`;
-export const transferRequestKey = (duty: string): string => `${TRANSFER_REQUEST_PREFIX}${duty}`;
+/** The key of a role's leader record. */
+export const leaderKey = (role: string): string => `${LEADER_PREFIX}${role}`;
+/** The key of a role's transfer request. */
+export const transferRequestKey = (role: string): string => `${TRANSFER_REQUEST_PREFIX}${role}`;
 
-const name = z.string().min(1);
-const member = z.object({ node: name, incarnation: name });
-const record = z.object({
-  holder: member.nullable(),
-  former: name.nullable(),
+const nameSchema = z.string().min(1);
+const memberSchema = z.object({ node: nameSchema, incarnation: nameSchema });
+const leaderRecordSchema = z.object({
+  holder: memberSchema.nullable(),
+  former: nameSchema.nullable(),
   token: z.number().int().nonnegative().transform(fencingToken),
   sinceMs: z.number(),
 });
-const request = z.object({ to: name.nullable(), id: name });
+const transferRequestSchema = z.object({ to: nameSchema.nullable(), id: nameSchema });
+
+/** Reads a stored leader record; throws a `ZodError` if the value is none. */
+export const decodeLeaderRecord = (value: unknown): LeaderRecord => leaderRecordSchema.parse(value);
 
-/** Reads a stored record; throws if it is none. */
-export const decodeLeaderRecord = (value: unknown): LeaderRecord => record.parse(value);
-/** Reads a stored request; null if it is none, since people write these with tools of any version. */
+/** Reads a stored transfer request; null if the value is none, since operators write these with tools of any version. */
 export const decodeTransferRequest = (value: unknown): LeadershipTransferRequest | null =>
-  request.safeParse(value).data ?? null;
+  transferRequestSchema.safeParse(value).data ?? null;
--- a/packages/leader-election/src/session-lease.ts
+++ b/packages/leader-election/src/session-lease.ts
@@ -1,30 +1,31 @@
+/** The lease that keeps a process's membership alive, and its renewal. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { LeaseValidity, type LeaseTiming } from './lease-validity.js';
 import type { Log } from './fencing-rejections.js';
 import { StoreUnavailableError, type LeaseStore } from './store.js';
 
-/** When a lease is renewed. */
+/** When a lease is renewed, and how long it lasts. */
 export interface SessionLeaseTiming extends LeaseTiming {
   /** ms between two renewals */
   readonly renewMs: number;
-  /** ms until the next try after a failure */
+  /** ms until the next attempt after a failure */
   readonly retryMs: number;
 }
 
-/** The key that stands for one life of a process as long as its lease lives. */
+/** The key that represents one incarnation of a process as long as its lease is alive. */
 export interface Registration {
   readonly key: string;
   readonly value: unknown;
 }
 
 /**
- * This process's lease on the store, and the key attached to it. While that key is there nobody may take
- * over what this life of the process holds, and it is there at least as long as `valid` says.
+ * This process's lease in the store, and the key attached to it. While that key exists no other process may take
+ * over what this incarnation leads or owns, and it exists at least as long as `valid` says.
  */
 export class SessionLease {
   #id: number | null = null;
   readonly #validity: LeaseValidity;
-  /** epoch at which the key was written; what this process holds is known from then on */
+  /** the epoch at which the key was written; Infinity while it is not written */
   registeredAt = Infinity;
   #closed = false;
 
@@ -39,22 +40,22 @@
     this.#validity = new LeaseValidity(timing);
   }
 
-  /** True while the lease is provably alive and the key written. */
+  /** Whether the lease is provably alive and the key written, at `now` (steady ms). */
   valid(now: number): boolean {
     return this.#validity.valid(now) && this.registeredAt !== Infinity;
   }
 
-  /** Steady ms since when the lease has been valid without a break. */
+  /** Steady ms since which the lease has been valid without a break. */
   get validSince(): number {
     return this.#validity.validSince;
   }
 
-  /** Renews until `close`. */
+  /** Renews the lease until `close` is called. */
   async run(): Promise<void> {
     while (!this.#closed) await sleep(await this.step());
   }
 
-  /** One try to get, renew or register; returns the ms until the next one. */
+  /** One attempt to grant, renew or register; resolves with the ms until the next one. */
   async step(): Promise<number> {
     const { renewMs, retryMs } = this.timing;
     const started = this.now();
@@ -82,9 +83,8 @@
   }
 
   /**
-   * The key names the incarnation, and a write without an answer is repeated with the same lease: a late
-   * copy of it can then neither stand for another life of this process nor tie the key to a lease that
-   * nobody renews.
+   * The key names the incarnation, and a write without an answer is repeated with the same lease: a late copy of
+   * it can then neither represent another incarnation nor attach the key to a lease that is not renewed.
    */
   async #register(id: number): Promise<boolean> {
     const { key, value } = this.registration;
@@ -100,7 +100,7 @@
     this.#validity.end();
   }
 
-  /** Renews no more; the lease runs out by itself. */
+  /** Ends the renewals; the lease then expires by itself. */
   close(): void {
     this.#closed = true;
   }
--- a/packages/leader-election/src/store.ts
+++ b/packages/leader-election/src/store.ts
@@ -1,20 +1,20 @@
-/** What the package needs of a key-value store with conditional transactions. */
+/** What the package needs of a key-value store with compare-and-swap transactions and leases. */
 
-/** A key has this revision; 0: the key does not exist. */
+/** A condition of a transaction: the key has this revision; 0: the key does not exist. */
 export interface Guard {
   readonly key: string;
   readonly revision: number;
 }
 
-/** A change of one key. A value with a lease goes when the lease ends. */
+/** A change of one key. A value with a lease is deleted when the lease ends. */
 export type Write =
   | { readonly put: string; readonly value: unknown; readonly lease?: number }
   | { readonly drop: string };
 
-/** What became of a transaction that was answered. */
+/** The outcome of a transaction that the store has answered. */
 export type CompareAndSwapResult =
   | { readonly ok: true; readonly epoch: number }
-  /** nothing was written; these keys had another revision */
+  /** nothing was written: these keys had another revision */
   | { readonly ok: false; readonly failed: readonly string[] };
 
 /** A value, and the revision of its last change. */
@@ -23,10 +23,13 @@
   readonly revision: number;
 }
 
-/** How soon a transaction is needed: leases and ownership come before everything else. */
+/** The priority of a transaction: leases and leadership come before everything else. */
 export type Urgency = 'lease' | 'normal' | 'background';
 
-/** Atomic transactions, of a store that tells urgent ones apart by `U`. Rejects with `StoreUnavailableError` if the outcome is a refusal or unknown. */
+/**
+ * Atomic transactions of a store whose priorities are of type `U`. A call rejects with `StoreUnavailableError` if
+ * the store refused it or its outcome is unknown.
+ */
 export interface CompareAndSwapStore<U = Urgency> {
   compareAndSwap(
     urgency: U,
@@ -37,13 +40,17 @@
 
 /** Leases of the store, and keys that are attached to them. */
 export interface LeaseStore {
-  /** a new lease's id */
+  /** resolves with a new lease's id */
   grant(ttlMs: number): Promise<number>;
-  /** false if the lease has ended */
+  /** resolves with false if the lease has ended */
   renew(id: number): Promise<boolean>;
-  /** writes a key that is attached to the lease; the epoch, or null if the lease has ended */
+  /** writes a key that is attached to the lease; resolves with the epoch, or null if the lease has ended */
   register(key: string, value: unknown, id: number): Promise<number | null>;
 }
 
-/** The store did not carry a call out, or did not answer; it may be tried again. */
+/**
+ * The store refused a call, or its answer did not arrive. Whether the call was carried out is unknown, unless a
+ * subclass tells; it may be repeated. `cause`, an option of the constructor,
+ * is the error of the transport, if there is one.
+ */
 export class StoreUnavailableError extends Error {}
--- a/packages/leader-election/test/components.test.ts
+++ b/packages/leader-election/test/components.test.ts
@@ -1,3 +1,4 @@
+/** The parts of leader election one by one: leases, retention, candidates, rejections, tokens. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -17,7 +18,7 @@
 
 const LEASE = { ttlMs: 6000, clockDrift: 0.001, marginMs: 500 };
 
-/** The store counts 6000 ms from the renewal's arrival; a holder's clock may run fast or slow by 0.05 %. */
+/** The store counts 6000 ms from the renewal's arrival; a leader's clock may run fast or slow by 0.05 %. */
 test('a lease is provably alive for less than the store keeps it, whatever the clocks do', () => {
   for (const drift of [-0.0005, 0, 0.0005]) {
     for (const travelMs of [0, 5, 2000]) {
@@ -59,14 +60,14 @@
   assert.equal(back.observedMs, record.observedMs, 'a clock that goes back observes nothing');
 });
 
-test('candidates: who gave a duty away comes last, who holds fewer comes first', () => {
+test('candidates: the former leader comes last, who leads fewer roles comes first', () => {
   const member = (node: string) => ({
     node,
     incarnation: 'x',
     revision: 1,
     supportsElection: true,
   });
-  const holding = (node: string | null, former: string | null) => ({
+  const ledBy = (node: string | null, former: string | null) => ({
     revision: 1,
     value: {
       holder: node === null ? null : { node, incarnation: 'x' },
@@ -83,33 +84,39 @@
   const free = candidateOrder(view(new Map()), 'd');
   assert.deepEqual([...free].sort(), ['a', 'b', 'c']);
   const [first, second] = free as [string, string];
-  const busy = candidateOrder(view(new Map([['other', holding(first, null)]])), 'd');
+  const busy = candidateOrder(view(new Map([['other', ledBy(first, null)]])), 'd');
   assert.equal(busy.at(-1), first);
-  const former = candidateOrder(view(new Map([['d', holding(null, second)]])), 'd');
+  const former = candidateOrder(view(new Map([['d', ledBy(null, second)]])), 'd');
   assert.equal(former.at(-1), second);
 });
 
-test('refusals: one line with both tokens for a replaced holder, none while nobody replaced it', async () => {
+test('rejections: one line with both tokens for a replaced leader, none for one that was not replaced', async () => {
   const rows: [string, () => Promise<number | null>, number | null, number | null][] = [
-    ['told by the refuser', () => Promise.resolve(null), 9, 9],
+    ['named by the receiver', () => Promise.resolve(null), 9, 9],
     ['read from the store', () => Promise.resolve(8), null, 8],
     ['still the newest', () => Promise.resolve(7), null, null],
-    ['store out', () => Promise.reject(new StoreUnavailableError('out')), null, null],
+    ['store unavailable', () => Promise.reject(new StoreUnavailableError('out')), null, null],
   ];
-  for (const [name, currentToken, told, logged] of rows) {
+  for (const [name, currentToken, named, logged] of rows) {
     const lines: object[] = [];
     const log = { info: (fields: object) => void lines.push(fields), debug: () => undefined };
-    const refusals = new FencingRejections(currentToken, log);
-    refusals.record({ role: 'd', token: fencingToken(7), rejectedBy: 'store' }, told);
-    await refusals.settled();
-    const line = { duty: 'd', token: 7, newerToken: logged, refusedBy: 'store', refusals: 1 };
+    const rejections = new FencingRejections(currentToken, log);
+    rejections.record({ role: 'd', fencingToken: fencingToken(7), rejectedBy: 'store' }, named);
+    await rejections.settled();
+    const line = {
+      role: 'd',
+      fencingToken: 7,
+      newerToken: logged,
+      rejectedBy: 'store',
+      rejections: 1,
+    };
     assert.deepEqual(lines, logged === null ? [] : [line], name);
     const counts = { replaced: logged === null ? 0 : 1, leaseInDoubt: logged === null ? 1 : 0 };
-    assert.deepEqual(refusals.counts, counts, name);
+    assert.deepEqual(rejections.counts, counts, name);
   }
 });
 
-test('what acts needs a token: a bare number or an intent that is not recorded will not do', () => {
+test('an action needs a fencing token and a recorded intent: a number or an absent intent is rejected', () => {
   const act = (token: FencingToken): number => token;
   // @ts-expect-error a number is no token
   assert.equal(act(3), 3);
--- a/packages/leader-election/test/leader-election.test.ts
+++ b/packages/leader-election/test/leader-election.test.ts
@@ -1,6 +1,7 @@
+/** The transactions of leader election, answered one by one. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { setImmediate as turn } from 'node:timers/promises';
+import { setImmediate as nextTurn } from 'node:timers/promises';
 import {
   LeaderElection,
   leaderKey,
@@ -12,7 +13,7 @@
   type CompareAndSwapResult,
 } from '@sumacstep/leader-election';
 
-const ME = { node: 'a', incarnation: 'one' };
+const SELF = { node: 'a', incarnation: 'one' };
 const member = (node: string, revision: number) => ({
   node,
   incarnation: 'one',
@@ -20,37 +21,39 @@
   supportsElection: true,
 });
 
-/** A manager whose transactions are kept, and answered by the test. */
-const scene = (holder: string, living: readonly string[]) => {
+/** An election whose transactions are kept, and answered by the test. */
+const scene = (leader: string, live: readonly string[]) => {
   const sent: {
     guards: readonly Guard[];
     answer: (outcome: CompareAndSwapResult | Error) => void;
   }[] = [];
   const record = {
-    holder: { node: holder, incarnation: 'one' },
+    holder: { node: leader, incarnation: 'one' },
     former: null,
     token: fencingToken(4),
     sinceMs: 0,
   };
   const view: ElectionView = {
-    members: living.map((node, i) => member(node, 10 + i)),
+    members: live.map((node, i) => member(node, 10 + i)),
     records: new Map([['d', { value: record, revision: 7 }]]),
     transferRequests: new Map(),
   };
   const log = { info: () => undefined, debug: () => undefined };
-  const manager = new LeaderElection(
+  const election = new LeaderElection(
     {
-      self: ME,
+      self: SELF,
       roles: ['d'],
       candidateDelayMs: 0,
-      memberKey: (m) => `nodes/${m.node}/${m.incarnation}`,
+      memberKey: ({ node, incarnation }) => `nodes/${node}/${incarnation}`,
     },
     {
       store: {
         compareAndSwap: (_urgency, guards) =>
           new Promise((resolve, reject) => {
-            const answer = (outcome: CompareAndSwapResult | Error) =>
-              outcome instanceof Error ? reject(outcome) : resolve(outcome);
+            const answer = (outcome: CompareAndSwapResult | Error) => {
+              if (outcome instanceof Error) reject(outcome);
+              else resolve(outcome);
+            };
             sent.push({ guards, answer });
           }),
       },
@@ -63,12 +66,12 @@
       log,
     },
   );
-  return { manager, sent };
+  return { election, sent };
 };
 
-test('a takeover depends on the record, the own life, and the end of the former one', () => {
-  const { manager, sent } = scene('b', ['a', 'c']);
-  manager.tick();
+test('a takeover depends on the record, the own membership, and the end of the former leader', () => {
+  const { election, sent } = scene('b', ['a', 'c']);
+  election.tick();
   assert.deepEqual(sent[0]?.guards, [
     { key: leaderKey('d'), revision: 7 },
     { key: 'nodes/a/one', revision: 10 },
@@ -76,19 +79,19 @@
   ]);
 });
 
-test('while the outcome of a hand-over is unknown its sender does not act, and repeats it', async () => {
-  const { manager, sent } = scene('a', ['a', 'c']);
-  const authorization = manager.authorize('d');
+test('while the outcome of a transfer is unknown its sender does not act, and repeats it', async () => {
+  const { election, sent } = scene('a', ['a', 'c']);
+  const authorization = election.authorize('d');
   assert.ok(authorization !== null && authorization.isValid());
-  manager.release('d');
+  election.release('d');
   assert.equal(authorization.isValid(), false, 'not from here on');
-  assert.equal(manager.authorize('d'), null);
+  assert.equal(election.authorize('d'), null);
   sent[0]!.answer(new StoreUnavailableError('no answer'));
-  await turn();
-  assert.equal(authorization.isValid(), false, 'it may be carried out yet');
-  manager.tick();
+  await nextTurn();
+  assert.equal(authorization.isValid(), false, 'it may still be carried out');
+  election.tick();
   assert.deepEqual(sent[1]!.guards, sent[0]!.guards, 'the same again');
   sent[1]!.answer({ ok: false, failed: ['nodes/c/one'] });
-  await turn();
-  assert.ok(authorization.isValid(), 'refused, so no copy of it can be carried out any more');
+  await nextTurn();
+  assert.ok(authorization.isValid(), 'rejected, so no copy of it can be carried out any more');
 });
--- a/packages/leader-election/test/simulated-store.ts
+++ b/packages/leader-election/test/simulated-store.ts
@@ -1,3 +1,4 @@
+/** A key-value store with leases on virtual time, whose network may delay, lose and repeat calls. */
 import {
   StoreUnavailableError,
   type Guard,
@@ -13,28 +14,28 @@
   readonly lease: number | null;
 }
 
-/** ms after which a caller gives up */
+/** ms after which a caller stops waiting */
 const CALL_MS = 2000;
 
-/** How calls of one client fare; each is asked anew for every call. */
-export interface Weather {
-  /** ms that a message takes */
+/** What happens to the calls of one client; each function is asked anew for every call. */
+export interface NetworkFaults {
+  /** ms that a message is on its way */
   delayMs(): number;
-  /** what happens to the call besides */
+  /** what else happens to the call */
   fate(): 'normal' | 'answer_lost' | 'carried_out_late';
-  /** ms that a call takes that is carried out late */
-  lateMs(): number;
-  /** calls of this client alone are refused */
-  refused(): boolean;
+  /** ms after which a late call is carried out */
+  lateByMs(): number;
+  /** whether the store refuses calls of this client alone */
+  isRefused(): boolean;
 }
 
-/** A store as the protocol describes it, on virtual time. */
+/** Compare-and-swap, leases and outages, as the real store has them. */
 export class SimulatedStore {
   readonly items = new Map<string, Item>();
   readonly #leases = new Map<number, { readonly ttlMs: number; until: number }>();
   #epoch = 0;
   #lastLease = 0;
-  #out = false;
+  #outage = false;
   /** told of every committed transaction */
   readonly #observers: ((writes: readonly Write[], epoch: number) => void)[] = [];
 
@@ -48,16 +49,16 @@
     this.#observers.push(observer);
   }
 
-  /** An outage begins or ends; at its end every lease has its full time again. */
-  set out(out: boolean) {
-    this.#out = out;
-    if (out) return;
+  /** Begins or ends an outage; at its end every lease has its full time again. */
+  set outage(outage: boolean) {
+    this.#outage = outage;
+    if (outage) return;
     for (const lease of this.#leases.values()) lease.until = this.time.now + lease.ttlMs;
   }
 
-  /** Ends leases whose time is over. */
+  /** Ends leases that have expired, and deletes the keys that are attached to them. */
   expire(): void {
-    if (this.#out) return;
+    if (this.#outage) return;
     for (const [id, { until }] of this.#leases) {
       if (until > this.time.now) continue;
       this.#leases.delete(id);
@@ -67,8 +68,10 @@
   }
 
   compareAndSwap(guards: readonly Guard[], writes: readonly Write[]): CompareAndSwapResult {
-    const failed = guards.filter((c) => (this.items.get(c.key)?.revision ?? 0) !== c.revision);
-    if (failed.length > 0) return { ok: false, failed: failed.map((c) => c.key) };
+    const failed = guards.filter(
+      ({ key, revision }) => (this.items.get(key)?.revision ?? 0) !== revision,
+    );
+    if (failed.length > 0) return { ok: false, failed: failed.map(({ key }) => key) };
     return { ok: true, epoch: this.#commit(writes) };
   }
 
@@ -86,8 +89,11 @@
   }
 
   /** The store as one client reaches it. Answers are handled by `resume`, which may wait. */
-  client(weather: Weather, resume: (work: () => void) => void): CompareAndSwapStore & LeaseStore {
-    const call = <T>(execute: () => T) => this.#call(weather, resume, execute);
+  clientOf(
+    network: NetworkFaults,
+    resume: (work: () => void) => void,
+  ): CompareAndSwapStore & LeaseStore {
+    const call = <T>(execute: () => T) => this.#call(network, resume, execute);
     return {
       compareAndSwap: (_urgency, guards, writes) => call(() => this.compareAndSwap(guards, writes)),
       grant: (ttlMs) => call(() => this.#grant(ttlMs)),
@@ -109,24 +115,41 @@
     return lease !== undefined;
   }
 
-  #call<T>(weather: Weather, resume: (work: () => void) => void, execute: () => T): Promise<T> {
+  #call<T>(
+    network: NetworkFaults,
+    resume: (work: () => void) => void,
+    execute: () => T,
+  ): Promise<T> {
     return new Promise((resolve, reject) => {
-      const answer = (work: () => void) => this.time.after(weather.delayMs(), () => resume(work));
-      const lost = () => reject(new StoreUnavailableError('no answer'));
+      const answer = (work: () => void) => {
+        this.time.after(network.delayMs(), () => {
+          resume(work);
+        });
+      };
+      const lost = () => {
+        reject(new StoreUnavailableError('no answer'));
+      };
       const arrive = () => {
-        if (this.#out || weather.refused()) answer(() => reject(new StoreUnavailableError('503')));
+        if (this.#outage || network.isRefused())
+          answer(() => {
+            reject(new StoreUnavailableError('503'));
+          });
         else {
           const result = execute();
-          answer(() => resolve(result));
+          answer(() => {
+            resolve(result);
+          });
         }
       };
-      const fate = weather.fate();
-      if (fate === 'normal') this.time.after(weather.delayMs(), arrive);
+      const fate = network.fate();
+      if (fate === 'normal') this.time.after(network.delayMs(), arrive);
       else {
-        this.time.after(CALL_MS, () => resume(lost));
-        const ms = fate === 'carried_out_late' ? weather.lateMs() : weather.delayMs();
+        this.time.after(CALL_MS, () => {
+          resume(lost);
+        });
+        const ms = fate === 'carried_out_late' ? network.lateByMs() : network.delayMs();
         this.time.after(ms, () => {
-          if (!this.#out && !weather.refused()) execute();
+          if (!this.#outage && !network.isRefused()) execute();
         });
       }
     });
--- a/packages/leader-election/test/virtual-time.ts
+++ b/packages/leader-election/test/virtual-time.ts
@@ -1,22 +1,24 @@
-import { setImmediate as turn } from 'node:timers/promises';
+/** Simulated time. */
+import { setImmediate as nextTurn } from 'node:timers/promises';
 
-interface Event {
+interface ScheduledCall {
   readonly at: number;
   readonly order: number;
   readonly run: () => void;
 }
 
-/** Time that passes from event to event, the same way in each run. */
+/** A scheduler whose clock jumps from event to event, in the same order in each run. */
 export class VirtualTime {
   #now = 0;
   #order = 0;
-  readonly #events: Event[] = [];
+  readonly #events: ScheduledCall[] = [];
 
-  /** true time, ms */
+  /** True time, ms. */
   get now(): number {
     return this.#now;
   }
 
+  /** Schedules a call. */
   after(ms: number, run: () => void): void {
     this.#order += 1;
     const event = { at: this.#now + ms, order: this.#order, run };
@@ -24,6 +26,7 @@
     this.#events.splice(later < 0 ? this.#events.length : later, 0, event);
   }
 
+  /** Schedules a call each `ms`, for ever. */
   every(ms: number, run: () => void): void {
     this.after(ms, () => {
       run();
@@ -31,13 +34,13 @@
     });
   }
 
-  /** Runs all events up to a moment, and what they set free in between. */
+  /** Runs all events up to `end`, and the promises that they resolve in between. */
   async runUntil(end: number): Promise<void> {
     while (this.#events.length > 0 && this.#events[0]!.at <= end) {
       const event = this.#events.shift()!;
       this.#now = event.at;
       event.run();
-      await turn();
+      await nextTurn();
     }
     this.#now = end;
   }
