--- a/packages/leader-election/test/simulated-node.ts
+++ b/packages/leader-election/test/simulated-node.ts
@@ -9,6 +9,7 @@
   type Authorization,
   type CompareAndSwapStore,
   type ElectionView,
+  type Log,
 } from '@sumacstep/leader-election';
 import type { NetworkFaults, SimulatedStore } from './simulated-store.js';
 import { electionViewOf, memberKey, memberValue } from './store-view.js';
@@ -72,7 +73,7 @@
     faults: ClusterFaults,
     supportsElection: boolean,
   ) {
-    const { store, time } = environment;
+    const { store } = environment;
     this.#drift = faults.drift();
     const client = store.clientOf(faults, (work) => {
       this.#whenAwake(work);
@@ -87,42 +88,55 @@
     const key = memberKey(this);
     const value = memberValue(supportsElection);
     this.#lease = new SessionLease(client, { key, value }, TIMING, () => this.steady(), log);
-    this.election = new LeaderElection(
+    this.election = this.#createElection(client, log);
+    this.#schedule(supportsElection);
+  }
+
+  #createElection(store: CompareAndSwapStore, log: Log): LeaderElection {
+    return new LeaderElection(
       { self: this, roles: [ROLE], candidateDelayMs: 1500, memberKey },
       {
-        store: client,
+        store,
         view: () => this.#view,
         hasAuthority: () => this.#hasAuthority(),
         onCommitted: () => {
           this.#refreshView();
         },
         steadyMs: () => this.steady(),
-        wallClockMs: () => environment.timeOfDay,
+        wallClockMs: () => this.environment.timeOfDay,
         rejections: this.rejections,
         log,
       },
     );
-    const renew = () => {
-      if (this.#ended) return;
-      this.#whenAwake(
-        () =>
-          void this.#lease.step().then((ms) => {
-            time.after(ms, renew);
-          }),
-      );
-    };
-    renew();
-    time.every(WATCH_MS, () => {
-      this.#whenAwake(() => {
-        this.#refreshView();
+  }
+
+  /** Starts renewals, the watch and, if this version supports it, election rounds. */
+  #schedule(supportsElection: boolean): void {
+    const { time } = this.environment;
+    const everyWhenAwake = (ms: number, work: () => void) => {
+      time.every(ms, () => {
+        this.#whenAwake(work);
       });
+    };
+    this.#renew();
+    everyWhenAwake(WATCH_MS, () => {
+      this.#refreshView();
     });
-    if (supportsElection)
-      time.every(TICK_MS, () => {
-        this.#whenAwake(() => {
-          this.#tick();
+    if (!supportsElection) return;
+    everyWhenAwake(TICK_MS, () => {
+      this.#tick();
+    });
+  }
+
+  #renew(): void {
+    if (this.#ended) return;
+    this.#whenAwake(() => {
+      void this.#lease.step().then((ms) => {
+        this.environment.time.after(ms, () => {
+          this.#renew();
         });
       });
+    });
   }
 
   /** The steady clock of this node, ms: it continues while the process is frozen. */
--- a/packages/leader-election/test/single-leader.test.ts
+++ b/packages/leader-election/test/single-leader.test.ts
@@ -143,7 +143,9 @@
     assert.equal(old.rejections.counts.replaced, 3);
     assert.equal(cluster.counts.rejectedByMachine, 1);
   });
+});
 
+describe('one leader acts after a disturbance', () => {
   for (const [name, fault] of DISTURBANCES) {
     test(name, async () => {
       const cluster = await startCluster();
