--- a/packages/leader-election/test/components.test.ts
+++ b/packages/leader-election/test/components.test.ts
@@ -1,3 +1,4 @@
+/** The parts of leader election one by one: leases, retention, candidates, rejections, tokens. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -6,18 +7,18 @@
   expiredRevision,
   fencingToken,
   LeaseValidity,
-  NOTHING_OBSERVED,
-  observe,
+  EMPTY_RETENTION,
+  observeElapsed,
   RecordedIntent,
-  Refusals,
+  FencingRejections,
   StoreUnavailableError,
-  type DutyView,
+  type ElectionView,
   type FencingToken,
 } from '@sumacstep/leader-election';
 
 const LEASE = { ttlMs: 6000, clockDrift: 0.001, marginMs: 500 };
 
-/** The store counts 6000 ms from the renewal's arrival; a holder's clock may run fast or slow by 0.05 %. */
+/** The store counts 6000 ms from the renewal's arrival; a leader's clock may run fast or slow by 0.05 %. */
 test('a lease is provably alive for less than the store keeps it, whatever the clocks do', () => {
   for (const drift of [-0.0005, 0, 0.0005]) {
     for (const travelMs of [0, 5, 2000]) {
@@ -46,22 +47,27 @@
 
 test('retention: only time that was observed counts, and a revision expires after all of it', () => {
   const options = { keepMs: 16_000, clockDrift: 0.001 };
-  let record = observe(NOTHING_OBSERVED, 0, 100, options);
+  let record = observeElapsed(EMPTY_RETENTION, 0, 100, options);
   const expiredAfter: (number | null)[] = [];
   for (let round = 1; round <= 20; round++) {
-    record = observe(record, 1002, 100 + round, options);
+    record = observeElapsed(record, 1002, 100 + round, options);
     expiredAfter.push(expiredRevision(record, options.keepMs));
   }
   assert.deepEqual(expiredAfter.slice(0, 15), Array(15).fill(null));
   assert.deepEqual(expiredAfter.slice(15), [100, 101, 102, 103, 104]);
   assert.ok(record.marks.length <= 18, `${record.marks.length} marks`);
-  const back = observe(record, -5_000_000, 200, options);
+  const back = observeElapsed(record, -5_000_000, 200, options);
   assert.equal(back.observedMs, record.observedMs, 'a clock that goes back observes nothing');
 });
 
-test('candidates: who gave a duty away comes last, who holds fewer comes first', () => {
-  const member = (node: string) => ({ node, incarnation: 'x', revision: 1, knowsDuties: true });
-  const holding = (node: string | null, former: string | null) => ({
+test('candidates: the former leader comes last, who leads fewer roles comes first', () => {
+  const member = (node: string) => ({
+    node,
+    incarnation: 'x',
+    revision: 1,
+    supportsElection: true,
+  });
+  const ledBy = (node: string | null, former: string | null) => ({
     revision: 1,
     value: {
       holder: node === null ? null : { node, incarnation: 'x' },
@@ -70,50 +76,59 @@
       sinceMs: 0,
     },
   });
-  const view = (records: DutyView['records']): DutyView => ({
+  const view = (records: ElectionView['records']): ElectionView => ({
     members: ['a', 'b', 'c'].map(member),
     records,
-    requests: new Map(),
+    transferRequests: new Map(),
   });
   const free = candidateOrder(view(new Map()), 'd');
   assert.deepEqual([...free].sort(), ['a', 'b', 'c']);
   const [first, second] = free as [string, string];
-  const busy = candidateOrder(view(new Map([['other', holding(first, null)]])), 'd');
+  const busy = candidateOrder(view(new Map([['other', ledBy(first, null)]])), 'd');
   assert.equal(busy.at(-1), first);
-  const former = candidateOrder(view(new Map([['d', holding(null, second)]])), 'd');
+  const former = candidateOrder(view(new Map([['d', ledBy(null, second)]])), 'd');
   assert.equal(former.at(-1), second);
 });
 
-test('refusals: one line with both tokens for a replaced holder, none while nobody replaced it', async () => {
+test('rejections: one line with both tokens for a replaced leader, none for one that was not replaced', async () => {
   const rows: [string, () => Promise<number | null>, number | null, number | null][] = [
-    ['told by the refuser', () => Promise.resolve(null), 9, 9],
+    ['named by the receiver', () => Promise.resolve(null), 9, 9],
     ['read from the store', () => Promise.resolve(8), null, 8],
     ['still the newest', () => Promise.resolve(7), null, null],
-    ['store out', () => Promise.reject(new StoreUnavailableError('out')), null, null],
+    ['store unavailable', () => Promise.reject(new StoreUnavailableError('out')), null, null],
   ];
-  for (const [name, currentToken, told, logged] of rows) {
+  for (const [name, currentToken, named, logged] of rows) {
     const lines: object[] = [];
     const log = { info: (fields: object) => void lines.push(fields), debug: () => undefined };
-    const refusals = new Refusals(currentToken, log);
-    refusals.note({ duty: 'd', token: fencingToken(7), refusedBy: 'store' }, told);
-    await refusals.settled();
-    const line = { duty: 'd', token: 7, newerToken: logged, refusedBy: 'store', refusals: 1 };
+    const rejections = new FencingRejections(currentToken, log);
+    rejections.record({ role: 'd', fencingToken: fencingToken(7), rejectedBy: 'store' }, named);
+    await rejections.settled();
+    const line = {
+      role: 'd',
+      fencingToken: 7,
+      newerToken: logged,
+      rejectedBy: 'store',
+      rejections: 1,
+    };
     assert.deepEqual(lines, logged === null ? [] : [line], name);
     const counts = { replaced: logged === null ? 0 : 1, leaseInDoubt: logged === null ? 1 : 0 };
-    assert.deepEqual(refusals.counts, counts, name);
+    assert.deepEqual(rejections.counts, counts, name);
   }
 });
 
-test('what acts needs a token: a bare number or an intent that is not recorded will not do', () => {
+test('an action needs a fencing token and a recorded intent: a number or an absent intent is rejected', () => {
   const act = (token: FencingToken): number => token;
   // @ts-expect-error a number is no token
   assert.equal(act(3), 3);
   assert.equal(act(fencingToken(3)), 3);
   for (const wrong of [-1, 0.5, NaN, 2 ** 60]) assert.throws(() => fencingToken(wrong), RangeError);
-  const condition = { key: 'duties/holders/d', revision: 1 };
-  const tenure = { duty: 'd', token: fencingToken(3), condition, holds: () => true };
+  const guard = { key: 'duties/holders/d', revision: 1 };
+  const leadership = { role: 'd', fencingToken: fencingToken(3), guard, isCurrent: () => true };
   const log = { info: () => undefined, debug: () => undefined };
-  const authorization = new Authorization(tenure, new Refusals(() => Promise.resolve(null), log));
+  const authorization = new Authorization(
+    leadership,
+    new FencingRejections(() => Promise.resolve(null), log),
+  );
   assert.throws(() => RecordedIntent.found(authorization, { key: 'intent', revision: 0 }));
   assert.equal(RecordedIntent.found(authorization, { key: 'intent', revision: 4 }).key, 'intent');
 });
--- a/src/service/service.ts
+++ b/src/service/service.ts
@@ -1,4 +1,4 @@
-import { Refusals, type SessionLease } from '@sumacstep/leader-election';
+import { FencingRejections, type SessionLease } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import { steadyMs, timeOfDayMs } from '../clock.js';
 import { CloudClient } from '../cloud/client.js';
@@ -14,7 +14,7 @@
 import { CancellationCoverage } from '../core/cancellation/cancellation-coverage.js';
 import { WorkloadStatistics } from '../core/capacity/workload-statistics.js';
 import { type Heartbeat } from '../core/model.js';
-import { Duties } from '../singletons/singleton-controllers.js';
+import { SingletonControllers } from '../singletons/singleton-controllers.js';
 import { ShardController, type PeerView } from '../shards/shard-controller.js';
 import { Gossip, type OwnStatus } from '../peers/gossip.js';
 import type { PeerStatus } from '../peers/frames.js';
@@ -29,7 +29,7 @@
 import { Readiness } from './readiness.js';
 import { PeriodicSummary } from './summary.js';
 import { socketBudget } from './socket-budget.js';
-import { ShareOwner } from '../rebalancing/shard-mover.js';
+import { ShardMover } from '../rebalancing/shard-mover.js';
 import { StoreClient } from '../store/store-client.js';
 import { LinearizableReads } from '../store/linearizable-reads.js';
 import { createNodeSession } from '../store/node-session.js';
@@ -59,11 +59,11 @@
   readonly #cache = new WatchCache();
   readonly #linearizable: LinearizableReads;
   readonly #lease: SessionLease;
-  readonly #refusals: Refusals;
+  readonly #fencingRejections: FencingRejections;
   /** null: the duties are switched off */
-  readonly #duties: Duties | null;
+  readonly #duties: SingletonControllers | null;
   /** null: moves of machines between shards are switched off */
-  readonly #shareOwner: ShareOwner | null;
+  readonly #shareOwner: ShardMover | null;
   readonly #returns: ScaleIn;
   readonly #unrecorded: OrphanedInstances;
   readonly #workload = new WorkloadStatistics();
@@ -114,11 +114,11 @@
     const life = {
       node: config.node,
       incarnation: this.#incarnation,
-      supportsElections: dutiesConfig !== null,
+      supportsElection: dutiesConfig !== null,
       supportsRebalancing: shares !== null,
     };
     this.#lease = createNodeSession(this.#store, life, this.#now, log);
-    this.#refusals = new Refusals((duty) => this.#currentToken(duty), log);
+    this.#fencingRejections = new FencingRejections((duty) => this.#currentToken(duty), log);
     const others = config.peers.map((p) => p.node);
     this.#broadcast = new CancellationBroadcast(others, config.workers.cancelS * 1000);
     this.#coverage = new CancellationCoverage(others);
@@ -146,7 +146,7 @@
       this.#lease,
       () => this.#linearizable.waitUntilCurrent(),
       this.#peerView(),
-      this.#refusals,
+      this.#fencingRejections,
       () => this.#types.current,
       (jobClass) => this.#startObjectives(jobClass),
       this.#now,
@@ -156,13 +156,13 @@
     this.#duties =
       dutiesConfig === null
         ? null
-        : new Duties(config, dutiesConfig, shares, this.#incarnation, {
+        : new SingletonControllers(config, dutiesConfig, shares, this.#incarnation, {
             client: this.#store,
             cloud: this.#cloud,
             cache: this.#cache,
             authority: () => this.#shardController.authority(this.#now()),
             current: () => this.#linearizable.waitUntilCurrent(),
-            refusals: this.#refusals,
+            fencingRejections: this.#fencingRejections,
             now: this.#now,
             timeOfDay: timeOfDayMs,
             log,
@@ -170,7 +170,7 @@
     this.#shareOwner =
       shares === null
         ? null
-        : new ShareOwner(shares, {
+        : new ShardMover(shares, {
             client: this.#store,
             cache: this.#cache,
             shardController: this.#shardController,
@@ -432,8 +432,13 @@
 
   #summarize(): void {
     const activeJobs = this.#cache.tables.activeJobs.size;
-    const refusals = this.#refusals.counts;
-    this.#summary.write(this.#shardController.owned, activeJobs, this.#store.available, refusals);
+    const fencingRejections = this.#fencingRejections.counts;
+    this.#summary.write(
+      this.#shardController.owned,
+      activeJobs,
+      this.#store.available,
+      fencingRejections,
+    );
   }
 
   close(): void {
--- a/src/store/rebalancing-entries.ts
+++ b/src/store/rebalancing-entries.ts
@@ -1,4 +1,4 @@
-import { decodeLock, decodeMove, type Move } from '@sumacstep/shard-rebalancing';
+import { decodeShardLock, decodeMove, type Move } from '@sumacstep/shard-rebalancing';
 
 /** What the state service holds of moves of machines, all under one prefix. */
 export type RebalancingEntry =
@@ -13,7 +13,7 @@
     return move === null ? { kind: 'other' } : { kind: 'move', move };
   }
   if (id.startsWith('parts/')) {
-    const move = decodeLock(value);
+    const move = decodeShardLock(value);
     const shard = Number(id.slice('parts/'.length));
     return move === null ? { kind: 'other' } : { kind: 'lock', shard, move };
   }
