--- a/src/core/capacity/allocation-ratio.ts
+++ b/src/core/capacity/allocation-ratio.ts
@@ -1,5 +1,5 @@
 import { PRIORITY_RANK, RESOURCE_KINDS, type Resources } from '../model.js';
-import { tasksInNeed } from '../reachability/failure-tracker.js';
+import { tasksNeedingCapacity } from '../reachability/failure-tracker.js';
 import type { MachineState } from '../shard/types.js';
 import type { ShardState } from '../shard/shard-state.js';
 
@@ -34,7 +34,7 @@
 
 const countsForRouting = (state: ShardState, m: MachineState, now: number): boolean => {
   const goes = m.draining || m.terminating || m.quarantined || m.preemptionNoticeAt !== null;
-  return !goes && (!m.everKnown || state.health.isFresh(m, now));
+  return !goes && (!m.everConfirmed || state.health.isFresh(m, now));
 };
 
 /**
@@ -48,11 +48,11 @@
     if (m.type === null || !countsForRouting(state, m, now)) continue;
     const kind = m.record.spot ? spot : ordinary;
     addTo(kind.capacity, m.type);
-    for (const { job } of m.tasks.values()) addTo(kind.booked[job.rank]!, job.spec.demand);
+    for (const { job } of m.tasks.values()) addTo(kind.booked[job.priorityRank]!, job.spec.demand);
   }
   const waiting = noneByRank();
   for (const job of state.jobs.values()) {
-    addTo(waiting[job.rank]!, job.spec.demand, tasksInNeed(job, now));
+    addTo(waiting[job.priorityRank]!, job.spec.demand, tasksNeedingCapacity(job, now));
   }
   const shares: number[] = [];
   for (let rank = 0; rank < RANK_COUNT; rank++) {
--- a/src/core/capacity/capacity-planner.ts
+++ b/src/core/capacity/capacity-planner.ts
@@ -1,5 +1,5 @@
 import { BOOT_GIVE_UP } from './constants.js';
-import { tasksInNeed } from '../reachability/failure-tracker.js';
+import { tasksNeedingCapacity } from '../reachability/failure-tracker.js';
 import { timesIn, type JobSpec, type MachineType } from '../model.js';
 import type { JobState, MachineState } from '../shard/shard.js';
 import { ReachableCapacity, zoneToGrow } from './reachable-capacity.js';
@@ -44,13 +44,13 @@
 
 const DEFAULT_BOOT_S = 60;
 
-const inUse = (m: MachineState): boolean => m.tasks.size > 0 || m.unknownTasks > 0;
+const inUse = (m: MachineState): boolean => m.tasks.size > 0 || m.unknownTaskCount > 0;
 
 /** Tasks that must find room at the same time: all of a gang, all replicas, one of an array. */
 const tasksNeedingRoom = (job: JobState): number => {
   // A gang of which something is still placed is being stopped, and waits for that.
-  if (job.spec.kind === 'gang') return job.placed.size === 0 ? job.waiting.length : 0;
-  return job.spec.kind === 'service' ? job.waiting.length : 1;
+  if (job.spec.kind === 'gang') return job.placements.size === 0 ? job.waitingTasks.length : 0;
+  return job.spec.kind === 'service' ? job.waitingTasks.length : 1;
 };
 
 /** A service whose replicas must be in several zones, and may not use spot machines, is known. */
@@ -139,8 +139,8 @@
     if (shard.isLost(m, now)) return 'silent';
     if (shard.losesCommands(m, now)) return 'hears nothing';
     const bootMs = (m.type?.bootS ?? DEFAULT_BOOT_S) * 1000;
-    const neverUp = !m.everKnown && !m.record.up;
-    if (neverUp && now - m.since > bootMs * BOOT_GIVE_UP) return 'never came up';
+    const neverUp = !m.everConfirmed && !m.record.up;
+    if (neverUp && now - m.trackedSince > bootMs * BOOT_GIVE_UP) return 'never came up';
     return m.quarantined && !inUse(m) ? 'fails tasks' : null;
   }
 
@@ -258,10 +258,16 @@
   /** However little work it is: a job that no machine could ever take gets one that can. */
   #rentForUnplaceable(): void {
     const { shard, pending, types, now } = this.input;
-    const reachable = new ReachableCapacity(this.#staying, pending, types, shard.preempts, now);
+    const reachable = new ReachableCapacity(
+      this.#staying,
+      pending,
+      types,
+      shard.preemptionEnabled,
+      now,
+    );
     for (const job of shard.jobs.values()) {
       if (this.#rent.length > 0) return;
-      if (tasksInNeed(job, now) === 0) continue;
+      if (tasksNeedingCapacity(job, now) === 0) continue;
       const missing = tasksNeedingRoom(job) - reachable.tasksOf(job);
       if (missing > 0) this.#rentFor(job, missing);
     }
--- a/src/core/capacity/reachable-capacity.ts
+++ b/src/core/capacity/reachable-capacity.ts
@@ -30,7 +30,8 @@
 const besideReplicas = (m: MachineState, job: JobState, preempts: boolean): Resources => {
   let room: Resources = m.type ?? ZERO;
   for (const p of m.tasks.values()) {
-    const stays = p.job.spec.kind === 'service' || !preempts || p.job.rank >= job.rank;
+    const stays =
+      p.job.spec.kind === 'service' || !preempts || p.job.priorityRank >= job.priorityRank;
     if (stays) room = add(room, p.job.spec.demand, -1);
   }
   return room;
--- a/src/core/capacity/wanted-machines.ts
+++ b/src/core/capacity/wanted-machines.ts
@@ -1,6 +1,6 @@
 import { CEIL_SLACK, RUN_UNKNOWN_S } from './constants.js';
 import { typesFor } from '../jobs/admission.js';
-import { tasksInNeed } from '../reachability/failure-tracker.js';
+import { tasksNeedingCapacity } from '../reachability/failure-tracker.js';
 import type { ClassStats } from './workload-statistics.js';
 import {
   dominantShare,
@@ -87,7 +87,7 @@
     need.waiting += waiting;
   };
   for (const job of input.shard.jobs.values()) {
-    if (!job.ended) note(job.spec, job.placed.size, tasksInNeed(job, input.now));
+    if (!job.ended) note(job.spec, job.placements.size, tasksNeedingCapacity(job, input.now));
   }
   for (const spec of input.expected) note(spec, 0, spec.tasks);
   // Classes known from other shards or earlier times need their reserve here as well.
@@ -136,7 +136,7 @@
       const there = service ? 0 : busy + elsewhere;
       const kept = whole + input.reserveSigma * Math.sqrt(whole) - there;
       soon = patient = busy + Math.max(0, kept) / input.shards;
-      if (input.shard.preempts) slack += Math.max(0, soon - busy) / perMachine;
+      if (input.shard.preemptionEnabled) slack += Math.max(0, soon - busy) / perMachine;
     } else {
       // Half of the running work is still to be done.
       const work = (need.waiting + need.running / 2) * runS;
--- a/src/core/placement/candidates.ts
+++ b/src/core/placement/candidates.ts
@@ -6,7 +6,7 @@
 
 const replicasOn = (m: MachineState, job: JobState): number => {
   let count = 0;
-  for (const p of job.placed.values()) if (p.machine === m) count += 1;
+  for (const p of job.placements.values()) if (p.machine === m) count += 1;
   return count;
 };
 
@@ -34,7 +34,7 @@
     const usable: MachineState[] = [];
     const zones = new Set<string>();
     for (const m of only === null ? state.machines.values() : [only]) {
-      if (!fits(least, m.free) || !state.health.usable(m, now)) continue;
+      if (!fits(least, m.free) || !state.health.isSchedulable(m, now)) continue;
       usable.push(m);
       if (m.reservation !== null) this.#held.add(m.reservation.uid);
       zones.add(m.record.zone);
@@ -60,7 +60,7 @@
   noRoom(job: JobState, tasks: number): void {
     // What one of them could not get for reasons of its own, others may.
     if (job.avoidedMachines.size > 0) return;
-    if (job.placed.size > 0 && (job.spec.oneZone || job.spec.spread)) return;
+    if (job.placements.size > 0 && (job.spec.oneZone || job.spec.spread)) return;
     const list = this.#failed.get(job.constraintKey) ?? [];
     list.push({ demand: job.spec.demand, tasks });
     this.#failed.set(job.constraintKey, list);
--- a/src/core/placement/constraints.ts
+++ b/src/core/placement/constraints.ts
@@ -28,4 +28,4 @@
   m: MachineState,
   job: JobState,
   now: number,
-): boolean => state.health.usable(m, now) && satisfiesConstraints(m, job, now);
+): boolean => state.health.isSchedulable(m, now) && satisfiesConstraints(m, job, now);
--- a/src/core/placement/partners.ts
+++ b/src/core/placement/partners.ts
@@ -17,7 +17,7 @@
     private readonly work: WorkCounters,
   ) {
     const kinds = new Set<string>();
-    for (const job of queue) if (job.spec.kind !== 'gang') kinds.add(job.dominant);
+    for (const job of queue) if (job.spec.kind !== 'gang') kinds.add(job.dominantResource);
     this.#severalKinds = kinds.size > 1;
   }
 
@@ -28,7 +28,7 @@
       const { partner } = this.#chosen;
       if (partner === null || placeableTasks(partner, this.now) > 0) return partner;
     }
-    const partner = complement(job.share, this.#behind(job, position))?.item ?? null;
+    const partner = complement(job.demandShare, this.#behind(job, position))?.item ?? null;
     this.#chosen = { of: job, partner };
     return partner;
   }
@@ -36,9 +36,9 @@
   *#behind(job: JobState, position: number): Iterable<TaskGroup<JobState>> {
     for (let at = position + 1; at < this.queue.length; at++) {
       const item = this.queue[at]!;
-      if (item.spec.kind === 'gang' || item.dominant === job.dominant) continue;
+      if (item.spec.kind === 'gang' || item.dominantResource === job.dominantResource) continue;
       this.work.jobsCompared += 1;
-      yield { item, share: item.share, count: placeableTasks(item, this.now) };
+      yield { item, share: item.demandShare, count: placeableTasks(item, this.now) };
     }
   }
 }
--- a/src/core/placement/quotas.ts
+++ b/src/core/placement/quotas.ts
@@ -12,7 +12,10 @@
     if (team === undefined || (team.cpusMax <= 0 && team.gpusMax <= 0)) return Infinity;
     // What an unanswered machine runs for the team is not known, nor whose the tasks are that are
     // being stopped for want of a place in our state: nothing more until both are settled.
-    if (!this.state.rebuilt || [...this.state.machines.values()].some((m) => m.unknownTasks > 0))
+    if (
+      !this.state.recovered ||
+      [...this.state.machines.values()].some((m) => m.unknownTaskCount > 0)
+    )
       return 0;
     const used = this.used(job.spec.team);
     const { cpus, gpus } = job.spec.demand;
@@ -25,7 +28,7 @@
   used(team: string): Resources {
     let used = ZERO;
     for (const job of this.state.jobs.values()) {
-      if (job.spec.team === team) used = add(used, job.spec.demand, job.placed.size);
+      if (job.spec.team === team) used = add(used, job.spec.demand, job.placements.size);
     }
     return used;
   }
--- a/src/core/placement/scheduler.ts
+++ b/src/core/placement/scheduler.ts
@@ -22,12 +22,12 @@
   /** Steady ms by which the job's tasks should start: its first aim that can still be met. */
   #due(job: JobState, aims: readonly number[], now: number): number {
     for (const within of aims) {
-      const due = job.seenAt + within * 1000;
+      const due = job.acceptedAtSteady + within * 1000;
       if (due >= now) return due;
     }
     const { deadlineS, estimateS } = job.spec;
     const last = aims.at(-1) ?? (deadlineS === null ? NO_AIM_S : deadlineS - estimateS);
-    return job.seenAt + last * 1000;
+    return job.acceptedAtSteady + last * 1000;
   }
 
   /**
@@ -36,7 +36,7 @@
    * `BEGIN_MS` after acceptance, so no stream of newer work can keep it waiting.
    */
   queue(now: number): JobState[] {
-    const { rebuilt } = this.state;
+    const { recovered: rebuilt } = this.state;
     const aimsOf = new Map<string, readonly number[]>();
     const open: { job: JobState; guaranteed: boolean; due: number }[] = [];
     for (const job of this.state.jobs.values()) {
@@ -49,14 +49,14 @@
       }
       // Whoever has begun may wait for the next aim after one is missed; whoever has not keeps its
       // place, or newer work would pass it over again and again.
-      const latest = hasBegun(job) ? Infinity : job.seenAt + BEGIN_MS;
+      const latest = hasBegun(job) ? Infinity : job.acceptedAtSteady + BEGIN_MS;
       const due = Math.min(this.#due(job, aims, now), latest);
       job.startDeadline = due;
       open.push({ job, guaranteed: this.limits.guaranteed(job), due });
     }
     open.sort(
       (a, b) =>
-        b.job.rank - a.job.rank ||
+        b.job.priorityRank - a.job.priorityRank ||
         Number(b.guaranteed) - Number(a.guaranteed) ||
         a.due - b.due ||
         a.job.acceptedAt - b.job.acceptedAt ||
@@ -70,7 +70,7 @@
     for (const m of this.state.machines.values()) {
       if (m.reservation === null) continue;
       const job = this.state.jobs.get(m.reservation.uid);
-      if (job === undefined || job.ended || job.waiting.length === 0) m.reservation = null;
+      if (job === undefined || job.ended || job.waitingTasks.length === 0) m.reservation = null;
     }
   }
 
@@ -97,7 +97,7 @@
   placeOn(m: MachineState, now: number): void {
     if (this.#last === null || !fits(this.#last.least, m.free)) return;
     // Thousands may wait, and reports are many: what cannot fit is not looked at any further.
-    const { rebuilt } = this.state;
+    const { recovered: rebuilt } = this.state;
     const open = this.#last.stuck.filter(
       (job) => fits(job.spec.demand, m.free) && isOpen(job, rebuilt, now),
     );
@@ -113,9 +113,9 @@
   #imagesFirst(queue: readonly JobState[], m: MachineState, now: number): JobState[] {
     const out: JobState[] = [];
     for (let at = 0; at < queue.length;) {
-      const { rank } = queue[at]!;
+      const { priorityRank: rank } = queue[at]!;
       const later: JobState[] = [];
-      for (; at < queue.length && queue[at]!.rank === rank; at++) {
+      for (; at < queue.length && queue[at]!.priorityRank === rank; at++) {
         const job = queue[at]!;
         const patient = job.spec.kind !== 'gang' && job.startDeadline > now;
         const passed = patient && !m.images.has(job.spec.image);
@@ -175,15 +175,15 @@
     rooms: Candidates,
     attempt = this.state.nextAttempt(),
   ): Placement {
-    const p = this.state.place(job, job.waiting[0]!, attempt, m, rooms.now);
+    const p = this.state.place(job, job.waitingTasks[0]!, attempt, m, rooms.now);
     rooms.taken(m);
     return p;
   }
 
   /** All tasks of a gang or none: each in turn on the most matched machine. */
   #placeGang(job: JobState, rooms: Candidates): boolean {
-    const tasks = job.waiting.length;
-    if (job.placed.size > 0 || rooms.hopeless(job, tasks)) return false;
+    const tasks = job.waitingTasks.length;
+    if (job.placements.size > 0 || rooms.hopeless(job, tasks)) return false;
     if (this.limits.underLimit(job) < tasks) return false;
     const zones = job.spec.oneZone ? rooms.zones : [null];
     for (const zone of zones) {
@@ -191,13 +191,13 @@
       const attempt = this.state.nextAttempt();
       const placed: Placement[] = [];
       const holds = new Map<MachineState, MachineState['reservation']>();
-      while (job.waiting.length > 0) {
+      while (job.waitingTasks.length > 0) {
         const m = rooms.best(job, job.spec.demand, null, zone);
         if (m === null) break;
         if (!holds.has(m)) holds.set(m, m.reservation);
         placed.push(this.#start(job, m, rooms, attempt));
       }
-      if (job.waiting.length === 0) return true;
+      if (job.waitingTasks.length === 0) return true;
       this.#takeBack(job, placed, rooms);
       for (const [m, hold] of holds) m.reservation = hold;
     }
@@ -209,22 +209,22 @@
   #takeBack(job: JobState, placed: readonly Placement[], rooms: Candidates): void {
     for (const p of placed) {
       p.machine.tasks.delete(taskKey(job.spec.uid, p.index));
-      job.placed.delete(p.index);
-      job.waiting.push(p.index);
+      job.placements.delete(p.index);
+      job.waitingTasks.push(p.index);
       this.state.recount(p.machine, p.machine.idleSince);
       rooms.givenBack(p.machine);
     }
-    job.waiting.sort((a, b) => a - b);
+    job.waitingTasks.sort((a, b) => a - b);
   }
 }
 
 /** It has tasks to place, and none of its tasks can still be running by an earlier owner's order. */
 const isOpen = (job: JobState, rebuilt: boolean, now: number): boolean =>
-  (rebuilt || job.inherited.size === 0) && placeableTasks(job, now) > 0;
+  (rebuilt || job.inheritedTasks.size === 0) && placeableTasks(job, now) > 0;
 
 /** Some task of it is or was on a machine. */
 const hasBegun = (job: JobState): boolean =>
-  job.placed.size + job.saved.size + job.unsaved.size > 0;
+  job.placements.size + job.savedTasks.size + job.unsavedTasks.size > 0;
 
 /** What every job of the queue asks for at least. */
 const leastOf = (queue: readonly JobState[]): Resources => {
--- a/src/core/placement/zones.ts
+++ b/src/core/placement/zones.ts
@@ -8,7 +8,7 @@
   if (spec.zone !== null && spec.zone !== zone) return 0;
   if (!spec.oneZone && !spec.spread) return Infinity;
   let here = 0;
-  for (const p of job.placed.values()) {
+  for (const p of job.placements.values()) {
     if (p.machine.record.zone === zone) here += 1;
     else if (spec.oneZone) return 0;
   }
--- a/src/core/preemption/preemption.ts
+++ b/src/core/preemption/preemption.ts
@@ -38,14 +38,14 @@
       if (tries >= ROOM_TRIES) break;
       if (this.limits.underLimit(job) < 1) continue;
       const mayStop =
-        this.state.settings.preempt && (job.rank > lowest || this.limits.guaranteed(job));
+        this.state.settings.preempt && (job.priorityRank > lowest || this.limits.guaranteed(job));
       if (job.spec.kind !== 'gang') {
         if (!mayStop) continue;
         tries += 1;
         this.#reserve(job, 1, mayStop, now);
-      } else if (job.placed.size === 0 && (mayStop || collecting.size === 0 || left > 0)) {
+      } else if (job.placements.size === 0 && (mayStop || collecting.size === 0 || left > 0)) {
         tries += 1;
-        const enough = this.#reserve(job, job.waiting.length, mayStop, now);
+        const enough = this.#reserve(job, job.waitingTasks.length, mayStop, now);
         if (enough || (collecting.size > 0 && left <= 0)) continue;
         collecting.add(job.spec.uid);
         left -= this.#collect(job, now);
@@ -60,14 +60,14 @@
   #lowestRank(): number {
     let lowest = Infinity;
     for (const job of this.state.jobs.values()) {
-      if (job.placed.size > 0) lowest = Math.min(lowest, job.rank);
+      if (job.placements.size > 0) lowest = Math.min(lowest, job.priorityRank);
     }
     return lowest;
   }
 
   /** May `victim` be stopped for `job`: lower rank, or beyond its team's guarantee for one within. */
   #mayPreempt(job: JobState, victim: Placement): boolean {
-    if (victim.job.rank < job.rank) return true;
+    if (victim.job.priorityRank < job.priorityRank) return true;
     return (
       victim.job.spec.team !== job.spec.team &&
       this.limits.guaranteed(job) &&
@@ -79,7 +79,7 @@
   #loss(p: Placement, now: number): number {
     const ran = p.runningSince === null ? 0 : (now - p.runningSince) / 1000;
     const { checkpointS, saveS, kind } = p.job.spec;
-    const tasks = kind === 'gang' ? p.job.placed.size : 1;
+    const tasks = kind === 'gang' ? p.job.placements.size : 1;
     return (checkpointS > 0 ? saveS : ran) * tasks;
   }
 
@@ -134,12 +134,12 @@
     const zone = oneZone ? (held[0]?.m.record.zone ?? null) : null;
     const usable = oneZone
       ? zone === null
-        ? inOneZone(options, job.waiting.length)
+        ? inOneZone(options, job.waitingTasks.length)
         : options.filter((o) => o.m.record.zone === zone)
       : options;
     // What is held already stays so: changing over would start anew each time.
     usable.sort((x, y) => Number(y.held) - Number(x.held) || x.loss - y.loss);
-    let open = job.waiting.length;
+    let open = job.waitingTasks.length;
     let machines = 0;
     for (const o of usable) {
       if (open <= 0) break;
--- a/src/core/reachability/constants.ts
+++ b/src/core/reachability/constants.ts
@@ -8,7 +8,7 @@
 export const UNREACHABLE_HEARTBEAT_INTERVALS_SERVICE = 3;
 
 /** ms; a replica that ran this long was well: its failures count anew. */
-export const REPLICA_WELL_MS = 60_000;
+export const REPLICA_STABLE_MS = 60_000;
 
 /** report intervals without a report after which a machine is returned to the cloud. */
 export const UNREACHABLE_HEARTBEAT_INTERVALS = 4.5;
@@ -18,7 +18,7 @@
 
 /** share of the time for a cancellation after which a task that was told to stop and still runs
  * costs its machine: the rest is for the cloud's answer, and for asking again. */
-export const STOP_PATIENCE = 0.5;
+export const STOP_TIMEOUT_SHARE = 0.5;
 
 /** distinct jobs that must fail on a machine, without a success between, to condemn it. */
 export const QUARANTINE_FAILED_JOBS = 2;
@@ -31,11 +31,11 @@
 export const SUSPECT_FAILURES = 2;
 
 /** ms; a task of a suspect job that has run this long shows that the job can run: its other tasks follow. */
-export const PROBE_WELL_MS = 20_000;
+export const SUSPECT_JOB_PROBE_MS = 20_000;
 
 /** s; first and longest pause of a job whose tasks fail on machine after machine. */
-export const JOB_PAUSE_S = { first: 2, most: 60 } as const;
+export const JOB_BACKOFF_S = { first: 2, max: 60 } as const;
 
 /** ms; a machine that failed a job's task is avoided by that job for this long. No job may wait for 90 s
  * beside a machine with room, and it may be the only one. */
-export const AVOID_MS = 60_000;
+export const MACHINE_AVOIDANCE_MS = 60_000;
--- a/src/core/reachability/failure-tracker.ts
+++ b/src/core/reachability/failure-tracker.ts
@@ -1,8 +1,8 @@
 import {
-  AVOID_MS,
-  JOB_PAUSE_S,
-  PROBE_WELL_MS,
-  REPLICA_WELL_MS,
+  MACHINE_AVOIDANCE_MS,
+  JOB_BACKOFF_S,
+  SUSPECT_JOB_PROBE_MS,
+  REPLICA_STABLE_MS,
   QUARANTINE_FAILED_JOBS,
   QUARANTINE_SUSPECT_JOBS,
   SUSPECT_FAILURES,
@@ -18,29 +18,29 @@
 
 /** The job has failed on machine after machine, and nothing of it has succeeded since. */
 export const isSuspect = (job: JobState): boolean =>
-  job.spec.kind !== 'service' && job.failures >= SUSPECT_FAILURES;
+  job.spec.kind !== 'service' && job.consecutiveFailures >= SUSPECT_FAILURES;
 
 /** A task of the job has run for longer than failing ones do. */
 const runsWell = (job: JobState, now: number): boolean => {
-  for (const { runningSince } of job.placed.values()) {
-    if (runningSince !== null && now - runningSince > PROBE_WELL_MS) return true;
+  for (const { runningSince } of job.placements.values()) {
+    if (runningSince !== null && now - runningSince > SUSPECT_JOB_PROBE_MS) return true;
   }
   return false;
 };
 
 /** Waiting tasks that need room: of a suspect array one at a time, of any suspect job none in its pause. */
-export const tasksInNeed = (job: JobState, now: number): number => {
+export const tasksNeedingCapacity = (job: JobState, now: number): number => {
   if (job.ended) return 0;
-  const all = job.waiting.length;
+  const all = job.waitingTasks.length;
   if (!isSuspect(job)) return all;
   if (job.pausedUntil > now) return 0;
   if (job.spec.kind === 'gang' || runsWell(job, now)) return all;
-  return job.placed.size === 0 ? Math.min(1, all) : 0;
+  return job.placements.size === 0 ? Math.min(1, all) : 0;
 };
 
 /** Waiting tasks that may be placed now. */
 export const placeableTasks = (job: JobState, now: number): number =>
-  job.gangBroken || job.pausedUntil > now ? 0 : tasksInNeed(job, now);
+  job.gangBroken || job.pausedUntil > now ? 0 : tasksNeedingCapacity(job, now);
 
 /** Takes in how tasks ended, and judges machines and jobs by it. */
 export class FailureTracker {
@@ -50,40 +50,40 @@
    * A task completed: its job can be well, and its machine was. A machine that is condemned already stays
    * so, since what completes there may have begun before it became faulty.
    */
-  succeeded(m: MachineState, job: JobState): void {
+  taskSucceeded(m: MachineState, job: JobState): void {
     if (!m.quarantined) {
       m.failedJobs.clear();
       m.onProbation = false;
     }
-    const cleared = job.failures > 0;
-    job.failures = 0;
+    const cleared = job.consecutiveFailures > 0;
+    job.consecutiveFailures = 0;
     if (cleared) this.#judgeMachinesThatFailed(job);
   }
 
   /** A task failed on the machine. A dozen tasks of an array that fail together there are one failure. */
-  failed(m: MachineState, job: JobState, now: number): void {
+  taskFailed(m: MachineState, job: JobState, now: number): void {
     m.failedJobs.set(job.spec.uid, job);
     const again = (job.avoidedMachines.get(m.record.name) ?? -Infinity) > now;
-    job.avoidedMachines.set(m.record.name, now + AVOID_MS);
+    job.avoidedMachines.set(m.record.name, now + MACHINE_AVOIDANCE_MS);
     if (!again) {
-      this.countEnd(job, now);
-      if (job.failures === SUSPECT_FAILURES) this.#judgeMachinesThatFailed(job);
+      this.countFailure(job, now);
+      if (job.consecutiveFailures === SUSPECT_FAILURES) this.#judgeMachinesThatFailed(job);
     }
     this.#judge(m);
   }
 
   /** Counts a failure of the job, or a replica that ended by itself: from the second on it pauses. */
-  countEnd(job: JobState, now: number): void {
-    const well = job.spec.kind === 'service' && now - job.failedAt > REPLICA_WELL_MS;
-    job.failures = well ? 1 : job.failures + 1;
-    job.failedAt = now;
-    if (job.failures >= SUSPECT_FAILURES) this.pause(job, now);
+  countFailure(job: JobState, now: number): void {
+    const well = job.spec.kind === 'service' && now - job.lastFailureAt > REPLICA_STABLE_MS;
+    job.consecutiveFailures = well ? 1 : job.consecutiveFailures + 1;
+    job.lastFailureAt = now;
+    if (job.consecutiveFailures >= SUSPECT_FAILURES) this.pauseJob(job, now);
   }
 
   /** Each further failure doubles the pause. */
-  pause(job: JobState, now: number): void {
-    const doublings = Math.max(0, job.failures - SUSPECT_FAILURES);
-    const seconds = Math.min(JOB_PAUSE_S.most, JOB_PAUSE_S.first * 2 ** doublings);
+  pauseJob(job: JobState, now: number): void {
+    const doublings = Math.max(0, job.consecutiveFailures - SUSPECT_FAILURES);
+    const seconds = Math.min(JOB_BACKOFF_S.max, JOB_BACKOFF_S.first * 2 ** doublings);
     job.pausedUntil = now + seconds * 1000;
     // It does not wait for room now, so no other shard needs to look for it.
     job.unschedulableSince = null;
--- a/src/core/reachability/machine-health.ts
+++ b/src/core/reachability/machine-health.ts
@@ -3,9 +3,9 @@
   UNREACHABLE_HEARTBEAT_INTERVALS,
   UNREACHABLE_HEARTBEAT_INTERVALS_SERVICE,
   MISSED_HEARTBEAT_INTERVALS,
-  STOP_PATIENCE,
+  STOP_TIMEOUT_SHARE,
 } from './constants.js';
-import { serves, type MachineState, type ShardSettings } from '../shard/types.js';
+import { hostsServiceReplicas, type MachineState, type ShardSettings } from '../shard/types.js';
 
 /**
  * What a shard concludes from the reports of its machines: which may get work, which should be asked, and
@@ -18,7 +18,7 @@
   ) {}
 
   /** An earlier owner may have started something there. */
-  inherited(m: MachineState): boolean {
+  mayHoldInheritedTasks(m: MachineState): boolean {
     return m.record.term !== this.term && m.record.up;
   }
 
@@ -28,19 +28,19 @@
    */
   needsProbe(m: MachineState): boolean {
     if (m.terminating) return false;
-    const untold = !m.known && (m.agentEpoch > 0 || this.inherited(m));
+    const untold = !m.known && (m.agentEpoch > 0 || this.mayHoldInheritedTasks(m));
     return m.commandsLostSince !== null || untold;
   }
 
   /** Silent for so long that the machine is better given back than waited for. */
   isLost(m: MachineState, now: number): boolean {
-    const expected = m.everKnown || this.inherited(m);
+    const expected = m.everConfirmed || this.mayHoldInheritedTasks(m);
     if (!expected) return false;
     // An answered return proves a replica gone sooner than the end of its lease does. A worker that is
     // still looking for a living controller answers commands meanwhile.
-    const silentMs = now - Math.max(m.lastStatusAt, m.lastHeartbeatAt, m.since);
+    const silentMs = now - Math.max(m.lastStatusAt, m.lastHeartbeatAt, m.trackedSince);
     const gone =
-      serves(m) &&
+      hostsServiceReplicas(m) &&
       silentMs > this.settings.heartbeatIntervalMs * UNREACHABLE_HEARTBEAT_INTERVALS_SERVICE;
     return gone || this.#unreported(m, now);
   }
@@ -48,7 +48,7 @@
   /** A machine that only answers commands reaches no controller: its lease ends with all that it runs. */
   #unreported(m: MachineState, now: number): boolean {
     return (
-      now - Math.max(m.lastHeartbeatAt, m.since) >
+      now - Math.max(m.lastHeartbeatAt, m.trackedSince) >
       this.settings.heartbeatIntervalMs * UNREACHABLE_HEARTBEAT_INTERVALS
     );
   }
@@ -64,7 +64,7 @@
     ) {
       return true;
     }
-    const patience = this.settings.cancelMs * STOP_PATIENCE;
+    const patience = this.settings.cancelMs * STOP_TIMEOUT_SHARE;
     for (const p of m.tasks.values()) {
       if (p.stop === null) continue;
       const grace = p.job.ended ? 0 : p.stop.graceS * 1000;
@@ -80,7 +80,7 @@
   }
 
   /** Something may start there now, as far as the machine itself is concerned. */
-  usable(m: MachineState, now: number): boolean {
+  isSchedulable(m: MachineState, now: number): boolean {
     return (
       this.isFresh(m, now) &&
       m.record.up &&
@@ -91,7 +91,7 @@
       !m.cordoned &&
       m.preemptionNoticeAt === null &&
       m.commandsLostSince === null &&
-      m.unknownTasks === 0 &&
+      m.unknownTaskCount === 0 &&
       m.backoffUntil <= now
     );
   }
--- a/src/core/shard/command-planner.ts
+++ b/src/core/shard/command-planner.ts
@@ -1,5 +1,5 @@
-import { FORGET_AFTER_MS, FORGET_BATCH_LIMIT, STOP_OVERDUE_S } from './constants.js';
-import { attemptKey, neverSent, taskKey, type MachineState, type Placement } from './types.js';
+import { FORGET_DELAY_MAX_MS, FORGET_BATCH_LIMIT, STOP_OVERDUE_MARGIN_S } from './constants.js';
+import { attemptKey, isUndispatched, taskKey, type MachineState, type Placement } from './types.js';
 import { type ShardState } from './shard-state.js';
 import type { Command, Heartbeat } from '../model.js';
 
@@ -9,7 +9,7 @@
 
   #stopCommand(p: Placement, now: number): Command {
     const stop = p.stop!;
-    const overdue = now - stop.at > (stop.graceS + STOP_OVERDUE_S) * 1000;
+    const overdue = now - stop.at > (stop.graceS + STOP_OVERDUE_MARGIN_S) * 1000;
     return {
       op: 'stop',
       uid: p.job.spec.uid,
@@ -19,7 +19,12 @@
     };
   }
 
-  answer(m: MachineState, heartbeat: Heartbeat, now: number, mayStart: boolean): Command[] {
+  answerHeartbeat(
+    m: MachineState,
+    heartbeat: Heartbeat,
+    now: number,
+    mayStart: boolean,
+  ): Command[] {
     const out: Command[] = [];
     /** what nothing hangs on: a completed task is never started again */
     const completed: Command[] = [];
@@ -28,8 +33,8 @@
       const job = this.state.jobs.get(uid);
       if (t.state === 'exited') {
         // A completion is forgotten by its worker only once it is saved.
-        const unsaved = t.why === 'done' && job !== undefined && job.unsaved.has(index);
-        const again = m.doubtful.has(`${uid}/${index}@${attempt}`);
+        const unsaved = t.why === 'done' && job !== undefined && job.unsavedTasks.has(index);
+        const again = m.unsettledDirectStarts.has(`${uid}/${index}@${attempt}`);
         if (!unsaved && !again) {
           (t.why === 'done' ? completed : out).push({ op: 'forget', uid, index, attempt });
         }
@@ -41,7 +46,7 @@
       } else if (p.stop !== null) out.push(this.#stopCommand(p, now));
     }
     for (const p of m.tasks.values()) {
-      if (p.seen) continue;
+      if (p.observed) continue;
       const start: Command = {
         op: 'start',
         uid: p.job.spec.uid,
@@ -49,9 +54,9 @@
         attempt: p.attempt,
       };
       if (mayStart && this.#startable(p, m)) {
-        p.sentCounter = heartbeat.counter;
+        p.startSentCounter = heartbeat.counter;
         out.push(start);
-      } else if (mayStart && p.direct && p.stop !== null) {
+      } else if (mayStart && p.directStartUnsettled && p.stop !== null) {
         // A direct start that may yet arrive must find its attempt known and ended.
         out.push(start, { ...this.#stopCommand(p, now), graceS: 0 } as Command);
       }
@@ -68,7 +73,7 @@
     if (m.forgettableSince === null) return false;
     // A machine that is to move has to be empty in its worker's eyes, too.
     const soon = along || m.cordoned || tasks.length >= FORGET_BATCH_LIMIT;
-    const due = soon || now - m.forgettableSince >= FORGET_AFTER_MS;
+    const due = soon || now - m.forgettableSince >= FORGET_DELAY_MAX_MS;
     if (due) m.forgettableSince = null;
     return due;
   }
@@ -79,7 +84,7 @@
   }
 
   /** Starts and stops that should not wait for the next report, by machine, of `most` machines. */
-  direct(
+  directCommands(
     now: number,
     most: number,
     mayStart: boolean,
@@ -94,10 +99,10 @@
         if (p.stop !== null && !p.stop.sentDirect) {
           p.stop.sentDirect = true;
           commands.push(this.#stopCommand(p, now));
-        } else if (mayStart && neverSent(p) && this.#startable(p, m)) {
-          p.direct = true;
+        } else if (mayStart && isUndispatched(p) && this.#startable(p, m)) {
+          p.directStartUnsettled = true;
           starts.push(p);
-          m.doubtful.add(attemptKey(p));
+          m.unsettledDirectStarts.add(attemptKey(p));
           const { index, attempt } = p;
           commands.push({ op: 'start', uid: p.job.spec.uid, index, attempt });
         }
@@ -108,10 +113,10 @@
   }
 
   /** The outcome of direct starts is known: they were carried out, or never will be. */
-  settled(starts: readonly Placement[], executed: boolean): void {
+  directStartsSettled(starts: readonly Placement[], executed: boolean): void {
     for (const p of starts) {
-      p.machine.doubtful.delete(attemptKey(p));
-      if (!executed) p.direct = false;
+      p.machine.unsettledDirectStarts.delete(attemptKey(p));
+      if (!executed) p.directStartUnsettled = false;
     }
   }
 }
--- a/src/core/shard/constants.ts
+++ b/src/core/shard/constants.ts
@@ -4,16 +4,16 @@
 export const ATTEMPTS_PER_TERM = 2 ** 23;
 
 /** ms; a worker drops an answer that comes later than 4 s; ours are made within milliseconds. */
-export const COMMAND_UNSENT_MS = 8000;
+export const UNDISPATCHED_START_TIMEOUT_MS = 8000;
 
 /** ms; added to a worker's lease before its tasks count as gone. */
 export const WORKER_LEASE_MARGIN_MS = 1000;
 
 /** s; a stop whose task still runs after its grace and this is repeated with no grace. */
-export const STOP_OVERDUE_S = 6;
+export const STOP_OVERDUE_MARGIN_S = 6;
 
 /** ms; a worker is told to forget completed tasks after this at the latest; it lists them until then. */
-export const FORGET_AFTER_MS = 20_000;
+export const FORGET_DELAY_MAX_MS = 20_000;
 
 /** tasks; with so many completed ones in its list a worker is told at once: reports stay short. */
 export const FORGET_BATCH_LIMIT = 16;
@@ -25,4 +25,4 @@
 export const NO_ROOM_BACKOFF_MS = 3000;
 
 /** ms; a range that passed stays at least this long before it passes again. */
-export const TRANSFER_AGAIN_MS = 5000;
+export const MIGRATION_COOLDOWN_MS = 5000;
--- a/src/core/shard/heartbeat-reconciler.ts
+++ b/src/core/shard/heartbeat-reconciler.ts
@@ -1,6 +1,12 @@
 import { NO_ROOM_BACKOFF_MS, LOST_COMMANDS_LIMIT } from './constants.js';
 import { FailureTracker } from '../reachability/failure-tracker.js';
-import { neverSent, taskKey, type JobState, type MachineState, type Placement } from './types.js';
+import {
+  isUndispatched,
+  taskKey,
+  type JobState,
+  type MachineState,
+  type Placement,
+} from './types.js';
 import { type ShardState } from './shard-state.js';
 import type { JobSpec, Heartbeat, ReportedTask } from '../model.js';
 
@@ -19,12 +25,12 @@
       const answered = m.known && now - m.leaseRenewedAt < this.state.settings.leaseMs / 2;
       if (answered && now - m.knownSince > this.state.settings.leaseMs) this.#unheard(m, now);
       for (const p of [...m.tasks.values()]) this.state.release(p, now);
-      m.doubtful.clear();
+      m.unsettledDirectStarts.clear();
     }
     m.agentEpoch = heartbeat.agentEpoch;
     m.lastStatusCounter = heartbeat.counter;
     m.address = heartbeat.address;
-    m.listed = heartbeat.tasks.length;
+    m.reportedTaskCount = heartbeat.tasks.length;
     m.lastStatusAt = now;
     if (heartbeat.preemptionNoticeS !== null)
       m.preemptionNoticeAt ??= now + heartbeat.preemptionNoticeS * 1000;
@@ -37,27 +43,27 @@
         m.knownSince = now;
       }
       m.known = true;
-      m.everKnown = true;
+      m.everConfirmed = true;
       m.firstKnownAt ??= now;
     }
     if (direct) this.#heard(m);
     const listed = new Set<string>();
-    m.unknownTasks = 0;
+    m.unknownTaskCount = 0;
     for (const t of heartbeat.tasks) {
       listed.add(`${t.uid}/${t.index}@${t.attempt}`);
       this.#reconcileTask(m, t, now, complete);
     }
-    m.unknownTasksSince = m.unknownTasks === 0 ? null : (m.unknownTasksSince ?? now);
+    m.unknownTasksSince = m.unknownTaskCount === 0 ? null : (m.unknownTasksSince ?? now);
     if (!complete) return;
     for (const p of [...m.tasks.values()]) {
       if (listed.has(`${p.job.spec.uid}/${p.index}@${p.attempt}`)) continue;
-      if (p.seen) this.state.release(p, now);
-      else if (!direct && p.sentCounter !== null && heartbeat.counter > p.sentCounter) {
+      if (p.observed) this.state.release(p, now);
+      else if (!direct && p.startSentCounter !== null && heartbeat.counter > p.startSentCounter) {
         // One report is in flight at a time: this one left after the answer with the start was
         // taken or given up, and the task is not here. The start is lost and may be given again.
-        p.sentCounter = null;
+        p.startSentCounter = null;
         this.#unheard(m, now);
-        if (!p.direct && (p.stop !== null || p.job.ended)) this.state.release(p, now);
+        if (!p.directStartUnsettled && (p.stop !== null || p.job.ended)) this.state.release(p, now);
       }
     }
     if (m.preemptionNoticeAt !== null) this.#saveBeforeNotice(m, now);
@@ -77,26 +83,26 @@
         complete &&
         job !== undefined &&
         !job.ended &&
-        job.own.has(t.index) &&
-        !job.placed.has(t.index) &&
-        !job.saved.has(t.index) &&
-        !job.unsaved.has(t.index) &&
+        job.ownTasks.has(t.index) &&
+        !job.placements.has(t.index) &&
+        !job.savedTasks.has(t.index) &&
+        !job.unsavedTasks.has(t.index) &&
         !m.tasks.has(key);
       if (!adoptable) {
-        m.unknownTasks += 1;
+        m.unknownTaskCount += 1;
         return;
       }
       p = this.state.place(job, t.index, t.attempt, m, now, 'adopted');
-      p.seen = true;
+      p.observed = true;
     }
     // An order has had its effect: what we say arrives.
-    if (!p.seen) this.#heard(m);
-    p.seen = true;
+    if (!p.observed) this.#heard(m);
+    p.observed = true;
     const before = p.state;
     p.state = t.state;
     if (t.state === 'running' && before !== 'running') {
       p.runningSince ??= now;
-      this.state.note('running', p, now);
+      this.state.recordEvent('running', p, now);
       this.#noteImage(m, p.job.spec);
     } else if (t.state === 'waiting') this.#noteImage(m, p.job.spec);
   }
@@ -107,7 +113,7 @@
     if (m.consecutiveLostCommands < LOST_COMMANDS_LIMIT) return;
     m.commandsLostSince ??= now;
     // Nothing more is to be started there; what never left us goes elsewhere.
-    for (const p of [...m.tasks.values()]) if (neverSent(p)) this.state.release(p, now);
+    for (const p of [...m.tasks.values()]) if (isUndispatched(p)) this.state.release(p, now);
   }
 
   #heard(m: MachineState): void {
@@ -135,29 +141,35 @@
     now: number,
   ): void {
     const service = job?.spec.kind === 'service';
-    if (t.why === 'done' && job !== undefined && !service && !job.ended && job.own.has(t.index)) {
-      const indexes = job.spec.kind === 'gang' ? [...job.own] : [t.index];
-      const news = indexes.filter((i) => !job.saved.has(i) && !job.unsaved.has(i));
+    if (
+      t.why === 'done' &&
+      job !== undefined &&
+      !service &&
+      !job.ended &&
+      job.ownTasks.has(t.index)
+    ) {
+      const indexes = job.spec.kind === 'gang' ? [...job.ownTasks] : [t.index];
+      const news = indexes.filter((i) => !job.savedTasks.has(i) && !job.unsavedTasks.has(i));
       // Completed tasks stay in the list for a while. Taken as news each time, they would make a
       // machine that fails everything look well.
       if (news.length === 0 && p === undefined) return;
-      for (const i of news) job.unsaved.add(i);
+      for (const i of news) job.unsavedTasks.add(i);
       // A placed task is not in the queue, and looking through a queue of 100,000 for it is dear.
       if (p === undefined || job.spec.kind === 'gang') {
-        job.waiting = job.waiting.filter((i) => !job.unsaved.has(i));
+        job.waitingTasks = job.waitingTasks.filter((i) => !job.unsavedTasks.has(i));
       }
-      this.#failures.succeeded(m, job);
+      this.#failures.taskSucceeded(m, job);
       if (p !== undefined && p.runningSince !== null) {
         const runS = (now - p.runningSince) / 1000;
         this.state.finishedRuns.push({ jobClass: job.spec.jobClass, runS });
       }
     }
     if (p === undefined) return;
-    if (t.why === 'error' && job !== undefined) this.#failures.failed(m, job, now);
+    if (t.why === 'error' && job !== undefined) this.#failures.taskFailed(m, job, now);
     // A replica that ends by itself starts again; one that does so at once, ever more slowly.
-    if (t.why === 'done' && service) this.#failures.countEnd(job!, now);
+    if (t.why === 'done' && service) this.#failures.countFailure(job!, now);
     if (t.why === 'no_room') m.backoffUntil = now + NO_ROOM_BACKOFF_MS;
-    if (t.why === 'unknown' && job !== undefined) this.#failures.pause(job, now);
+    if (t.why === 'unknown' && job !== undefined) this.#failures.pauseJob(job, now);
     this.state.release(p, now, t.saved ? 'saved' : (t.why ?? 'gone'));
   }
 
@@ -167,7 +179,7 @@
       // A replica loses nothing by being stopped; the sooner it is gone, the sooner it runs elsewhere.
       if (p.stop === null && kind === 'service') this.state.requestStop(p, 0, now);
       else if (p.stop === null && checkpointS > 0) this.state.requestStop(p, saveS + 1, now);
-      if (neverSent(p)) this.state.release(p, now);
+      if (isUndispatched(p)) this.state.release(p, now);
     }
   }
 }
--- a/src/core/shard/shard-state.ts
+++ b/src/core/shard/shard-state.ts
@@ -2,12 +2,12 @@
 import { ROUNDING } from '../constants.js';
 import {
   ATTEMPTS_PER_TERM,
-  COMMAND_UNSENT_MS,
-  TRANSFER_AGAIN_MS,
+  UNDISPATCHED_START_TIMEOUT_MS,
+  MIGRATION_COOLDOWN_MS,
   WORKER_LEASE_MARGIN_MS,
 } from './constants.js';
 import { constraintKey } from '../placement/constraints.js';
-import { tasksInNeed } from '../reachability/failure-tracker.js';
+import { tasksNeedingCapacity } from '../reachability/failure-tracker.js';
 import { decodeDone } from '../jobs/jobs.js';
 import { dominant } from '../placement/pairing.js';
 import {
@@ -24,7 +24,7 @@
 import { TaskSet } from '../jobs/task-set.js';
 import { MachineHealth } from '../reachability/machine-health.js';
 import {
-  neverSent,
+  isUndispatched,
   taskKey,
   type Placement,
   type JobState,
@@ -57,7 +57,7 @@
   largest: Resources;
   attempts = 0;
   /** remembered, since it is asked for every waiting job: only another machine's record can undo it */
-  #rebuilt = false;
+  #recovered = false;
 
   constructor(
     readonly index: number,
@@ -112,17 +112,17 @@
   }
 
   #updateRecord(m: MachineState, record: MachineRecord): void {
-    if (record.term !== this.term) this.#rebuilt = false;
+    if (record.term !== this.term) this.#recovered = false;
     m.record = record;
   }
 
   #addMachine(record: MachineRecord, now: number): void {
-    this.#rebuilt = false;
+    this.#recovered = false;
     const type = this.settings.types.get(record.type) ?? null;
     this.machines.set(record.name, {
       record,
       type,
-      since: now,
+      trackedSince: now,
       address: null,
       agentEpoch: 0,
       lastStatusCounter: -1,
@@ -135,14 +135,14 @@
       leaseRenewedAt: -Infinity,
       known: false,
       knownSince: now,
-      everKnown: false,
+      everConfirmed: false,
       firstKnownAt: null,
       preemptionNoticeAt: null,
       tasks: new Map(),
-      unknownTasks: 0,
+      unknownTaskCount: 0,
       unknownTasksSince: null,
       forgettableSince: null,
-      doubtful: new Set(),
+      unsettledDirectStarts: new Set(),
       images: new Map(this.settings.imagesOf(record.name)),
       failedJobs: new Map(),
       onProbation: false,
@@ -151,7 +151,7 @@
       orphaned: false,
       terminating: false,
       cordoned: false,
-      listed: 0,
+      reportedTaskCount: 0,
       backoffUntil: -Infinity,
       reservation: null,
       idleSince: now,
@@ -162,47 +162,48 @@
   #syncJob(record: JobRecord, view: ShardView, now: number, nowOfDay: number): void {
     const spec = record.spec;
     let job = this.jobs.get(spec.uid);
-    if (job !== undefined && job.migrating.length > 0) {
+    if (job !== undefined && job.migratingTasks.length > 0) {
       this.unsynced.add(spec.uid);
       return;
     }
     for (const range of record.ranges) {
-      if (range.shard !== this.index || (job !== undefined && job.own.has(range.from))) continue;
+      if (range.shard !== this.index || (job !== undefined && job.ownTasks.has(range.from)))
+        continue;
       job ??= {
         spec,
-        rank: PRIORITY_RANK[spec.priority],
-        share: shareOf(spec.demand, this.largest),
-        dominant: dominant(shareOf(spec.demand, this.largest)),
+        priorityRank: PRIORITY_RANK[spec.priority],
+        demandShare: shareOf(spec.demand, this.largest),
+        dominantResource: dominant(shareOf(spec.demand, this.largest)),
         constraintKey: constraintKey(spec),
         acceptedAt: record.at,
         // A new owner counts a job's age on, rather than anew.
-        seenAt: now - Math.max(0, nowOfDay - record.at),
-        waiting: [],
-        own: new TaskSet(),
-        inherited: new TaskSet(),
-        placed: new Map(),
-        saved: new TaskSet(),
-        unsaved: new Set(),
+        acceptedAtSteady: now - Math.max(0, nowOfDay - record.at),
+        waitingTasks: [],
+        ownTasks: new TaskSet(),
+        inheritedTasks: new TaskSet(),
+        placements: new Map(),
+        savedTasks: new TaskSet(),
+        unsavedTasks: new Set(),
         ended: false,
         pausedUntil: -Infinity,
-        failures: 0,
-        failedAt: -Infinity,
+        consecutiveFailures: 0,
+        lastFailureAt: -Infinity,
         avoidedMachines: new Map(),
         startDeadline: Infinity,
         gangBroken: false,
         unschedulableSince: null,
-        migrating: [],
-        migrateAfter: -Infinity,
+        migratingTasks: [],
+        nextMigrationAt: -Infinity,
       };
       this.jobs.set(spec.uid, job);
       const bits = view.done(spec.uid, range.from);
       const done = bits === undefined ? new Set<number>() : decodeDone(range, bits);
       for (let i = range.from; i < range.to; i++) {
-        job.own.add(i);
-        if (range.term !== this.term) job.inherited.add(i);
+        job.ownTasks.add(i);
+        if (range.term !== this.term) job.inheritedTasks.add(i);
         // A service is never done, whatever somebody may have saved of it.
-        if (done.has(i) && spec.kind !== 'service') job.saved.add(i);
-        else job.waiting.push(i);
+        if (done.has(i) && spec.kind !== 'service') job.savedTasks.add(i);
+        else job.waitingTasks.push(i);
       }
     }
   }
@@ -213,11 +214,12 @@
    * so an inherited range must be rebuilt first.
    */
   migratable(job: JobState, record: JobRecord): { range: TaskRange; from: number } | null {
-    if (job.ended || job.migrating.length > 0) return null;
-    if (job.inherited.size > 0 && !this.rebuilt) return null;
-    const waiting = new Set(job.waiting);
+    if (job.ended || job.migratingTasks.length > 0) return null;
+    if (job.inheritedTasks.size > 0 && !this.recovered) return null;
+    const waiting = new Set(job.waitingTasks);
     const whole = job.spec.kind === 'gang' || job.spec.oneZone || job.spec.spread;
-    if (whole && (job.placed.size > 0 || job.saved.size + job.unsaved.size > 0)) return null;
+    if (whole && (job.placements.size > 0 || job.savedTasks.size + job.unsavedTasks.size > 0))
+      return null;
     for (const range of record.ranges) {
       if (range.shard !== this.index) continue;
       let from = range.to;
@@ -229,52 +231,52 @@
 
   /** The tasks leave the queue before the transaction that passes them is sent. */
   beginMigration(job: JobState, from: number, to: number): void {
-    job.migrating = job.waiting.filter((i) => i >= from && i < to);
-    job.waiting = job.waiting.filter((i) => i < from || i >= to);
+    job.migratingTasks = job.waitingTasks.filter((i) => i >= from && i < to);
+    job.waitingTasks = job.waitingTasks.filter((i) => i < from || i >= to);
   }
 
   /** Settled: they belong to the other shard now, or are ours as before. */
   endMigration(job: JobState, passed: boolean, now: number): void {
-    const tasks = job.migrating;
-    job.migrating = [];
-    job.migrateAfter = now + TRANSFER_AGAIN_MS;
+    const tasks = job.migratingTasks;
+    job.migratingTasks = [];
+    job.nextMigrationAt = now + MIGRATION_COOLDOWN_MS;
     job.unschedulableSince = null;
     if (!passed) {
-      if (!job.ended) job.waiting = [...job.waiting, ...tasks].sort((a, b) => a - b);
+      if (!job.ended) job.waitingTasks = [...job.waitingTasks, ...tasks].sort((a, b) => a - b);
       return;
     }
     for (const i of tasks) {
-      job.own.delete(i);
-      job.inherited.delete(i);
+      job.ownTasks.delete(i);
+      job.inheritedTasks.delete(i);
     }
   }
 
   #endJob(job: JobState, now: number): void {
     job.ended = true;
-    job.waiting = [];
-    job.unsaved.clear();
-    for (const p of [...job.placed.values()]) this.requestStop(p, 0, now);
-    if (job.placed.size === 0) this.jobs.delete(job.spec.uid);
+    job.waitingTasks = [];
+    job.unsavedTasks.clear();
+    for (const p of [...job.placements.values()]) this.requestStop(p, 0, now);
+    if (job.placements.size === 0) this.jobs.delete(job.spec.uid);
   }
 
   /** A transaction has saved these completions. */
-  saved(uid: string, indexes: Iterable<number>): void {
+  completionsSaved(uid: string, indexes: Iterable<number>): void {
     const job = this.jobs.get(uid);
     if (job === undefined) return;
     for (const i of indexes) {
-      job.unsaved.delete(i);
-      job.saved.add(i);
+      job.unsavedTasks.delete(i);
+      job.savedTasks.add(i);
     }
   }
 
-  note(what: TaskEvent['type'], p: Placement, now: number, detail?: string): void {
+  recordEvent(what: TaskEvent['type'], p: Placement, now: number, detail?: string): void {
     this.events.push({
       type: what,
       uid: p.job.spec.uid,
       index: p.index,
       machine: p.machine.record.name,
       attempt: p.attempt,
-      afterS: Math.round((now - p.job.seenAt) / 100) / 10,
+      afterS: Math.round((now - p.job.acceptedAtSteady) / 100) / 10,
       ...(detail === undefined ? {} : { detail }),
     });
   }
@@ -282,29 +284,29 @@
   // --- what can still be running -----------------------------------------------------------------
 
   /** Machines that report, but whose record does not say so yet: nothing may start there. */
-  justUp(): MachineState[] {
+  newlyReadyMachines(): MachineState[] {
     return [...this.machines.values()].filter((m) => m.known && !m.record.up && !m.terminating);
   }
 
   /** True once every machine that an earlier owner could have used has answered us or is gone. */
-  get rebuilt(): boolean {
-    this.#rebuilt ||= this.#everyInheritedMachineHeard();
-    return this.#rebuilt;
+  get recovered(): boolean {
+    this.#recovered ||= this.#everyInheritedMachineHeard();
+    return this.#recovered;
   }
 
   #everyInheritedMachineHeard(): boolean {
     for (const m of this.machines.values()) {
-      if (this.health.inherited(m) && !m.everKnown) return false;
+      if (this.health.mayHoldInheritedTasks(m) && !m.everConfirmed) return false;
     }
     return true;
   }
 
   /** Machines that should report, and none of them has for the time; answers to commands do not count. */
-  hearsNoHeartbeats(now: number, forMs: number): boolean {
+  allHeartbeatsLost(now: number, forMs: number): boolean {
     let expected = 0;
     for (const m of this.machines.values()) {
       if (m.terminating || !m.record.up) continue;
-      if (now - Math.max(m.lastHeartbeatAt, m.since) < forMs) return false;
+      if (now - Math.max(m.lastHeartbeatAt, m.trackedSince) < forMs) return false;
       expected += 1;
     }
     return expected > 0;
@@ -323,24 +325,24 @@
     const job = p.job;
     // Stopping one task of a gang may release others that were to be stopped next: a task released
     // twice would wait twice, and start on two machines.
-    if (job.placed.get(p.index) !== p) return;
-    this.note(p.seen ? 'ended' : 'released', p, now, why);
+    if (job.placements.get(p.index) !== p) return;
+    this.recordEvent(p.observed ? 'ended' : 'released', p, now, why);
     p.machine.tasks.delete(taskKey(job.spec.uid, p.index));
-    job.placed.delete(p.index);
+    job.placements.delete(p.index);
     this.recount(p.machine, now);
     if (job.ended) {
-      if (job.placed.size === 0) this.jobs.delete(job.spec.uid);
+      if (job.placements.size === 0) this.jobs.delete(job.spec.uid);
       return;
     }
-    const done = job.saved.has(p.index) || job.unsaved.has(p.index);
-    if (!done) job.waiting.push(p.index);
+    const done = job.savedTasks.has(p.index) || job.unsavedTasks.has(p.index);
+    if (!done) job.waitingTasks.push(p.index);
     if (job.spec.kind === 'gang') {
-      if (job.placed.size === 0) {
+      if (job.placements.size === 0) {
         job.gangBroken = false;
-        job.waiting.sort((a, b) => a - b);
+        job.waitingTasks.sort((a, b) => a - b);
       } else if (!done && !job.gangBroken) {
         job.gangBroken = true;
-        for (const other of [...job.placed.values()]) this.requestStop(other, 0, now);
+        for (const other of [...job.placements.values()]) this.requestStop(other, 0, now);
       }
     }
   }
@@ -358,17 +360,17 @@
    */
   requestStop(p: Placement, graceS: number, now: number): void {
     const gang = p.job.spec.kind === 'gang' && graceS > 0;
-    for (const one of gang ? [...p.job.placed.values()] : [p]) this.#stop(one, graceS, now);
+    for (const one of gang ? [...p.job.placements.values()] : [p]) this.#stop(one, graceS, now);
   }
 
   #stop(p: Placement, graceS: number, now: number): void {
-    if (neverSent(p)) {
+    if (isUndispatched(p)) {
       this.release(p, now);
       return;
     }
     if (p.stop !== null && p.stop.graceS <= graceS) return;
     p.stop = { at: now, graceS, sentDirect: false };
-    this.note('stopping', p, now, `grace ${graceS} s`);
+    this.recordEvent('stopping', p, now, `grace ${graceS} s`);
   }
 
   /** Machines to ask by direct command. */
@@ -379,7 +381,7 @@
   // --- time --------------------------------------------------------------------------------------
 
   /** Leases that ran out, starts that were never sent, holds that nobody used. */
-  age(now: number): void {
+  expireLeases(now: number): void {
     const leaseMs = this.settings.leaseMs * (1 + CLOCK_DRIFT) + WORKER_LEASE_MARGIN_MS;
     for (const m of this.machines.values()) {
       if (m.known && now - m.leaseRenewedAt > leaseMs) {
@@ -390,7 +392,8 @@
         for (const p of [...m.tasks.values()]) this.release(p, now);
       }
       for (const p of [...m.tasks.values()]) {
-        if (neverSent(p) && now - p.dispatchedAt > COMMAND_UNSENT_MS) this.release(p, now);
+        if (isUndispatched(p) && now - p.placedAt > UNDISPATCHED_START_TIMEOUT_MS)
+          this.release(p, now);
       }
       if (m.reservation !== null && now > m.reservation.until) m.reservation = null;
       if (m.orphaned && m.tasks.size === 0) this.removeMachine(m.record.name, now);
@@ -398,32 +401,41 @@
   }
 
   /** Tasks of this rank or a higher one that wait for room. */
-  waiting(rank: number, now: number): number {
+  waitingTasks(rank: number, now: number): number {
     let count = 0;
-    for (const job of this.jobs.values()) if (job.rank >= rank) count += tasksInNeed(job, now);
+    for (const job of this.jobs.values())
+      if (job.priorityRank >= rank) count += tasksNeedingCapacity(job, now);
     return count;
   }
 
   /** Machines on which a job of some rank could displace everything, with the least such rank. */
-  displaceable(now: number): { m: MachineState; rank: number }[] {
+  preemptibleMachines(now: number): { machine: MachineState; rank: number }[] {
     if (!this.settings.preempt) return [];
-    const out: { m: MachineState; rank: number }[] = [];
-    for (const m of this.machines.values()) {
-      if (m.tasks.size === 0 || m.reservation !== null || !this.health.usable(m, now)) continue;
+    const out: { machine: MachineState; rank: number }[] = [];
+    for (const machine of this.machines.values()) {
+      if (
+        machine.tasks.size === 0 ||
+        machine.reservation !== null ||
+        !this.health.isSchedulable(machine, now)
+      )
+        continue;
       let rank = 0;
-      for (const p of m.tasks.values()) rank = Math.max(rank, p.job.rank + 1);
-      if (rank <= PRIORITY_RANK.production) out.push({ m, rank });
+      for (const p of machine.tasks.values()) rank = Math.max(rank, p.job.priorityRank + 1);
+      if (rank <= PRIORITY_RANK.production) out.push({ machine: machine, rank });
     }
     return out;
   }
 
   /** Tasks of each class, waiting or placed. */
-  busy(now: number): { jobClass: string; tasks: number }[] {
+  activeTasksByClass(now: number): { jobClass: string; tasks: number }[] {
     const out = new Map<string, number>();
     for (const job of this.jobs.values()) {
       const { jobClass } = job.spec;
       if (job.ended) continue;
-      out.set(jobClass, (out.get(jobClass) ?? 0) + tasksInNeed(job, now) + job.placed.size);
+      out.set(
+        jobClass,
+        (out.get(jobClass) ?? 0) + tasksNeedingCapacity(job, now) + job.placements.size,
+      );
     }
     return [...out].map(([jobClass, tasks]) => ({ jobClass, tasks }));
   }
@@ -433,7 +445,7 @@
     // Every task takes some CPU and memory, so a machine without either has no room.
     const room = (m: MachineState) => m.free.cpus > ROUNDING && m.free.memoryGb > ROUNDING;
     return [...this.machines.values()].filter(
-      (m) => room(m) && this.health.usable(m, now) && m.reservation === null,
+      (m) => room(m) && this.health.isSchedulable(m, now) && m.reservation === null,
     );
   }
 
@@ -458,20 +470,20 @@
       attempt,
       machine: m,
       state: 'ordered',
-      dispatchedAt: now,
-      sentCounter: null,
-      seen: false,
-      direct: false,
+      placedAt: now,
+      startSentCounter: null,
+      observed: false,
+      directStartUnsettled: false,
       runningSince: null,
       stop: null,
     };
-    const at = job.waiting.indexOf(index);
-    if (at >= 0) job.waiting.splice(at, 1);
-    job.placed.set(index, p);
+    const at = job.waitingTasks.indexOf(index);
+    if (at >= 0) job.waitingTasks.splice(at, 1);
+    job.placements.set(index, p);
     m.tasks.set(taskKey(job.spec.uid, index), p);
     if (m.reservation?.uid === job.spec.uid) m.reservation = null;
     this.recount(m, now);
-    this.note(what, p, now, m.images.has(job.spec.image) ? 'image held' : 'image to fetch');
+    this.recordEvent(what, p, now, m.images.has(job.spec.image) ? 'image held' : 'image to fetch');
     return p;
   }
 }
--- a/src/core/shard/shard.ts
+++ b/src/core/shard/shard.ts
@@ -17,7 +17,7 @@
 import { Preemption } from '../preemption/preemption.js';
 import { HeartbeatReconciler } from './heartbeat-reconciler.js';
 
-export { serves } from './types.js';
+export { hostsServiceReplicas as serves } from './types.js';
 export type { JobState, MachineState, ShardSettings, ShardView, Placement } from './types.js';
 
 export type HeartbeatResult =
@@ -85,7 +85,10 @@
     }
     this.#heartbeats.reconcile(m, heartbeat, now);
     // An empty machine is renewed all the same: there is nothing on it that could go on too long.
-    if (!mayRenew && (m.tasks.size + m.doubtful.size > 0 || heartbeat.tasks.some(isLive))) {
+    if (
+      !mayRenew &&
+      (m.tasks.size + m.unsettledDirectStarts.size > 0 || heartbeat.tasks.some(isLive))
+    ) {
       return { kind: 'unanswered' };
     }
     m.leaseRenewedAt = now;
@@ -96,7 +99,10 @@
     }
     // Room that this report shows is given away in its own answer.
     if (mayStart) this.#placing.placeOn(m, now);
-    return { kind: 'answer', commands: this.#commands.answer(m, heartbeat, now, mayStart) };
+    return {
+      kind: 'answer',
+      commands: this.#commands.answerHeartbeat(m, heartbeat, now, mayStart),
+    };
   }
 
   /** A report that came as the answer to direct commands. */
@@ -128,17 +134,17 @@
   get finishedRuns(): FinishedRun[] {
     return this.state.finishedRuns;
   }
-  get rebuilt(): boolean {
-    return this.state.rebuilt;
+  get recovered(): boolean {
+    return this.state.recovered;
   }
-  get preempts(): boolean {
+  get preemptionEnabled(): boolean {
     return this.state.settings.preempt;
   }
   sync(view: ShardView, now: number, nowOfDay = 0, changes: Changes | null = null): void {
     this.state.sync(view, now, nowOfDay, changes);
   }
-  saved(uid: string, indexes: Iterable<number>): void {
-    this.state.saved(uid, indexes);
+  completionsSaved(uid: string, indexes: Iterable<number>): void {
+    this.state.completionsSaved(uid, indexes);
   }
   removeMachine(name: string, now: number): void {
     this.state.removeMachine(name, now);
@@ -146,11 +152,11 @@
   requestStop(p: Placement, graceS: number, now: number): void {
     this.state.requestStop(p, graceS, now);
   }
-  age(now: number): void {
-    this.state.age(now);
+  expireLeases(now: number): void {
+    this.state.expireLeases(now);
   }
-  justUp(): MachineState[] {
-    return this.state.justUp();
+  newlyReadyMachines(): MachineState[] {
+    return this.state.newlyReadyMachines();
   }
   machinesToProbe(): MachineState[] {
     return this.state.machinesToProbe();
@@ -159,8 +165,8 @@
     return this.state.health.losesCommands(m, now);
   }
   /** Machines of the shard should report, and none has done so for the time, however new the owner is. */
-  hearsNoHeartbeats(now: number, forMs: number): boolean {
-    return this.state.hearsNoHeartbeats(now, forMs);
+  allHeartbeatsLost(now: number, forMs: number): boolean {
+    return this.state.allHeartbeatsLost(now, forMs);
   }
   isLost(m: MachineState, now: number): boolean {
     return this.state.health.isLost(m, now);
@@ -169,17 +175,17 @@
     return this.state.health.isFresh(m, now);
   }
   /** Booked share of the shard for each rank, as `loadIndex` numbers them. */
-  loads(now: number): number[] {
+  allocationRatios(now: number): number[] {
     return allocationRatios(this.state, now);
   }
-  waiting(rank: number, now: number): number {
-    return this.state.waiting(rank, now);
+  waitingTasks(rank: number, now: number): number {
+    return this.state.waitingTasks(rank, now);
   }
-  displaceable(now: number): { m: MachineState; rank: number }[] {
-    return this.state.displaceable(now);
+  preemptibleMachines(now: number): { machine: MachineState; rank: number }[] {
+    return this.state.preemptibleMachines(now);
   }
-  busy(now: number): { jobClass: string; tasks: number }[] {
-    return this.state.busy(now);
+  activeTasksByClass(now: number): { jobClass: string; tasks: number }[] {
+    return this.state.activeTasksByClass(now);
   }
   machinesWithFreeCapacity(now: number): MachineState[] {
     return this.state.machinesWithFreeCapacity(now);
@@ -210,10 +216,10 @@
     now: number,
     most = Infinity,
     mayStart = true,
-  ): ReturnType<CommandPlanner['direct']> {
-    return this.#commands.direct(now, most, mayStart);
+  ): ReturnType<CommandPlanner['directCommands']> {
+    return this.#commands.directCommands(now, most, mayStart);
   }
-  directSettled(starts: readonly Placement[], executed: boolean): void {
-    this.#commands.settled(starts, executed);
+  directStartsSettled(starts: readonly Placement[], executed: boolean): void {
+    this.#commands.directStartsSettled(starts, executed);
   }
 }
--- a/src/core/shard/types.ts
+++ b/src/core/shard/types.ts
@@ -22,41 +22,41 @@
   readonly attempt: number;
   readonly machine: MachineState;
   state: 'ordered' | 'fetching' | 'waiting' | 'running' | 'saving';
-  readonly dispatchedAt: number;
+  readonly placedAt: number;
   /** counter of the report whose answer carried the start; null: not sent yet */
-  sentCounter: number | null;
-  seen: boolean;
+  startSentCounter: number | null;
+  observed: boolean;
   /** a start was sent directly and may be carried out at any time until the session ends */
-  direct: boolean;
+  directStartUnsettled: boolean;
   runningSince: number | null;
   stop: { at: number; graceS: number; sentDirect: boolean } | null;
 }
 
 export interface JobState {
   readonly spec: JobSpec;
-  readonly rank: number;
+  readonly priorityRank: number;
   /** demand as a share of C', and its dominant resource */
-  readonly share: Resources;
-  readonly dominant: ResourceKind;
+  readonly demandShare: Resources;
+  readonly dominantResource: ResourceKind;
   /** what decides where it may go, besides its size */
   readonly constraintKey: string;
   readonly acceptedAt: number;
   /** accepted, by the steady clock, ms */
-  readonly seenAt: number;
+  readonly acceptedAtSteady: number;
   /** tasks of this shard that are neither saved nor placed, in order of number */
-  waiting: number[];
-  readonly own: TaskSet;
+  waitingTasks: number[];
+  readonly ownTasks: TaskSet;
   /** tasks that an earlier owner of the shard may have started */
-  readonly inherited: TaskSet;
-  readonly placed: Map<number, Placement>;
-  readonly saved: TaskSet;
-  readonly unsaved: Set<number>;
+  readonly inheritedTasks: TaskSet;
+  readonly placements: Map<number, Placement>;
+  readonly savedTasks: TaskSet;
+  readonly unsavedTasks: Set<number>;
   /** done or cancelled: nothing starts, what runs is stopped */
   ended: boolean;
   pausedUntil: number;
-  failures: number;
+  consecutiveFailures: number;
   /** steady ms of the last of them */
-  failedAt: number;
+  lastFailureAt: number;
   readonly avoidedMachines: Map<string, number>;
   /** by when its tasks should start, steady ms, as of the last look at the queue */
   startDeadline: number;
@@ -65,15 +65,15 @@
   /** since when tasks wait without room, steady ms */
   unschedulableSince: number | null;
   /** tasks that are being passed to another shard: they start nowhere until that is settled */
-  migrating: number[];
+  migratingTasks: number[];
   /** the earliest time of the next pass */
-  migrateAfter: number;
+  nextMigrationAt: number;
 }
 
 export interface MachineState {
   record: MachineRecord;
   readonly type: MachineType | null;
-  readonly since: number;
+  readonly trackedSince: number;
   address: string | null;
   agentEpoch: number;
   lastStatusCounter: number;
@@ -92,17 +92,17 @@
   /** a report under our term has come: its task list is complete */
   known: boolean;
   knownSince: number;
-  everKnown: boolean;
+  everConfirmed: boolean;
   firstKnownAt: number | null;
   preemptionNoticeAt: number | null;
   readonly tasks: Map<string, Placement>;
   /** reported tasks that have no place in our state and are being stopped */
-  unknownTasks: number;
+  unknownTaskCount: number;
   unknownTasksSince: number | null;
   /** since when the worker lists completed tasks that it could forget */
   forgettableSince: number | null;
   /** attempts whose direct start may still be under way: forgetting them could start them again */
-  readonly doubtful: Set<string>;
+  readonly unsettledDirectStarts: Set<string>;
   readonly images: Map<string, number>;
   /** jobs that failed here since the last task that completed here */
   readonly failedJobs: Map<string, JobState>;
@@ -118,7 +118,7 @@
   /** chosen to move to another shard: no starts, what runs goes on */
   cordoned: boolean;
   /** tasks that its newest report lists, ended ones included */
-  listed: number;
+  reportedTaskCount: number;
   backoffUntil: number;
   /** kept for a job; partial: its gang has not enough machines in sight yet */
   reservation: { uid: string; until: number; partial: boolean } | null;
@@ -180,11 +180,12 @@
 export const attemptKey = (p: Placement) => `${p.job.spec.uid}/${p.index}@${p.attempt}`;
 
 /** No order to start it has left: it can be taken back at once. */
-export const neverSent = (p: Placement): boolean => !p.seen && !p.direct && p.sentCounter === null;
+export const isUndispatched = (p: Placement): boolean =>
+  !p.observed && !p.directStartUnsettled && p.startSentCounter === null;
 
 /** Replicas of services run there. */
-export const serves = (m: MachineState): boolean => {
-  for (const p of m.tasks.values()) if (p.job.spec.kind === 'service' && p.seen) return true;
+export const hostsServiceReplicas = (m: MachineState): boolean => {
+  for (const p of m.tasks.values()) if (p.job.spec.kind === 'service' && p.observed) return true;
   return false;
 };
 
--- a/src/peers/shard-directory.ts
+++ b/src/peers/shard-directory.ts
@@ -53,7 +53,8 @@
     }
   };
   for (const machine of shard.machinesWithFreeCapacity(now)) note(machine, machine.free, 0);
-  for (const { m, rank } of shard.displaceable(now)) if (m.type !== null) note(m, m.type, rank);
+  for (const { machine: m, rank } of shard.preemptibleMachines(now))
+    if (m.type !== null) note(m, m.type, rank);
   return [...out.values()];
 };
 
@@ -114,16 +115,16 @@
         images: [...m.images.keys()],
         gb: [...m.images.values()],
       }));
-    const loads = shard.loads(now);
+    const loads = shard.allocationRatios(now);
     this.#toldLoads.set(index, loads);
-    const waiting = RANKS.map((rank) => shard.waiting(rank, now));
+    const waiting = RANKS.map((rank) => shard.waitingTasks(rank, now));
     return {
       part: index,
       loads,
       rooms: roomsOf(shard, now),
       waiting,
       images,
-      busy: shard.busy(now),
+      busy: shard.activeTasksByClass(now),
     };
   }
 
@@ -152,7 +153,9 @@
       // A shard with tasks of its own waiting, of this rank or above, has no room to offer.
       const own = this.#own(shard);
       const waiting =
-        own === undefined ? (this.#told(shard)?.waiting[rank] ?? 1) : own.waiting(rank, this.now());
+        own === undefined
+          ? (this.#told(shard)?.waiting[rank] ?? 1)
+          : own.waitingTasks(rank, this.now());
       if (waiting > 0) continue;
       const rooms = this.#rooms(shard).filter((r) => roomFits(spec, r));
       const tasks = rooms.reduce((sum, r) => sum + timesIn(spec.demand, r) * r.count, 0);
@@ -189,7 +192,7 @@
     const out = new Map<string, number>();
     for (let shard = 0; shard < this.shards; shard++) {
       if (shard === not) continue;
-      for (const { jobClass, tasks } of this.#own(shard)?.busy(this.now()) ??
+      for (const { jobClass, tasks } of this.#own(shard)?.activeTasksByClass(this.now()) ??
         this.#told(shard)?.busy ??
         []) {
         out.set(jobClass, (out.get(jobClass) ?? 0) + tasks);
@@ -256,6 +259,6 @@
 export const progressIn = (shard: Shard, uid: string): { done: number; running: number } => {
   const job = shard.jobs.get(uid);
   if (job === undefined) return { done: 0, running: 0 };
-  const running = [...job.placed.values()].filter((p) => p.state === 'running').length;
-  return { done: job.saved.size + job.unsaved.size, running };
+  const running = [...job.placements.values()].filter((p) => p.state === 'running').length;
+  return { done: job.savedTasks.size + job.unsavedTasks.size, running };
 };
--- a/src/rebalancing/shard-mover.ts
+++ b/src/rebalancing/shard-mover.ts
@@ -29,7 +29,10 @@
   const { name, type, zone, spot } = m.record;
   const unfit = unfitness(shard, m, now);
   const empty =
-    m.tasks.size === 0 && m.unknownTasks === 0 && m.doubtful.size === 0 && m.listed === 0;
+    m.tasks.size === 0 &&
+    m.unknownTaskCount === 0 &&
+    m.unsettledDirectStarts.size === 0 &&
+    m.reportedTaskCount === 0;
   return {
     name,
     type,
--- a/src/service/summary.ts
+++ b/src/service/summary.ts
@@ -12,8 +12,8 @@
   let waiting = 0;
   let placed = 0;
   for (const job of shard.jobs.values()) {
-    waiting += job.waiting.length;
-    placed += job.placed.size;
+    waiting += job.waitingTasks.length;
+    placed += job.placements.size;
   }
   const machines = [...shard.machines.values()];
   const known = machines.filter((m) => m.known);
--- a/src/shards/completions.ts
+++ b/src/shards/completions.ts
@@ -56,7 +56,7 @@
         writes,
       );
       if (result.ok) {
-        for (const { uid, indexes } of batch.saved) owned.shard.saved(uid, indexes);
+        for (const { uid, indexes } of batch.saved) owned.shard.completionsSaved(uid, indexes);
         for (const uid of batch.finished) this.log.info({ job: uid, shard: index }, 'job done');
         this.cache.applyOwn(batch.writes, result.epoch);
       }
@@ -75,8 +75,9 @@
     const progress: { job: JobState; active: JobRecord; range: TaskRange; whole: boolean }[] = [];
     let bytes = 0;
     for (const job of owned.shard.jobs.values()) {
-      const open = job.waiting.length + job.placed.size + job.migrating.length > 0;
-      if (job.ended || job.spec.kind === 'service' || (job.unsaved.size === 0 && open)) continue;
+      const open = job.waitingTasks.length + job.placements.size + job.migratingTasks.length > 0;
+      if (job.ended || job.spec.kind === 'service' || (job.unsavedTasks.size === 0 && open))
+        continue;
       const { uid, tasks } = job.spec;
       const active = this.cache.tables.activeJobs.get(uid);
       if (active === undefined) continue;
@@ -87,7 +88,7 @@
         allDone(active.value, (r) => bits.get(r.from) ?? this.cache.done(r.shard, uid, r.from));
       if (!complete) {
         for (const range of mine) {
-          const fresh = [...job.unsaved].some((i) => i >= range.from && i < range.to);
+          const fresh = [...job.unsavedTasks].some((i) => i >= range.from && i < range.to);
           if (fresh) progress.push({ job, active: active.value, range, whole: !open });
         }
         continue;
@@ -103,7 +104,7 @@
       batch.writes.push(...add);
       batch.guards.push({ key: key.activeJob(uid), revision: active.revision });
       batch.finished.push(uid);
-      batch.saved.push({ uid, indexes: [...job.unsaved] });
+      batch.saved.push({ uid, indexes: [...job.unsavedTasks] });
     }
     // Somebody waits for the end of a range, if it is the last one of its job.
     const due = now - owned.lastProgress >= PROGRESS_MS || progress.some((p) => p.whole);
@@ -115,7 +116,7 @@
   }
 
   #bits(job: JobState, ranges: readonly TaskRange[]): Map<number, string> {
-    const done = { has: (i: number) => job.saved.has(i) || job.unsaved.has(i) };
+    const done = { has: (i: number) => job.savedTasks.has(i) || job.unsavedTasks.has(i) };
     return new Map(ranges.map((r) => [r.from, encodeDone(r, done)]));
   }
 
@@ -139,7 +140,7 @@
         changed.add(slot);
       }
       slots.get(slot)!.set(name, bits);
-      const indexes = [...job.unsaved].filter((i) => i >= range.from && i < range.to);
+      const indexes = [...job.unsavedTasks].filter((i) => i >= range.from && i < range.to);
       batch.saved.push({ uid: job.spec.uid, indexes });
     }
     for (const slot of changed) {
--- a/src/shards/direct-commands.ts
+++ b/src/shards/direct-commands.ts
@@ -71,11 +71,11 @@
       }
       if (sent.kind === 'in_doubt' || !this.isOwned(shard)) return;
       if (sent.kind === 'not_sent') {
-        shard.directSettled(starts, false);
+        shard.directStartsSettled(starts, false);
         return;
       }
       shard.handleCommandStatus(sent.heartbeat, this.now());
-      shard.directSettled(starts, sent.executed);
+      shard.directStartsSettled(starts, sent.executed);
       if (sent.executed || starts.length > 0) return;
       // 409 by a session that we did not know; its report has told us now.
       if (sent.heartbeat.agentEpoch === agentEpoch || sent.heartbeat.fencingToken > shard.term)
--- a/src/shards/machine-records.ts
+++ b/src/shards/machine-records.ts
@@ -66,7 +66,7 @@
   /** Writes what differs: machines that are up and not recorded so, records of returned ones. */
   async tick(index: number, owned: Owned, now: number): Promise<void> {
     if (this.#busy.has(index) || now - (this.#last.get(index) ?? -Infinity) < MACHINES_MS) return;
-    const up = owned.shard.justUp();
+    const up = owned.shard.newlyReadyMachines();
     const changed = this.#changes(index, up);
     if (changed.size === 0) return;
     const writes: Write[] = [];
--- a/src/shards/shard-controller.ts
+++ b/src/shards/shard-controller.ts
@@ -202,7 +202,7 @@
     for (const [index, owned] of this.owned) {
       const { shard } = owned;
       if (owned.suspended) continue;
-      shard.age(now);
+      shard.expireLeases(now);
       if (!authority) {
         this.#direct.stops(owned, now);
         continue;
@@ -320,7 +320,7 @@
   #handOverIfCutOff(index: number, shard: Shard, now: number): void {
     const heartbeatIntervalMs = this.config.workers.heartbeatIntervalS * 1000;
     if (
-      !shard.hearsNoHeartbeats(
+      !shard.allHeartbeatsLost(
         now,
         Math.min(NO_HEARTBEATS_MS, heartbeatIntervalMs * NO_HEARTBEATS_INTERVALS),
       )
--- a/src/shards/task-migration.ts
+++ b/src/shards/task-migration.ts
@@ -64,7 +64,7 @@
     for (const job of owned.shard.jobs.values()) {
       if (job.unschedulableSince === null || now - job.unschedulableSince < TRANSFER_AFTER_MS)
         continue;
-      if (now < job.migrateAfter || job.migrating.length > 0) continue;
+      if (now < job.nextMigrationAt || job.migratingTasks.length > 0) continue;
       const team = this.config.teams.get(job.spec.team);
       if (hasLimit(team) || hasGuarantee(team)) continue;
       const active = this.cache.tables.activeJobs.get(job.spec.uid);
--- a/test/budget.test.ts
+++ b/test/budget.test.ts
@@ -97,8 +97,8 @@
   const owned = ownedShard(shard);
   const finish = (uid: string, index: number) => {
     const j = shard.jobs.get(uid)!;
-    j.waiting = j.waiting.filter((i) => i !== index);
-    j.unsaved.add(index);
+    j.waitingTasks = j.waitingTasks.filter((i) => i !== index);
+    j.unsavedTasks.add(index);
   };
   for (const uid of uids) finish(uid, 0);
   await completions.save(0, owned, SAVE_MS);
@@ -110,7 +110,7 @@
     'one value for thirty ranges',
   );
   assert.ok(uids.every((uid) => cache.done(0, uid, 0) === '8'));
-  assert.ok(uids.every((uid) => shard.jobs.get(uid)!.saved.has(0)));
+  assert.ok(uids.every((uid) => shard.jobs.get(uid)!.savedTasks.has(0)));
 
   for (const i of [1, 2, 3]) finish(uids[0]!, i);
   owned.lastSave = 0;
@@ -196,8 +196,8 @@
   const completions = new Completions(CONFIG, client, cache, () => now, LOG);
   const save = async (index: number) => {
     if (index >= 0) {
-      state.unsaved.add(index);
-      state.waiting = state.waiting.filter((i) => i !== index);
+      state.unsavedTasks.add(index);
+      state.waitingTasks = state.waitingTasks.filter((i) => i !== index);
     }
     now += PROGRESS_MS + SAVE_MS;
     await completions.save(0, owned, now);
@@ -214,12 +214,12 @@
   losing = true;
   await save(2);
   losing = false;
-  state.waiting = [0];
+  state.waitingTasks = [0];
   for (const late of lost.splice(1)) assert.equal(late().ok, true);
   await save(-1);
   show();
   await save(-1);
-  assert.deepEqual([...state.unsaved], [], 'saved once the mirror shows the late one');
+  assert.deepEqual([...state.unsavedTasks], [], 'saved once the mirror shows the late one');
 });
 
 test('a machine that nobody recorded is adopted only when no hire can still record it', async () => {
--- a/test/candidates.test.ts
+++ b/test/candidates.test.ts
@@ -100,16 +100,16 @@
     ['nothing gives way: everything counts', false, high, true, 5 / 4],
   ];
   for (const [name, preempt, rank, spot, want] of cases) {
-    assert.equal(scene(preempt).loads(3)[loadIndex(rank, spot)], want, name);
+    assert.equal(scene(preempt).allocationRatios(3)[loadIndex(rank, spot)], want, name);
   }
   const shard = scene(true);
   assert.deepEqual(
-    shard.displaceable(3).map(({ m, rank }) => [m.record.name, rank]),
+    shard.preemptibleMachines(3).map(({ machine: m, rank }) => [m.record.name, rank]),
     [
       ['a', high],
       ['b', normal],
     ],
   );
-  assert.equal(shard.waiting(normal, 3), 0);
-  assert.equal(shard.waiting(low, 3), 1);
+  assert.equal(shard.waitingTasks(normal, 3), 0);
+  assert.equal(shard.waitingTasks(low, 3), 1);
 });
--- a/test/failing-jobs.test.ts
+++ b/test/failing-jobs.test.ts
@@ -54,7 +54,7 @@
 
   run(untilMs: number): void {
     for (; this.now < untilMs; this.now += STEP_MS) {
-      this.shard.age(this.now);
+      this.shard.expireLeases(this.now);
       this.shard.placeAll(this.now);
       for (const name of this.store.machines.keys()) this.#beat(name);
       for (const m of this.shard.machines.values()) {
@@ -87,7 +87,7 @@
     this.#counters.set(name, counter);
     const tasks = (this.#tasks.get(name) ?? []).map((t) => {
       const over = t.endsAt <= this.now;
-      if (over && t.why === 'done') this.shard.saved(t.uid, [t.index]);
+      if (over && t.why === 'done') this.shard.completionsSaved(t.uid, [t.index]);
       const state = over ? ('exited' as const) : ('running' as const);
       return { ...t, state, why: over ? t.why : null, saved: false };
     });
@@ -176,11 +176,13 @@
   fleet.submit({ uid: 'job-90', tasks: 400 });
   fleet.submit({ uid: 'job-91', kind: 'gang', tasks: 2 });
   const allPaused = () =>
-    [...fleet.shard.jobs.values()].every((j) => j.pausedUntil > fleet.now && j.placed.size === 0);
+    [...fleet.shard.jobs.values()].every(
+      (j) => j.pausedUntil > fleet.now && j.placements.size === 0,
+    );
   do fleet.run(fleet.now + STEP_MS);
   while (!allPaused() && fleet.now < 120_000);
   assert.ok(allPaused(), 'both pause at some time');
-  assert.equal(fleet.shard.waiting(0, fleet.now), 0);
+  assert.equal(fleet.shard.waitingTasks(0, fleet.now), 0);
   const wanted = wantedMachines(capacityInput(fleet));
   assert.deepEqual(wanted.get('m'), { ordinary: 0, spot: 0, instead: 0 });
 });
--- a/test/machine-faults.test.ts
+++ b/test/machine-faults.test.ts
@@ -34,7 +34,7 @@
 /** A report and its answer, which reaches the worker or not. */
 const beat = (shard: Shard, w: FakeWorker, now: number, hears = true): readonly Command[] => {
   w.advance(now);
-  shard.age(now);
+  shard.expireLeases(now);
   shard.placeAll(now);
   const r = w.heartbeat();
   const result = shard.handleHeartbeat(r, now, true);
@@ -126,10 +126,16 @@
         m.lastStatusAt,
         m.leaseRenewedAt,
         m.known,
-        m.unknownTasks,
+        m.unknownTaskCount,
       ],
       tasks: m && [...m.tasks.keys()],
-      job: j && [j.waiting.length, [...j.placed.keys()], [...j.saved], [...j.unsaved], j.failures],
+      job: j && [
+        j.waitingTasks.length,
+        [...j.placements.keys()],
+        [...j.savedTasks],
+        [...j.unsavedTasks],
+        j.consecutiveFailures,
+      ],
     };
   };
   const scene = () => {
@@ -152,7 +158,7 @@
       (s) => s.shard,
       (s) => {
         for (let t = 3000; t <= 27_000; t += 3000) s.say(t);
-        s.shard.saved('job-000001', [0]);
+        s.shard.completionsSaved('job-000001', [0]);
         s.say(28_000);
         s.say(29_000);
       },
@@ -204,13 +210,13 @@
   beat(shard, b, 1000);
   beat(shard, b, 1600);
   shard.handleHeartbeat(idle, 1700, true);
-  assert.equal(shard.rebuilt, false, 'it was made before our term');
+  assert.equal(shard.recovered, false, 'it was made before our term');
   beat(shard, b, 2200);
   assert.deepEqual(runsOn(world, 'job-000001/0'), ['a']);
   beat(shard, a, 2300);
   beat(shard, a, 2900);
-  assert.equal(shard.rebuilt, true);
-  assert.equal(shard.jobs.get('job-000001')?.placed.get(0)?.machine.record.name, 'a');
+  assert.equal(shard.recovered, true);
+  assert.equal(shard.jobs.get('job-000001')?.placements.get(0)?.machine.record.name, 'a');
   assert.deepEqual(world.broken, []);
 });
 
@@ -238,7 +244,7 @@
     let now = 0;
     for (; now < withinS * 1000; now += 600) {
       // The queue of small jobs never runs dry.
-      while ([...shard.jobs.values()].filter((j) => j.waiting.length > 0).length < 8) {
+      while ([...shard.jobs.values()].filter((j) => j.waitingTasks.length > 0).length < 8) {
         small += 1;
         store.add(job({ uid: `job-${small}` }));
         shard.sync(store, now);
@@ -249,8 +255,8 @@
       }
       for (const w of ws) beat(shard, w, now);
       for (const j of [...shard.jobs.values()]) {
-        shard.saved(j.spec.uid, [...j.unsaved]);
-        if (j.saved.size === j.spec.tasks) store.jobs.delete(j.spec.uid);
+        shard.completionsSaved(j.spec.uid, [...j.unsavedTasks]);
+        if (j.savedTasks.size === j.spec.tasks) store.jobs.delete(j.spec.uid);
       }
       shard.sync(store, now);
       for (const [task, on] of world.on) {
@@ -275,9 +281,9 @@
   for (const w of ws) w.direct(shard.term, 1, []);
   for (const w of ws) shard.handleCommandStatus(w.heartbeat(), 100);
   shard.placeAll(200);
-  const [first] = [...shard.jobs.get('job-000001')!.placed.values()];
+  const [first] = [...shard.jobs.get('job-000001')!.placements.values()];
   shard.requestStop(first!, 3, 300);
-  assert.deepEqual(shard.jobs.get('job-000001')?.waiting, [0, 1, 2, 3]);
+  assert.deepEqual(shard.jobs.get('job-000001')?.waitingTasks, [0, 1, 2, 3]);
 });
 
 test('a job that missed an aim is not passed over by newer ones until it has begun', () => {
@@ -308,7 +314,7 @@
   const a = new FakeWorker('a', world, RUN_MS, LEASE_MS, 0);
   const b = new FakeWorker('b', world, RUN_MS, LEASE_MS, 0);
   for (const t of [0, 600, 1200]) for (const w of [a, b]) beat(shard, w, t);
-  assert.equal(shard.jobs.get('job-000001')?.placed.size, 4);
+  assert.equal(shard.jobs.get('job-000001')?.placements.size, 4);
   a.noticeS = 10;
   shard.handleHeartbeat(a.heartbeat(), 2000, true);
   const told = shard.directCommands(2000).flatMap((d) => d.commands);
@@ -323,7 +329,7 @@
   // Answers to commands look like reports, but they renew no lease: all that starts is killed by it.
   const answers = (now: number) => {
     a.advance(now);
-    shard.age(now);
+    shard.expireLeases(now);
     shard.handleCommandStatus(a.heartbeat(), now);
   };
   for (let now = HEARTBEAT_MS; now <= 4 * HEARTBEAT_MS; now += HEARTBEAT_MS) answers(now);
--- a/test/quotas.test.ts
+++ b/test/quotas.test.ts
@@ -260,7 +260,7 @@
     6000,
   );
   // What ends now is saved in the new cut.
-  shard.jobs.get('job-1')!.unsaved.add(0);
+  shard.jobs.get('job-1')!.unsavedTasks.add(0);
   await s.save(shard);
   assert.ok(s.known('job-1').has(0));
 });
--- a/test/random.test.ts
+++ b/test/random.test.ts
@@ -73,13 +73,13 @@
     for (const j of [...shard.jobs.values()]) {
       const { uid, tasks, kind } = j.spec;
       if (kind === 'service') {
-        if (j.saved.size + j.unsaved.size > 0) world.broken.push(`service done ${uid}`);
+        if (j.savedTasks.size + j.unsavedTasks.size > 0) world.broken.push(`service done ${uid}`);
         continue;
       }
-      const saving = [...j.unsaved];
+      const saving = [...j.unsavedTasks];
       if (saving.length > 0 && chance(10)) {
         // No answer: the owner goes on as if nothing was saved, and the write is carried out later.
-        const bits = new Set([...j.saved, ...saving]);
+        const bits = new Set([...j.savedTasks, ...saving]);
         const save = () => {
           const range = { from: 0, to: tasks };
           const before = decodeDone(range, store.bits.get(`${uid}/0`) ?? '');
@@ -92,14 +92,14 @@
         // Carried out at once, and only the answer is lost: others read what this owner takes for open.
         lostAnswers += 1;
         const range = { from: 0, to: tasks };
-        store.bits.set(`${uid}/0`, encodeDone(range, new Set([...j.saved, ...saving])));
+        store.bits.set(`${uid}/0`, encodeDone(range, new Set([...j.savedTasks, ...saving])));
         continue;
       }
-      shard.saved(uid, saving);
-      if (j.saved.size > 0) {
-        store.bits.set(`${uid}/0`, encodeDone({ from: 0, to: tasks }, j.saved));
+      shard.completionsSaved(uid, saving);
+      if (j.savedTasks.size > 0) {
+        store.bits.set(`${uid}/0`, encodeDone({ from: 0, to: tasks }, j.savedTasks));
       }
-      if (j.saved.size === tasks && !j.ended) {
+      if (j.savedTasks.size === tasks && !j.ended) {
         if (chance(10)) {
           // Called off in the moment of its end: the cancellation comes first.
           cancelledAtEnd += 1;
@@ -167,7 +167,7 @@
       if (former !== null) former.handleHeartbeat(c.heartbeat, now, false);
     }
     shard.sync(store, now);
-    shard.age(now);
+    shard.expireLeases(now);
     shard.placeAll(now);
 
     for (const { machine: m, commands, starts } of shard.directCommands(now)) {
@@ -184,12 +184,12 @@
       // What a deaf machine is told has no answer, and never arrives.
       if ((noTakeoverUntil.get(worker.name) ?? 0) > now) continue;
       if (worker.hung || (silentUntil.get(worker.name) ?? 0) > now) {
-        shard.directSettled(starts, false);
+        shard.directStartsSettled(starts, false);
         continue;
       }
       const executed = worker.direct(term, agentEpoch, commands);
       shard.handleCommandStatus(worker.heartbeat(), now);
-      shard.directSettled(starts, executed);
+      shard.directStartsSettled(starts, executed);
     }
     for (const l of late.filter((x) => x.at <= now)) {
       late.splice(late.indexOf(l), 1);
--- a/test/services.test.ts
+++ b/test/services.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { planCapacity, type CapacityInput } from '../src/core/capacity/capacity-planner.js';
 import type { Shard } from '../src/core/shard/shard.js';
-import { REPLICA_WELL_MS } from '../src/core/reachability/constants.js';
+import { REPLICA_STABLE_MS } from '../src/core/reachability/constants.js';
 import { job, LEASE_MS, machine, machineType, shardWith, settings, Store } from './helpers.js';
 import { FakeWorker, World } from './standins/worker.js';
 
@@ -42,7 +42,7 @@
     names.map((n) => [n, new FakeWorker(n, world, runMs, LEASE_MS, -2 * HEARTBEAT_MS)] as const),
   );
   const beat = (now: number, who: readonly string[] = names) => {
-    shard.age(now);
+    shard.expireLeases(now);
     for (const n of who) {
       const w = workers.get(n)!;
       w.advance(now);
@@ -73,7 +73,7 @@
   for (const { tasks, names, most } of cases) {
     const s = scene(names, { tasks });
     s.run(0, 4 * HEARTBEAT_MS);
-    assert.equal(s.shard.jobs.get(UID)?.placed.size, tasks);
+    assert.equal(s.shard.jobs.get(UID)?.placements.size, tasks);
     for (const n of names) assert.ok(s.on(n) <= most, `${tasks} on ${names.length}: ${s.on(n)}`);
     assert.deepEqual(s.world.broken, []);
   }
@@ -83,21 +83,21 @@
   const s = scene(['a', 'b'], { tasks: 2 }, HEARTBEAT_MS);
   s.run(0, 60 * HEARTBEAT_MS);
   const state = s.shard.jobs.get(UID)!;
-  assert.equal(state.saved.size + state.unsaved.size, 0);
+  assert.equal(state.savedTasks.size + state.unsavedTasks.size, 0);
   assert.equal(state.ended, false);
   assert.ok(s.world.started > 4, `${s.world.started} starts`);
   assert.ok(s.world.started < 60, `${s.world.started} starts: the pauses do not grow`);
   assert.deepEqual(s.world.broken, []);
   // One that was well for a while starts again at once.
-  const now = 60 * HEARTBEAT_MS + 2 * REPLICA_WELL_MS;
-  assert.ok(now - state.failedAt > REPLICA_WELL_MS);
+  const now = 60 * HEARTBEAT_MS + 2 * REPLICA_STABLE_MS;
+  assert.ok(now - state.lastFailureAt > REPLICA_STABLE_MS);
 });
 
 test('what somebody has saved as done of a service counts for nothing', () => {
   const store = new Store().add(machine('a'), service({ tasks: 2 }));
   store.bits.set(`${UID}/0`, 'c');
   const shard = shardWith(store, 2);
-  assert.equal(shard.jobs.get(UID)?.waiting.length, 2);
+  assert.equal(shard.jobs.get(UID)?.waitingTasks.length, 2);
 });
 
 test('failing replicas: other machines, growing pauses, never given up', () => {
@@ -109,7 +109,11 @@
   for (const w of s.workers.values()) w.faulty = false;
   s.shard.machines.forEach((m) => (m.quarantined = false));
   s.run(41 * HEARTBEAT_MS, 41 * HEARTBEAT_MS + 90_000);
-  assert.equal(s.shard.jobs.get(UID)?.placed.size, 1, 'it runs within 90 s once a machine is well');
+  assert.equal(
+    s.shard.jobs.get(UID)?.placements.size,
+    1,
+    'it runs within 90 s once a machine is well',
+  );
   assert.deepEqual(s.world.broken, []);
 });
 
@@ -171,7 +175,7 @@
       if (result.kind === 'answer') w.answered(shard.term, result.commands, now, r.agentEpoch);
     }
   }
-  assert.equal(shard.jobs.get(UID)?.placed.size, 3);
+  assert.equal(shard.jobs.get(UID)?.placements.size, 3);
   assert.equal(s.world.started, started);
   assert.deepEqual(s.world.broken, []);
 });
@@ -256,7 +260,7 @@
     // The class as a whole has all the machines that it needs.
     const pending = [{ type: 'm', zone: 'z', spot: true, count: 9 }];
     const { rentals: rent } = plan(shard, 8 * HEARTBEAT_MS, { pending, idleKeepMs: 1e9 });
-    const served = shard.jobs.get(UID)!.waiting.length === 0;
+    const served = shard.jobs.get(UID)!.waitingTasks.length === 0;
     assert.equal(served, zones.length === 0, name);
     const rented = rent.map((r) => r.zone);
     if (zones.length === 0) assert.deepEqual(rented, [], name);
--- a/test/shard-controller.test.ts
+++ b/test/shard-controller.test.ts
@@ -153,7 +153,7 @@
   s.shardController.tick();
   assert.equal(s.shardController.owned.get(1)?.shard.term, 6);
   assert.equal(
-    s.shardController.owned.get(1)?.shard.rebuilt,
+    s.shardController.owned.get(1)?.shard.recovered,
     false,
     'and everything must answer first',
   );
@@ -306,12 +306,12 @@
   good.cache.apply({ fresh: false, changes: [], epoch: 50 });
   good.shardController.tick();
   assert.equal(good.shardController.owned.get(1)?.shard.jobs.size, 0, 'gone from here');
-  assert.equal(good.shardController.owned.get(0)?.shard.waiting(0, 0), 1, 'and waits there');
+  assert.equal(good.shardController.owned.get(0)?.shard.waitingTasks(0, 0), 1, 'and waits there');
 
   const refused = await stuck(() => ({ ok: false, failed: ['active/job-000001'] }));
   await settle();
   refused.shardController.tick();
-  assert.equal(refused.shardController.owned.get(1)?.shard.waiting(0, 0), 1, 'still ours');
+  assert.equal(refused.shardController.owned.get(1)?.shard.waitingTasks(0, 0), 1, 'still ours');
 
   // The first try was carried out, but its answer got lost; the second one meets a conflict.
   let tries = 0;
@@ -330,7 +330,7 @@
   assert.deepEqual(ranges(lost), moved, 'only the present record tells');
   lost.shardController.tick();
   assert.equal(
-    lost.shardController.owned.get(1)?.shard.waiting(0, 0) ?? 0,
+    lost.shardController.owned.get(1)?.shard.waitingTasks(0, 0) ?? 0,
     0,
     'not brought back as fresh',
   );
--- a/test/shard-directory.test.ts
+++ b/test/shard-directory.test.ts
@@ -43,7 +43,7 @@
 };
 
 test('tasks pass to a shard without room only if it is booked much less: table', () => {
-  const own = shardWith(new Store().add(machine('a'), job({ tasks: 8 }))).loads(0);
+  const own = shardWith(new Store().add(machine('a'), job({ tasks: 8 }))).allocationRatios(0);
   assert.equal(own[loadIndex(PRIORITY_RANK.normal, true)], 4, 'eight tasks, two at a time');
   const cases: [name: string, peers: PeerStatus[], want: number | null][] = [
     ['nothing is known of the others', [], null],
--- a/test/shard.test.ts
+++ b/test/shard.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { FORGET_AFTER_MS } from '../src/core/shard/constants.js';
+import { FORGET_DELAY_MAX_MS } from '../src/core/shard/constants.js';
 import type { Command } from '../src/core/model.js';
 import type { Shard } from '../src/core/shard/shard.js';
 import { job, LEASE_MS, machine, shardWith, Store } from './helpers.js';
@@ -42,7 +42,7 @@
   beat(shard, a!, 0);
   assert.deepEqual(starts(beat(shard, a!, 600)), []);
   assert.deepEqual(
-    shard.justUp().map((m) => m.record.name),
+    shard.newlyReadyMachines().map((m) => m.record.name),
     ['a'],
   );
   store.add(machine('a'));
@@ -72,10 +72,10 @@
   const [t] = [...a!.tasks.values()];
   assert.equal(t?.why, 'done');
   assert.deepEqual(beat(shard, a!, 65_000), [], 'not saved yet');
-  shard.saved('job-000001', [0]);
+  shard.completionsSaved('job-000001', [0]);
   const told: number[] = [];
   for (let t = 66_000; t <= 90_000; t += 2000) if (beat(shard, a!, t).length > 0) told.push(t);
-  assert.deepEqual(told, [66_000 + FORGET_AFTER_MS], 'an order of its own costs a report');
+  assert.deepEqual(told, [66_000 + FORGET_DELAY_MAX_MS], 'an order of its own costs a report');
 });
 
 test('workers forget completed tasks along with other orders', () => {
@@ -85,7 +85,7 @@
   beat(shard, a!, 0);
   beat(shard, a!, 600);
   for (let t = 3000; t <= RUN_MS + 3000; t += 3000) beat(shard, a!, t);
-  shard.saved('job-000001', [0, 1]);
+  shard.completionsSaved('job-000001', [0, 1]);
   const at = RUN_MS + 6000;
   assert.deepEqual(beat(shard, a!, at), []);
   store.add(job({ uid: 'job-000002' }));
@@ -127,12 +127,12 @@
   beat(shard, b!, 600);
   assert.deepEqual(running(a!), ['job-000001/0']);
   for (let t = 3000; t < LEASE_MS; t += 3000) {
-    shard.age(t);
+    shard.expireLeases(t);
     assert.deepEqual(starts(beat(shard, b!, t)), [], `at ${t} the task may still run`);
   }
   const late = LEASE_MS + 3000;
   a!.advance(late);
-  shard.age(late);
+  shard.expireLeases(late);
   assert.deepEqual(starts(beat(shard, b!, late)), ['job-000001/0']);
   assert.deepEqual(world.broken, []);
 });
@@ -167,7 +167,7 @@
   const shard = shardWith(store, 2, {}, 5000);
   for (const w of [a!, b!]) beat(shard, w, 5000);
   for (const w of [a!, b!]) assert.deepEqual(starts(beat(shard, w, 5600)), []);
-  assert.equal(shard.jobs.get('job-000001')?.placed.size, 1);
+  assert.equal(shard.jobs.get('job-000001')?.placements.size, 1);
   assert.equal(
     old.handleHeartbeat(a!.heartbeat(), 6000, true).kind,
     'superseded',
@@ -183,7 +183,7 @@
   beat(shard, a!, 600);
   const result = shard.handleHeartbeat(held, 5000, true);
   assert.deepEqual(result, { kind: 'old' }, 'an older report changes nothing');
-  assert.equal(shard.jobs.get('job-000001')?.placed.size, 1);
+  assert.equal(shard.jobs.get('job-000001')?.placements.size, 1);
 });
 
 test('a direct start without an answer is never given elsewhere, nor forgotten by its worker', () => {
@@ -200,7 +200,7 @@
   assert.deepEqual(starts(beat(shard, other, 1000)), [], 'in doubt: not elsewhere');
   assert.deepEqual(starts(beat(shard, target, 1000)), ['job-000001/0'], 'same attempt by report');
   shard.jobs.get('job-000001')!.ended = true;
-  const stop = shard.jobs.get('job-000001')!.placed.get(0)!;
+  const stop = shard.jobs.get('job-000001')!.placements.get(0)!;
   shard.requestStop(stop, 0, 2000);
   for (let t = 3000; t < 12_000; t += 3000) beat(shard, target, t);
   assert.equal(target.tasks.size, 1, 'the ended attempt stays listed');
@@ -216,9 +216,9 @@
   shard.handleCommandStatus(a!.heartbeat(), 100);
   shard.placeAll(200);
   const [direct] = shard.directCommands(200);
-  shard.directSettled(direct!.starts, false);
-  shard.age(20_000);
-  assert.equal(shard.jobs.get('job-000001')?.placed.size, 0);
+  shard.directStartsSettled(direct!.starts, false);
+  shard.expireLeases(20_000);
+  assert.equal(shard.jobs.get('job-000001')?.placements.size, 0);
 });
 
 test('a cancelled job is stopped, and what waits of it never starts', () => {
@@ -404,10 +404,14 @@
     if (found === null) continue;
     shard.beginMigration(state, found.from, found.range.to);
     shard.placeAll(2000);
-    assert.equal(state.waiting.length, 0, 'nothing of it starts meanwhile');
+    assert.equal(state.waitingTasks.length, 0, 'nothing of it starts meanwhile');
     assert.equal(shard.migratable(state, record), null, 'nor passes twice');
     shard.endMigration(state, false, 3000);
-    assert.equal(state.waiting.length, found.range.to - found.from, 'a refusal brings it back');
+    assert.equal(
+      state.waitingTasks.length,
+      found.range.to - found.from,
+      'a refusal brings it back',
+    );
   }
   const inherited = job({ tasks: 2 }, 1);
   const later = shardWith(new Store().add(inherited, machine('a')), 2);
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -52,7 +52,7 @@
 };
 
 const placedTasks = (shard: Shard): number =>
-  [...shard.jobs.values()].reduce((sum, j) => sum + j.placed.size, 0);
+  [...shard.jobs.values()].reduce((sum, j) => sum + j.placements.size, 0);
 
 /** Arrays, gangs and single tasks of several kinds, more than fit. */
 const crowdedWork = (store: Store, machines: number): void => {
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -144,11 +144,11 @@
   // The shard was the old version's; what it may have started waits for its machines' answers.
   const shard = shardWith(store, 12);
   const job = shard.jobs.get('job-000001')!;
-  assert.equal(job.saved.size, 7);
-  assert.equal(job.waiting.length, 9);
-  assert.equal(shard.rebuilt, false);
+  assert.equal(job.savedTasks.size, 7);
+  assert.equal(job.waitingTasks.length, 9);
+  assert.equal(shard.recovered, false);
   shard.placeAll(0);
-  assert.equal(job.placed.size, 0);
+  assert.equal(job.placements.size, 0);
   const world = new World();
   const w = new FakeWorker('vm-000001', world, 1000, 18_000, 0);
   w.answered(5, [{ op: 'start', uid: 'job-000001', index: 6, attempt: 5 * 2 ** 23 }], 0, 1);
@@ -157,7 +157,7 @@
     const result = shard.handleHeartbeat(r, now, true);
     if (result.kind === 'answer') w.answered(shard.term, result.commands, now, 1);
   }
-  assert.equal(shard.rebuilt, true);
-  assert.equal(job.placed.get(6)?.attempt, 5 * 2 ** 23, "the old owner's task goes on");
+  assert.equal(shard.recovered, true);
+  assert.equal(job.placements.get(6)?.attempt, 5 * 2 ** 23, "the old owner's task goes on");
   assert.deepEqual(world.broken, []);
 });
