--- a/src/core/capacity/allocation-ratio.ts
+++ b/src/core/capacity/allocation-ratio.ts
@@ -1,5 +1,6 @@
 import { PRIORITY_RANK, RESOURCE_KINDS, type Resources } from '../model.js';
 import { tasksNeedingCapacity } from '../reachability/failure-tracker.js';
+import { isLeaving } from '../reachability/machine-health.js';
 import type { MachineState } from '../shard/types.js';
 import type { ShardState } from '../shard/shard-state.js';
 
@@ -33,7 +34,7 @@
 }
 
 const countsForRouting = (state: ShardState, m: MachineState, now: number): boolean => {
-  const goes = m.draining || m.terminating || m.quarantined || m.preemptionNoticeAt !== null;
+  const goes = isLeaving(m) || m.preemptionNoticeAt !== null;
   return !goes && (!m.everConfirmed || state.health.isFresh(m, now));
 };
 
--- a/src/core/capacity/capacity-planner.ts
+++ b/src/core/capacity/capacity-planner.ts
@@ -102,7 +102,7 @@
 
   constructor(private readonly input: CapacityInput) {
     for (const m of input.shard.machines.values()) {
-      if (!m.terminating && !m.orphaned) this.#sort(m);
+      if (!m.terminating && m.lifecycle !== 'orphaned') this.#sort(m);
     }
     this.#spreads = spreadServiceKnown(input);
     this.#ordinary = new OrdinaryMachines(this.#staying);
@@ -130,23 +130,23 @@
   #sort(m: MachineState): void {
     const reason = this.#faultOf(m);
     if (reason !== null) this.#return(m, reason);
-    else if (m.quarantined) this.#empty(m);
+    else if (m.faultStatus === 'quarantined') this.#empty(m);
     else if (m.preemptionNoticeAt === null && !m.cordoned) this.#staying.push(m);
   }
 
   #faultOf(m: MachineState): ReturnReason | null {
     const { shard, now } = this.input;
-    if (shard.isLost(m, now)) return 'silent';
-    if (shard.losesCommands(m, now)) return 'hears nothing';
+    if (shard.heartbeatsLost(m, now)) return 'silent';
+    if (shard.commandsLost(m, now)) return 'hears nothing';
     const bootMs = (m.type?.bootS ?? DEFAULT_BOOT_S) * 1000;
     const neverUp = !m.everConfirmed && !m.record.up;
     if (neverUp && now - m.trackedSince > bootMs * BOOT_GIVE_UP) return 'never came up';
-    return m.quarantined && !inUse(m) ? 'fails tasks' : null;
+    return m.faultStatus === 'quarantined' && !inUse(m) ? 'fails tasks' : null;
   }
 
   /** Replicas never end by themselves: they move, or a condemned machine would stay for ever. */
   #empty(m: MachineState): void {
-    m.draining = true;
+    m.lifecycle = 'draining';
     for (const p of [...m.tasks.values()]) {
       if (p.job.spec.kind === 'service') this.input.shard.requestStop(p, 0, this.input.now);
     }
@@ -230,7 +230,9 @@
   }
 
   #isIdle(m: MachineState): boolean {
-    return m.known && !inUse(m) && this.input.now - m.idleSince > this.input.idleKeepMs;
+    return (
+      m.confirmedSince !== null && !inUse(m) && this.input.now - m.idleSince > this.input.idleKeepMs
+    );
   }
 
   /** Idle machines beyond what is wanted go back, the longest idle first. */
--- a/src/core/model.ts
+++ b/src/core/model.ts
@@ -1,16 +1,21 @@
+/** The vocabulary of the scheduler: jobs, machines, heartbeats, commands and resources. Nothing here does input or output. */
 import { ROUNDING, TASKS_WITHOUT_DEMAND } from './constants.js';
-/** The vocabulary of the scheduler. Nothing here does input or output. */
 
+/** Amounts of each resource: demand, capacity, or shares of either. */
 export interface Resources {
   readonly cpus: number;
   readonly gpus: number;
   readonly memoryGb: number;
 }
 
+/** The keys of `Resources`. */
 export const RESOURCE_KINDS = ['cpus', 'gpus', 'memoryGb'] as const;
+/** One resource. */
 export type ResourceKind = (typeof RESOURCE_KINDS)[number];
 
+/** Priority class of a job. */
 export type Priority = 'production' | 'high' | 'normal' | 'low';
+/** Higher ranks go first, and may preempt lower ones. */
 export const PRIORITY_RANK: Readonly<Record<Priority, number>> = {
   production: 3,
   high: 2,
@@ -18,6 +23,7 @@
   low: 0,
 };
 
+/** A job as its user submitted it. Sizes in GB, times in seconds. */
 export interface JobSpec {
   readonly uid: string;
   readonly jobClass: string;
@@ -32,13 +38,19 @@
   readonly demand: Resources;
   readonly image: string;
   readonly imageGb: number;
+  /** machine types that it may use; null: any */
   readonly types: readonly string[] | null;
   readonly zone: string | null;
+  /** all tasks in the same zone */
   readonly oneZone: boolean;
+  /** at most half of the tasks in one zone */
   readonly spread: boolean;
+  /** may use spot instances */
   readonly spot: boolean;
   readonly estimateS: number;
+  /** interval between checkpoints; 0: a stopped task loses its progress */
   readonly checkpointS: number;
+  /** time that a task needs to save its progress */
   readonly saveS: number;
   readonly deadlineS: number | null;
 }
@@ -51,13 +63,15 @@
   readonly term: number;
 }
 
+/** A job as the store keeps it. */
 export interface JobRecord {
   readonly spec: JobSpec;
-  /** time of day of acceptance, ms */
+  /** time of day at which it was accepted, ms */
   readonly at: number;
   readonly ranges: readonly TaskRange[];
 }
 
+/** A machine as the store keeps it. */
 export interface MachineRecord {
   readonly name: string;
   readonly shard: number;
@@ -66,10 +80,11 @@
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
-  /** written after its first report and before the first start: without it nothing ran there */
+  /** written after its first heartbeat and before the first start: without it nothing ran there */
   readonly up: boolean;
 }
 
+/** A machine type that the cloud rents out, with its capacity and prices per hour. */
 export interface MachineType extends Resources {
   readonly name: string;
   readonly cacheGb: number;
@@ -80,6 +95,7 @@
   readonly zones: readonly string[];
 }
 
+/** A team's guarantee, and its limit (`...Max`); 0: none. */
 export interface Team {
   readonly name: string;
   readonly cpus: number;
@@ -88,6 +104,7 @@
   readonly gpusMax: number;
 }
 
+/** A service-level objective: this share of a class's tasks within so many seconds. */
 export interface Objective {
   readonly kind: string;
   readonly jobClass: string | null;
@@ -95,10 +112,13 @@
   readonly share: number;
 }
 
+/** State of a task on its worker. */
 export type TaskState = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
+/** Why a task is in state `exited`. */
 export type ExitReason =
   'done' | 'stopped' | 'peers' | 'alone' | 'error' | 'no_room' | 'busy' | 'unknown';
 
+/** One attempt of a task, as its worker lists it. */
 export interface ReportedTask {
   readonly uid: string;
   readonly index: number;
@@ -108,19 +128,25 @@
   readonly saved: boolean;
 }
 
+/** A worker's task list, sent by itself or as the answer to commands. */
 export interface Heartbeat {
   readonly machine: string;
   readonly address: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
+  /** counts the lives of the worker process: its tasks end with one */
   readonly agentEpoch: number;
+  /** counts the lists within an agent epoch */
   readonly counter: number;
+  /** the highest term that the worker has seen */
   readonly fencingToken: number;
+  /** seconds until the cloud takes the machine back; null: no notice */
   readonly preemptionNoticeS: number | null;
   readonly tasks: readonly ReportedTask[];
 }
 
+/** What a worker is told to do. */
 export type Command =
   | { readonly op: 'start'; readonly uid: string; readonly index: number; readonly attempt: number }
   | {
@@ -137,22 +163,26 @@
       readonly attempt: number;
     };
 
+/** Nothing of any resource. */
 export const ZERO: Resources = { cpus: 0, gpus: 0, memoryGb: 0 };
 
+/** a + b * times, by resource. */
 export const add = (a: Resources, b: Resources, times = 1): Resources => ({
   cpus: a.cpus + b.cpus * times,
   gpus: a.gpus + b.gpus * times,
   memoryGb: a.memoryGb + b.memoryGb * times,
 });
 
+/** Whether the demand fits into what is free. */
 export const fits = (demand: Resources, free: Resources): boolean =>
-  RESOURCE_KINDS.every((k) => demand[k] <= free[k] + ROUNDING);
+  RESOURCE_KINDS.every((kind) => demand[kind] <= free[kind] + ROUNDING);
 
 /** How many times `demand` fits into `room`. */
 export const timesIn = (demand: Resources, room: Resources): number => {
   let times = Infinity;
-  for (const k of RESOURCE_KINDS) {
-    if (demand[k] > 0) times = Math.min(times, Math.floor((room[k] + ROUNDING) / demand[k]));
+  for (const kind of RESOURCE_KINDS) {
+    if (demand[kind] <= 0) continue;
+    times = Math.min(times, Math.floor((room[kind] + ROUNDING) / demand[kind]));
   }
   return Number.isFinite(times) ? times : TASKS_WITHOUT_DEMAND;
 };
@@ -162,10 +192,10 @@
   let cpus = 0;
   let gpus = 0;
   let memoryGb = 0;
-  for (const t of types) {
-    cpus = Math.max(cpus, t.cpus);
-    gpus = Math.max(gpus, t.gpus);
-    memoryGb = Math.max(memoryGb, t.memoryGb);
+  for (const type of types) {
+    cpus = Math.max(cpus, type.cpus);
+    gpus = Math.max(gpus, type.gpus);
+    memoryGb = Math.max(memoryGb, type.memoryGb);
   }
   return { cpus, gpus, memoryGb };
 };
@@ -179,6 +209,6 @@
 
 /** The largest share a demand takes of one machine. */
 export const dominantShare = (demand: Resources, of: Resources): number => {
-  const s = shareOf(demand, of);
-  return Math.max(s.cpus, s.gpus, s.memoryGb);
+  const share = shareOf(demand, of);
+  return Math.max(share.cpus, share.gpus, share.memoryGb);
 };
--- a/src/core/placement/constraints.ts
+++ b/src/core/placement/constraints.ts
@@ -18,7 +18,7 @@
   if (m.reservation !== null && m.reservation.uid !== spec.uid) return false;
   if (job.avoidedMachines.size > 0 && (job.avoidedMachines.get(m.record.name) ?? -Infinity) > now)
     return false;
-  if (m.onProbation && m.tasks.size > 0) return false;
+  if (m.faultStatus !== 'healthy' && m.tasks.size > 0) return false;
   return tasksAllowedIn(job, m.record.zone) > 0;
 };
 
--- a/src/core/placement/scheduler.ts
+++ b/src/core/placement/scheduler.ts
@@ -1,6 +1,7 @@
 import { BEGIN_MS, NO_AIM_S } from './constants.js';
 import { placeableTasks } from '../reachability/failure-tracker.js';
-import { taskKey, type JobState, type MachineState, type Placement } from '../shard/types.js';
+import { taskKey } from '../shard/placements.js';
+import type { JobState, MachineState, Placement } from '../shard/types.js';
 import { type ShardState } from '../shard/shard-state.js';
 import type { Quotas } from './quotas.js';
 import { add, fits, RESOURCE_KINDS, type Resources } from '../model.js';
--- a/src/core/shard/command-planner.ts
+++ b/src/core/shard/command-planner.ts
@@ -1,122 +1,150 @@
-import { FORGET_DELAY_MAX_MS, FORGET_BATCH_LIMIT, STOP_OVERDUE_MARGIN_S } from './constants.js';
-import { attemptKey, isUndispatched, taskKey, type MachineState, type Placement } from './types.js';
-import { type ShardState } from './shard-state.js';
-import type { Command, Heartbeat } from '../model.js';
+/** The commands that make workers do what the state of a shard says. */
+import type { Command, Heartbeat, ReportedTask } from '../model.js';
+import { FORGET_BATCH_LIMIT, FORGET_DELAY_MAX_MS, STOP_OVERDUE_MARGIN_S } from './constants.js';
+import { attemptKey, isUndispatched, placementKey, taskKey } from './placements.js';
+import type { ShardState } from './shard-state.js';
+import type { DirectCommandBatch, MachineState, Placement } from './types.js';
 
-/** The commands that make workers do what the shard's state say. */
+/** Finds the commands for heartbeat answers and for direct calls to workers. */
 export class CommandPlanner {
   constructor(private readonly state: ShardState) {}
 
-  #stopCommand(p: Placement, now: number): Command {
-    const stop = p.stop!;
-    const overdue = now - stop.at > (stop.graceS + STOP_OVERDUE_MARGIN_S) * 1000;
-    return {
-      op: 'stop',
-      uid: p.job.spec.uid,
-      index: p.index,
-      attempt: p.attempt,
-      graceS: overdue ? 0 : stop.graceS,
-    };
-  }
-
+  /** The commands of the answer to a heartbeat. Without `mayStart` nothing new begins. */
   answerHeartbeat(
-    m: MachineState,
+    machine: MachineState,
     heartbeat: Heartbeat,
     now: number,
     mayStart: boolean,
   ): Command[] {
-    const out: Command[] = [];
-    /** what nothing hangs on: a completed task is never started again */
-    const completed: Command[] = [];
-    for (const t of heartbeat.tasks) {
-      const { uid, index, attempt } = t;
-      const job = this.state.jobs.get(uid);
-      if (t.state === 'exited') {
-        // A completion is forgotten by its worker only once it is saved.
-        const unsaved = t.why === 'done' && job !== undefined && job.unsavedTasks.has(index);
-        const again = m.unsettledDirectStarts.has(`${uid}/${index}@${attempt}`);
-        if (!unsaved && !again) {
-          (t.why === 'done' ? completed : out).push({ op: 'forget', uid, index, attempt });
-        }
-        continue;
+    const commands: Command[] = [];
+    /** nothing depends on these soon: a completed task is never started again */
+    const completedForgets: Command[] = [];
+    for (const task of heartbeat.tasks) {
+      if (task.state !== 'exited') this.#stopUnwanted(machine, task, now, commands);
+      else if (this.#mayForget(machine, task)) {
+        const { uid, index, attempt, why } = task;
+        const forgets = why === 'done' ? completedForgets : commands;
+        forgets.push({ op: 'forget', uid, index, attempt });
       }
-      const p = m.tasks.get(taskKey(uid, index));
-      if (p === undefined || p.attempt !== attempt) {
-        out.push({ op: 'stop', uid, index, attempt, graceS: 0 });
-      } else if (p.stop !== null) out.push(this.#stopCommand(p, now));
     }
-    for (const p of m.tasks.values()) {
-      if (p.observed) continue;
-      const start: Command = {
-        op: 'start',
-        uid: p.job.spec.uid,
-        index: p.index,
-        attempt: p.attempt,
-      };
-      if (mayStart && this.#startable(p, m)) {
-        p.startSentCounter = heartbeat.counter;
-        out.push(start);
-      } else if (mayStart && p.directStartUnsettled && p.stop !== null) {
+    if (mayStart) this.#startPlaced(machine, heartbeat.counter, commands);
+    return this.#forgetsDue(machine, completedForgets, commands.length > 0, now)
+      ? [...commands, ...completedForgets]
+      : commands;
+  }
+
+  /** Stops a listed task that has no placement here, or whose placement is to be stopped. */
+  #stopUnwanted(machine: MachineState, task: ReportedTask, now: number, commands: Command[]): void {
+    const { uid, index, attempt } = task;
+    const placement = machine.tasks.get(taskKey(uid, index));
+    if (placement === undefined || placement.attempt !== attempt) {
+      commands.push({ op: 'stop', uid, index, attempt, graceS: 0 });
+    } else if (placement.stop !== null) {
+      commands.push(stopCommand(placement, remainingGraceS(placement, now)));
+    }
+  }
+
+  /** Whether its worker may drop an ended task from its list. */
+  #mayForget(machine: MachineState, task: ReportedTask): boolean {
+    // A completion is forgotten by its worker only once it is saved.
+    const unsaved =
+      task.why === 'done' && this.state.jobs.get(task.uid)?.unsavedTasks.has(task.index) === true;
+    // A direct start that may still arrive must find its attempt known and ended.
+    return !unsaved && !machine.unsettledDirectStarts.has(attemptKey(task));
+  }
+
+  /** Starts what is placed and not listed yet. */
+  #startPlaced(machine: MachineState, counter: number, commands: Command[]): void {
+    for (const placement of machine.tasks.values()) {
+      if (placement.observed) continue;
+      if (isStartable(placement)) {
+        placement.startSentCounter = counter;
+        commands.push(startCommand(placement));
+      } else if (placement.directStartUnsettled && placement.stop !== null) {
         // A direct start that may yet arrive must find its attempt known and ended.
-        out.push(start, { ...this.#stopCommand(p, now), graceS: 0 } as Command);
+        commands.push(startCommand(placement), stopCommand(placement, 0));
       }
     }
-    return this.#forgetsDue(m, completed, out.length > 0, now) ? [...out, ...completed] : out;
   }
 
   /**
-   * A worker reports again whenever its list has changed, so being told to forget costs a report of its
-   * own: a quarter of all of them at the fleet's size. Told along with other orders it costs none.
+   * A worker sends a heartbeat whenever its list has changed, so being told to forget costs one of its own: a
+   * quarter of all of them at the fleet's size. Told along with other commands it costs none.
    */
-  #forgetsDue(m: MachineState, tasks: readonly Command[], along: boolean, now: number): boolean {
-    m.forgettableSince = tasks.length === 0 ? null : (m.forgettableSince ?? now);
-    if (m.forgettableSince === null) return false;
+  #forgetsDue(
+    machine: MachineState,
+    forgets: readonly Command[],
+    withOthers: boolean,
+    now: number,
+  ): boolean {
+    machine.forgettableSince = forgets.length === 0 ? null : (machine.forgettableSince ?? now);
+    if (machine.forgettableSince === null) return false;
     // A machine that is to move has to be empty in its worker's eyes, too.
-    const soon = along || m.cordoned || tasks.length >= FORGET_BATCH_LIMIT;
-    const due = soon || now - m.forgettableSince >= FORGET_DELAY_MAX_MS;
-    if (due) m.forgettableSince = null;
+    const atOnce = withOthers || machine.cordoned || forgets.length >= FORGET_BATCH_LIMIT;
+    const due = atOnce || now - machine.forgettableSince >= FORGET_DELAY_MAX_MS;
+    if (due) machine.forgettableSince = null;
     return due;
   }
 
-  #startable(p: Placement, m: MachineState): boolean {
-    const open = !m.terminating && !m.draining && !m.cordoned && m.preemptionNoticeAt === null;
-    return !p.job.ended && p.stop === null && open;
-  }
-
-  /** Starts and stops that should not wait for the next report, by machine, of `most` machines. */
-  directCommands(
-    now: number,
-    most: number,
-    mayStart: boolean,
-  ): { machine: MachineState; commands: Command[]; starts: Placement[] }[] {
-    const out: { machine: MachineState; commands: Command[]; starts: Placement[] }[] = [];
-    for (const m of this.state.machines.values()) {
-      if (out.length >= most) break;
-      if (m.address === null || !this.state.health.isFresh(m, now)) continue;
+  /** Starts and stops that should not wait for the next heartbeat, of at most `maxMachines` machines. */
+  directCommands(now: number, maxMachines: number, mayStart: boolean): DirectCommandBatch[] {
+    const batches: DirectCommandBatch[] = [];
+    for (const machine of this.state.machines.values()) {
+      if (batches.length >= maxMachines) break;
+      if (machine.address === null || !this.state.health.isFresh(machine, now)) continue;
       const commands: Command[] = [];
       const starts: Placement[] = [];
-      for (const p of m.tasks.values()) {
-        if (p.stop !== null && !p.stop.sentDirect) {
-          p.stop.sentDirect = true;
-          commands.push(this.#stopCommand(p, now));
-        } else if (mayStart && isUndispatched(p) && this.#startable(p, m)) {
-          p.directStartUnsettled = true;
-          starts.push(p);
-          m.unsettledDirectStarts.add(attemptKey(p));
-          const { index, attempt } = p;
-          commands.push({ op: 'start', uid: p.job.spec.uid, index, attempt });
+      for (const placement of machine.tasks.values()) {
+        if (placement.stop !== null && !placement.stop.sentDirect) {
+          placement.stop.sentDirect = true;
+          commands.push(stopCommand(placement, remainingGraceS(placement, now)));
+        } else if (mayStart && isUndispatched(placement) && isStartable(placement)) {
+          placement.directStartUnsettled = true;
+          starts.push(placement);
+          machine.unsettledDirectStarts.add(placementKey(placement));
+          commands.push(startCommand(placement));
         }
       }
-      if (commands.length > 0) out.push({ machine: m, commands, starts });
+      if (commands.length > 0) batches.push({ machine, commands, starts });
     }
-    return out;
+    return batches;
   }
 
   /** The outcome of direct starts is known: they were carried out, or never will be. */
   directStartsSettled(starts: readonly Placement[], executed: boolean): void {
-    for (const p of starts) {
-      p.machine.unsettledDirectStarts.delete(attemptKey(p));
-      if (!executed) p.directStartUnsettled = false;
+    for (const placement of starts) {
+      placement.machine.unsettledDirectStarts.delete(placementKey(placement));
+      if (!executed) placement.directStartUnsettled = false;
     }
   }
 }
+
+const startCommand = ({ job, index, attempt }: Placement): Command => ({
+  op: 'start',
+  uid: job.spec.uid,
+  index,
+  attempt,
+});
+
+const stopCommand = ({ job, index, attempt }: Placement, graceS: number): Command => ({
+  op: 'stop',
+  uid: job.spec.uid,
+  index,
+  attempt,
+  graceS,
+});
+
+/** The grace of a requested stop; none once the task should have ended long ago. */
+const remainingGraceS = ({ stop }: Placement, now: number): number => {
+  if (stop === null) return 0;
+  const overdue = now - stop.requestedAt > (stop.graceS + STOP_OVERDUE_MARGIN_S) * 1000;
+  return overdue ? 0 : stop.graceS;
+};
+
+const isStartable = ({ job, machine, stop }: Placement): boolean =>
+  !job.ended &&
+  stop === null &&
+  !machine.terminating &&
+  machine.lifecycle === 'in-service' &&
+  !machine.cordoned &&
+  machine.preemptionNoticeAt === null;
--- a/src/core/shard/heartbeat-reconciler.ts
+++ b/src/core/shard/heartbeat-reconciler.ts
@@ -1,185 +1,253 @@
-import { NO_ROOM_BACKOFF_MS, LOST_COMMANDS_LIMIT } from './constants.js';
+/** Reconciles the state of a shard with the task lists of its workers. */
+import type { Heartbeat, JobSpec, ReportedTask } from '../model.js';
 import { FailureTracker } from '../reachability/failure-tracker.js';
-import {
-  isUndispatched,
-  taskKey,
-  type JobState,
-  type MachineState,
-  type Placement,
-} from './types.js';
-import { type ShardState } from './shard-state.js';
-import type { JobSpec, Heartbeat, ReportedTask } from '../model.js';
-
-/** What workers report, taken into the shard's state. */
+import { LOST_COMMANDS_LIMIT, NO_ROOM_BACKOFF_MS } from './constants.js';
+import { attemptKey, isUndispatched, placementKey, taskKey } from './placements.js';
+import type { ShardState } from './shard-state.js';
+import type { JobState, MachineState, Placement } from './types.js';
+
+/** Whether a task list came by itself or as the answer to direct commands. */
+export type StatusSource = 'heartbeat' | 'command';
+
+/** Takes in what workers list: tasks that began, ended, were lost, or are unknown here. */
 export class HeartbeatReconciler {
   readonly #failures: FailureTracker;
 
   constructor(private readonly state: ShardState) {
-    this.#failures = new FailureTracker(state);
+    this.#failures = new FailureTracker(state.machines);
   }
 
-  reconcile(m: MachineState, heartbeat: Heartbeat, now: number, direct = false): void {
-    if (heartbeat.agentEpoch > m.agentEpoch && m.agentEpoch > 0) {
-      // The worker's lease ran out: it killed everything it had. If that happened although we have
-      // answered all the time, our answers do not arrive.
-      const answered = m.known && now - m.leaseRenewedAt < this.state.settings.leaseMs / 2;
-      if (answered && now - m.knownSince > this.state.settings.leaseMs) this.#unheard(m, now);
-      for (const p of [...m.tasks.values()]) this.state.release(p, now);
-      m.unsettledDirectStarts.clear();
+  /**
+   * Reconciles one machine with its newest task list. Only a list under our term is complete: what an earlier
+   * one lacks may still be started by an earlier owner's command.
+   */
+  reconcile(
+    machine: MachineState,
+    heartbeat: Heartbeat,
+    now: number,
+    source: StatusSource = 'heartbeat',
+  ): void {
+    if (heartbeat.agentEpoch > machine.agentEpoch && machine.agentEpoch > 0) {
+      this.#endAgentEpoch(machine, now);
     }
-    m.agentEpoch = heartbeat.agentEpoch;
-    m.lastStatusCounter = heartbeat.counter;
-    m.address = heartbeat.address;
-    m.reportedTaskCount = heartbeat.tasks.length;
-    m.lastStatusAt = now;
-    if (heartbeat.preemptionNoticeS !== null)
-      m.preemptionNoticeAt ??= now + heartbeat.preemptionNoticeS * 1000;
-    else m.preemptionNoticeAt = null;
+    noteContact(machine, heartbeat, now);
     const complete = heartbeat.fencingToken === this.state.term;
-    if (complete) {
-      // Whoever renewed this worker's lease under a lower term did so before it saw our token.
-      if (!m.known) {
-        m.leaseRenewedAt = Math.max(m.leaseRenewedAt, now);
-        m.knownSince = now;
-      }
-      m.known = true;
-      m.everConfirmed = true;
-      m.firstKnownAt ??= now;
-    }
-    if (direct) this.#heard(m);
-    const listed = new Set<string>();
-    m.unknownTaskCount = 0;
-    for (const t of heartbeat.tasks) {
-      listed.add(`${t.uid}/${t.index}@${t.attempt}`);
-      this.#reconcileTask(m, t, now, complete);
-    }
-    m.unknownTasksSince = m.unknownTaskCount === 0 ? null : (m.unknownTasksSince ?? now);
+    if (complete) confirm(machine, now);
+    if (source === 'command') commandArrived(machine);
+    const listed = this.#reconcileListed(machine, heartbeat.tasks, now, complete);
     if (!complete) return;
-    for (const p of [...m.tasks.values()]) {
-      if (listed.has(`${p.job.spec.uid}/${p.index}@${p.attempt}`)) continue;
-      if (p.observed) this.state.release(p, now);
-      else if (!direct && p.startSentCounter !== null && heartbeat.counter > p.startSentCounter) {
-        // One report is in flight at a time: this one left after the answer with the start was
-        // taken or given up, and the task is not here. The start is lost and may be given again.
-        p.startSentCounter = null;
-        this.#unheard(m, now);
-        if (!p.directStartUnsettled && (p.stop !== null || p.job.ended)) this.state.release(p, now);
-      }
+    this.#reconcileUnlisted(machine, listed, heartbeat.counter, now, source);
+    if (machine.preemptionNoticeAt !== null) this.#saveBeforePreemption(machine, now);
+  }
+
+  /** The worker's lease ran out: it killed everything it had. */
+  #endAgentEpoch(machine: MachineState, now: number): void {
+    const { leaseMs } = this.state.settings;
+    // If that happened although we have answered all the time, our answers do not arrive.
+    const { confirmedSince } = machine;
+    const answered = confirmedSince !== null && now - machine.leaseRenewedAt < leaseMs / 2;
+    if (answered && now - confirmedSince > leaseMs) this.#commandLost(machine, now);
+    for (const placement of [...machine.tasks.values()]) this.state.release(placement, now);
+    machine.unsettledDirectStarts.clear();
+  }
+
+  /** Reconciles the listed tasks; returns the keys of their attempts. */
+  #reconcileListed(
+    machine: MachineState,
+    tasks: readonly ReportedTask[],
+    now: number,
+    complete: boolean,
+  ): ReadonlySet<string> {
+    const listed = new Set<string>();
+    machine.unknownTaskCount = 0;
+    for (const task of tasks) {
+      listed.add(attemptKey(task));
+      this.#reconcileTask(machine, task, now, complete);
     }
-    if (m.preemptionNoticeAt !== null) this.#saveBeforeNotice(m, now);
+    machine.unknownTasksSince =
+      machine.unknownTaskCount === 0 ? null : (machine.unknownTasksSince ?? now);
+    return listed;
   }
 
-  #reconcileTask(m: MachineState, t: ReportedTask, now: number, complete: boolean): void {
-    const key = taskKey(t.uid, t.index);
-    const job = this.state.jobs.get(t.uid);
-    let p = m.tasks.get(key);
-    if (p !== undefined && p.attempt !== t.attempt) p = undefined;
-    if (t.state === 'exited') {
-      this.#reconcileExit(m, job, p, t, now);
+  #reconcileTask(machine: MachineState, task: ReportedTask, now: number, complete: boolean): void {
+    const job = this.state.jobs.get(task.uid);
+    let placement = machine.tasks.get(taskKey(task.uid, task.index));
+    if (placement !== undefined && placement.attempt !== task.attempt) placement = undefined;
+    if (task.state === 'exited') {
+      this.#reconcileExit(machine, job, placement, task, now);
       return;
     }
-    if (p === undefined) {
-      const adoptable =
-        complete &&
-        job !== undefined &&
-        !job.ended &&
-        job.ownTasks.has(t.index) &&
-        !job.placements.has(t.index) &&
-        !job.savedTasks.has(t.index) &&
-        !job.unsavedTasks.has(t.index) &&
-        !m.tasks.has(key);
-      if (!adoptable) {
-        m.unknownTaskCount += 1;
+    if (placement === undefined) {
+      if (!complete || job === undefined || !isAdoptable(machine, job, task)) {
+        machine.unknownTaskCount += 1;
         return;
       }
-      p = this.state.place(job, t.index, t.attempt, m, now, 'adopted');
-      p.observed = true;
+      placement = this.state.adopt(job, task.index, task.attempt, machine, now);
+    } else if (!placement.observed) {
+      // A start has had its effect: commands arrive.
+      commandArrived(machine);
+      placement.observed = true;
+    }
+    const before = placement.state;
+    placement.state = task.state;
+    if (task.state === 'running' && before !== 'running') {
+      placement.runningSince ??= now;
+      this.state.recordEvent('running', placement, now);
+      noteImage(machine, placement.job.spec);
+    } else if (task.state === 'waiting') noteImage(machine, placement.job.spec);
+  }
+
+  /** Placements that a complete list lacks have ended, or their start was lost. */
+  #reconcileUnlisted(
+    machine: MachineState,
+    listed: ReadonlySet<string>,
+    counter: number,
+    now: number,
+    source: StatusSource,
+  ): void {
+    for (const placement of [...machine.tasks.values()]) {
+      if (listed.has(placementKey(placement))) continue;
+      if (placement.observed) this.state.release(placement, now);
+      else if (source === 'heartbeat' && hasLostStart(placement, counter)) {
+        placement.startSentCounter = null;
+        this.#commandLost(machine, now);
+        const unwanted = placement.stop !== null || placement.job.ended;
+        if (!placement.directStartUnsettled && unwanted) this.state.release(placement, now);
+      }
     }
-    // An order has had its effect: what we say arrives.
-    if (!p.observed) this.#heard(m);
-    p.observed = true;
-    const before = p.state;
-    p.state = t.state;
-    if (t.state === 'running' && before !== 'running') {
-      p.runningSince ??= now;
-      this.state.recordEvent('running', p, now);
-      this.#noteImage(m, p.job.spec);
-    } else if (t.state === 'waiting') this.#noteImage(m, p.job.spec);
   }
 
   /** One lost answer is nothing; several in a row mean that none arrives. */
-  #unheard(m: MachineState, now: number): void {
-    m.consecutiveLostCommands += 1;
-    if (m.consecutiveLostCommands < LOST_COMMANDS_LIMIT) return;
-    m.commandsLostSince ??= now;
+  #commandLost(machine: MachineState, now: number): void {
+    machine.consecutiveLostCommands += 1;
+    if (machine.consecutiveLostCommands < LOST_COMMANDS_LIMIT) return;
+    machine.commandsLostSince ??= now;
     // Nothing more is to be started there; what never left us goes elsewhere.
-    for (const p of [...m.tasks.values()]) if (isUndispatched(p)) this.state.release(p, now);
+    for (const placement of [...machine.tasks.values()]) {
+      if (isUndispatched(placement)) this.state.release(placement, now);
+    }
   }
 
-  #heard(m: MachineState): void {
-    m.consecutiveLostCommands = 0;
-    m.commandsLostSince = null;
-  }
+  // --- ended tasks -------------------------------------------------------------------------------
 
-  #noteImage(m: MachineState, spec: JobSpec): void {
-    m.images.delete(spec.image);
-    m.images.set(spec.image, spec.imageGb);
-    let total = 0;
-    for (const gb of m.images.values()) total += gb;
-    for (const [image, gb] of m.images) {
-      if (m.type === null || total <= m.type.cacheGb) break;
-      m.images.delete(image);
-      total -= gb;
+  #reconcileExit(
+    machine: MachineState,
+    job: JobState | undefined,
+    placement: Placement | undefined,
+    task: ReportedTask,
+    now: number,
+  ): void {
+    if (job !== undefined && task.why === 'done' && isCompletable(job, task.index)) {
+      this.#recordCompletion(machine, job, placement, task.index, now);
     }
+    if (placement === undefined) return;
+    if (job !== undefined) this.#recordFailure(machine, job, task, now);
+    if (task.why === 'no_room') machine.backoffUntil = now + NO_ROOM_BACKOFF_MS;
+    this.state.release(placement, now, task.saved ? 'saved' : (task.why ?? 'gone'));
   }
 
-  #reconcileExit(
-    m: MachineState,
-    job: JobState | undefined,
-    p: Placement | undefined,
-    t: ReportedTask,
+  #recordCompletion(
+    machine: MachineState,
+    job: JobState,
+    placement: Placement | undefined,
+    index: number,
     now: number,
   ): void {
-    const service = job?.spec.kind === 'service';
-    if (
-      t.why === 'done' &&
-      job !== undefined &&
-      !service &&
-      !job.ended &&
-      job.ownTasks.has(t.index)
-    ) {
-      const indexes = job.spec.kind === 'gang' ? [...job.ownTasks] : [t.index];
-      const news = indexes.filter((i) => !job.savedTasks.has(i) && !job.unsavedTasks.has(i));
-      // Completed tasks stay in the list for a while. Taken as news each time, they would make a
-      // machine that fails everything look well.
-      if (news.length === 0 && p === undefined) return;
-      for (const i of news) job.unsavedTasks.add(i);
-      // A placed task is not in the queue, and looking through a queue of 100,000 for it is dear.
-      if (p === undefined || job.spec.kind === 'gang') {
-        job.waitingTasks = job.waitingTasks.filter((i) => !job.unsavedTasks.has(i));
-      }
-      this.#failures.taskSucceeded(m, job);
-      if (p !== undefined && p.runningSince !== null) {
-        const runS = (now - p.runningSince) / 1000;
-        this.state.finishedRuns.push({ jobClass: job.spec.jobClass, runS });
-      }
+    const completed = job.spec.kind === 'gang' ? [...job.ownTasks] : [index];
+    const newlyCompleted = completed.filter(
+      (task) => !job.savedTasks.has(task) && !job.unsavedTasks.has(task),
+    );
+    // Completed tasks stay in the list for a while. Counted as a success each time, they would make a
+    // machine that fails everything look healthy.
+    if (newlyCompleted.length === 0 && placement === undefined) return;
+    for (const task of newlyCompleted) job.unsavedTasks.add(task);
+    // A placed task is not in the queue, and looking through a queue of 100,000 for it is expensive.
+    if (placement === undefined || job.spec.kind === 'gang') {
+      job.waitingTasks = job.waitingTasks.filter((task) => !job.unsavedTasks.has(task));
     }
-    if (p === undefined) return;
-    if (t.why === 'error' && job !== undefined) this.#failures.taskFailed(m, job, now);
+    this.#failures.taskSucceeded(machine, job);
+    if (placement !== undefined && placement.runningSince !== null) {
+      const runS = (now - placement.runningSince) / 1000;
+      this.state.finishedRuns.push({ jobClass: job.spec.jobClass, runS });
+    }
+  }
+
+  #recordFailure(machine: MachineState, job: JobState, { why }: ReportedTask, now: number): void {
+    if (why === 'error') this.#failures.taskFailed(machine, job, now);
     // A replica that ends by itself starts again; one that does so at once, ever more slowly.
-    if (t.why === 'done' && service) this.#failures.countFailure(job!, now);
-    if (t.why === 'no_room') m.backoffUntil = now + NO_ROOM_BACKOFF_MS;
-    if (t.why === 'unknown' && job !== undefined) this.#failures.pauseJob(job, now);
-    this.state.release(p, now, t.saved ? 'saved' : (t.why ?? 'gone'));
+    if (why === 'done' && job.spec.kind === 'service') this.#failures.countFailure(job, now);
+    if (why === 'unknown') this.#failures.pauseJob(job, now);
   }
 
-  #saveBeforeNotice(m: MachineState, now: number): void {
-    for (const p of m.tasks.values()) {
-      const { checkpointS, saveS, kind } = p.job.spec;
+  #saveBeforePreemption(machine: MachineState, now: number): void {
+    for (const placement of machine.tasks.values()) {
+      const { checkpointS, saveS, kind } = placement.job.spec;
       // A replica loses nothing by being stopped; the sooner it is gone, the sooner it runs elsewhere.
-      if (p.stop === null && kind === 'service') this.state.requestStop(p, 0, now);
-      else if (p.stop === null && checkpointS > 0) this.state.requestStop(p, saveS + 1, now);
-      if (isUndispatched(p)) this.state.release(p, now);
+      if (placement.stop === null && kind === 'service') {
+        this.state.requestStop(placement, 0, now);
+      } else if (placement.stop === null && checkpointS > 0) {
+        this.state.requestStop(placement, saveS + 1, now);
+      }
+      if (isUndispatched(placement)) this.state.release(placement, now);
     }
   }
 }
+
+const noteContact = (machine: MachineState, heartbeat: Heartbeat, now: number): void => {
+  machine.agentEpoch = heartbeat.agentEpoch;
+  machine.lastStatusCounter = heartbeat.counter;
+  machine.address = heartbeat.address;
+  machine.reportedTaskCount = heartbeat.tasks.length;
+  machine.lastStatusAt = now;
+  const { preemptionNoticeS } = heartbeat;
+  if (preemptionNoticeS === null) machine.preemptionNoticeAt = null;
+  else machine.preemptionNoticeAt ??= now + preemptionNoticeS * 1000;
+};
+
+/** The worker has acknowledged our term. */
+const confirm = (machine: MachineState, now: number): void => {
+  if (machine.confirmedSince === null) {
+    // Whoever renewed this worker's lease under a lower term did so before it saw our token.
+    machine.leaseRenewedAt = Math.max(machine.leaseRenewedAt, now);
+    machine.confirmedSince = now;
+  }
+  machine.everConfirmed = true;
+};
+
+const commandArrived = (machine: MachineState): void => {
+  machine.consecutiveLostCommands = 0;
+  machine.commandsLostSince = null;
+};
+
+/** The job has the task, and it neither runs elsewhere nor is completed. */
+const isAdoptable = (machine: MachineState, job: JobState, { uid, index }: ReportedTask): boolean =>
+  !job.ended &&
+  job.ownTasks.has(index) &&
+  !job.placements.has(index) &&
+  !job.savedTasks.has(index) &&
+  !job.unsavedTasks.has(index) &&
+  !machine.tasks.has(taskKey(uid, index));
+
+/** A service is never completed: its replicas run until it is cancelled. */
+const isCompletable = (job: JobState, index: number): boolean =>
+  job.spec.kind !== 'service' && !job.ended && job.ownTasks.has(index);
+
+/**
+ * One heartbeat is in flight at a time: this one left after the answer with the start was taken or given up,
+ * and the task is not there. The start is lost and may be sent again.
+ */
+const hasLostStart = ({ startSentCounter }: Placement, counter: number): boolean =>
+  startSentCounter !== null && counter > startSentCounter;
+
+const noteImage = (machine: MachineState, spec: JobSpec): void => {
+  const { images, type } = machine;
+  images.delete(spec.image);
+  images.set(spec.image, spec.imageGb);
+  let totalGb = 0;
+  for (const gb of images.values()) totalGb += gb;
+  for (const [image, gb] of images) {
+    if (type === null || totalGb <= type.cacheGb) break;
+    images.delete(image);
+    totalGb -= gb;
+  }
+};
--- /dev/null
+++ b/src/core/shard/lease-expiry.ts
@@ -0,0 +1,37 @@
+/** What ends by the passing of time alone. */
+import { CLOCK_DRIFT } from '../../constants.js';
+import { UNDISPATCHED_START_TIMEOUT_MS, WORKER_LEASE_MARGIN_MS } from './constants.js';
+import { isUndispatched } from './placements.js';
+import type { ShardState } from './shard-state.js';
+import type { MachineState } from './types.js';
+
+/**
+ * Ends leases that ran out with all that ran under them, starts that were never sent, reservations that nobody
+ * used, and orphaned machines that are empty by then.
+ */
+export const expireLeases = (state: ShardState, now: number): void => {
+  const leaseMs = state.settings.leaseMs * (1 + CLOCK_DRIFT) + WORKER_LEASE_MARGIN_MS;
+  for (const machine of state.machines.values()) {
+    if (machine.confirmedSince !== null && now - machine.leaseRenewedAt > leaseMs) {
+      endLease(state, machine, now);
+    }
+    for (const placement of [...machine.tasks.values()]) {
+      const overdue = now - placement.placedAt > UNDISPATCHED_START_TIMEOUT_MS;
+      if (overdue && isUndispatched(placement)) state.release(placement, now);
+    }
+    if (machine.reservation !== null && now > machine.reservation.until) machine.reservation = null;
+    if (machine.lifecycle === 'orphaned' && machine.tasks.size === 0) {
+      state.removeMachine(machine.record.name, now);
+    }
+  }
+};
+
+/**
+ * Only our answers renew a lease under our term, and the last is too old: the worker has killed its tasks,
+ * whether or not it can be reached.
+ */
+const endLease = (state: ShardState, machine: MachineState, now: number): void => {
+  machine.confirmedSince = null;
+  machine.minimumAgentEpoch = machine.agentEpoch + 1;
+  for (const placement of [...machine.tasks.values()]) state.release(placement, now);
+};
--- a/src/core/shard/shard.ts
+++ b/src/core/shard/shard.ts
@@ -1,25 +1,47 @@
-import type { JobRecord, Command, Heartbeat, ReportedTask, TaskRange } from '../model.js';
-import {
-  type Changes,
-  type FinishedRun,
-  type JobState,
-  type MachineState,
-  type ShardSettings,
-  type ShardView,
-  type Placement,
-  type TaskEvent,
-} from './types.js';
-import { ShardState } from './shard-state.js';
+/**
+ * One shard under one term, as its owner uses it: records and heartbeats come in, commands go out. Time is passed
+ * in, in monotonic milliseconds; nothing here does input or output.
+ */
 import { allocationRatios } from '../capacity/allocation-ratio.js';
+import type { Command, Heartbeat, JobRecord, ReportedTask } from '../model.js';
 import { Quotas } from '../placement/quotas.js';
-import { CommandPlanner } from './command-planner.js';
 import { Scheduler } from '../placement/scheduler.js';
 import { Preemption } from '../preemption/preemption.js';
+import { CommandPlanner } from './command-planner.js';
 import { HeartbeatReconciler } from './heartbeat-reconciler.js';
+import { expireLeases } from './lease-expiry.js';
+import { beginMigration, endMigration, migratableTasks } from './range-migration.js';
+import * as queries from './shard-queries.js';
+import { ShardState } from './shard-state.js';
+import { StoreSynchronizer } from './store-synchronizer.js';
+import type {
+  Changes,
+  ClassActivity,
+  DirectCommandBatch,
+  FinishedRun,
+  JobState,
+  MachineState,
+  MigratableTasks,
+  Placement,
+  PreemptibleMachine,
+  ShardSettings,
+  ShardView,
+  TaskEvent,
+} from './types.js';
 
-export { hostsServiceReplicas as serves } from './types.js';
+export { isLeaving } from '../reachability/machine-health.js';
+export { hostsServiceReplicas } from './placements.js';
 export type { JobState, MachineState, ShardSettings, ShardView, Placement } from './types.js';
 
+/**
+ * What became of a heartbeat.
+ *
+ * - `answer`: it is to be answered with these commands, which renews the worker's lease;
+ * - `superseded`: the worker obeys a higher term, so this shard has another owner;
+ * - `old`: a newer one has been taken in;
+ * - `unanswered`: taken in, but the lease is withheld;
+ * - `unknown`: the machine is not one of this shard.
+ */
 export type HeartbeatResult =
   | { readonly kind: 'answer'; readonly commands: Command[] }
   | { readonly kind: 'superseded' }
@@ -27,17 +49,13 @@
   | { readonly kind: 'unanswered' }
   | { readonly kind: 'unknown' };
 
-const isLive = (t: ReportedTask): boolean => t.state !== 'exited';
-
-/**
- * One shard's state under one term: reports in, wanted commands out. Time is passed in; nothing here
- * does input or output.
- */
+/** One shard under one term. */
 export class Shard {
   readonly state: ShardState;
-  readonly #heartbeats: HeartbeatReconciler;
+  readonly #synchronizer: StoreSynchronizer;
+  readonly #reconciler: HeartbeatReconciler;
   readonly #commands: CommandPlanner;
-  readonly #placing: Scheduler;
+  readonly #scheduler: Scheduler;
 
   constructor(
     readonly index: number,
@@ -45,16 +63,44 @@
     settings: ShardSettings,
   ) {
     this.state = new ShardState(index, term, settings);
-    const limits = new Quotas(this.state);
-    this.#heartbeats = new HeartbeatReconciler(this.state);
+    const quotas = new Quotas(this.state);
+    this.#synchronizer = new StoreSynchronizer(this.state);
+    this.#reconciler = new HeartbeatReconciler(this.state);
     this.#commands = new CommandPlanner(this.state);
-    this.#placing = new Scheduler(this.state, limits, new Preemption(this.state, limits));
+    this.#scheduler = new Scheduler(this.state, quotas, new Preemption(this.state, quotas));
+  }
+
+  // --- records of the store ----------------------------------------------------------------------
+
+  /**
+   * Takes over the records of the store. With `changes` only what has changed since the last time is looked at.
+   * `nowOfDay` is the time of day in ms.
+   */
+  sync(view: ShardView, now: number, nowOfDay = 0, changes: Changes | null = null): void {
+    this.#synchronizer.sync(view, now, nowOfDay, changes);
+  }
+
+  /** Some record waits for a migration to end, so that `sync` is due without any change. */
+  get hasDeferredJobs(): boolean {
+    return this.#synchronizer.hasDeferredJobs;
+  }
+
+  /** The store shows these completions now. */
+  completionsSaved(uid: string, indexes: Iterable<number>): void {
+    this.state.completionsSaved(uid, indexes);
+  }
+
+  /** The machine is proven gone: what it ran may start elsewhere. */
+  removeMachine(name: string, now: number): void {
+    this.state.removeMachine(name, now);
   }
 
+  // --- heartbeats and commands -------------------------------------------------------------------
+
   /**
-   * A worker's report. `mayStart` is false while our authority is not proven: running work then
-   * keeps its lease by the answer, but nothing new begins. With `mayRenew` false what it says is
-   * taken in, but it gets no answer, so that its lease ends.
+   * Takes in a worker's heartbeat and finds its answer. `mayStart` is false while our authority is not proven:
+   * running work then keeps its lease by the answer, but nothing new begins. With `mayRenew` false what it says
+   * is taken in, but it gets no answer, so that its lease ends.
    */
   handleHeartbeat(
     heartbeat: Heartbeat,
@@ -62,164 +108,199 @@
     mayStart: boolean,
     mayRenew = true,
   ): HeartbeatResult {
-    const m = this.state.machines.get(heartbeat.machine);
-    if (m === undefined) return { kind: 'unknown' };
+    const machine = this.state.machines.get(heartbeat.machine);
+    if (machine === undefined) return { kind: 'unknown' };
     if (heartbeat.fencingToken > this.state.term) return { kind: 'superseded' };
-    // Packets held back by a cut come late, and so do copies of reports. What was made before the
-    // newest report says nothing new, and the worker does not wait for its answer any more.
-    const past = heartbeat.agentEpoch < Math.max(m.agentEpoch, m.minimumAgentEpoch);
-    if (
-      past ||
-      (heartbeat.agentEpoch === m.agentEpoch && heartbeat.counter <= m.lastHeartbeatCounter)
-    ) {
-      return { kind: 'old' };
-    }
-    m.lastHeartbeatCounter = heartbeat.counter;
-    m.lastHeartbeatAt = now;
-    if (heartbeat.agentEpoch === m.agentEpoch && heartbeat.counter <= m.lastStatusCounter) {
-      // Its answer to a direct command overtook this report. Sending it away would cost the worker
-      // its node, and an answer without orders does no harm.
+    if (isOutdated(machine, heartbeat)) return { kind: 'old' };
+    machine.lastHeartbeatCounter = heartbeat.counter;
+    machine.lastHeartbeatAt = now;
+    if (!isNewerStatus(machine, heartbeat)) {
+      // Its answer to a direct command overtook this heartbeat. Leaving it unanswered would cost the worker
+      // its lease, and an answer without commands does no harm.
       if (!mayRenew) return { kind: 'unanswered' };
-      m.leaseRenewedAt = now;
+      machine.leaseRenewedAt = now;
       return { kind: 'answer', commands: [] };
     }
-    this.#heartbeats.reconcile(m, heartbeat, now);
-    // An empty machine is renewed all the same: there is nothing on it that could go on too long.
-    if (
-      !mayRenew &&
-      (m.tasks.size + m.unsettledDirectStarts.size > 0 || heartbeat.tasks.some(isLive))
-    ) {
-      return { kind: 'unanswered' };
-    }
-    m.leaseRenewedAt = now;
+    this.#reconciler.reconcile(machine, heartbeat, now);
+    if (!mayRenew && mayRunTasks(machine, heartbeat)) return { kind: 'unanswered' };
+    machine.leaseRenewedAt = now;
     if (heartbeat.fencingToken !== this.state.term) {
-      // Orders of an earlier term may still reach this worker: its list is not complete yet. The
-      // answer raises its token, and the next report counts.
+      // Commands of an earlier term may still reach this worker: its list is not complete yet. The
+      // answer raises its fencing token, and the next heartbeat counts.
       return { kind: 'answer', commands: [] };
     }
-    // Room that this report shows is given away in its own answer.
-    if (mayStart) this.#placing.placeOn(m, now);
-    return {
-      kind: 'answer',
-      commands: this.#commands.answerHeartbeat(m, heartbeat, now, mayStart),
-    };
+    // Capacity that this heartbeat shows is used in its own answer.
+    if (mayStart) this.#scheduler.placeOn(machine, now);
+    const commands = this.#commands.answerHeartbeat(machine, heartbeat, now, mayStart);
+    return { kind: 'answer', commands };
   }
 
-  /** A report that came as the answer to direct commands. */
+  /** Takes in a task list that came as the answer to direct commands; it renews no lease. */
   handleCommandStatus(heartbeat: Heartbeat, now: number): void {
-    const m = this.state.machines.get(heartbeat.machine);
-    if (
-      m === undefined ||
-      heartbeat.fencingToken > this.state.term ||
-      heartbeat.agentEpoch < m.minimumAgentEpoch
-    )
-      return;
-    const newer =
-      heartbeat.agentEpoch > m.agentEpoch ||
-      (heartbeat.agentEpoch === m.agentEpoch && heartbeat.counter > m.lastStatusCounter);
-    if (newer) this.#heartbeats.reconcile(m, heartbeat, now, true);
+    const machine = this.state.machines.get(heartbeat.machine);
+    if (machine === undefined || heartbeat.fencingToken > this.state.term) return;
+    if (heartbeat.agentEpoch < machine.minimumAgentEpoch) return;
+    if (isNewerStatus(machine, heartbeat)) {
+      this.#reconciler.reconcile(machine, heartbeat, now, 'command');
+    }
+  }
+
+  /**
+   * Starts and stops that should not wait for the next heartbeat, of at most `maxMachines` machines. The caller
+   * tells the outcome of the starts to `directStartsSettled`, or nothing while it is in doubt.
+   */
+  directCommands(now: number, maxMachines = Infinity, mayStart = true): DirectCommandBatch[] {
+    return this.#commands.directCommands(now, maxMachines, mayStart);
+  }
+
+  /** Direct starts were carried out, or never will be. */
+  directStartsSettled(starts: readonly Placement[], executed: boolean): void {
+    this.#commands.directStartsSettled(starts, executed);
+  }
+
+  /** Stops a task, with seconds of grace to save its progress. */
+  requestStop(placement: Placement, graceS: number, now: number): void {
+    this.state.requestStop(placement, graceS, now);
+  }
+
+  // --- placement ---------------------------------------------------------------------------------
+
+  /** Places what fits, in order. Returns the jobs that found no capacity. */
+  placeAll(now: number): JobState[] {
+    return this.#scheduler.placeAll(now);
+  }
+
+  /** Jobs with tasks to place, most urgent first. */
+  queue(now: number): JobState[] {
+    return this.#scheduler.queue(now);
+  }
+
+  /** Ends leases that ran out with what ran under them, and whatever else ends by time alone. */
+  expireLeases(now: number): void {
+    expireLeases(this.state, now);
   }
 
-  // --- what the shard's state know -----------------------------------------------------------------------
+  // --- task migration to other shards ------------------------------------------------------------
+
+  /** Tasks of the job that may pass to another shard, if there are any. */
+  migratable(job: JobState, record: JobRecord): MigratableTasks | null {
+    return migratableTasks(this.state, job, record);
+  }
+
+  /** Takes the tasks from..to-1 out of the queue, before the transaction that passes them is sent. */
+  beginMigration(job: JobState, from: number, to: number): void {
+    beginMigration(job, from, to);
+  }
+
+  /** The outcome of the transaction is known. */
+  endMigration(job: JobState, passed: boolean, now: number): void {
+    endMigration(job, passed, now);
+  }
+
+  // --- state -------------------------------------------------------------------------------------
 
   get jobs(): ReadonlyMap<string, JobState> {
     return this.state.jobs;
   }
+
   get machines(): ReadonlyMap<string, MachineState> {
     return this.state.machines;
   }
+
+  /** What happened to tasks; the caller removes what it has logged. */
   get events(): TaskEvent[] {
     return this.state.events;
   }
+
+  /** Run times of completed tasks; the caller removes what it has counted. */
   get finishedRuns(): FinishedRun[] {
     return this.state.finishedRuns;
   }
+
+  /** No task can run anywhere by an earlier owner's command without a placement here. */
   get recovered(): boolean {
     return this.state.recovered;
   }
+
   get preemptionEnabled(): boolean {
     return this.state.settings.preempt;
   }
-  sync(view: ShardView, now: number, nowOfDay = 0, changes: Changes | null = null): void {
-    this.state.sync(view, now, nowOfDay, changes);
-  }
-  completionsSaved(uid: string, indexes: Iterable<number>): void {
-    this.state.completionsSaved(uid, indexes);
+
+  // --- reachability ------------------------------------------------------------------------------
+
+  /** See the table of `MachineHealth`. */
+  isFresh(machine: MachineState, now: number): boolean {
+    return this.state.health.isFresh(machine, now);
   }
-  removeMachine(name: string, now: number): void {
-    this.state.removeMachine(name, now);
+
+  /** See the table of `MachineHealth`. */
+  heartbeatsLost(machine: MachineState, now: number): boolean {
+    return this.state.health.heartbeatsLost(machine, now);
   }
-  requestStop(p: Placement, graceS: number, now: number): void {
-    this.state.requestStop(p, graceS, now);
+
+  /** See the table of `MachineHealth`. */
+  commandsLost(machine: MachineState, now: number): boolean {
+    return this.state.health.commandsLost(machine, now);
   }
-  expireLeases(now: number): void {
-    this.state.expireLeases(now);
+
+  /** Machines should send heartbeats, and none has done so for `forMs`. */
+  allHeartbeatsLost(now: number, forMs: number): boolean {
+    return queries.allHeartbeatsLost(this.state, now, forMs);
   }
+
+  /** Machines that have acknowledged our term but whose record does not say so yet. */
   newlyReadyMachines(): MachineState[] {
-    return this.state.newlyReadyMachines();
+    return queries.newlyReadyMachines(this.state);
   }
+
+  /** Machines that should be asked for their tasks by direct command. */
   machinesToProbe(): MachineState[] {
-    return this.state.machinesToProbe();
-  }
-  losesCommands(m: MachineState, now: number): boolean {
-    return this.state.health.losesCommands(m, now);
+    return queries.machinesToProbe(this.state);
   }
-  /** Machines of the shard should report, and none has done so for the time, however new the owner is. */
-  allHeartbeatsLost(now: number, forMs: number): boolean {
-    return this.state.allHeartbeatsLost(now, forMs);
-  }
-  isLost(m: MachineState, now: number): boolean {
-    return this.state.health.isLost(m, now);
-  }
-  isFresh(m: MachineState, now: number): boolean {
-    return this.state.health.isFresh(m, now);
-  }
-  /** Booked share of the shard for each rank, as `loadIndex` numbers them. */
+
+  // --- load, for routing and for other shards ----------------------------------------------------
+
+  /** Allocated share of the shard by rank and kind of machine, as `loadIndex` numbers them. */
   allocationRatios(now: number): number[] {
     return allocationRatios(this.state, now);
   }
+
+  /** Tasks of this priority rank or a higher one that wait for capacity. */
   waitingTasks(rank: number, now: number): number {
-    return this.state.waitingTasks(rank, now);
+    return queries.waitingTasks(this.state, rank, now);
   }
-  preemptibleMachines(now: number): { machine: MachineState; rank: number }[] {
-    return this.state.preemptibleMachines(now);
+
+  /** Tasks of each class, waiting or placed. */
+  activeTasksByClass(now: number): ClassActivity[] {
+    return queries.activeTasksByClass(this.state, now);
   }
-  activeTasksByClass(now: number): { jobClass: string; tasks: number }[] {
-    return this.state.activeTasksByClass(now);
+
+  /** Machines on which a job of some rank could preempt everything, with the least such rank. */
+  preemptibleMachines(now: number): PreemptibleMachine[] {
+    return queries.preemptibleMachines(this.state, now);
   }
+
+  /** Machines that could take a task now. */
   machinesWithFreeCapacity(now: number): MachineState[] {
-    return this.state.machinesWithFreeCapacity(now);
+    return queries.machinesWithFreeCapacity(this.state, now);
   }
+}
 
-  // --- passing -----------------------------------------------------------------------------------
+/**
+ * Packets held back by a partition come late, and so do copies of heartbeats. What was made before the newest
+ * heartbeat says nothing new, and the worker does not wait for its answer any more.
+ */
+const isOutdated = (machine: MachineState, { agentEpoch, counter }: Heartbeat): boolean =>
+  agentEpoch < Math.max(machine.agentEpoch, machine.minimumAgentEpoch) ||
+  (agentEpoch === machine.agentEpoch && counter <= machine.lastHeartbeatCounter);
 
-  migratable(job: JobState, record: JobRecord): { range: TaskRange; from: number } | null {
-    return this.state.migratable(job, record);
-  }
-  beginMigration(job: JobState, from: number, to: number): void {
-    this.state.beginMigration(job, from, to);
-  }
-  endMigration(job: JobState, passed: boolean, now: number): void {
-    this.state.endMigration(job, passed, now);
-  }
+/** Made after the newest task list that was taken in. */
+const isNewerStatus = (machine: MachineState, { agentEpoch, counter }: Heartbeat): boolean =>
+  agentEpoch > machine.agentEpoch ||
+  (agentEpoch === machine.agentEpoch && counter > machine.lastStatusCounter);
 
-  // --- placing and orders ------------------------------------------------------------------------
+/** An empty machine's lease is renewed in any case: there is nothing on it that could go on too long. */
+const mayRunTasks = (machine: MachineState, { tasks }: Heartbeat): boolean =>
+  machine.tasks.size + machine.unsettledDirectStarts.size > 0 || tasks.some(isLive);
 
-  /** Places what fits, in order. Returns the jobs that found no room. */
-  placeAll(now: number): JobState[] {
-    return this.#placing.placeAll(now);
-  }
-  queue(now: number): JobState[] {
-    return this.#placing.queue(now);
-  }
-  directCommands(
-    now: number,
-    most = Infinity,
-    mayStart = true,
-  ): ReturnType<CommandPlanner['directCommands']> {
-    return this.#commands.directCommands(now, most, mayStart);
-  }
-  directStartsSettled(starts: readonly Placement[], executed: boolean): void {
-    this.#commands.directStartsSettled(starts, executed);
-  }
-}
+const isLive = ({ state }: ReportedTask): boolean => state !== 'exited';
--- /dev/null
+++ b/src/core/shard/store-synchronizer.ts
@@ -0,0 +1,172 @@
+/** Reconciles the jobs and machines of one shard with the records of the store. */
+import { decodeDone } from '../jobs/jobs.js';
+import { TaskSet } from '../jobs/task-set.js';
+import {
+  PRIORITY_RANK,
+  shareOf,
+  ZERO,
+  type JobRecord,
+  type MachineRecord,
+  type TaskRange,
+} from '../model.js';
+import { constraintKey } from '../placement/constraints.js';
+import { dominant } from '../placement/pairing.js';
+import type { ShardState } from './shard-state.js';
+import type { Changes, JobState, MachineState, ShardView } from './types.js';
+
+/** Takes over what the store says about a shard: its jobs and machines come and go by it. */
+export class StoreSynchronizer {
+  /** jobs with a migration under way, whose records are applied once it is settled */
+  readonly #deferredJobs = new Set<string>();
+
+  constructor(private readonly state: ShardState) {}
+
+  /** Some record could not be applied yet, so that another synchronisation is due without any change. */
+  get hasDeferredJobs(): boolean {
+    return this.#deferredJobs.size > 0;
+  }
+
+  /** With `changes` only what has changed since the last time is looked at. `nowOfDay` is in ms. */
+  sync(view: ShardView, now: number, nowOfDay: number, changes: Changes | null): void {
+    if (changes === null || changes.machines) this.#syncMachines(view, now);
+    const { jobs, index } = this.state;
+    const uids = new Set(changes?.jobs ?? [...jobs.keys(), ...view.jobs.keys()]);
+    for (const uid of this.#deferredJobs) uids.add(uid);
+    this.#deferredJobs.clear();
+    for (const uid of uids) {
+      const record = view.jobs.get(uid)?.value;
+      if (record !== undefined) this.#syncJob(record, view, now, nowOfDay);
+      const job = jobs.get(uid);
+      const stays = record?.ranges.some((range) => range.shard === index) ?? false;
+      if (job !== undefined && !stays) this.state.endJob(job, now);
+    }
+  }
+
+  // --- machines ----------------------------------------------------------------------------------
+
+  #syncMachines(view: ShardView, now: number): void {
+    const { state } = this;
+    for (const { value: record } of view.machines.values()) {
+      if (record.shard !== state.index) {
+        // It may come back when machines are rebalanced.
+        state.terminatedMachines.delete(record.name);
+        continue;
+      }
+      const present = state.machines.get(record.name);
+      if (present !== undefined) this.#updateRecord(present, record);
+      else if (!state.terminatedMachines.has(record.name)) this.#addMachine(record, now);
+    }
+    for (const machine of [...state.machines.values()]) {
+      const record = view.machines.get(machine.record.name)?.value;
+      if (record !== undefined && record.shard === state.index) continue;
+      // A record that goes without our having returned the machine says nothing of the machine: what runs
+      // there is gone only when the lease that we renewed last has run out.
+      machine.lifecycle = 'orphaned';
+      if (machine.tasks.size === 0) state.removeMachine(machine.record.name, now);
+    }
+  }
+
+  #updateRecord(machine: MachineState, record: MachineRecord): void {
+    if (record.term !== this.state.term) this.state.machinesChanged();
+    machine.record = record;
+  }
+
+  #addMachine(record: MachineRecord, now: number): void {
+    const { settings, machines } = this.state;
+    this.state.machinesChanged();
+    const type = settings.types.get(record.type) ?? null;
+    machines.set(record.name, {
+      record,
+      type,
+      trackedSince: now,
+      address: null,
+      agentEpoch: 0,
+      minimumAgentEpoch: 0,
+      lastStatusCounter: -1,
+      lastStatusAt: -Infinity,
+      lastHeartbeatCounter: -1,
+      lastHeartbeatAt: -Infinity,
+      leaseRenewedAt: -Infinity,
+      confirmedSince: null,
+      everConfirmed: false,
+      commandsLostSince: null,
+      consecutiveLostCommands: 0,
+      tasks: new Map(),
+      free: type ?? ZERO,
+      idleSince: now,
+      reservation: null,
+      reportedTaskCount: 0,
+      unknownTaskCount: 0,
+      unknownTasksSince: null,
+      forgettableSince: null,
+      unsettledDirectStarts: new Set(),
+      images: new Map(settings.imagesOf(record.name)),
+      faultStatus: 'healthy',
+      failedJobs: new Map(),
+      lifecycle: 'in-service',
+      terminating: false,
+      cordoned: false,
+      preemptionNoticeAt: null,
+      backoffUntil: -Infinity,
+    });
+  }
+
+  // --- jobs --------------------------------------------------------------------------------------
+
+  #syncJob(record: JobRecord, view: ShardView, now: number, nowOfDay: number): void {
+    const { uid } = record.spec;
+    let job = this.state.jobs.get(uid);
+    if (job !== undefined && job.migratingTasks.length > 0) {
+      this.#deferredJobs.add(uid);
+      return;
+    }
+    for (const range of record.ranges) {
+      if (range.shard !== this.state.index || job?.ownTasks.has(range.from) === true) continue;
+      job ??= this.#addJob(record, now, nowOfDay);
+      this.#addRange(job, range, view.done(uid, range.from));
+    }
+  }
+
+  #addJob({ spec, at }: JobRecord, now: number, nowOfDay: number): JobState {
+    const demandShare = shareOf(spec.demand, this.state.largest);
+    const job: JobState = {
+      spec,
+      priorityRank: PRIORITY_RANK[spec.priority],
+      demandShare,
+      dominantResource: dominant(demandShare),
+      constraintKey: constraintKey(spec),
+      acceptedAt: at,
+      // A new owner counts a job's age on, rather than anew.
+      acceptedAtSteady: now - Math.max(0, nowOfDay - at),
+      waitingTasks: [],
+      ownTasks: new TaskSet(),
+      inheritedTasks: new TaskSet(),
+      placements: new Map(),
+      savedTasks: new TaskSet(),
+      unsavedTasks: new Set(),
+      ended: false,
+      pausedUntil: -Infinity,
+      consecutiveFailures: 0,
+      lastFailureAt: -Infinity,
+      avoidedMachines: new Map(),
+      startDeadline: Infinity,
+      gangBroken: false,
+      unschedulableSince: null,
+      migratingTasks: [],
+      nextMigrationAt: -Infinity,
+    };
+    this.state.jobs.set(spec.uid, job);
+    return job;
+  }
+
+  #addRange(job: JobState, range: TaskRange, doneBits: string | undefined): void {
+    const done = doneBits === undefined ? new Set<number>() : decodeDone(range, doneBits);
+    for (let task = range.from; task < range.to; task++) {
+      job.ownTasks.add(task);
+      if (range.term !== this.state.term) job.inheritedTasks.add(task);
+      // A service is never done, whatever somebody may have saved of it.
+      if (done.has(task) && job.spec.kind !== 'service') job.savedTasks.add(task);
+      else job.waitingTasks.push(task);
+    }
+  }
+}
--- a/src/core/shard/types.ts
+++ b/src/core/shard/types.ts
@@ -1,131 +1,194 @@
+/**
+ * The data that the modules of one shard share: its jobs, its machines, and which task is where. `ShardState`
+ * holds it. Times are monotonic milliseconds unless a name or comment says otherwise.
+ */
 import type {
+  Command,
   JobRecord,
   JobSpec,
   MachineRecord,
   MachineType,
   ResourceKind,
   Resources,
+  TaskRange,
   Team,
 } from '../model.js';
 
-import type { TaskSet } from '../jobs/task-set.js';
+/** Task numbers of one job, iterated in ascending order. */
+export interface TaskNumbers extends Iterable<number> {
+  readonly size: number;
+  has(task: number): boolean;
+  add(task: number): this;
+  delete(task: number): boolean;
+}
+
+/** A stop that a task has been or is to be sent. */
+export interface StopRequest {
+  readonly requestedAt: number;
+  /** seconds that the task has to save its progress */
+  readonly graceS: number;
+  /** a direct command has carried it; heartbeat answers repeat it in any case */
+  sentDirect: boolean;
+}
 
 /**
- * What one shard knows of its jobs, its machines and which task is where: the data that the modules of a
- * shard share. PartState keeps them up to date.
+ * A task on a machine, from the decision to start it until it is proven gone. How far its start has come is
+ * told by `observed`, `directStartUnsettled` and `startSentCounter`, which do not exclude each other: a start
+ * may travel by direct command and by heartbeat answer at once. See `isUndispatched`.
  */
-
-/** A task on a machine, from the decision to start it until it is proven gone. */
 export interface Placement {
   readonly job: JobState;
   readonly index: number;
   readonly attempt: number;
   readonly machine: MachineState;
-  state: 'ordered' | 'fetching' | 'waiting' | 'running' | 'saving';
+  state: 'placed' | 'fetching' | 'waiting' | 'running' | 'saving';
   readonly placedAt: number;
-  /** counter of the report whose answer carried the start; null: not sent yet */
+  /** counter of the heartbeat whose answer carried the start; null: in no answer, or that answer was lost */
   startSentCounter: number | null;
+  /** the worker has listed this attempt */
   observed: boolean;
-  /** a start was sent directly and may be carried out at any time until the session ends */
+  /** a start was sent by direct command and may be carried out at any time until the agent epoch ends */
   directStartUnsettled: boolean;
   runningSince: number | null;
-  stop: { at: number; graceS: number; sentDirect: boolean } | null;
+  stop: StopRequest | null;
 }
 
+/** The tasks of one job that belong to this shard. */
 export interface JobState {
   readonly spec: JobSpec;
   readonly priorityRank: number;
-  /** demand as a share of C', and its dominant resource */
+  /** demand as a share of the largest capacity (C' of the paper), and its dominant resource */
   readonly demandShare: Resources;
   readonly dominantResource: ResourceKind;
-  /** what decides where it may go, besides its size */
+  /** equal for jobs whose placement constraints, besides size, are equal */
   readonly constraintKey: string;
+  /** time of day, ms */
   readonly acceptedAt: number;
-  /** accepted, by the steady clock, ms */
+  /** the same moment by the monotonic clock */
   readonly acceptedAtSteady: number;
-  /** tasks of this shard that are neither saved nor placed, in order of number */
+  /** tasks of this shard that are neither completed nor placed, in the order in which they are placed */
   waitingTasks: number[];
-  readonly ownTasks: TaskSet;
+  readonly ownTasks: TaskNumbers;
   /** tasks that an earlier owner of the shard may have started */
-  readonly inheritedTasks: TaskSet;
+  readonly inheritedTasks: TaskNumbers;
   readonly placements: Map<number, Placement>;
-  readonly savedTasks: TaskSet;
+  /** completed tasks, as far as the store shows them */
+  readonly savedTasks: TaskNumbers;
+  /** completed tasks that the store does not show yet */
   readonly unsavedTasks: Set<number>;
-  /** done or cancelled: nothing starts, what runs is stopped */
+  /** completed or cancelled: nothing starts, what runs is stopped */
   ended: boolean;
+  /** end of the backoff after failures */
   pausedUntil: number;
   consecutiveFailures: number;
-  /** steady ms of the last of them */
   lastFailureAt: number;
+  /** by machine name: until when the job is not placed there */
   readonly avoidedMachines: Map<string, number>;
-  /** by when its tasks should start, steady ms, as of the last look at the queue */
+  /** by when its tasks should start, as of the last look at the queue */
   startDeadline: number;
-  /** a gang that lost a task: nothing starts before all of it is gone */
+  /** a gang that lost a task: nothing of it starts before all of it is gone */
   gangBroken: boolean;
-  /** since when tasks wait without room, steady ms */
+  /** since when its tasks wait without finding capacity */
   unschedulableSince: number | null;
-  /** tasks that are being passed to another shard: they start nowhere until that is settled */
+  /** tasks of a migration under way: they start nowhere until it is settled */
   migratingTasks: number[];
-  /** the earliest time of the next pass */
   nextMigrationAt: number;
 }
 
-export interface MachineState {
-  record: MachineRecord;
-  readonly type: MachineType | null;
-  readonly trackedSince: number;
+/** By which messages of its worker a machine is known, and which of them are out of date. */
+export interface AgentContact {
   address: string | null;
+  /** one life of the worker process: its tasks end with it */
   agentEpoch: number;
-  lastStatusCounter: number;
-  /** counter of the newest report that came by itself, not as the answer to a command */
-  lastHeartbeatCounter: number;
-  /** since when orders show no effect: reports come, but what we say does not arrive */
-  commandsLostSince: number | null;
-  /** orders in a row that showed no effect */
-  consecutiveLostCommands: number;
-  /** sessions below this are over, by the clock */
+  /** agent epochs below this have ended, by the expiry of their lease */
   minimumAgentEpoch: number;
+  /** counter and time of the newest task list, be it a heartbeat or the answer to a command */
+  lastStatusCounter: number;
   lastStatusAt: number;
-  /** the newest report that came by itself: only its answer renews the worker's lease */
+  /** the same of the newest heartbeat: only its answer renews the worker's lease */
+  lastHeartbeatCounter: number;
   lastHeartbeatAt: number;
   leaseRenewedAt: number;
-  /** a report under our term has come: its task list is complete */
-  known: boolean;
-  knownSince: number;
+}
+
+/** What the messages of a machine show; the states that follow from it are defined in `MachineHealth`. */
+export interface MachineReachability {
+  /** since when the worker has acknowledged our term, so that its task list is complete; null: it has not */
+  confirmedSince: number | null;
+  /** it had acknowledged our term at some time, even if its lease has expired since */
   everConfirmed: boolean;
-  firstKnownAt: number | null;
-  preemptionNoticeAt: number | null;
+  /** since when commands have shown no effect although heartbeats arrive; null: they arrive */
+  commandsLostSince: number | null;
+  consecutiveLostCommands: number;
+}
+
+/**
+ * Whether failed tasks are the machine's fault, as `FailureTracker` judges it.
+ *
+ * - `healthy`: no credible failure since the last task that completed there;
+ * - `probation`: may be faulty, so it gets one task at a time until one completes;
+ * - `quarantined`: taken for faulty, nothing starts there and it is returned to the cloud.
+ */
+export type FaultStatus = 'healthy' | 'probation' | 'quarantined';
+
+/**
+ * Whether the shard wants to keep a machine.
+ *
+ * - `in-service`: yes;
+ * - `draining`: it is to be emptied and returned, since it is quarantined;
+ * - `orphaned`: its record is gone or another shard's although this shard has not returned it. Final.
+ */
+export type MachineLifecycle = 'in-service' | 'draining' | 'orphaned';
+
+/** A machine kept free for a job. */
+export interface Reservation {
+  readonly uid: string;
+  readonly until: number;
+  /** the job is a gang that has not enough machines in sight yet */
+  readonly partial: boolean;
+}
+
+/** What runs on a machine and what else its worker lists. */
+export interface MachineWorkload {
+  /** by `taskKey` */
   readonly tasks: Map<string, Placement>;
-  /** reported tasks that have no place in our state and are being stopped */
+  /** capacity without the demand of `tasks` */
+  free: Resources;
+  idleSince: number;
+  reservation: Reservation | null;
+  /** tasks in the newest list, ended ones included */
+  reportedTaskCount: number;
+  /** listed tasks that have no placement here and are being stopped */
   unknownTaskCount: number;
   unknownTasksSince: number | null;
   /** since when the worker lists completed tasks that it could forget */
   forgettableSince: number | null;
-  /** attempts whose direct start may still be under way: forgetting them could start them again */
+  /** by `attemptKey`: attempts whose direct start may still arrive; a worker that forgot one could rerun it */
   readonly unsettledDirectStarts: Set<string>;
+  /** images in the worker's cache with their size in GB, the one used last at the end */
   readonly images: Map<string, number>;
-  /** jobs that failed here since the last task that completed here */
+}
+
+/** One machine of the shard. */
+export interface MachineState extends AgentContact, MachineReachability, MachineWorkload {
+  record: MachineRecord;
+  readonly type: MachineType | null;
+  /** since when this shard, under this term, has had the machine */
+  readonly trackedSince: number;
+  faultStatus: FaultStatus;
+  /** jobs that failed here since the last task that completed here, by uid */
   readonly failedJobs: Map<string, JobState>;
-  /** may be faulty: one task at a time until one completes */
-  onProbation: boolean;
-  /** taken for faulty: nothing starts there, and it goes back to the cloud */
-  quarantined: boolean;
-  /** to be returned: no starts, and what runs is stopped */
-  draining: boolean;
-  /** its record is gone or another shard's, although we have not returned it */
-  orphaned: boolean;
+  lifecycle: MachineLifecycle;
+  /** the cloud was asked to end it. May hold in any lifecycle state: the record goes before or after. */
   terminating: boolean;
-  /** chosen to move to another shard: no starts, what runs goes on */
+  /** chosen to move to another shard: no starts, what runs goes on. Set and lifted by shard rebalancing. */
   cordoned: boolean;
-  /** tasks that its newest report lists, ended ones included */
-  reportedTaskCount: number;
+  preemptionNoticeAt: number | null;
+  /** a start was refused for want of capacity; no further one until then */
   backoffUntil: number;
-  /** kept for a job; partial: its gang has not enough machines in sight yet */
-  reservation: { uid: string; until: number; partial: boolean } | null;
-  idleSince: number;
-  free: Resources;
 }
 
+/** Settings and look-ups that the shard takes from the service. */
 export interface ShardSettings {
   readonly heartbeatIntervalMs: number;
   readonly leaseMs: number;
@@ -133,60 +196,74 @@
   readonly teams: ReadonlyMap<string, Team>;
   readonly types: ReadonlyMap<string, MachineType>;
   readonly preempt: boolean;
-  /** images that an earlier owner knew on a machine, with their sizes */
+  /** images that an earlier owner knew on a machine, with their sizes in GB */
   readonly imagesOf: (machine: string) => ReadonlyMap<string, number>;
   /** seconds from acceptance by which tasks of a class should start, the earliest first */
   readonly startObjectives: (jobClass: string) => readonly number[];
 }
 
-/** How much was looked at for decisions since the shard was built: it must not grow with the fleet. */
+/** How much the scheduler has looked at since the shard was built: it must not grow with the fleet. */
 export interface WorkCounters {
-  /** machines that were tried for a task or a pair */
+  /** machines tried for a task or a pair */
   machinesVisited: number;
-  /** waiting jobs that were compared with another one */
+  /** waiting jobs compared with another one */
   jobsCompared: number;
 }
 
-/** What has changed in the state service since the last look. */
+/** Records that have changed in the store since the last synchronisation. */
 export interface Changes {
   readonly jobs: ReadonlySet<string>;
   readonly machines: boolean;
 }
 
-/** What the state service says about this shard. */
+/** The records of the store that concern this shard. */
 export interface ShardView {
   readonly jobs: ReadonlyMap<string, { readonly value: JobRecord }>;
-  /** completed tasks of a range of this shard, as saved */
+  /** bitmap of the completed tasks of the range that begins at `from`, as saved */
   done(uid: string, from: number): string | undefined;
   readonly machines: ReadonlyMap<string, { readonly value: MachineRecord }>;
 }
 
+/** Something that happened to a task, for the log. */
 export interface TaskEvent {
   readonly type: 'placed' | 'running' | 'ended' | 'released' | 'adopted' | 'stopping';
   readonly uid: string;
   readonly index: number;
   readonly machine: string;
   readonly attempt: number;
-  /** s since the job was seen here */
+  /** seconds since the job was accepted */
   readonly afterS: number;
   readonly detail?: string;
 }
 
+/** How long a completed task ran, for the estimates of its class. */
 export interface FinishedRun {
   readonly jobClass: string;
   readonly runS: number;
 }
 
-export const attemptKey = (p: Placement) => `${p.job.spec.uid}/${p.index}@${p.attempt}`;
+/** A machine on which a job of `rank` or a higher one could preempt everything. */
+export interface PreemptibleMachine {
+  readonly machine: MachineState;
+  readonly rank: number;
+}
 
-/** No order to start it has left: it can be taken back at once. */
-export const isUndispatched = (p: Placement): boolean =>
-  !p.observed && !p.directStartUnsettled && p.startSentCounter === null;
+/** Tasks of one class, waiting or placed. */
+export interface ClassActivity {
+  readonly jobClass: string;
+  readonly tasks: number;
+}
 
-/** Replicas of services run there. */
-export const hostsServiceReplicas = (m: MachineState): boolean => {
-  for (const p of m.tasks.values()) if (p.job.spec.kind === 'service' && p.observed) return true;
-  return false;
-};
+/** Tasks at the end of `range`, from number `from` on, that may pass to another shard. */
+export interface MigratableTasks {
+  readonly range: TaskRange;
+  readonly from: number;
+}
 
-export const taskKey = (uid: string, index: number) => `${uid}/${index}`;
+/** Commands to one machine that should not wait for its next heartbeat. */
+export interface DirectCommandBatch {
+  readonly machine: MachineState;
+  readonly commands: Command[];
+  /** the placements whose starts are among the commands */
+  readonly starts: Placement[];
+}
--- a/src/rebalancing/shard-mover.ts
+++ b/src/rebalancing/shard-mover.ts
@@ -10,14 +10,19 @@
 import type { Logger } from 'pino';
 import type { SharesConfig } from '../config/shares.js';
 import { MOVE_REASON_MS } from './constants.js';
-import { serves, type MachineState, type Shard } from '../core/shard/shard.js';
+import {
+  hostsServiceReplicas,
+  isLeaving,
+  type MachineState,
+  type Shard,
+} from '../core/shard/shard.js';
 import type { Owned, ShardController } from '../shards/shard-controller.js';
 import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import { movesIn, obstacleOf } from './move-coordinator.js';
 
 const unfitness = (shard: Shard, m: MachineState, now: number): string | null => {
-  if (m.terminating || m.draining || m.quarantined || m.orphaned) return 'is to be returned';
+  if (isLeaving(m)) return 'is to be returned';
   if (m.preemptionNoticeAt !== null) return 'has a notice';
   if (!m.record.up) return 'is not up yet';
   if (!shard.isFresh(m, now) || m.commandsLostSince !== null) return 'cannot be reached';
@@ -39,7 +44,7 @@
     zone,
     spot,
     tasks: m.tasks.size,
-    endless: serves(m),
+    endless: hostsServiceReplicas(m),
     unfit,
     settled: unfit === null && empty && m.cordoned,
   };
--- a/src/service/summary.ts
+++ b/src/service/summary.ts
@@ -16,7 +16,7 @@
     placed += job.placements.size;
   }
   const machines = [...shard.machines.values()];
-  const known = machines.filter((m) => m.known);
+  const known = machines.filter((m) => m.confirmedSince !== null);
   const idle = known.filter((m) => m.tasks.size === 0).length;
   return {
     part: index,
--- a/src/shards/shard-controller.ts
+++ b/src/shards/shard-controller.ts
@@ -270,8 +270,7 @@
         continue;
       }
       const everything = present.fresh || changes.all;
-      const { unsynced } = present.shard.state;
-      const changed = changes.machines || changes.jobs.size > 0 || unsynced.size > 0;
+      const changed = changes.machines || changes.jobs.size > 0 || present.shard.hasDeferredJobs;
       if (!everything && !changed) continue;
       present.fresh = false;
       present.shard.sync(
--- a/test/failing-jobs.test.ts
+++ b/test/failing-jobs.test.ts
@@ -24,7 +24,7 @@
   readonly why: 'done' | 'error';
 }
 
-/** Machines with workers that obey at once; faulty jobs fail everywhere, faulty machines everything. */
+/** Machines with workers that execute commands at once; faulty jobs fail everywhere, faulty machines everything. */
 class Fleet {
   readonly store = new Store();
   readonly shard: Shard;
@@ -56,25 +56,28 @@
     for (; this.now < untilMs; this.now += STEP_MS) {
       this.shard.expireLeases(this.now);
       this.shard.placeAll(this.now);
-      for (const name of this.store.machines.keys()) this.#beat(name);
-      for (const m of this.shard.machines.values()) {
-        if (m.quarantined) this.quarantined.add(m.record.name);
+      for (const name of this.store.machines.keys()) this.#exchangeHeartbeat(name);
+      for (const machineState of this.shard.machines.values()) {
+        if (machineState.faultStatus === 'quarantined')
+          this.quarantined.add(machineState.record.name);
       }
     }
   }
 
-  #beat(name: string): void {
+  #exchangeHeartbeat(name: string): void {
     const result = this.shard.handleHeartbeat(this.#heartbeat(name), this.now, true);
     if (result.kind !== 'answer') return;
     let tasks = this.#tasks.get(name) ?? [];
-    for (const c of result.commands) {
-      const same = (t: Running) =>
-        t.uid === c.uid && t.index === c.index && t.attempt === c.attempt;
-      if (c.op !== 'start') tasks = tasks.filter((t) => !same(t));
+    for (const command of result.commands) {
+      const same = (task: Running) =>
+        task.uid === command.uid &&
+        task.index === command.index &&
+        task.attempt === command.attempt;
+      if (command.op !== 'start') tasks = tasks.filter((task) => !same(task));
       else if (!tasks.some(same)) {
-        const fails = this.faultyMachines.has(name) || this.faultyJobs.has(c.uid);
+        const fails = this.faultyMachines.has(name) || this.faultyJobs.has(command.uid);
         const endsAt = this.now + (fails ? FAIL_MS : RUN_MS);
-        const { uid, index, attempt } = c;
+        const { uid, index, attempt } = command;
         tasks.push({ uid, index, attempt, endsAt, why: fails ? 'error' : 'done' });
         this.starts.set(uid, (this.starts.get(uid) ?? 0) + 1);
       }
@@ -85,13 +88,14 @@
   #heartbeat(name: string): Heartbeat {
     const counter = (this.#counters.get(name) ?? 0) + 1;
     this.#counters.set(name, counter);
-    const tasks = (this.#tasks.get(name) ?? []).map((t) => {
-      const over = t.endsAt <= this.now;
-      if (over && t.why === 'done') this.shard.completionsSaved(t.uid, [t.index]);
+    const tasks = (this.#tasks.get(name) ?? []).map((task) => {
+      const over = task.endsAt <= this.now;
+      if (over && task.why === 'done') this.shard.completionsSaved(task.uid, [task.index]);
       const state = over ? ('exited' as const) : ('running' as const);
-      return { ...t, state, why: over ? t.why : null, saved: false };
+      return { ...task, state, why: over ? task.why : null, saved: false };
     });
-    for (const t of tasks) if (t.why === 'done') this.done.set(`${t.uid}/${t.index}`, this.now);
+    for (const task of tasks)
+      if (task.why === 'done') this.done.set(`${task.uid}/${task.index}`, this.now);
     return {
       machine: name,
       address: 'none:1',
@@ -177,7 +181,7 @@
   fleet.submit({ uid: 'job-91', kind: 'gang', tasks: 2 });
   const allPaused = () =>
     [...fleet.shard.jobs.values()].every(
-      (j) => j.pausedUntil > fleet.now && j.placements.size === 0,
+      (jobState) => jobState.pausedUntil > fleet.now && jobState.placements.size === 0,
     );
   do fleet.run(fleet.now + STEP_MS);
   while (!allPaused() && fleet.now < 120_000);
@@ -196,11 +200,11 @@
     for (const uid of ['job-20', 'job-21']) fleet.submit({ uid, ...small });
     fleet.run(RUN_MS - offset + 2 * STEP_MS);
     fleet.submit({ uid: 'job-22', ...small });
-    const m = fleet.shard.machines.get('m000')!;
+    const machineState = fleet.shard.machines.get('m000')!;
     const verdicts: boolean[] = [];
     for (let at = fleet.now + STEP_MS; at < 2 * RUN_MS; at += STEP_MS) {
       fleet.run(at);
-      verdicts.push(m.quarantined);
+      verdicts.push(machineState.faultStatus === 'quarantined');
     }
     assert.equal(fleet.completed('job-10'), 1);
     const first = verdicts.indexOf(true);
@@ -216,14 +220,16 @@
   fleet.run(2000);
   for (const uid of faulty) fleet.submit({ uid, demand: { cpus: 1, gpus: 0, memoryGb: 1 } });
   fleet.run(12_000);
-  const m = fleet.shard.machines.get('m000')!;
+  const machineState = fleet.shard.machines.get('m000')!;
+  const isQuarantined = () => machineState.faultStatus === 'quarantined';
+  const isInService = () => machineState.lifecycle === 'in-service';
   planCapacity(capacityInput(fleet));
   assert.ok(
-    m.quarantined && m.draining,
+    isQuarantined() && !isInService(),
     'two jobs failed there, and there is no other machine yet',
   );
   for (let i = 1; i < 4; i++) fleet.store.add(machine(`m00${i}`));
   fleet.shard.sync(fleet.store, fleet.now);
   fleet.run(25_000);
-  assert.ok(!m.quarantined && !m.draining, 'they fail elsewhere, too');
+  assert.ok(!isQuarantined() && isInService(), 'they fail elsewhere, too');
 });
--- a/test/helpers.ts
+++ b/test/helpers.ts
@@ -74,7 +74,7 @@
   ...over,
 });
 
-/** The state service's tables as a shard sees them. */
+/** The store's records as a shard sees them. */
 export class Store {
   readonly jobs = new Map<string, { value: JobRecord }>();
   /** bitmaps by `<uid>/<first task>` */
--- a/test/machine-faults.test.ts
+++ b/test/machine-faults.test.ts
@@ -9,7 +9,7 @@
 const RUN_MS = 20_000;
 const HEARTBEAT_MS = settings().heartbeatIntervalMs;
 
-/** What the shard would give back to the cloud now. */
+/** What the shard would return to the cloud now. */
 const returns = (shard: Shard, now: number): string[] => {
   const input: CapacityInput = {
     shard,
@@ -31,20 +31,25 @@
   return planCapacity(input).returns.map((g) => g.name);
 };
 
-/** A report and its answer, which reaches the worker or not. */
-const beat = (shard: Shard, w: FakeWorker, now: number, hears = true): readonly Command[] => {
-  w.advance(now);
+/** A heartbeat and its answer, which reaches the worker or not. */
+const exchangeHeartbeat = (
+  shard: Shard,
+  worker: FakeWorker,
+  now: number,
+  answerArrives = true,
+): readonly Command[] => {
+  worker.advance(now);
   shard.expireLeases(now);
   shard.placeAll(now);
-  const r = w.heartbeat();
-  const result = shard.handleHeartbeat(r, now, true);
+  const heartbeat = worker.heartbeat();
+  const result = shard.handleHeartbeat(heartbeat, now, true);
   if (result.kind !== 'answer') return [];
-  if (hears) w.answered(shard.term, result.commands, now, r.agentEpoch);
+  if (answerArrives) worker.answered(shard.term, result.commands, now, heartbeat.agentEpoch);
   return result.commands;
 };
 const runsOn = (world: World, task: string): string[] => [...(world.on.get(task) ?? [])];
 
-test('a machine that reports but hears nothing: its work goes elsewhere, it is given back', () => {
+test('heartbeats arrive but commands are lost: its work goes elsewhere, it is returned', () => {
   const cases: { name: string; direct: boolean }[] = [
     { name: 'starts in answers are lost', direct: false },
     { name: 'direct starts have no answer either', direct: true },
@@ -54,24 +59,28 @@
     const shard = shardWith(new Store().add(machine('a'), machine('b'), job()));
     const a = new FakeWorker('a', world, RUN_MS, LEASE_MS, 0);
     const b = new FakeWorker('b', world, RUN_MS, LEASE_MS, 0);
-    beat(shard, a, 0);
+    exchangeHeartbeat(shard, a, 0);
     shard.handleCommandStatus(a.heartbeat(), 100);
     if (direct) {
       shard.placeAll(200);
       assert.equal(shard.directCommands(200).length, 1, name);
     }
-    beat(shard, b, 300);
+    exchangeHeartbeat(shard, b, 300);
     let now = HEARTBEAT_MS;
     for (; now < 2 * LEASE_MS && runsOn(world, 'job-000001/0').length === 0; now += HEARTBEAT_MS) {
-      beat(shard, a, now, false);
+      exchangeHeartbeat(shard, a, now, false);
       if (returns(shard, now).includes('a')) {
         a.vanish();
         shard.removeMachine('a', now);
       }
-      beat(shard, b, now + 1);
-      beat(shard, b, now + 600);
+      exchangeHeartbeat(shard, b, now + 1);
+      exchangeHeartbeat(shard, b, now + 600);
     }
-    assert.deepEqual(runsOn(world, 'job-000001/0'), ['b'], `${name}: it runs where orders arrive`);
+    assert.deepEqual(
+      runsOn(world, 'job-000001/0'),
+      ['b'],
+      `${name}: it runs where commands arrive`,
+    );
     assert.ok(now <= 8 * HEARTBEAT_MS, `${name}: after ${now} ms`);
     assert.ok(
       !shard.machines.has('a') || shard.machines.get('a')!.commandsLostSince !== null,
@@ -81,60 +90,60 @@
   }
 });
 
-test('one lost answer is no reason to give a machine back', () => {
+test('one lost answer is no reason to return a machine', () => {
   const world = new World();
   const shard = shardWith(new Store().add(machine('a'), job()));
   const a = new FakeWorker('a', world, RUN_MS, LEASE_MS, 0);
-  beat(shard, a, 0);
-  beat(shard, a, HEARTBEAT_MS, false);
-  beat(shard, a, 2 * HEARTBEAT_MS);
-  beat(shard, a, 3 * HEARTBEAT_MS);
+  exchangeHeartbeat(shard, a, 0);
+  exchangeHeartbeat(shard, a, HEARTBEAT_MS, false);
+  exchangeHeartbeat(shard, a, 2 * HEARTBEAT_MS);
+  exchangeHeartbeat(shard, a, 3 * HEARTBEAT_MS);
   assert.deepEqual(runsOn(world, 'job-000001/0'), ['a']);
   assert.deepEqual(returns(shard, 6 * HEARTBEAT_MS), []);
 });
 
-test('a cancelled task on a machine that does not obey is gone in time: the machine is returned', () => {
+test('a cancelled task on a machine that ignores commands is gone in time: the machine is returned', () => {
   const world = new World();
   const store = new Store().add(machine('a'), job());
   // A lease longer than the time for cancellations: it does not end the task in time by itself.
   const shard = shardWith(store, 1, { leaseMs: 10 * CANCEL_MS });
   const a = new FakeWorker('a', world, 10 * CANCEL_MS, 10 * CANCEL_MS, 0);
-  beat(shard, a, 0);
-  beat(shard, a, 600);
+  exchangeHeartbeat(shard, a, 0);
+  exchangeHeartbeat(shard, a, 600);
   assert.deepEqual(runsOn(world, 'job-000001/0'), ['a']);
   store.jobs.delete('job-000001');
   shard.sync(store, 1000);
   world.cancelledAt.set('job-000001', 1000);
   let now = 1000;
   while (!returns(shard, now).includes('a')) {
-    beat(shard, a, now, false);
+    exchangeHeartbeat(shard, a, now, false);
     now += HEARTBEAT_MS;
     assert.ok(now < 1000 + CANCEL_MS, 'too late for the cloud to answer in time');
   }
   assert.ok(now < 1000 + 0.75 * CANCEL_MS, `given back after ${now} ms`);
 });
 
-test('late copies of reports change nothing: table', () => {
-  /** Everything about a machine that a report could change. */
+test('late copies of heartbeats change nothing: table', () => {
+  /** Everything about a machine that a heartbeat could change. */
   const knows = (shard: Shard) => {
-    const m = shard.machines.get('a');
-    const j = shard.jobs.get('job-000001');
+    const machineState = shard.machines.get('a');
+    const jobState = shard.jobs.get('job-000001');
     return {
-      machine: m && [
-        m.agentEpoch,
-        m.lastStatusCounter,
-        m.lastStatusAt,
-        m.leaseRenewedAt,
-        m.known,
-        m.unknownTaskCount,
+      machine: machineState && [
+        machineState.agentEpoch,
+        machineState.lastStatusCounter,
+        machineState.lastStatusAt,
+        machineState.leaseRenewedAt,
+        machineState.confirmedSince,
+        machineState.unknownTaskCount,
       ],
-      tasks: m && [...m.tasks.keys()],
-      job: j && [
-        j.waitingTasks.length,
-        [...j.placements.keys()],
-        [...j.savedTasks],
-        [...j.unsavedTasks],
-        j.consecutiveFailures,
+      tasks: machineState && [...machineState.tasks.keys()],
+      job: jobState && [
+        jobState.waitingTasks.length,
+        [...jobState.placements.keys()],
+        [...jobState.savedTasks],
+        [...jobState.unsavedTasks],
+        jobState.consecutiveFailures,
       ],
     };
   };
@@ -145,54 +154,58 @@
     const a = new FakeWorker('a', world, RUN_MS, LEASE_MS, 0);
     const sent: Heartbeat[] = [];
     const say = (now: number) => {
-      beat(shard, a, now);
+      exchangeHeartbeat(shard, a, now);
       sent.push({ ...a.heartbeat(), counter: a.counter - 1 });
     };
     return { world, store, shard, a, sent, say };
   };
   type Scene = ReturnType<typeof scene>;
-  const cases: [string, (s: Scene) => Shard, (s: Scene) => void][] = [
-    ['of the same session, by seconds', (s) => s.shard, (s) => s.say(4000)],
+  const cases: [string, (cluster: Scene) => Shard, (cluster: Scene) => void][] = [
+    [
+      'of the same agent epoch, by seconds',
+      (cluster) => cluster.shard,
+      (cluster) => cluster.say(4000),
+    ],
     [
       'of a task that has completed since',
-      (s) => s.shard,
-      (s) => {
-        for (let t = 3000; t <= 27_000; t += 3000) s.say(t);
-        s.shard.completionsSaved('job-000001', [0]);
-        s.say(28_000);
-        s.say(29_000);
+      (cluster) => cluster.shard,
+      (cluster) => {
+        for (let now = 3000; now <= 27_000; now += 3000) cluster.say(now);
+        cluster.shard.completionsSaved('job-000001', [0]);
+        cluster.say(28_000);
+        cluster.say(29_000);
       },
     ],
     [
-      'of an earlier session',
-      (s) => s.shard,
-      (s) => {
-        s.a.advance(5 * LEASE_MS);
-        s.say(5 * LEASE_MS);
-        s.say(5 * LEASE_MS + 600);
+      'of an earlier agent epoch',
+      (cluster) => cluster.shard,
+      (cluster) => {
+        cluster.a.advance(5 * LEASE_MS);
+        cluster.say(5 * LEASE_MS);
+        cluster.say(5 * LEASE_MS + 600);
       },
     ],
     [
       'after the machine was returned',
-      (s) => s.shard,
-      (s) => {
-        s.a.vanish();
-        s.shard.removeMachine('a', 2000);
+      (cluster) => cluster.shard,
+      (cluster) => {
+        cluster.a.vanish();
+        cluster.shard.removeMachine('a', 2000);
       },
     ],
   ];
   for (const [name, owner, since] of cases) {
-    const s = scene();
-    for (const t of [0, 600, 1200]) s.say(t);
-    const copies = [...s.sent];
-    since(s);
-    const shard = owner(s);
+    const cluster = scene();
+    for (const now of [0, 600, 1200]) cluster.say(now);
+    const copies = [...cluster.sent];
+    since(cluster);
+    const shard = owner(cluster);
     const before = knows(shard);
     const at = 20 * LEASE_MS;
-    for (const c of copies)
-      assert.notEqual(shard.handleHeartbeat(c, at, true).kind, 'answer', name);
+    for (const copy of copies)
+      assert.notEqual(shard.handleHeartbeat(copy, at, true).kind, 'answer', name);
     assert.deepEqual(knows(shard), before, name);
-    assert.deepEqual(s.world.broken, [], name);
+    assert.deepEqual(cluster.world.broken, [], name);
   }
 });
 
@@ -202,19 +215,19 @@
   const old = shardWith(store, 1);
   const a = new FakeWorker('a', world, RUN_MS, LEASE_MS, 0);
   const b = new FakeWorker('b', world, RUN_MS, LEASE_MS, 0);
-  beat(old, a, 0);
+  exchangeHeartbeat(old, a, 0);
   const idle = a.heartbeat();
-  beat(old, a, 600);
+  exchangeHeartbeat(old, a, 600);
   assert.deepEqual(runsOn(world, 'job-000001/0'), ['a']);
   const shard = shardWith(store, 2, {}, 1000);
-  beat(shard, b, 1000);
-  beat(shard, b, 1600);
+  exchangeHeartbeat(shard, b, 1000);
+  exchangeHeartbeat(shard, b, 1600);
   shard.handleHeartbeat(idle, 1700, true);
   assert.equal(shard.recovered, false, 'it was made before our term');
-  beat(shard, b, 2200);
+  exchangeHeartbeat(shard, b, 2200);
   assert.deepEqual(runsOn(world, 'job-000001/0'), ['a']);
-  beat(shard, a, 2300);
-  beat(shard, a, 2900);
+  exchangeHeartbeat(shard, a, 2300);
+  exchangeHeartbeat(shard, a, 2900);
   assert.equal(shard.recovered, true);
   assert.equal(shard.jobs.get('job-000001')?.placements.get(0)?.machine.record.name, 'a');
   assert.deepEqual(world.broken, []);
@@ -238,13 +251,15 @@
     const names = ['a', 'b', 'c', 'd', 'e'];
     for (const n of names) store.add(machine(n));
     const shard = shardWith(store, 1, { startObjectives: () => [10] });
-    const ws = names.map((n) => new FakeWorker(n, world, RUN_MS, LEASE_MS, 0));
+    const workers = names.map((n) => new FakeWorker(n, world, RUN_MS, LEASE_MS, 0));
     let small = 100;
     const started = new Set<string>();
     let now = 0;
     for (; now < withinS * 1000; now += 600) {
       // The queue of small jobs never runs dry.
-      while ([...shard.jobs.values()].filter((j) => j.waitingTasks.length > 0).length < 8) {
+      while (
+        [...shard.jobs.values()].filter((jobState) => jobState.waitingTasks.length > 0).length < 8
+      ) {
         small += 1;
         store.add(job({ uid: `job-${small}` }));
         shard.sync(store, now);
@@ -253,10 +268,10 @@
         store.add(job({ uid: 'job-000099', ...large }));
         shard.sync(store, now);
       }
-      for (const w of ws) beat(shard, w, now);
-      for (const j of [...shard.jobs.values()]) {
-        shard.completionsSaved(j.spec.uid, [...j.unsavedTasks]);
-        if (j.savedTasks.size === j.spec.tasks) store.jobs.delete(j.spec.uid);
+      for (const worker of workers) exchangeHeartbeat(shard, worker, now);
+      for (const jobState of [...shard.jobs.values()]) {
+        shard.completionsSaved(jobState.spec.uid, [...jobState.unsavedTasks]);
+        if (jobState.savedTasks.size === jobState.spec.tasks) store.jobs.delete(jobState.spec.uid);
       }
       shard.sync(store, now);
       for (const [task, on] of world.on) {
@@ -276,10 +291,10 @@
     job({ kind: 'gang', tasks: 4, checkpointS: 5, saveS: 2 }),
   );
   const shard = shardWith(store);
-  const ws = ['a', 'b'].map((n) => new FakeWorker(n, new World(), RUN_MS, LEASE_MS, 0));
-  for (const w of ws) shard.handleHeartbeat(w.heartbeat(), 0, true);
-  for (const w of ws) w.direct(shard.term, 1, []);
-  for (const w of ws) shard.handleCommandStatus(w.heartbeat(), 100);
+  const workers = ['a', 'b'].map((n) => new FakeWorker(n, new World(), RUN_MS, LEASE_MS, 0));
+  for (const worker of workers) shard.handleHeartbeat(worker.heartbeat(), 0, true);
+  for (const worker of workers) worker.direct(shard.term, 1, []);
+  for (const worker of workers) shard.handleCommandStatus(worker.heartbeat(), 100);
   shard.placeAll(200);
   const [first] = [...shard.jobs.get('job-000001')!.placements.values()];
   shard.requestStop(first!, 3, 300);
@@ -313,27 +328,32 @@
   const shard = shardWith(store);
   const a = new FakeWorker('a', world, RUN_MS, LEASE_MS, 0);
   const b = new FakeWorker('b', world, RUN_MS, LEASE_MS, 0);
-  for (const t of [0, 600, 1200]) for (const w of [a, b]) beat(shard, w, t);
+  for (const now of [0, 600, 1200])
+    for (const worker of [a, b]) exchangeHeartbeat(shard, worker, now);
   assert.equal(shard.jobs.get('job-000001')?.placements.size, 4);
   a.noticeS = 10;
   shard.handleHeartbeat(a.heartbeat(), 2000, true);
   const told = shard.directCommands(2000).flatMap((d) => d.commands);
-  assert.equal(told.filter((c) => c.op === 'stop' && c.graceS >= 2).length, 4, 'also on machine b');
+  assert.equal(
+    told.filter((copy) => copy.op === 'stop' && copy.graceS >= 2).length,
+    4,
+    'also on machine b',
+  );
 });
 
-test('a machine that only answers commands gets nothing new, and is given back', () => {
+test('a machine that only answers commands gets nothing new, and is returned', () => {
   const world = new World();
   const shard = shardWith(new Store().add(machine('a'), job({ tasks: 1 })));
   const a = new FakeWorker('a', world, RUN_MS, LEASE_MS, 0);
-  beat(shard, a, 0);
-  // Answers to commands look like reports, but they renew no lease: all that starts is killed by it.
+  exchangeHeartbeat(shard, a, 0);
+  // Answers to commands look like heartbeats, but they renew no lease: all that starts is killed by it.
   const answers = (now: number) => {
     a.advance(now);
     shard.expireLeases(now);
     shard.handleCommandStatus(a.heartbeat(), now);
   };
   for (let now = HEARTBEAT_MS; now <= 4 * HEARTBEAT_MS; now += HEARTBEAT_MS) answers(now);
-  assert.deepEqual(returns(shard, 4 * HEARTBEAT_MS), [], 'a few reports may be lost');
+  assert.deepEqual(returns(shard, 4 * HEARTBEAT_MS), [], 'a few heartbeats may be lost');
   const now = 5 * HEARTBEAT_MS;
   answers(now);
   assert.ok(returns(shard, now).includes('a'));
@@ -347,7 +367,8 @@
     const shard = shardWith(store);
     const a = new FakeWorker('a', world, 10 * LEASE_MS, LEASE_MS, 0);
     const b = new FakeWorker('b', world, 10 * LEASE_MS, LEASE_MS, 0);
-    for (let now = 0; now < 2 * HEARTBEAT_MS; now += HEARTBEAT_MS / 2) beat(shard, a, now);
+    for (let now = 0; now < 2 * HEARTBEAT_MS; now += HEARTBEAT_MS / 2)
+      exchangeHeartbeat(shard, a, now);
     assert.deepEqual(runsOn(world, 'job-000001/0'), ['a']);
     if (moved) store.add(machine('a', { shard: 1 }));
     else store.machines.delete('a');
@@ -355,7 +376,7 @@
     shard.sync(store, from);
     for (let now = from; now < from + 2 * LEASE_MS; now += HEARTBEAT_MS / 2) {
       a.advance(now);
-      beat(shard, b, now);
+      exchangeHeartbeat(shard, b, now);
       assert.deepEqual(world.broken, []);
     }
     assert.deepEqual(runsOn(world, 'job-000001/0'), ['b'], 'in the end it runs again');
--- a/test/move-candidates.test.ts
+++ b/test/move-candidates.test.ts
@@ -19,7 +19,12 @@
   const store = new Store().add(machine('x'), job({ tasks: 1 }));
   const shard = shardWith(store);
   const m = shard.machines.get('x')!;
-  Object.assign(m, { known: true, lastStatusAt: NOW, lastHeartbeatAt: NOW, cordoned: true });
+  Object.assign(m, {
+    confirmedSince: NOW,
+    lastStatusAt: NOW,
+    lastHeartbeatAt: NOW,
+    cordoned: true,
+  });
   Object.assign(m, { record: { ...m.record, up: true } });
   return { shard, m };
 };
@@ -34,7 +39,7 @@
   ],
   ['a direct start has no answer yet', (m) => void m.unsettledDirectStarts.add('j/0@1'), false],
   ['a task is there that is being stopped', (m) => (m.unknownTaskCount = 1), false],
-  ['it has not answered under this term', (m) => (m.known = false), false],
+  ['it has not answered under this term', (m) => (m.confirmedSince = null), false],
   ['it is silent', (m) => (m.lastStatusAt = m.lastHeartbeatAt = -1e6), false],
   ['it seems to hear nothing', (m) => (m.commandsLostSince = NOW), false],
   ['it has a notice', (m) => (m.preemptionNoticeAt = NOW), false],
--- a/test/random.test.ts
+++ b/test/random.test.ts
@@ -227,7 +227,12 @@
       if (!chance(15)) w.answered(owner.term, result.commands, now, r.agentEpoch);
     }
     for (const m of [...shard.machines.values()]) {
-      if (!shard.isLost(m, now) && !shard.losesCommands(m, now) && !m.quarantined) continue;
+      if (
+        !shard.heartbeatsLost(m, now) &&
+        !shard.commandsLost(m, now) &&
+        m.faultStatus !== 'quarantined'
+      )
+        continue;
       m.terminating = true;
       if (chance(50)) continue;
       workers.get(m.record.name)?.vanish();
--- a/test/services.test.ts
+++ b/test/services.test.ts
@@ -34,33 +34,38 @@
     ...over,
   });
 
+/** A heartbeat of the worker, which obeys its answer. */
+const exchangeHeartbeat = (shard: Shard, worker: FakeWorker, now: number): void => {
+  worker.advance(now);
+  const heartbeat = worker.heartbeat();
+  const result = shard.handleHeartbeat(heartbeat, now, true);
+  if (result.kind !== 'answer') return;
+  worker.answered(shard.term, result.commands, now, heartbeat.agentEpoch);
+};
+
 const scene = (names: readonly string[], over: Parameters<typeof job>[0] = {}, runMs = FOREVER) => {
   const world = new World();
-  const store = new Store().add(...names.map((n) => machine(n)));
+  const store = new Store().add(...names.map((name) => machine(name)));
   const shard = shardWith(store);
   const workers = new Map(
-    names.map((n) => [n, new FakeWorker(n, world, runMs, LEASE_MS, -2 * HEARTBEAT_MS)] as const),
+    names.map(
+      (name) => [name, new FakeWorker(name, world, runMs, LEASE_MS, -2 * HEARTBEAT_MS)] as const,
+    ),
   );
-  const beat = (now: number, who: readonly string[] = names) => {
+  const exchangeHeartbeats = (now: number, who: readonly string[] = names) => {
     shard.expireLeases(now);
-    for (const n of who) {
-      const w = workers.get(n)!;
-      w.advance(now);
-      const r = w.heartbeat();
-      const result = shard.handleHeartbeat(r, now, true);
-      if (result.kind === 'answer') w.answered(shard.term, result.commands, now, r.agentEpoch);
-    }
+    for (const name of who) exchangeHeartbeat(shard, workers.get(name)!, now);
     shard.placeAll(now);
   };
   const run = (from: number, to: number, who: readonly string[] = names) => {
-    for (let now = from; now <= to; now += HEARTBEAT_MS / 3) beat(now, who);
+    for (let now = from; now <= to; now += HEARTBEAT_MS / 3) exchangeHeartbeats(now, who);
   };
   // The service comes once all machines are known.
   run(-2 * HEARTBEAT_MS, -1);
   store.add(service(over));
   shard.sync(store, 0);
-  const on = (n: string) => [...world.on].filter(([, m]) => m.has(n)).length;
-  return { world, store, shard, workers, beat, run, on };
+  const on = (name: string) => [...world.on].filter(([, m]) => m.has(name)).length;
+  return { world, store, shard, workers, exchangeHeartbeats, run, on };
 };
 
 test('replicas are not all put on one machine, as long as others have room', () => {
@@ -71,23 +76,24 @@
     { tasks: 1, names: ['a', 'b'], most: 1 },
   ];
   for (const { tasks, names, most } of cases) {
-    const s = scene(names, { tasks });
-    s.run(0, 4 * HEARTBEAT_MS);
-    assert.equal(s.shard.jobs.get(UID)?.placements.size, tasks);
-    for (const n of names) assert.ok(s.on(n) <= most, `${tasks} on ${names.length}: ${s.on(n)}`);
-    assert.deepEqual(s.world.broken, []);
+    const cluster = scene(names, { tasks });
+    cluster.run(0, 4 * HEARTBEAT_MS);
+    assert.equal(cluster.shard.jobs.get(UID)?.placements.size, tasks);
+    for (const name of names)
+      assert.ok(cluster.on(name) <= most, `${tasks} on ${names.length}: ${cluster.on(name)}`);
+    assert.deepEqual(cluster.world.broken, []);
   }
 });
 
 test('a replica that ends by itself runs again, is never done, and is not started at full speed', () => {
-  const s = scene(['a', 'b'], { tasks: 2 }, HEARTBEAT_MS);
-  s.run(0, 60 * HEARTBEAT_MS);
-  const state = s.shard.jobs.get(UID)!;
+  const cluster = scene(['a', 'b'], { tasks: 2 }, HEARTBEAT_MS);
+  cluster.run(0, 60 * HEARTBEAT_MS);
+  const state = cluster.shard.jobs.get(UID)!;
   assert.equal(state.savedTasks.size + state.unsavedTasks.size, 0);
   assert.equal(state.ended, false);
-  assert.ok(s.world.started > 4, `${s.world.started} starts`);
-  assert.ok(s.world.started < 60, `${s.world.started} starts: the pauses do not grow`);
-  assert.deepEqual(s.world.broken, []);
+  assert.ok(cluster.world.started > 4, `${cluster.world.started} starts`);
+  assert.ok(cluster.world.started < 60, `${cluster.world.started} starts: the pauses do not grow`);
+  assert.deepEqual(cluster.world.broken, []);
   // One that was well for a while starts again at once.
   const now = 60 * HEARTBEAT_MS + 2 * REPLICA_STABLE_MS;
   assert.ok(now - state.lastFailureAt > REPLICA_STABLE_MS);
@@ -101,95 +107,95 @@
 });
 
 test('failing replicas: other machines, growing pauses, never given up', () => {
-  const s = scene(['a', 'b', 'c'], { tasks: 1 });
-  for (const w of s.workers.values()) w.faulty = true;
-  s.run(0, 40 * HEARTBEAT_MS);
-  const before = s.world.started;
+  const cluster = scene(['a', 'b', 'c'], { tasks: 1 });
+  for (const worker of cluster.workers.values()) worker.faulty = true;
+  cluster.run(0, 40 * HEARTBEAT_MS);
+  const before = cluster.world.started;
   assert.ok(before >= 3 && before < 30, `${before} starts`);
-  for (const w of s.workers.values()) w.faulty = false;
-  s.shard.machines.forEach((m) => (m.quarantined = false));
-  s.run(41 * HEARTBEAT_MS, 41 * HEARTBEAT_MS + 90_000);
+  for (const worker of cluster.workers.values()) worker.faulty = false;
+  for (const m of cluster.shard.machines.values()) {
+    if (m.faultStatus === 'quarantined') m.faultStatus = 'probation';
+  }
+  cluster.run(41 * HEARTBEAT_MS, 41 * HEARTBEAT_MS + 90_000);
   assert.equal(
-    s.shard.jobs.get(UID)?.placements.size,
+    cluster.shard.jobs.get(UID)?.placements.size,
     1,
     'it runs within 90 s once a machine is well',
   );
-  assert.deepEqual(s.world.broken, []);
+  assert.deepEqual(cluster.world.broken, []);
 });
 
-test('a silent machine with replicas is returned sooner, and only then they run elsewhere', () => {
-  const s = scene(['a', 'b'], { tasks: 2 });
-  s.run(0, 3 * HEARTBEAT_MS);
-  const lost = s.on('a') > 0 ? 'a' : 'b';
+test('a machine with replicas whose heartbeats are lost is returned sooner, and only then they run elsewhere', () => {
+  const cluster = scene(['a', 'b'], { tasks: 2 });
+  cluster.run(0, 3 * HEARTBEAT_MS);
+  const lost = cluster.on('a') > 0 ? 'a' : 'b';
   const other = lost === 'a' ? 'b' : 'a';
   const from = 3 * HEARTBEAT_MS;
-  s.run(from + 1, from + 2.5 * HEARTBEAT_MS, [other]);
+  cluster.run(from + 1, from + 2.5 * HEARTBEAT_MS, [other]);
   const patient = { idleKeepMs: 1e9 };
-  assert.deepEqual(plan(s.shard, from + 2.5 * HEARTBEAT_MS, patient).returns, []);
+  assert.deepEqual(plan(cluster.shard, from + 2.5 * HEARTBEAT_MS, patient).returns, []);
   const now = from + 3.5 * HEARTBEAT_MS;
-  s.beat(now, [other]);
-  assert.equal(plan(s.shard, now).returns[0]?.reason, 'silent');
-  assert.equal(s.on(lost), 1, 'still there as far as anybody knows');
-  s.workers.get(lost)!.vanish();
-  s.shard.removeMachine(lost, now);
-  s.run(now + 1, now + 3 * HEARTBEAT_MS, [other]);
-  assert.equal(s.on(other), 2);
-  assert.deepEqual(s.world.broken, []);
+  cluster.exchangeHeartbeats(now, [other]);
+  assert.equal(plan(cluster.shard, now).returns[0]?.reason, 'silent');
+  assert.equal(cluster.on(lost), 1, 'still there as far as anybody knows');
+  cluster.workers.get(lost)!.vanish();
+  cluster.shard.removeMachine(lost, now);
+  cluster.run(now + 1, now + 3 * HEARTBEAT_MS, [other]);
+  assert.equal(cluster.on(other), 2);
+  assert.deepEqual(cluster.world.broken, []);
 });
 
 test('a machine about to go loses its replicas at once, and they run elsewhere', () => {
-  const s = scene(['a', 'b'], { tasks: 2 });
-  s.run(0, 3 * HEARTBEAT_MS);
-  s.workers.get('a')!.noticeS = 8;
-  s.run(3 * HEARTBEAT_MS + 1, 5 * HEARTBEAT_MS);
-  assert.deepEqual([s.on('a'), s.on('b')], [0, 2]);
-  assert.deepEqual(s.world.broken, []);
+  const cluster = scene(['a', 'b'], { tasks: 2 });
+  cluster.run(0, 3 * HEARTBEAT_MS);
+  cluster.workers.get('a')!.noticeS = 8;
+  cluster.run(3 * HEARTBEAT_MS + 1, 5 * HEARTBEAT_MS);
+  assert.deepEqual([cluster.on('a'), cluster.on('b')], [0, 2]);
+  assert.deepEqual(cluster.world.broken, []);
 });
 
 test('a machine with a replica does not count as idle; a quarantined one is emptied first', () => {
-  const s = scene(['a', 'b'], { tasks: 1 });
-  s.run(0, 3 * HEARTBEAT_MS);
-  const busy = s.on('a') > 0 ? 'a' : 'b';
+  const cluster = scene(['a', 'b'], { tasks: 1 });
+  cluster.run(0, 3 * HEARTBEAT_MS);
+  const busy = cluster.on('a') > 0 ? 'a' : 'b';
   const now = 50 * HEARTBEAT_MS;
-  s.run(3 * HEARTBEAT_MS + 1, now);
-  assert.ok(!plan(s.shard, now).returns.some((g) => g.name === busy));
-  s.shard.machines.get(busy)!.quarantined = true;
-  assert.ok(!plan(s.shard, now).returns.some((g) => g.name === busy), 'its replica moves first');
-  s.run(now + 1, now + 3 * HEARTBEAT_MS);
-  assert.equal(s.on(busy), 0);
-  assert.equal(s.on(busy === 'a' ? 'b' : 'a'), 1);
-  assert.ok(plan(s.shard, now + 3 * HEARTBEAT_MS).returns.some((g) => g.name === busy));
+  cluster.run(3 * HEARTBEAT_MS + 1, now);
+  assert.ok(!plan(cluster.shard, now).returns.some((g) => g.name === busy));
+  cluster.shard.machines.get(busy)!.faultStatus = 'quarantined';
+  assert.ok(
+    !plan(cluster.shard, now).returns.some((g) => g.name === busy),
+    'its replica moves first',
+  );
+  cluster.run(now + 1, now + 3 * HEARTBEAT_MS);
+  assert.equal(cluster.on(busy), 0);
+  assert.equal(cluster.on(busy === 'a' ? 'b' : 'a'), 1);
+  assert.ok(plan(cluster.shard, now + 3 * HEARTBEAT_MS).returns.some((g) => g.name === busy));
 });
 
 test('a new owner takes running replicas into its state and stops none', () => {
-  const s = scene(['a', 'b'], { tasks: 3 });
-  s.run(0, 3 * HEARTBEAT_MS);
-  const { started } = s.world;
-  const shard = shardWith(s.store, 2, {}, 4 * HEARTBEAT_MS);
+  const cluster = scene(['a', 'b'], { tasks: 3 });
+  cluster.run(0, 3 * HEARTBEAT_MS);
+  const { started } = cluster.world;
+  const shard = shardWith(cluster.store, 2, {}, 4 * HEARTBEAT_MS);
   for (let now = 4 * HEARTBEAT_MS; now < 8 * HEARTBEAT_MS; now += HEARTBEAT_MS / 2) {
     shard.placeAll(now);
-    for (const w of s.workers.values()) {
-      w.advance(now);
-      const r = w.heartbeat();
-      const result = shard.handleHeartbeat(r, now, true);
-      if (result.kind === 'answer') w.answered(shard.term, result.commands, now, r.agentEpoch);
-    }
+    for (const worker of cluster.workers.values()) exchangeHeartbeat(shard, worker, now);
   }
   assert.equal(shard.jobs.get(UID)?.placements.size, 3);
-  assert.equal(s.world.started, started);
-  assert.deepEqual(s.world.broken, []);
+  assert.equal(cluster.world.started, started);
+  assert.deepEqual(cluster.world.broken, []);
 });
 
 test('cancelled replicas are stopped, and nothing starts again', () => {
-  const s = scene(['a', 'b'], { tasks: 4 });
-  s.run(0, 3 * HEARTBEAT_MS);
-  s.store.jobs.delete(UID);
-  s.shard.sync(s.store, 3 * HEARTBEAT_MS);
-  s.world.cancelledAt.set(UID, 3 * HEARTBEAT_MS);
-  s.run(3 * HEARTBEAT_MS + 1, 8 * HEARTBEAT_MS);
-  assert.equal(s.on('a') + s.on('b'), 0);
-  assert.equal(s.world.startedCancelled, 0);
-  assert.equal(s.shard.jobs.has(UID), false);
+  const cluster = scene(['a', 'b'], { tasks: 4 });
+  cluster.run(0, 3 * HEARTBEAT_MS);
+  cluster.store.jobs.delete(UID);
+  cluster.shard.sync(cluster.store, 3 * HEARTBEAT_MS);
+  cluster.world.cancelledAt.set(UID, 3 * HEARTBEAT_MS);
+  cluster.run(3 * HEARTBEAT_MS + 1, 8 * HEARTBEAT_MS);
+  assert.equal(cluster.on('a') + cluster.on('b'), 0);
+  assert.equal(cluster.world.startedCancelled, 0);
+  assert.equal(cluster.shard.jobs.has(UID), false);
 });
 
 test('a service finds room by stopping lower work, never by stopping its equals', () => {
@@ -209,10 +215,7 @@
         shard.sync(store, now);
       }
       shard.placeAll(now);
-      a.advance(now);
-      const r = a.heartbeat();
-      const result = shard.handleHeartbeat(r, now, true);
-      if (result.kind === 'answer') a.answered(shard.term, result.commands, now, r.agentEpoch);
+      exchangeHeartbeat(shard, a, now);
     }
     assert.equal(world.on.get(`${UID}/0`)?.size ?? 0, room ? 1 : 0, priority);
   }
@@ -241,28 +244,24 @@
     const workers = machines.map((m) => {
       return new FakeWorker(m.name, world, FOREVER, LEASE_MS, 0, m.zone);
     });
-    const beat = (now: number) => {
+    const exchangeHeartbeats = (now: number) => {
       shard.placeAll(now);
-      for (const w of workers) {
-        w.advance(now);
-        const r = w.heartbeat();
-        const result = shard.handleHeartbeat(r, now, true);
-        if (result.kind === 'answer') w.answered(shard.term, result.commands, now, r.agentEpoch);
-      }
+      for (const worker of workers) exchangeHeartbeat(shard, worker, now);
     };
-    beat(0);
+    exchangeHeartbeats(0);
     if (machines[0]!.name === 'full') store.add(full);
     shard.sync(store, 1);
-    for (let now = 1; now < 4 * HEARTBEAT_MS; now += HEARTBEAT_MS / 3) beat(now);
+    for (let now = 1; now < 4 * HEARTBEAT_MS; now += HEARTBEAT_MS / 3) exchangeHeartbeats(now);
     store.add(service({ ...over, spot: false }));
     shard.sync(store, 4 * HEARTBEAT_MS);
-    for (let now = 4 * HEARTBEAT_MS; now < 8 * HEARTBEAT_MS; now += HEARTBEAT_MS / 3) beat(now);
+    for (let now = 4 * HEARTBEAT_MS; now < 8 * HEARTBEAT_MS; now += HEARTBEAT_MS / 3)
+      exchangeHeartbeats(now);
     // The class as a whole has all the machines that it needs.
     const pending = [{ type: 'm', zone: 'z', spot: true, count: 9 }];
     const { rentals: rent } = plan(shard, 8 * HEARTBEAT_MS, { pending, idleKeepMs: 1e9 });
     const served = shard.jobs.get(UID)!.waitingTasks.length === 0;
     assert.equal(served, zones.length === 0, name);
-    const rented = rent.map((r) => r.zone);
+    const rented = rent.map(({ zone }) => zone);
     if (zones.length === 0) assert.deepEqual(rented, [], name);
     else
       assert.ok(rented.length > 0 && rented.every((z) => zones.includes(z)), `${name}: ${rented}`);
@@ -290,16 +289,16 @@
     const shard = shardWith(new Store().add(...machines));
     const now = 10 * HEARTBEAT_MS;
     for (const m of machines) {
-      const w = new FakeWorker(m.name, new World(), FOREVER, LEASE_MS, now, m.zone);
-      const first = w.heartbeat();
+      const worker = new FakeWorker(m.name, new World(), FOREVER, LEASE_MS, now, m.zone);
+      const first = worker.heartbeat();
       shard.handleHeartbeat(first, now, true);
-      w.answered(shard.term, [], now, first.agentEpoch);
-      shard.handleHeartbeat(w.heartbeat(), now + 1, true);
+      worker.answered(shard.term, [], now, first.agentEpoch);
+      shard.handleHeartbeat(worker.heartbeat(), now + 1, true);
     }
     const stats = new Map([['c', { tasksPerS: 0, runS: null, sample: record.spec }]]);
     const { rentals: rent, returns } = plan(shard, now + HEARTBEAT_MS, { stats });
     assert.deepEqual(
-      rent.filter((r) => !r.spot).map((r) => [r.zone, r.count]),
+      rent.filter(({ spot }) => !spot).map(({ zone, count }) => [zone, count]),
       zones.map((z) => [z, 1]),
       name,
     );
@@ -313,5 +312,5 @@
   const { rentals: rent } = plan(shardWith(store), 0, { stats });
   const machines = rent.reduce((sum, w) => sum + w.count, 0);
   assert.equal(machines, 3, '20 replicas, eight to a machine');
-  assert.ok(rent.every((w) => !w.spot));
+  assert.ok(rent.every(({ spot }) => !spot));
 });
