--- a/src/peers/shard-directory.ts
+++ b/src/peers/shard-directory.ts
@@ -63,7 +63,8 @@
     }
   };
   for (const machine of shard.machinesWithFreeCapacity(now)) note(machine, machine.free, 0);
-  for (const { m, rank } of shard.displaceable(now)) if (m.type !== null) note(m, m.type, rank);
+  for (const { machine: m, rank } of shard.preemptibleMachines(now))
+    if (m.type !== null) note(m, m.type, rank);
   return [...out.values()];
 };
 
@@ -126,16 +127,16 @@
         images: [...m.images.keys()],
         gb: [...m.images.values()],
       }));
-    const loads = shard.loads(now);
+    const loads = shard.allocationRatios(now);
     this.#announcedLoads.set(index, loads);
-    const waiting = RANKS.map((rank) => shard.waiting(rank, now));
+    const waiting = RANKS.map((rank) => shard.waitingTasks(rank, now));
     return {
       shard: index,
       loads,
       freeCapacity: freeCapacityOf(shard, now),
       waiting,
       images,
-      activeTasks: shard.busy(now),
+      activeTasks: shard.activeTasksByClass(now),
     };
   }
 
@@ -169,7 +170,7 @@
       const waiting =
         own === undefined
           ? (this.#announced(shard)?.waiting[rank] ?? 1)
-          : own.waiting(rank, this.now());
+          : own.waitingTasks(rank, this.now());
       if (waiting > 0) continue;
       const rooms = this.#freeCapacity(shard).filter((r) => capacityFits(spec, r));
       const tasks = rooms.reduce((sum, r) => sum + timesIn(spec.demand, r) * r.count, 0);
@@ -208,7 +209,7 @@
     const out = new Map<string, number>();
     for (let shard = 0; shard < this.shards; shard++) {
       if (shard === not) continue;
-      for (const { jobClass, tasks } of this.#ownShard(shard)?.busy(this.now()) ??
+      for (const { jobClass, tasks } of this.#ownShard(shard)?.activeTasksByClass(this.now()) ??
         this.#announced(shard)?.activeTasks ??
         []) {
         out.set(jobClass, (out.get(jobClass) ?? 0) + tasks);
@@ -275,6 +276,6 @@
 export const progressIn = (shard: Shard, uid: string): { done: number; running: number } => {
   const job = shard.jobs.get(uid);
   if (job === undefined) return { done: 0, running: 0 };
-  const running = [...job.placed.values()].filter((p) => p.state === 'running').length;
-  return { done: job.saved.size + job.unsaved.size, running };
+  const running = [...job.placements.values()].filter((p) => p.state === 'running').length;
+  return { done: job.savedTasks.size + job.unsavedTasks.size, running };
 };
--- a/src/rebalancing/shard-mover.ts
+++ b/src/rebalancing/shard-mover.ts
@@ -10,7 +10,12 @@
 import type { Logger } from 'pino';
 import type { SharesConfig } from '../config/shares.js';
 import { WAIT_REASON_WRITE_INTERVAL_MS } from './constants.js';
-import { serves, type MachineState, type Shard } from '../core/shard/shard.js';
+import {
+  hostsServiceReplicas,
+  isLeaving,
+  type MachineState,
+  type Shard,
+} from '../core/shard/shard.js';
 import type { OwnedShard } from '../shards/owned-shard.js';
 import type { ShardController } from '../shards/shard-controller.js';
 import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
@@ -18,7 +23,7 @@
 import { movesById, obstacleTo } from './move-coordinator.js';
 
 const unfitness = (shard: Shard, m: MachineState, now: number): string | null => {
-  if (m.terminating || m.draining || m.quarantined || m.orphaned) return 'is to be returned';
+  if (isLeaving(m)) return 'is to be returned';
   if (m.preemptionNoticeAt !== null) return 'has a notice';
   if (!m.record.up) return 'is not up yet';
   if (!shard.isFresh(m, now) || m.commandsLostSince !== null) return 'cannot be reached';
@@ -30,14 +35,17 @@
   const { name, type, zone, spot } = m.record;
   const unfit = unfitness(shard, m, now);
   const empty =
-    m.tasks.size === 0 && m.unknownTasks === 0 && m.doubtful.size === 0 && m.listed === 0;
+    m.tasks.size === 0 &&
+    m.unknownTaskCount === 0 &&
+    m.unsettledDirectStarts.size === 0 &&
+    m.reportedTaskCount === 0;
   return {
     name,
     type,
     zone,
     spot,
     tasks: m.tasks.size,
-    runsService: serves(m),
+    runsService: hostsServiceReplicas(m),
     ineligibleBecause: unfit,
     readyToMove: unfit === null && empty && m.cordoned,
   };
--- a/src/shards/shard-controller.ts
+++ b/src/shards/shard-controller.ts
@@ -189,7 +189,7 @@
     for (const [index, owned] of this.owned) {
       const { shard } = owned;
       if (!owned.isActive) continue;
-      shard.age(now);
+      shard.expireLeases(now);
       if (!authority) {
         this.#direct.stops(owned, now);
         continue;
@@ -249,8 +249,7 @@
         continue;
       }
       const everything = present.takeFullSync() || changes.everything;
-      const { unsynced } = present.shard.state;
-      const changed = changes.machines || changes.jobs.size > 0 || unsynced.size > 0;
+      const changed = changes.machines || changes.jobs.size > 0 || present.shard.hasDeferredJobs;
       if (!everything && !changed) continue;
       present.shard.sync(
         {
@@ -298,7 +297,7 @@
   #handOverIfCutOff(index: number, shard: Shard, now: number): void {
     const heartbeatIntervalMs = this.config.workers.heartbeatIntervalS * 1000;
     if (
-      !shard.hearsNoHeartbeats(
+      !shard.allHeartbeatsLost(
         now,
         Math.min(NO_HEARTBEATS_MS, heartbeatIntervalMs * NO_HEARTBEATS_INTERVALS),
       )
