--- a/src/commands/program.ts
+++ b/src/commands/program.ts
@@ -1,7 +1,7 @@
 import { readFileSync } from 'node:fs';
 import type { Command } from 'commander';
 import { parse } from 'smol-toml';
-import { ConfigError, loadPlatform } from '../config/platform.js';
+import { ConfigError, loadPlatformConfig } from '../config/platform.js';
 import { requestTransfer, showLeadership, withdrawTransfer } from './duties.js';
 import { CommandError, EXIT } from './exit-codes.js';
 import {
@@ -51,7 +51,7 @@
   withCommandOptions(
     duties.command('show', { isDefault: true }).description('who holds which duty, until when'),
   ).action((options: CommandOptions) =>
-    run(() => showLeadership(loadPlatform(options.config), options.json === true)),
+    run(() => showLeadership(loadPlatformConfig(options.config), options.json === true)),
   );
 
   withCommandOptions(duties.command('hand-over <duty>'))
@@ -61,7 +61,7 @@
     .action((duty: string, options: CommandOptions & { to?: string; id?: string }) =>
       run(async () => {
         const id = options.id ?? `request-${Date.now().toString(36)}`;
-        const config = loadPlatform(options.config);
+        const config = loadPlatformConfig(options.config);
         const output = await requestTransfer(config, duty, { to: options.to ?? null, id });
         const text = output.written ? `asked: ${id}` : `asked before: ${id}`;
         return print(output, text, options.json);
@@ -72,7 +72,7 @@
     .description('take back a request that is not carried out yet')
     .action((duty: string, options: CommandOptions) =>
       run(async () => {
-        const withdrawn = await withdrawTransfer(loadPlatform(options.config), duty);
+        const withdrawn = await withdrawTransfer(loadPlatformConfig(options.config), duty);
         const text = withdrawn ? 'withdrawn' : 'there is no request, or it was just carried out';
         return print({ duty, withdrawn }, text, options.json);
       }),
@@ -146,11 +146,11 @@
 const forEachRequest = async <T>(
   options: MoveOptions,
   act: (
-    config: ReturnType<typeof loadPlatform>,
+    config: ReturnType<typeof loadPlatformConfig>,
     request: ReturnType<typeof checkRequest>,
   ) => Promise<T>,
 ): Promise<T[]> => {
-  const config = loadPlatform(options.config);
+  const config = loadPlatformConfig(options.config);
   const nowMs = Date.now();
   const requests = requestsOf(options, nowMs).map((r) => checkRequest(config, r, nowMs));
   const results: T[] = [];
@@ -182,7 +182,7 @@
   withCommandOptions(
     shares.command('show', { isDefault: true }).description('machines by part, and moves'),
   ).action((options: CommandOptions) =>
-    run(() => showShards(loadPlatform(options.config), options.json === true)),
+    run(() => showShards(loadPlatformConfig(options.config), options.json === true)),
   );
 
   withMoveOptions(
@@ -205,7 +205,7 @@
   withCommandOptions(shares.command('abort <id>').description('give a move up')).action(
     (id: string, options: CommandOptions) =>
       run(async () => {
-        const output = await abortMove(loadPlatform(options.config), id);
+        const output = await abortMove(loadPlatformConfig(options.config), id);
         return print(output, moveText(output), options.json);
       }),
   );
--- a/src/config/ini-file.ts
+++ b/src/config/ini-file.ts
@@ -1,6 +1,6 @@
 import { parse } from 'ini';
 import * as z from 'zod';
-import { ConfigError, describe } from './platform.js';
+import { ConfigError, describeIssues } from './platform.js';
 
 /** A number between two bounds. */
 export const range = (least: number, most: number, fallback: number) =>
@@ -15,6 +15,6 @@
   // ini makes objects without a prototype; zod wants plain ones.
   const raw: unknown = JSON.parse(JSON.stringify(parse(text)));
   const result = schema.safeParse(raw);
-  if (!result.success) throw new ConfigError(file, describe(result.error));
+  if (!result.success) throw new ConfigError(file, describeIssues(result.error));
   return result.data;
 };
--- a/src/config/operator.ts
+++ b/src/config/operator.ts
@@ -1,3 +1,4 @@
+/** The operator's own settings (`--operator`, INI). */
 import * as z from 'zod';
 import { parseIni, range } from './ini-file.js';
 import { readText } from './platform.js';
@@ -29,19 +30,21 @@
   })
   .strict();
 
+/** The operator's settings; deploy/operator.ini documents each. */
 export interface OperatorConfig {
   readonly loadThreshold: number;
   readonly preempt: boolean;
   readonly reserveSigma: number;
   readonly drainS: number;
   readonly idleKeepS: number;
-  readonly machinesMost: number;
+  readonly maxMachines: number;
   readonly storeRequestShare: number;
   readonly storeWriteShare: number;
   readonly cloudRequestShare: number;
 }
 
-export const parseOperator = (file: string, text: string): OperatorConfig => {
+/** Reads the settings from INI text; throws a `ConfigError` that names every bad key. */
+export const parseOperatorConfig = (file: string, text: string): OperatorConfig => {
   const { placement, capacity, state, cloud } = parseIni(schema, file, text);
   return {
     loadThreshold: placement.load_threshold,
@@ -49,12 +52,15 @@
     reserveSigma: capacity.reserve_sigma,
     drainS: capacity.drain_s,
     idleKeepS: capacity.idle_keep_s,
-    machinesMost: capacity.machines_most,
+    maxMachines: capacity.machines_most,
     storeRequestShare: state.request_share,
     storeWriteShare: state.write_share,
     cloudRequestShare: cloud.request_share,
   };
 };
 
-export const loadOperator = (file: string | undefined): OperatorConfig =>
-  file === undefined ? parseOperator('(defaults)', '') : parseOperator(file, readText(file));
+/** Reads the settings from a file, or the defaults without one. */
+export const loadOperatorConfig = (file: string | undefined): OperatorConfig =>
+  file === undefined
+    ? parseOperatorConfig('(defaults)', '')
+    : parseOperatorConfig(file, readText(file));
--- a/src/config/platform.ts
+++ b/src/config/platform.ts
@@ -1,9 +1,10 @@
+/** The settings that the platform hands over (`--config`, TOML); its field names end here. */
 import { readFileSync } from 'node:fs';
 import { parse } from 'smol-toml';
 import * as z from 'zod';
 import type { Objective, Team } from '../core/model.js';
 
-/** A problem with a settings file, ready to be shown: one line for each key. */
+/** A settings file is unusable; `problems` names every bad key, one line each. */
 export class ConfigError extends Error {
   constructor(
     readonly file: string,
@@ -13,9 +14,11 @@
   }
 }
 
+const BYTES_PER_KB = 1024;
+
 const address = z.string().regex(/^[^:\s]+:\d{1,5}$/, 'must be HOST:PORT');
 const positive = z.number().positive();
-const notNegative = z.number().nonnegative();
+const nonNegative = z.number().nonnegative();
 
 const schema = z.object({
   node: z.string().min(1),
@@ -29,15 +32,15 @@
   settings: z.object({
     nodes: z.number().int().positive(),
     zones: z.array(z.string()).min(1),
-    time_bound_ms: notNegative.default(0),
+    time_bound_ms: nonNegative.default(0),
     teams: z
       .array(
         z.object({
           name: z.string().min(1),
-          cpus: notNegative.default(0),
-          cpus_max: notNegative.default(0),
-          gpus: notNegative.default(0),
-          gpus_max: notNegative.default(0),
+          cpus: nonNegative.default(0),
+          cpus_max: nonNegative.default(0),
+          gpus: nonNegative.default(0),
+          gpus_max: nonNegative.default(0),
         }),
       )
       .default([]),
@@ -46,8 +49,8 @@
         z.object({
           kind: z.string(),
           class: z.string().optional(),
-          within_s: notNegative.optional(),
-          share: notNegative.optional(),
+          within_s: nonNegative.optional(),
+          share: nonNegative.optional(),
         }),
       )
       .default([]),
@@ -72,11 +75,34 @@
         })
         .optional(),
     }),
-    cloud: z.object({ rps: positive, list_lag_s: notNegative }),
+    cloud: z.object({ rps: positive, list_lag_s: nonNegative }),
     quota: z.object({ cores: positive, memory_mb: positive, max_sockets: positive }),
   }),
 });
 
+/** Timing that the platform prescribes for workers, in seconds. */
+export interface WorkerTiming {
+  readonly heartbeatIntervalS: number;
+  /** a worker kills its tasks when its lease was not renewed for this long */
+  readonly leaseS: number;
+  readonly gangWaitS: number;
+  readonly gangPeerS: number;
+  /** a confirmed cancellation takes effect within this */
+  readonly cancelS: number;
+}
+
+/** Limits of the store, for all nodes together. */
+export interface StoreServiceLimits {
+  readonly rps: number;
+  readonly writeRps: number;
+  /** sizes are the smaller ones of now and of `next`: nothing tells when those come */
+  readonly valueBytes: number;
+  readonly transactionOps: number;
+  /** rates from some unannounced moment on; as now if nothing is announced */
+  readonly next: { readonly rps: number; readonly writeRps: number };
+}
+
+/** The platform's settings of one node. Addresses are `HOST:PORT`. */
 export interface PlatformConfig {
   readonly node: string;
   readonly zone: string;
@@ -90,30 +116,75 @@
   readonly zones: readonly string[];
   readonly teams: ReadonlyMap<string, Team>;
   readonly objectives: readonly Objective[];
-  readonly workers: {
-    readonly heartbeatIntervalS: number;
-    readonly leaseS: number;
-    readonly gangWaitS: number;
-    readonly gangPeerS: number;
-    readonly cancelS: number;
-  };
-  readonly storeLimits: {
-    readonly rps: number;
-    readonly writeRps: number;
-    /** sizes are the smaller ones of now and of `next`: nothing tells when those come */
-    readonly valueBytes: number;
-    readonly transactionOps: number;
-    /** rates from some unannounced moment on; as now if nothing is announced */
-    readonly next: { readonly rps: number; readonly writeRps: number };
-  };
+  readonly workers: WorkerTiming;
+  readonly storeLimits: StoreServiceLimits;
   readonly cloudLimits: { readonly rps: number; readonly listLagS: number };
+  /** sockets that this process may use */
   readonly sockets: number;
 }
 
-export const describe = (error: z.ZodError): string[] =>
+/** The problems that a schema found, one line for each key. */
+export const describeIssues = (error: z.ZodError): string[] =>
   error.issues.map((i) => `${i.path.map(String).join('.') || '(file)'}: ${i.message}`);
 
-export const parsePlatform = (file: string, text: string): PlatformConfig => {
+type PlatformFile = z.infer<typeof schema>;
+type Settings = PlatformFile['settings'];
+
+const teamsOf = ({ teams }: Settings): ReadonlyMap<string, Team> =>
+  new Map(
+    teams.map(({ name, cpus, gpus, cpus_max, gpus_max }) => [
+      name,
+      { name, cpus, gpus, cpusMax: cpus_max, gpusMax: gpus_max },
+    ]),
+  );
+
+const objectivesOf = ({ objectives }: Settings): Objective[] =>
+  objectives.map((objective) => ({
+    kind: objective.kind,
+    jobClass: objective.class ?? null,
+    withinS: objective.within_s ?? 0,
+    share: objective.share ?? 0,
+  }));
+
+const workerTimingOf = ({ workers }: Settings): WorkerTiming => ({
+  heartbeatIntervalS: workers.report_s,
+  leaseS: workers.lease_s,
+  gangWaitS: workers.gang_wait_s,
+  gangPeerS: workers.gang_peer_s,
+  cancelS: workers.cancel_s,
+});
+
+const storeLimitsOf = ({ state }: Settings): StoreServiceLimits => ({
+  rps: state.rps,
+  writeRps: state.write_rps,
+  valueBytes: Math.min(state.value_kb, state.next?.value_kb ?? Infinity) * BYTES_PER_KB,
+  transactionOps: Math.min(state.txn_ops, state.next?.txn_ops ?? Infinity),
+  next: {
+    rps: Math.min(state.rps, state.next?.rps ?? Infinity),
+    writeRps: Math.min(state.write_rps, state.next?.write_rps ?? Infinity),
+  },
+});
+
+const toConfig = ({ settings, ...node }: PlatformFile): PlatformConfig => ({
+  node: node.node,
+  zone: node.site,
+  listen: node.serve_on,
+  peerListen: node.peer_bind,
+  peers: node.known.map((peer) => ({ node: peer.node, address: peer.endpoint })),
+  cloud: node.services.cloud,
+  store: node.services.state,
+  nodes: settings.nodes,
+  zones: settings.zones,
+  teams: teamsOf(settings),
+  objectives: objectivesOf(settings),
+  workers: workerTimingOf(settings),
+  storeLimits: storeLimitsOf(settings),
+  cloudLimits: { rps: settings.cloud.rps, listLagS: settings.cloud.list_lag_s },
+  sockets: settings.quota.max_sockets,
+});
+
+/** Reads the settings from TOML text; throws a `ConfigError` that names every bad key. Unknown keys are ignored. */
+export const parsePlatformConfig = (file: string, text: string): PlatformConfig => {
   let raw: unknown;
   try {
     raw = parse(text);
@@ -121,57 +192,16 @@
     throw new ConfigError(file, [`not TOML: ${(error as Error).message.split('\n')[0]}`]);
   }
   const result = schema.safeParse(raw);
-  if (!result.success) throw new ConfigError(file, describe(result.error));
-  const c = result.data;
-  const s = c.settings;
-  const names = new Set([c.node, ...c.known.map((k) => k.node)]);
-  if (names.size !== c.known.length + 1) {
+  if (!result.success) throw new ConfigError(file, describeIssues(result.error));
+  const { node, known } = result.data;
+  const names = new Set([node, ...known.map((peer) => peer.node)]);
+  if (names.size !== known.length + 1) {
     throw new ConfigError(file, ['known: two nodes have the same name']);
   }
-  return {
-    node: c.node,
-    zone: c.site,
-    listen: c.serve_on,
-    peerListen: c.peer_bind,
-    peers: c.known.map((k) => ({ node: k.node, address: k.endpoint })),
-    cloud: c.services.cloud,
-    store: c.services.state,
-    nodes: s.nodes,
-    zones: s.zones,
-    teams: new Map(
-      s.teams.map((t) => [
-        t.name,
-        { name: t.name, cpus: t.cpus, gpus: t.gpus, cpusMax: t.cpus_max, gpusMax: t.gpus_max },
-      ]),
-    ),
-    objectives: s.objectives.map((o) => ({
-      kind: o.kind,
-      jobClass: o.class ?? null,
-      withinS: o.within_s ?? 0,
-      share: o.share ?? 0,
-    })),
-    workers: {
-      heartbeatIntervalS: s.workers.report_s,
-      leaseS: s.workers.lease_s,
-      gangWaitS: s.workers.gang_wait_s,
-      gangPeerS: s.workers.gang_peer_s,
-      cancelS: s.workers.cancel_s,
-    },
-    storeLimits: {
-      rps: s.state.rps,
-      writeRps: s.state.write_rps,
-      valueBytes: Math.min(s.state.value_kb, s.state.next?.value_kb ?? Infinity) * 1024,
-      transactionOps: Math.min(s.state.txn_ops, s.state.next?.txn_ops ?? Infinity),
-      next: {
-        rps: Math.min(s.state.rps, s.state.next?.rps ?? Infinity),
-        writeRps: Math.min(s.state.write_rps, s.state.next?.write_rps ?? Infinity),
-      },
-    },
-    cloudLimits: { rps: s.cloud.rps, listLagS: s.cloud.list_lag_s },
-    sockets: s.quota.max_sockets,
-  };
+  return toConfig(result.data);
 };
 
+/** The text of a settings file; throws a `ConfigError` if it cannot be read. */
 export const readText = (file: string): string => {
   try {
     return readFileSync(file, 'utf8');
@@ -180,4 +210,6 @@
   }
 };
 
-export const loadPlatform = (file: string): PlatformConfig => parsePlatform(file, readText(file));
+/** Reads and checks the platform's file. */
+export const loadPlatformConfig = (file: string): PlatformConfig =>
+  parsePlatformConfig(file, readText(file));
--- a/src/constants.ts
+++ b/src/constants.ts
@@ -1,7 +1,7 @@
 /** Intervals and tolerances that several concerns share. */
 
 /** ms; users wait 5 s for a submission, so an answer after this is of no use to them. */
-export const USER_CALL_MS = 1500;
+export const USER_REQUEST_TIMEOUT_MS = 1500;
 
 /** ms; a change is acted on this soon, together with those that come right after it. */
 export const DEBOUNCE_MS = 250;
--- a/src/core/capacity/capacity-planner.ts
+++ b/src/core/capacity/capacity-planner.ts
@@ -30,7 +30,7 @@
   /** true while the cloud has said "no capacity" for this kind lately */
   readonly refused: (type: string, zone: string, spot: boolean) => boolean;
   readonly idleKeepMs: number;
-  readonly machinesMost: number;
+  readonly maxMachines: number;
 }
 
 export interface CapacityPlan {
@@ -107,7 +107,7 @@
     this.#spreads = spreadServiceKnown(input);
     this.#ordinary = new OrdinaryMachines(this.#staying);
     const pending = input.pending.reduce((sum, p) => sum + p.count, 0);
-    this.#allowed = Math.ceil(input.machinesMost / input.shards) - this.#staying.length - pending;
+    this.#allowed = Math.ceil(input.maxMachines / input.shards) - this.#staying.length - pending;
   }
 
   plan(): CapacityPlan {
--- a/src/main.ts
+++ b/src/main.ts
@@ -3,10 +3,10 @@
 import { Command } from 'commander';
 import { EXIT } from './commands/exit-codes.js';
 import { addDutyCommands, addShareCommands } from './commands/program.js';
-import { loadDuties } from './config/duties.js';
-import { loadShares } from './config/shares.js';
-import { loadOperator } from './config/operator.js';
-import { ConfigError, loadPlatform } from './config/platform.js';
+import { loadSingletonsConfig } from './config/singletons.js';
+import { loadRebalancingConfig } from './config/rebalancing.js';
+import { loadOperatorConfig } from './config/operator.js';
+import { ConfigError, loadPlatformConfig } from './config/platform.js';
 import { openLog } from './log.js';
 import { Service } from './service/service.js';
 
@@ -35,10 +35,10 @@
 
 const load = (options: Options) => {
   const problems: string[] = [];
-  const platform = attempt(problems, () => loadPlatform(options.config));
-  const operator = attempt(problems, () => loadOperator(options.operator));
-  const duties = attempt(problems, () => loadDuties(options.duties));
-  const shares = attempt(problems, () => loadShares(options.shares));
+  const platform = attempt(problems, () => loadPlatformConfig(options.config));
+  const operator = attempt(problems, () => loadOperatorConfig(options.operator));
+  const duties = attempt(problems, () => loadSingletonsConfig(options.duties));
+  const shares = attempt(problems, () => loadRebalancingConfig(options.shares));
   if (options.shares !== undefined && options.duties === undefined) {
     problems.push(`${options.shares}: needs --duties, since one of them moves machines`);
   }
--- a/src/rebalancing/shard-mover.ts
+++ b/src/rebalancing/shard-mover.ts
@@ -8,7 +8,7 @@
   type Move,
 } from '@sumacstep/shard-rebalancing';
 import type { Logger } from 'pino';
-import type { SharesConfig } from '../config/shares.js';
+import type { RebalancingConfig } from '../config/rebalancing.js';
 import { WAIT_REASON_WRITE_INTERVAL_MS } from './constants.js';
 import {
   hostsServiceReplicas,
@@ -77,7 +77,7 @@
   readonly #reasonAt = new Map<string, number>();
 
   constructor(
-    private readonly config: SharesConfig,
+    private readonly config: RebalancingConfig,
     private readonly ports: ShardMoverDependencies,
   ) {}
 
@@ -128,7 +128,7 @@
     const now = this.ports.now();
     const present = this.#withoutGone(move, shard.index);
     const machines = [...shard.machines.values()].map((m) => candidateOf(shard, m, now));
-    const selection = selectMachines(present, machines, this.config.emptyingMost);
+    const selection = selectMachines(present, machines, this.config.maxDrainingMachines);
     const newer = this.#targetIsNewer(shard.index, target);
     if (newer && selection.ready.length > 0 && move.state === 'moving') {
       void this.#once(move.id, () =>
--- a/src/service/limit-sharing.ts
+++ b/src/service/rate-limit-sharing.ts
@@ -1,4 +1,4 @@
-import type { CloudClient } from '../cloud/client.js';
+import type { CloudClient } from '../cloud/cloud-client.js';
 import type { OperatorConfig } from '../config/operator.js';
 import type { PlatformConfig } from '../config/platform.js';
 import type { StoreClient, StoreLimits } from '../store/store-client.js';
--- a/src/service/service.ts
+++ b/src/service/service.ts
@@ -1,19 +1,19 @@
 import { FencingRejections, type SessionLease } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import { steadyMs, timeOfDayMs } from '../clock.js';
-import { CloudClient } from '../cloud/client.js';
+import { CloudClient } from '../cloud/cloud-client.js';
 import { MachineTypes } from '../cloud/machine-types.js';
-import type { DutiesConfig } from '../config/duties.js';
+import type { SingletonsConfig } from '../config/singletons.js';
 import type { OperatorConfig } from '../config/operator.js';
 import type { PlatformConfig } from '../config/platform.js';
-import type { SharesConfig } from '../config/shares.js';
+import type { RebalancingConfig } from '../config/rebalancing.js';
 import { LOOP_MS, DEBOUNCE_MS, SUMMARY_MS } from '../constants.js';
 import { WATCH_REQUEST_SHARE, FOLLOW_PAUSE_MS, IDLE_LEASES, STORE_FRESH_MS } from './constants.js';
 import type { Cancellation } from '../core/cancellation/cancellation.js';
 import { CancellationBroadcast } from '../core/cancellation/cancellation-broadcast.js';
 import { CancellationCoverage } from '../core/cancellation/cancellation-coverage.js';
 import { WorkloadStatistics } from '../core/capacity/workload-statistics.js';
-import { type Heartbeat } from '../core/model.js';
+import type { Heartbeat, JobSpec } from '../core/model.js';
 import { SingletonControllers } from '../singletons/singleton-controllers.js';
 import { ShardController, type PeerView } from '../shards/shard-controller.js';
 import { Gossip, type OwnStatus } from '../peers/gossip.js';
@@ -24,7 +24,11 @@
 import { ScaleIn } from '../shards/scale-in.js';
 import { OrphanedInstances } from '../shards/orphaned-instances.js';
 import { HttpServer } from './http-server.js';
-import { cloudRateLimitPerNode, RateLimitSharing, storeLimitsPerNode } from './limit-sharing.js';
+import {
+  cloudRateLimitPerNode,
+  RateLimitSharing,
+  storeLimitsPerNode,
+} from './rate-limit-sharing.js';
 import { describeShards } from './shard-status.js';
 import { Readiness } from './readiness.js';
 import { PeriodicSummary } from './summary.js';
@@ -35,18 +39,18 @@
 import { createNodeSession } from '../store/node-session.js';
 import { watch, type WatchBatch } from '../store/watch.js';
 import { WatchCache } from '../store/watch-cache.js';
-import { userRoutes } from '../users/api.js';
+import { userRoutes } from '../users/user-routes.js';
 import { JobReader } from '../users/job-reader.js';
-import { Jobs } from '../users/jobs.js';
-import { workerRoutes, type HeartbeatReply } from '../workers/heartbeats.js';
+import { JobService } from '../users/job-service.js';
+import { heartbeatRoutes, type HeartbeatResponse } from '../workers/heartbeat-routes.js';
 
 /** The duty of renting and returning machines of a shard: its record is the shard's. */
 const SHARD_DUTY = /^parts\/(\d+)$/;
 
 /** What files under deploy/ switch on; null: off. */
-export interface Features {
-  readonly duties: DutiesConfig | null;
-  readonly shares: SharesConfig | null;
+export interface OptionalFeatures {
+  readonly duties: SingletonsConfig | null;
+  readonly shares: RebalancingConfig | null;
 }
 
 /** One controller: the core wired to state service, cloud, workers, users and the other nodes. */
@@ -79,7 +83,7 @@
   readonly #shardController: ShardController;
   readonly #rentals: ScaleOut;
   readonly #jobReader: JobReader;
-  readonly #jobs: Jobs;
+  readonly #jobs: JobService;
   readonly #stop = new AbortController();
   readonly #timers: NodeJS.Timeout[] = [];
   #timer: NodeJS.Timeout | null = null;
@@ -92,7 +96,7 @@
     private readonly config: PlatformConfig,
     private readonly operator: OperatorConfig,
     private readonly log: Logger,
-    { duties: dutiesConfig, shares }: Features = { duties: null, shares: null },
+    { duties: dutiesConfig, shares }: OptionalFeatures = { duties: null, shares: null },
   ) {
     const seed = (timeOfDayMs() * 1000 + Math.floor(steadyMs() * 1000) + process.pid) | 0;
     this.#random = randomFrom(seed);
@@ -204,22 +208,27 @@
       this.#returns,
       this.#workload,
       (shard) => this.#directory.activeTasksElsewhere(shard),
-      () => this.#jobs.sentAway(),
+      () => this.#jobs.deferredJobs(),
       () => this.#types.current,
       this.#now,
       timeOfDayMs,
       log,
     );
     this.#jobReader = new JobReader(this.#store, this.#cache, this.#linearizable);
-    this.#jobs = new Jobs(
-      this.#store,
-      this.#cache,
-      this.#jobReader,
+    const routing = {
+      types: () => this.#types.current,
+      loads: (spec: JobSpec) => this.#directory.loads(spec),
+      termOf: (shard: number) => this.#shardController.termOf(shard),
+      random: this.#random,
+    };
+    this.#jobs = new JobService(
       {
-        types: () => this.#types.current,
-        loads: (spec) => this.#directory.loads(spec),
-        termOf: (shard) => this.#shardController.termOf(shard),
-        random: this.#random,
+        client: this.#store,
+        cache: this.#cache,
+        reader: this.#jobReader,
+        routing,
+        acceptanceGuard: () => this.#duties?.acceptanceGuard() ?? null,
+        now: this.#now,
       },
       {
         teams: config.teams,
@@ -227,8 +236,6 @@
         valueBytes: config.storeLimits.valueBytes,
         loadThreshold: operator.loadThreshold,
       },
-      () => this.#duties?.acceptanceCondition() ?? null,
-      this.#now,
     );
     this.#cache.on('change', () => this.#reconcileDebounced());
     this.#cache.on('cancelled', (c: Cancellation) => this.#broadcast.add(c, this.#now()));
@@ -254,7 +261,7 @@
   }
 
   #listen(): Promise<void> {
-    const workers = workerRoutes(
+    const workers = heartbeatRoutes(
       (heartbeat) => this.#handleHeartbeat(heartbeat),
       () => this.#cache.ready,
     );
@@ -263,16 +270,16 @@
       reader: this.#jobReader,
       progress: (uid) => this.#directory.progress(uid),
       // Whoever runs the job should stop it now, whether or not the state service tells it.
-      cancelled: (uid) => {
+      onCancelled: (uid) => {
         if (this.#broadcast.isPending(uid)) this.#gossip.flush();
       },
-      ready: () => this.#ready(),
+      isReady: () => this.#ready(),
       storeAvailable: () => this.#store.available,
       timeOfDay: timeOfDayMs,
-      steady: this.#now,
+      now: this.#now,
       random: this.#random,
-      malformed: (reason) => this.log.info({ reason }, 'malformed submission'),
-      accepted: (spec, ms) => {
+      onMalformed: (reason) => this.log.info({ reason }, 'malformed submission'),
+      onAccepted: (spec, ms) => {
         this.#summary.accepted(ms);
         const { uid, jobClass, tasks } = spec;
         this.log.debug({ job: uid, class: jobClass, tasks }, 'accepted');
@@ -349,7 +356,7 @@
     }
   }
 
-  #handleHeartbeat(heartbeat: Heartbeat): HeartbeatReply {
+  #handleHeartbeat(heartbeat: Heartbeat): HeartbeatResponse {
     const reply = this.#shardController.handleHeartbeat(heartbeat);
     if (reply.kind === 'unavailable') this.#unrecorded.observe(heartbeat);
     else if (reply.kind === 'answer') this.#reconcileDebounced();
--- a/src/shards/direct-commands.ts
+++ b/src/shards/direct-commands.ts
@@ -1,7 +1,7 @@
 import { CLAIM_PAUSE_MS } from './constants.js';
 import type { Command } from '../core/model.js';
 import type { MachineState, Shard, Placement } from '../core/shard/shard.js';
-import { sendDirect } from '../workers/heartbeats.js';
+import { sendDirectCommands } from '../workers/direct-command-client.js';
 import type { OwnedShard } from './owned-shard.js';
 
 /** times that a worker of a session that we did not know is tried */
@@ -61,9 +61,11 @@
     for (let tries = 0; tries < TRIES; tries++) {
       const agentEpoch = Math.max(1, m.agentEpoch);
       this.#underWay += 1;
-      const sent = await sendDirect(m.address!, shard.term, agentEpoch, commands).finally(() => {
-        this.#underWay -= 1;
-      });
+      const sent = await sendDirectCommands(m.address!, shard.term, agentEpoch, commands).finally(
+        () => {
+          this.#underWay -= 1;
+        },
+      );
       if (sent.kind !== 'not_sent' && sent.kind !== 'in_doubt' && !sent.executed) {
         const { fencingToken } = sent.heartbeat;
         if (fencingToken > shard.term) authorization.recordRejection('machine', fencingToken);
--- a/src/shards/orphaned-instances.ts
+++ b/src/shards/orphaned-instances.ts
@@ -1,5 +1,5 @@
 import type { Logger } from 'pino';
-import type { CloudClient } from '../cloud/client.js';
+import type { CloudClient } from '../cloud/cloud-client.js';
 import type { PlatformConfig } from '../config/platform.js';
 import { ADOPT_MS, LIST_MS } from './constants.js';
 import { shardOfMachine } from '../core/jobs/jobs.js';
--- a/src/shards/retryable-error.ts
+++ b/src/shards/retryable-error.ts
@@ -1,5 +1,5 @@
 import { NotLeaderError } from '@sumacstep/leader-election';
-import { CloudRequestError } from '../cloud/client.js';
+import { CloudRequestError } from '../cloud/cloud-client.js';
 import { StoreRequestError } from '../store/store-client.js';
 
 /** Whether a call was not carried out, or has no outcome: it is repeated while it is still wanted. */
--- a/src/shards/scale-in.ts
+++ b/src/shards/scale-in.ts
@@ -1,5 +1,5 @@
 import type { Logger } from 'pino';
-import type { CloudClient } from '../cloud/client.js';
+import type { CloudClient } from '../cloud/cloud-client.js';
 import { MAX_RETURN_BATCH } from '../constants.js';
 import type { ReturnIntents } from '../singletons/return-intents.js';
 import type { OwnedShard } from './owned-shard.js';
--- a/src/shards/scale-out.ts
+++ b/src/shards/scale-out.ts
@@ -11,7 +11,7 @@
   RENT_MS,
   RENT_RETRY_MS,
 } from './constants.js';
-import type { CloudClient } from '../cloud/client.js';
+import type { CloudClient } from '../cloud/cloud-client.js';
 import { planCapacity } from '../core/capacity/capacity-planner.js';
 import type { WorkloadStatistics } from '../core/capacity/workload-statistics.js';
 import type { JobSpec, MachineType } from '../core/model.js';
@@ -98,7 +98,7 @@
       reserveSigma: this.operator.reserveSigma,
       drainS: this.operator.drainS,
       idleKeepMs: this.operator.idleKeepS * 1000,
-      machinesMost: this.operator.machinesMost,
+      maxMachines: this.operator.maxMachines,
       now,
     });
     if (plan.rentals.length > 0 || plan.returns.length > 0) {
@@ -107,7 +107,7 @@
     }
     if (plan.capped > 0 && now - this.#lastCapped > SUMMARY_MS) {
       this.#lastCapped = now;
-      const limit = this.operator.machinesMost;
+      const limit = this.operator.maxMachines;
       this.log.info({ shard: index, limit, missing: plan.capped }, 'machine limit reached');
     }
     const wishes: Wish[] = [];
--- a/src/shards/shard-controller.ts
+++ b/src/shards/shard-controller.ts
@@ -24,7 +24,7 @@
 import { key, type ShardRecord } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { Guard, Write } from '../wire/schemas.js';
-import type { HeartbeatReply } from '../workers/heartbeats.js';
+import type { HeartbeatResponse } from '../workers/heartbeat-routes.js';
 
 /** What other nodes tell that matters for owning shards. */
 export interface PeerView {
@@ -387,7 +387,7 @@
 
   // --- workers -----------------------------------------------------------------------------------
 
-  handleHeartbeat(heartbeat: Heartbeat): HeartbeatReply {
+  handleHeartbeat(heartbeat: Heartbeat): HeartbeatResponse {
     const now = this.now();
     if (!this.cache.ready) return { kind: 'unavailable' };
     const record = this.cache.machines.get(heartbeat.machine)?.value;
@@ -443,7 +443,7 @@
     return may;
   }
 
-  #sendOn(heartbeat: Heartbeat, shard: number, now: number): HeartbeatReply {
+  #sendOn(heartbeat: Heartbeat, shard: number, now: number): HeartbeatResponse {
     const owner = this.cache.tables.shards.get(String(shard))?.value;
     if (owner === undefined) return { kind: 'unavailable' };
     const me = owner.owner === this.config.node;
--- a/src/singletons/garbage-collector.ts
+++ b/src/singletons/garbage-collector.ts
@@ -11,7 +11,7 @@
 import { isTerminal, moveKey } from '@sumacstep/shard-rebalancing';
 import type { Logger } from 'pino';
 import { setTimeout as sleep } from 'node:timers/promises';
-import type { DutiesConfig } from '../config/duties.js';
+import type { SingletonsConfig } from '../config/singletons.js';
 import { CLOCK_DRIFT } from '../constants.js';
 import { GARBAGE_COLLECTION_INTERVAL_MS, RETENTION_WRITE_INTERVAL_MS } from './constants.js';
 import { LIST_PAGE_SIZE } from '../store/constants.js';
@@ -65,7 +65,10 @@
   #sweptTo = -1;
 
   constructor(
-    private readonly config: Pick<DutiesConfig, 'finalKeepMs' | 'clearWritesPerS'>,
+    private readonly config: Pick<
+      SingletonsConfig,
+      'finalStateRetentionMs' | 'garbageCollectionWritesPerS'
+    >,
     private readonly ports: GarbageCollectorDependencies,
   ) {}
 
@@ -86,7 +89,7 @@
 
   /** ms; what is kept for a short time only is looked after more often. */
   #every(usualMs: number): number {
-    return Math.min(usualMs, this.config.finalKeepMs * ROUNDS_SHARE);
+    return Math.min(usualMs, this.config.finalStateRetentionMs * ROUNDS_SHARE);
   }
 
   async #guarded(work: () => Promise<void>): Promise<void> {
@@ -105,7 +108,7 @@
   async round(authorization: Authorization): Promise<void> {
     const retention = await this.#observeTime(authorization);
     if (retention === null) return;
-    const expired = expiredRevision(retention, this.config.finalKeepMs);
+    const expired = expiredRevision(retention, this.config.finalStateRetentionMs);
     if (expired !== null && expired > this.#sweptTo) {
       const cleared = await this.#clearFinals(authorization, expired);
       if (!authorization.isValid()) return;
@@ -131,7 +134,7 @@
     const stored = this.ports.cache.tables.elections.get('retention');
     const old = stored?.value.kind === 'retention' ? stored.value.retention : EMPTY_RETENTION;
     if (stored !== undefined && passedMs < this.#every(RETENTION_WRITE_INTERVAL_MS)) return null;
-    const options = { keepMs: this.config.finalKeepMs, clockDrift: CLOCK_DRIFT };
+    const options = { keepMs: this.config.finalStateRetentionMs, clockDrift: CLOCK_DRIFT };
     const value = observeElapsed(old, passedMs, this.ports.cache.revision, options);
     const writes = [{ put: electionEntryKey.retention, value }];
     const guards = [{ key: electionEntryKey.retention, revision: stored?.revision ?? 0 }];
@@ -176,7 +179,7 @@
         if (!authorization.isValid()) return cleared;
         const batch = old.slice(at, at + most);
         if (await this.#dropFinals(authorization, batch)) cleared += batch.length;
-        await sleep(((batch.length + 1) * 1000) / this.config.clearWritesPerS);
+        await sleep(((batch.length + 1) * 1000) / this.config.garbageCollectionWritesPerS);
       }
       const last = page.entries.at(-1);
       if (!page.more || last === undefined) return cleared;
--- a/src/singletons/orphan-collector.ts
+++ b/src/singletons/orphan-collector.ts
@@ -1,6 +1,6 @@
 import { type Authorization } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
-import type { CloudClient } from '../cloud/client.js';
+import type { CloudClient } from '../cloud/cloud-client.js';
 import { MAX_RETURN_BATCH } from '../constants.js';
 import { MAX_GUARDS_PER_WRITE } from '../store/constants.js';
 import { key } from '../store/keys.js';
--- a/src/singletons/singleton-controllers.ts
+++ b/src/singletons/singleton-controllers.ts
@@ -1,9 +1,9 @@
 import type { FencingRejections } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
-import type { CloudClient } from '../cloud/client.js';
-import type { DutiesConfig } from '../config/duties.js';
+import type { CloudClient } from '../cloud/cloud-client.js';
+import type { SingletonsConfig } from '../config/singletons.js';
 import type { PlatformConfig } from '../config/platform.js';
-import type { SharesConfig } from '../config/shares.js';
+import type { RebalancingConfig } from '../config/rebalancing.js';
 import { MoveCoordinator } from '../rebalancing/move-coordinator.js';
 import type { Reclaimer } from '../shards/orphaned-instances.js';
 import type { StoreClient } from '../store/store-client.js';
@@ -47,8 +47,8 @@
 
   constructor(
     platform: Platform,
-    config: DutiesConfig,
-    shares: SharesConfig | null,
+    config: SingletonsConfig,
+    shares: RebalancingConfig | null,
     incarnation: string,
     ports: SingletonControllersDependencies,
   ) {
@@ -59,9 +59,9 @@
     this.#controller = new SingletonElection({ node: platform.node, incarnation }, switched, ports);
     const duties = this.#controller;
     const intents = new ReturnIntents(client, cache, valueBytes);
-    this.shardReturns = config.recordReturns ? intents : null;
+    this.shardReturns = config.recordReturnIntents ? intents : null;
     const reclaiming = new OrphanCollector(transactionOps, { ...ports, duties, intents });
-    this.reclaimer = config.reclaim ? { reclaiming, intents } : null;
+    this.reclaimer = config.collectOrphans ? { reclaiming, intents } : null;
     this.#mover = shares === null ? null : new MoveCoordinator({ ...ports, duties });
     this.#clearing = new GarbageCollector(config, {
       ...ports,
@@ -85,7 +85,7 @@
   }
 
   /** What acceptances depend on: it changes whenever final states are cleared. */
-  acceptanceCondition(): Guard {
+  acceptanceGuard(): Guard {
     const name = electionEntryKey.acceptance;
     const known = this.#cache.tables.elections.get(name.slice('duties/'.length));
     return { key: name, revision: known?.revision ?? 0 };
--- a/src/singletons/singleton-election.ts
+++ b/src/singletons/singleton-election.ts
@@ -13,7 +13,7 @@
   type Versioned,
 } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
-import type { DutiesConfig } from '../config/duties.js';
+import type { SingletonsConfig } from '../config/singletons.js';
 import { CANDIDATE_DELAY_MS } from './constants.js';
 import { CALL_PRIORITY, type CallPriority, type StoreClient } from '../store/store-client.js';
 import { key, type CachedValues } from '../store/keys.js';
@@ -76,14 +76,16 @@
 
   constructor(
     self: Member,
-    config: Pick<DutiesConfig, 'reclaim' | 'clear'> & { readonly move: boolean },
+    config: Pick<SingletonsConfig, 'collectOrphans' | 'collectGarbage'> & {
+      readonly move: boolean;
+    },
     ports: SingletonElectionDependencies,
   ) {
     const { client, cache, authority, fencingRejections, now, timeOfDay, log } = ports;
     this.#cache = cache;
     const switched = {
-      [ORPHAN_COLLECTOR_ROLE]: config.reclaim,
-      [GARBAGE_COLLECTOR_ROLE]: config.clear,
+      [ORPHAN_COLLECTOR_ROLE]: config.collectOrphans,
+      [GARBAGE_COLLECTOR_ROLE]: config.collectGarbage,
       [MOVE_COORDINATOR_ROLE]: config.move,
     };
     const duties = SINGLETON_ROLES.filter((name) => switched[name]);
--- a/src/store/linearizable-reads.ts
+++ b/src/store/linearizable-reads.ts
@@ -1,4 +1,4 @@
-import { USER_CALL_MS } from '../constants.js';
+import { USER_REQUEST_TIMEOUT_MS } from '../constants.js';
 import { HELD_WATCH_MS } from './constants.js';
 import { CALL_PRIORITY, StoreRequestError, type StoreClient } from './store-client.js';
 import { key } from './keys.js';
@@ -66,7 +66,7 @@
   #look(): void {
     if (this.#timer !== null || this.#waiters.length === 0) return;
     const between = this.#reading === null;
-    const waitMs = between ? 2 * USER_CALL_MS : HELD_WATCH_MS;
+    const waitMs = between ? 2 * USER_REQUEST_TIMEOUT_MS : HELD_WATCH_MS;
     const timer = setTimeout(() => {
       if (this.#timer === timer) this.#timer = null;
       this.#expire();
@@ -81,7 +81,7 @@
 
   /** Whoever asked so long ago has been refused by now. */
   #expire(): void {
-    const since = this.now() - 2 * USER_CALL_MS;
+    const since = this.now() - 2 * USER_REQUEST_TIMEOUT_MS;
     for (const waiter of this.#waiters) {
       if (waiter.asked < since) waiter.reject(new StoreRequestError('busy', 'late'));
     }
--- a/src/users/constants.ts
+++ b/src/users/constants.ts
@@ -1,25 +1,25 @@
 /** Limits of the users' interface. */
 
-/** bytes; type lists below this leave room for the rest of a value. */
-export const TYPE_LIST_BYTES = 2048;
+/** bytes; a list of machine types up to this size leaves room for the rest of the stored job. */
+export const TYPE_LIST_LIMIT_BYTES = 2048;
 
-/** requests; more than these waiting on the state service are refused at once, never queued. */
-export const USER_WAITING_LIMIT = 200;
+/** requests served at once; more are refused, never queued. */
+export const IN_FLIGHT_REQUESTS_LIMIT = 200;
 
-/** ms; a submission whose write would wait longer than this is refused at once. */
-export const SUBMIT_WAIT_MS = 900;
+/** ms; a submission whose write would be queued for longer is refused at once. */
+export const MAX_SUBMISSION_WAIT_MS = 900;
 
-/** ms; a job that was told to come back is expected for this long: most are back by then. */
-export const SENT_AWAY_MS = 4000;
+/** ms; how long a deferred submission is expected to be repeated. */
+export const DEFERRED_SUBMISSION_MS = 4000;
 
-/** s; what a refused user is told to wait: long enough that a wave of retries spreads out. */
-export const RETRY_AFTER_S = { least: 1, most: 15, spread: 3 } as const;
+/** s; bounds of `Retry-After`, and the random spread that keeps retries apart. */
+export const RETRY_AFTER_S = { min: 1, max: 15, spread: 3 } as const;
 
-/** tries; an acceptance that met a clearing of final states is written anew. */
-export const ACCEPT_TRIES = 3;
+/** attempts to write an acceptance that met garbage collection of final states. */
+export const ACCEPTANCE_ATTEMPTS = 3;
 
-/** tries; each conflict means that the job's owner has just written it. */
-export const CANCEL_TRIES = 4;
+/** attempts to cancel a job that its owner keeps writing. */
+export const CANCELLATION_ATTEMPTS = 4;
 
-/** booked share by which a range raises its shard, until the shard's own figure comes round. */
+/** allocation ratio that a routed range adds to its shard until the shard's own figure arrives. */
 export const LOAD_PER_RANGE = 0.05;
--- a/src/users/job-reader.ts
+++ b/src/users/job-reader.ts
@@ -70,7 +70,7 @@
    * now, else the reading. Null if the reading is older than the request: another node may have told
    * the user something newer in between.
    */
-  tellable(uid: string, reading: JobReading, arrivedAt: number): JobAnswer | null {
+  answerSince(uid: string, reading: JobReading, arrivedAt: number): JobAnswer | null {
     const final = this.knownFinal(uid);
     if (final !== undefined) return { kind: 'final', final };
     return reading.currentSince >= arrivedAt ? reading.answer : null;
--- /dev/null
+++ b/src/users/user-routes.ts
@@ -0,0 +1,237 @@
+/** The HTTP routes for users: submissions, queries, cancellations, and readiness. */
+import type Koa from 'koa';
+import { USER_REQUEST_TIMEOUT_MS } from '../constants.js';
+import { RETRY_AFTER_S, IN_FLIGHT_REQUESTS_LIMIT } from './constants.js';
+import type { JobSpec } from '../core/model.js';
+import { readBody, sendCbor } from '../transport/http.js';
+import { StoreRequestError } from '../store/store-client.js';
+import { fromBytes, WireError } from '../wire/cbor.js';
+import { statusBody, submissionSchema, JOB_UID_PATTERN, type JobStatus } from '../wire/schemas.js';
+import type { JobReader, JobReading } from './job-reader.js';
+import type { JobService } from './job-service.js';
+import * as z from 'zod';
+
+/** What the routes need of the rest of the node. */
+export interface UserApiDependencies {
+  readonly jobs: Pick<JobService, 'submit' | 'cancel'>;
+  readonly reader: JobReader;
+  /** numbers of a job's tasks that are done and running, for display */
+  progress(uid: string): { done: number; running: number };
+  /** called whenever a user is told that the job is cancelled */
+  onCancelled(uid: string): void;
+  isReady(): boolean;
+  /** false while the store is known not to answer */
+  storeAvailable(): boolean;
+  /** wall clock, ms */
+  timeOfDay(): number;
+  random(below: number): number;
+  /** called with the time that the acceptance took */
+  onAccepted(spec: JobSpec, ms: number): void;
+  onMalformed(reason: string): void;
+  /** monotonic clock, ms */
+  now(): number;
+}
+
+/** Nothing was decided within `USER_REQUEST_TIMEOUT_MS`; the user is told to retry. */
+class RequestTimeoutError extends Error {
+  constructor() {
+    super('the state service is slow');
+  }
+}
+
+/** Rejects with `RequestTimeoutError` if the work takes longer than a user waits; the work goes on. */
+const withTimeout = <T>(work: Promise<T>): Promise<T> => {
+  let timer: NodeJS.Timeout;
+  const late = new Promise<never>((_, reject) => {
+    timer = setTimeout(() => reject(new RequestTimeoutError()), USER_REQUEST_TIMEOUT_MS);
+  });
+  return Promise.race([work, late]).finally(() => clearTimeout(timer));
+};
+
+/** A request about a job, and when it arrived, monotonic ms. */
+interface JobRequest {
+  readonly ctx: Koa.Context;
+  readonly uid: string;
+  readonly arrivedAt: number;
+}
+
+/** The job that a malformed submission names, if it names one. */
+const claimedUid = z.object({ Uid: z.string().regex(JOB_UID_PATTERN) });
+
+class UserRoutes {
+  /** requests being served */
+  #inFlight = 0;
+
+  constructor(private readonly dependencies: UserApiDependencies) {}
+
+  async handle(ctx: Koa.Context, next: Koa.Next): Promise<void> {
+    if (ctx.path === '/ready' && ctx.method === 'GET') {
+      this.#ready(ctx);
+      return;
+    }
+    if (ctx.path !== '/submissions' && !ctx.path.startsWith('/submissions/')) {
+      await next();
+      return;
+    }
+    if (this.#inFlight >= IN_FLIGHT_REQUESTS_LIMIT) {
+      this.#retryLater(ctx, 'too many requests wait');
+      return;
+    }
+    this.#inFlight += 1;
+    try {
+      await this.#dispatch(ctx);
+    } catch (error) {
+      if (error instanceof WireError) sendCbor(ctx, 400, { error: error.message });
+      else if (error instanceof StoreRequestError || error instanceof RequestTimeoutError)
+        this.#retryLater(ctx, error.message);
+      else throw error;
+    } finally {
+      this.#inFlight -= 1;
+    }
+  }
+
+  #ready(ctx: Koa.Context): void {
+    if (this.dependencies.isReady()) sendCbor(ctx, 200, { ready: true });
+    else this.#retryLater(ctx, 'not ready');
+  }
+
+  async #dispatch(ctx: Koa.Context): Promise<void> {
+    const arrivedAt = this.dependencies.now();
+    const [, , uid, verb] = ctx.path.split('/');
+    if (uid === undefined && ctx.method === 'POST') return this.#submit(ctx, arrivedAt);
+    if (uid === undefined || (verb !== undefined && verb !== 'withdraw')) return;
+    if (verb === undefined && ctx.method !== 'GET') return;
+    if (verb === 'withdraw' && ctx.method !== 'POST') return;
+    if (!JOB_UID_PATTERN.test(uid)) {
+      sendCbor(ctx, 404, { error: 'no such job' });
+      return;
+    }
+    const request = { ctx, uid, arrivedAt };
+    return verb === undefined ? this.#query(request) : this.#cancel(request);
+  }
+
+  async #submit(ctx: Koa.Context, arrivedAt: number): Promise<void> {
+    const { dependencies } = this;
+    const bytes = await readBody(ctx.req);
+    if (bytes === null) {
+      ctx.set('Connection', 'close');
+      sendCbor(ctx, 400, { error: 'body over the limit' });
+      return;
+    }
+    const body = fromBytes(bytes);
+    const parsed = submissionSchema.safeParse(body);
+    if (!parsed.success) return this.#rejectMalformed(ctx, body, parsed.error, arrivedAt);
+    const { uid } = parsed.data;
+    if (!this.#canAnswer(uid)) {
+      this.#storeUnavailable(ctx);
+      return;
+    }
+    const result = await withTimeout(
+      dependencies.jobs.submit(parsed.data, dependencies.timeOfDay()),
+    );
+    const request = { ctx, uid, arrivedAt };
+    switch (result.kind) {
+      case 'accepted':
+        dependencies.onAccepted(parsed.data, dependencies.now() - arrivedAt);
+        {
+          this.#respond(request, result.reading, true);
+          return;
+        }
+      case 'duplicate': {
+        this.#respond(request, result.reading);
+        return;
+      }
+      case 'rejected': {
+        sendCbor(ctx, 422, { error: result.reason });
+        return;
+      }
+      case 'unavailable': {
+        this.#retryLater(ctx, result.reason, result.waitMs);
+        return;
+      }
+    }
+  }
+
+  /** A repeat of an accepted submission is answered with the job's state, whatever else its body says. */
+  async #rejectMalformed(
+    ctx: Koa.Context,
+    body: unknown,
+    error: z.ZodError,
+    arrivedAt: number,
+  ): Promise<void> {
+    const uid = claimedUid.safeParse(body).data?.Uid;
+    if (uid !== undefined) {
+      if (!this.#canAnswer(uid)) {
+        this.#storeUnavailable(ctx);
+        return;
+      }
+      const reading = await withTimeout(this.dependencies.reader.read(uid));
+      if (reading.answer.kind !== 'missing') {
+        this.#respond({ ctx, uid, arrivedAt }, reading);
+        return;
+      }
+    }
+    const first = error.issues[0];
+    const reason = `${first?.path.join('.') ?? ''}: ${first?.message ?? ''}`;
+    this.dependencies.onMalformed(reason);
+    sendCbor(ctx, 400, { error: reason });
+  }
+
+  async #query(request: JobRequest): Promise<void> {
+    if (!this.#canAnswer(request.uid)) {
+      this.#storeUnavailable(request.ctx);
+      return;
+    }
+    this.#respond(request, await withTimeout(this.dependencies.reader.read(request.uid)));
+  }
+
+  async #cancel(request: JobRequest): Promise<void> {
+    if (!this.#canAnswer(request.uid)) {
+      this.#storeUnavailable(request.ctx);
+      return;
+    }
+    this.#respond(request, await withTimeout(this.dependencies.jobs.cancel(request.uid)));
+  }
+
+  /** The one place where a user is told a job's state. `accepted`: this very request was accepted. */
+  #respond({ ctx, uid, arrivedAt }: JobRequest, reading: JobReading, accepted = false): void {
+    const { dependencies } = this;
+    const answer = dependencies.reader.answerSince(uid, reading, arrivedAt);
+    if (answer === null) this.#retryLater(ctx, 'the state was read before the request came in');
+    else if (answer.kind === 'missing') sendCbor(ctx, 404, { error: 'no such job' });
+    else if (answer.kind === 'final') {
+      const { status, done } = answer.final;
+      if (status === 'cancelled') dependencies.onCancelled(uid);
+      sendCbor(ctx, 200, statusBody(uid, status, done, 0));
+    } else if (accepted) sendCbor(ctx, 201, statusBody(uid, 'queued'));
+    else {
+      const { done, running } = dependencies.progress(uid);
+      const status: JobStatus = running > 0 ? 'running' : 'queued';
+      sendCbor(ctx, 200, statusBody(uid, status, done, running));
+    }
+  }
+
+  /** Without the store only final states in memory can be told: they never change. */
+  #canAnswer(uid: string): boolean {
+    return (
+      this.dependencies.storeAvailable() || this.dependencies.reader.knownFinal(uid) !== undefined
+    );
+  }
+
+  #storeUnavailable(ctx: Koa.Context): void {
+    this.#retryLater(ctx, 'the state service does not answer');
+  }
+
+  #retryLater(ctx: Koa.Context, reason: string, waitMs = 0): void {
+    const minimumS = Math.min(RETRY_AFTER_S.max, Math.max(RETRY_AFTER_S.min, waitMs / 1000));
+    const seconds = Math.ceil(minimumS) + this.dependencies.random(RETRY_AFTER_S.spread + 1);
+    ctx.set('Retry-After', String(seconds));
+    sendCbor(ctx, 503, { error: reason });
+  }
+}
+
+/** Middleware that serves `/submissions` and `/ready`. */
+export const userRoutes = (dependencies: UserApiDependencies): Koa.Middleware => {
+  const routes = new UserRoutes(dependencies);
+  return (ctx, next) => routes.handle(ctx, next);
+};
--- a/test/capacity.test.ts
+++ b/test/capacity.test.ts
@@ -24,7 +24,7 @@
   reserveSigma: 1,
   drainS: 45,
   idleKeepMs: 10_000,
-  machinesMost: 100,
+  maxMachines: 100,
   now: 0,
   ...over,
 });
@@ -87,7 +87,7 @@
     ],
     [
       'the limit',
-      input(new Store().add(job({ ...long, tasks: 50 })), { machinesMost: 1 }),
+      input(new Store().add(job({ ...long, tasks: 50 })), { maxMachines: 1 }),
       ['1 spot y'],
     ],
   ];
--- a/test/duty-commands.test.ts
+++ b/test/duty-commands.test.ts
@@ -2,7 +2,7 @@
 import { describe, test } from 'node:test';
 import { leaderKey, transferRequestKey, type LeaderRecord } from '@sumacstep/leader-election';
 import type { DutiesOutput } from '../src/commands/duties.js';
-import { parseDuties } from '../src/config/duties.js';
+import { parseSingletonsConfig } from '../src/config/singletons.js';
 import { ConfigError } from '../src/config/platform.js';
 import { ORPHAN_COLLECTOR_ROLE } from '../src/singletons/singleton-election.js';
 import { Cluster } from './standins/cluster.js';
@@ -11,7 +11,7 @@
 /** The commands of duties while controllers end, requests meet and the state service is out. */
 describe('sumacstep duties', () => {
   test('shows holders during a failover, and hands over by request', async () => {
-    const features = { duties: parseDuties('', '') };
+    const features = { duties: parseSingletonsConfig('', '') };
     const c = new Cluster({ runMs: 500, leaseS: 10, cancelS: 20, features });
     const record = () => c.stored(leaderKey(ORPHAN_COLLECTOR_ROLE)) as LeaderRecord | undefined;
     try {
@@ -103,7 +103,7 @@
   test('settings: each bad key is named', () => {
     const text = '[clear]\nfinal_keep_h = 0\nfinal_keep = 3\n[returns]\nrecord = maybe\n[x]\ny = 1';
     try {
-      parseDuties('duties.ini', text);
+      parseSingletonsConfig('duties.ini', text);
       assert.fail('accepted');
     } catch (error) {
       assert.ok(error instanceof ConfigError);
--- a/test/failing-jobs.test.ts
+++ b/test/failing-jobs.test.ts
@@ -129,7 +129,7 @@
   reserveSigma: 0,
   drainS: 45,
   idleKeepMs: 1e9,
-  machinesMost: 1000,
+  maxMachines: 1000,
   now: fleet.now,
 });
 
--- a/test/heartbeats.test.ts
+++ b/test/heartbeats.test.ts
@@ -5,7 +5,7 @@
 import Koa from 'koa';
 import type { Heartbeat } from '../src/core/model.js';
 import { CborClient } from '../src/transport/http.js';
-import { workerRoutes, type HeartbeatReply } from '../src/workers/heartbeats.js';
+import { heartbeatRoutes, type HeartbeatResponse } from '../src/workers/heartbeat-routes.js';
 
 const HEARTBEAT = {
   Host: 'a',
@@ -26,7 +26,7 @@
   name: string;
   open: boolean;
   body: unknown;
-  reply: HeartbeatReply;
+  reply: HeartbeatResponse;
   status: number;
   answer: unknown;
   /** whether the report reaches the shard's state */
@@ -93,7 +93,7 @@
     const seen: Heartbeat[] = [];
     const app = new Koa();
     app.use(
-      workerRoutes(
+      heartbeatRoutes(
         (heartbeat) => {
           seen.push(heartbeat);
           return c.reply;
--- a/test/machine-faults.test.ts
+++ b/test/machine-faults.test.ts
@@ -25,7 +25,7 @@
     reserveSigma: 1,
     drainS: 45,
     idleKeepMs: 1e9,
-    machinesMost: 100,
+    maxMachines: 100,
     now,
   };
   return planCapacity(input).returns.map((g) => g.name);
--- a/test/measurements/duty-takeover.ts
+++ b/test/measurements/duty-takeover.ts
@@ -5,7 +5,7 @@
 import { writeFileSync } from 'node:fs';
 import { setTimeout as sleep } from 'node:timers/promises';
 import { leaderKey, type LeaderRecord } from '@sumacstep/leader-election';
-import { parseDuties, type DutiesConfig } from '../../src/config/duties.js';
+import { parseSingletonsConfig, type SingletonsConfig } from '../../src/config/singletons.js';
 import { ORPHAN_COLLECTOR_ROLE } from '../../src/singletons/singleton-election.js';
 import type { ShardRecord } from '../../src/store/keys.js';
 import { Cluster } from '../standins/cluster.js';
@@ -47,7 +47,7 @@
 const measure = async (
   name: string,
   version: Version,
-  duties: DutiesConfig | undefined,
+  duties: SingletonsConfig | undefined,
 ): Promise<Measured> => {
   const versions = { n0: version, n1: version, n2: version };
   const options = { runMs: 1000, leaseS: 18, cancelS: 38, versions };
@@ -75,7 +75,11 @@
 
 const old = await measure('version before', 'production', undefined);
 const off = await measure('duties off', 'current', undefined);
-const on = await measure('duties on', 'current', parseDuties('', '[clear]\nenabled = true'));
+const on = await measure(
+  'duties on',
+  'current',
+  parseSingletonsConfig('', '[clear]\nenabled = true'),
+);
 const series = [old.shards, off.shards, on.shards, ...(on.duty === null ? [] : [on.duty])];
 const counts = {
   'state requests a second, version before': old.requestsPerS,
--- a/test/quotas.test.ts
+++ b/test/quotas.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import pino from 'pino';
 import { Completions } from '../src/shards/completions.js';
-import { ConfigError, parsePlatform, type PlatformConfig } from '../src/config/platform.js';
+import { ConfigError, parsePlatformConfig, type PlatformConfig } from '../src/config/platform.js';
 import { SLOT_FILL } from '../src/core/jobs/constants.js';
 import { PROGRESS_MS, SAVE_MS } from '../src/shards/constants.js';
 import { cutRanges, decodeDone, encodeDone, maxRangeTasks } from '../src/core/jobs/jobs.js';
@@ -33,7 +33,7 @@
     [next('later_field = 1'), 8192, 16, 25],
   ];
   for (const [text, valueBytes, transactionOps, writeRps] of good) {
-    const { storeLimits } = parsePlatform('f', text);
+    const { storeLimits } = parsePlatformConfig('f', text);
     assert.equal(storeLimits.valueBytes, valueBytes);
     assert.equal(storeLimits.transactionOps, transactionOps);
     assert.equal(storeLimits.writeRps, 25);
@@ -48,7 +48,7 @@
   ]) {
     const name = key.split(' ')[0]!;
     assert.throws(
-      () => parsePlatform('f', next(key)),
+      () => parsePlatformConfig('f', next(key)),
       (e: unknown) =>
         e instanceof ConfigError &&
         e.problems.some((p) => p.startsWith(`settings.state.next.${name}`)),
--- a/test/services.test.ts
+++ b/test/services.test.ts
@@ -29,7 +29,7 @@
     reserveSigma: 1,
     drainS: 45,
     idleKeepMs: 0,
-    machinesMost: 100,
+    maxMachines: 100,
     now,
     ...over,
   });
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -1,14 +1,14 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { parseOperator } from '../src/config/operator.js';
-import { ConfigError, parsePlatform } from '../src/config/platform.js';
+import { parseOperatorConfig } from '../src/config/operator.js';
+import { ConfigError, parsePlatformConfig } from '../src/config/platform.js';
 import { openLog } from '../src/log.js';
 import { readFileSync } from 'node:fs';
 import { TokenBucket } from '../src/transport/token-bucket.js';
 import { PLATFORM } from './helpers.js';
 
 test("the platform's file: unknown fields are ignored, wrong ones named", () => {
-  assert.equal(parsePlatform('f', PLATFORM).nodes, 3);
+  assert.equal(parsePlatformConfig('f', PLATFORM).nodes, 3);
   const cases: [string, string, RegExp][] = [
     ['not TOML', 'node = ', /not TOML/],
     ['missing', PLATFORM.replace('node = "n-0"', ''), /node: /],
@@ -18,7 +18,7 @@
   ];
   for (const [name, text, want] of cases) {
     assert.throws(
-      () => parsePlatform('f', text),
+      () => parsePlatformConfig('f', text),
       (e) => e instanceof ConfigError && e.problems.some((p) => want.test(p)),
       name,
     );
@@ -26,8 +26,12 @@
 });
 
 test("the operator's file: unknown keys and values out of range are errors", () => {
-  const shipped = parseOperator('operator.ini', readFileSync('deploy/operator.ini', 'utf8'));
-  assert.deepEqual(shipped, parseOperator('defaults', ''), 'the shipped file shows the defaults');
+  const shipped = parseOperatorConfig('operator.ini', readFileSync('deploy/operator.ini', 'utf8'));
+  assert.deepEqual(
+    shipped,
+    parseOperatorConfig('defaults', ''),
+    'the shipped file shows the defaults',
+  );
   const cases: [string, RegExp][] = [
     ['[placement]\nload_treshold = 1\n', /load_treshold/],
     ['[placement]\nload_threshold = -1\n', /placement\.load_threshold/],
@@ -37,7 +41,7 @@
   ];
   for (const [text, want] of cases) {
     assert.throws(
-      () => parseOperator('f', text),
+      () => parseOperatorConfig('f', text),
       (e) => e instanceof ConfigError && want.test(e.problems.join(' ')),
       text,
     );
--- a/test/shard-controller.test.ts
+++ b/test/shard-controller.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import pino from 'pino';
-import { parseOperator } from '../src/config/operator.js';
+import { parseOperatorConfig } from '../src/config/operator.js';
 import type { PlatformConfig } from '../src/config/platform.js';
 import { FAILBACK_MS } from '../src/core/ownership/constants.js';
 import { ATTEMPTS_PER_TERM } from '../src/core/shard/constants.js';
@@ -67,7 +67,7 @@
   };
   const shardController = new ShardController(
     CONFIG,
-    parseOperator('', ''),
+    parseOperatorConfig('', ''),
     'a',
     client,
     cache,
--- a/test/share-commands.test.ts
+++ b/test/share-commands.test.ts
@@ -2,13 +2,13 @@
 import { describe, test } from 'node:test';
 import { decodeMove, moveKey, shardLockKey, type Move } from '@sumacstep/shard-rebalancing';
 import type { PlanOutput, SharesOutput } from '../src/commands/shares.js';
-import { parseDuties } from '../src/config/duties.js';
-import { parseShares } from '../src/config/shares.js';
+import { parseSingletonsConfig } from '../src/config/singletons.js';
+import { parseRebalancingConfig } from '../src/config/rebalancing.js';
 import { Cluster, type ClusterOptions } from './standins/cluster.js';
 import { withCommands, type Run } from './standins/commands.js';
 
 /** Moves as an operator asks for them, on three whole controllers that fail in the middle. */
-const FEATURES = { duties: parseDuties('', ''), shares: parseShares('', '') };
+const FEATURES = { duties: parseSingletonsConfig('', ''), shares: parseRebalancingConfig('', '') };
 const LEASE_S = 10;
 type Command = (...args: string[]) => Promise<Run>;
 
--- a/test/single-holder.test.ts
+++ b/test/single-holder.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { leaderKey, transferRequestKey, type LeaderRecord } from '@sumacstep/leader-election';
-import type { DutiesConfig } from '../src/config/duties.js';
+import type { SingletonsConfig } from '../src/config/singletons.js';
 import {
   GARBAGE_COLLECTOR_ROLE,
   ORPHAN_COLLECTOR_ROLE,
@@ -17,12 +17,12 @@
  */
 const LEASE_S = 12;
 const CANCEL_S = 20;
-const DUTIES: DutiesConfig = {
-  recordReturns: true,
-  reclaim: true,
-  clear: true,
-  finalKeepMs: 86_400_000,
-  clearWritesPerS: 100,
+const DUTIES: SingletonsConfig = {
+  recordReturnIntents: true,
+  collectOrphans: true,
+  collectGarbage: true,
+  finalStateRetentionMs: 86_400_000,
+  garbageCollectionWritesPerS: 100,
 };
 const IDLE_KEPT_S = 20;
 
@@ -140,7 +140,7 @@
 
   scene(
     'a final state is cleared after its time, and a late acceptance does not bring the job back',
-    { features: { duties: { ...DUTIES, finalKeepMs: 4000 } } },
+    { features: { duties: { ...DUTIES, finalStateRetentionMs: 4000 } } },
     async (c) => {
       await held(c, GARBAGE_COLLECTOR_ROLE);
       const accepted: Request[] = [];
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -165,7 +165,7 @@
     reserveSigma: 0,
     drainS: 45,
     idleKeepMs: 1000,
-    machinesMost: machines,
+    maxMachines: machines,
     now: 5000,
   };
   const { returns } = planCapacity(input);
--- a/test/socket-budget.test.ts
+++ b/test/socket-budget.test.ts
@@ -3,7 +3,7 @@
 import { createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { test } from 'node:test';
-import { CloudClient } from '../src/cloud/client.js';
+import { CloudClient } from '../src/cloud/cloud-client.js';
 import { CborClient } from '../src/transport/http.js';
 import { InboundConnections, socketBudget } from '../src/service/socket-budget.js';
 import { toBytes } from '../src/wire/cbor.js';
--- a/test/standins/cluster.ts
+++ b/test/standins/cluster.ts
@@ -6,7 +6,7 @@
 import { CborClient, type Response } from '../../src/transport/http.js';
 import { AnswerHistory, type UserCall } from './answer-history.js';
 import { FakeCloud, type WorkerHost } from './cloud.js';
-import type { Features } from '../../src/service/service.js';
+import type { OptionalFeatures } from '../../src/service/service.js';
 import {
   createController,
   ProcessController,
@@ -35,7 +35,7 @@
   /** version of each node at the start, by name; the present one if not given */
   readonly versions?: Readonly<Record<string, Version>>;
   /** what is switched on; nothing if not given */
-  readonly features?: Partial<Features>;
+  readonly features?: Partial<OptionalFeatures>;
 }
 
 /** What the version in production reads of the limits: it knows none that are announced. */
--- a/test/standins/controller-process.ts
+++ b/test/standins/controller-process.ts
@@ -3,13 +3,13 @@
  * first message of its parent, answers with `listening`, and sends each line that it logs.
  */
 import pino from 'pino';
-import { parseOperator } from '../../src/config/operator.js';
+import { parseOperatorConfig } from '../../src/config/operator.js';
 import type { PlatformConfig } from '../../src/config/platform.js';
-import { Service, type Features } from '../../src/service/service.js';
+import { Service, type OptionalFeatures } from '../../src/service/service.js';
 
 interface Settings {
   readonly config: PlatformConfig;
-  readonly features: Features;
+  readonly features: OptionalFeatures;
 }
 
 const fail = () => process.exit(1);
@@ -22,6 +22,6 @@
 
 process.once('message', ({ config, features }: Settings) => {
   const log = pino({ level: 'info' }, toParent);
-  const service = new Service(config, parseOperator('', ''), log, features);
+  const service = new Service(config, parseOperatorConfig('', ''), log, features);
   void service.start().then(() => process.send?.('listening'));
 });
--- a/test/standins/controllers.ts
+++ b/test/standins/controllers.ts
@@ -2,9 +2,9 @@
 import { once } from 'node:events';
 import { fileURLToPath } from 'node:url';
 import pino from 'pino';
-import { parseOperator } from '../../src/config/operator.js';
+import { parseOperatorConfig } from '../../src/config/operator.js';
 import type { PlatformConfig } from '../../src/config/platform.js';
-import { Service, type Features } from '../../src/service/service.js';
+import { Service, type OptionalFeatures } from '../../src/service/service.js';
 
 /** One life of a controller, of either version. */
 export interface Controller {
@@ -24,9 +24,9 @@
 class CurrentController implements Controller {
   readonly #service: Service;
 
-  constructor(config: PlatformConfig, features: Features) {
+  constructor(config: PlatformConfig, features: OptionalFeatures) {
     const log = pino({ level: 'silent' });
-    this.#service = new Service(config, parseOperator('', ''), log, features);
+    this.#service = new Service(config, parseOperatorConfig('', ''), log, features);
   }
 
   start(): Promise<void> {
@@ -103,7 +103,7 @@
 export const createController = (
   version: Version,
   config: PlatformConfig,
-  features: Features,
+  features: OptionalFeatures,
   onCrash: () => void,
 ): Controller => {
   switch (version) {
--- a/test/standins/machine-moves.ts
+++ b/test/standins/machine-moves.ts
@@ -8,8 +8,8 @@
   newMove,
 } from '@sumacstep/shard-rebalancing';
 import type { Move } from '@sumacstep/shard-rebalancing';
-import { parseDuties } from '../../src/config/duties.js';
-import { parseShares } from '../../src/config/shares.js';
+import { parseSingletonsConfig } from '../../src/config/singletons.js';
+import { parseRebalancingConfig } from '../../src/config/rebalancing.js';
 import { randomFrom } from '../../src/random.js';
 import { Cluster } from './cluster.js';
 import type { Request } from './server.js';
@@ -34,7 +34,7 @@
   readonly pauseMs: readonly number[];
 }
 
-const FEATURES = { duties: parseDuties('', ''), shares: parseShares('', '') };
+const FEATURES = { duties: parseSingletonsConfig('', ''), shares: parseRebalancingConfig('', '') };
 const LIMITED = { name: 'limited', cpus: 0, gpus: 0, cpusMax: 16, gpusMax: 0 };
 const TASK_MS = 700;
 /** s after the last fault within which everything must be over */
--- a/test/standins/user-node.ts
+++ b/test/standins/user-node.ts
@@ -5,9 +5,9 @@
 import type { Found, CompareAndSwapResult } from '../../src/store/store-client.js';
 import { LinearizableReads } from '../../src/store/linearizable-reads.js';
 import { WatchCache } from '../../src/store/watch-cache.js';
-import { userRoutes } from '../../src/users/api.js';
+import { userRoutes } from '../../src/users/user-routes.js';
 import { JobReader } from '../../src/users/job-reader.js';
-import { Jobs } from '../../src/users/jobs.js';
+import { JobService } from '../../src/users/job-service.js';
 import { transactionBody, type Guard, type Write } from '../../src/wire/schemas.js';
 import { machineType, settings } from '../helpers.js';
 import type { AnswerHistory } from './answer-history.js';
@@ -47,10 +47,10 @@
 }
 
 /** Counts the submissions that have come in, so that a test knows when one waits behind a gate. */
-class ObservedJobs extends Jobs {
+class ObservedJobs extends JobService {
   calls = 0;
 
-  override submit(...args: Parameters<Jobs['submit']>): ReturnType<Jobs['submit']> {
+  override submit(...args: Parameters<JobService['submit']>): ReturnType<JobService['submit']> {
     this.calls += 1;
     return super.submit(...args);
   }
@@ -114,19 +114,15 @@
     const get = (name: string) => this.#get(name);
     const reader = new ObservedReader({ get }, this.cache, linearizable);
     this.#reader = reader;
+    const routing = {
+      types: () => new Map([['m', machineType()]]),
+      loads: () => [{ shard: 0, load: 0, fitsNow: true, hasImage: true }],
+      termOf: () => 1,
+      random: () => 0,
+    };
     const jobs = new ObservedJobs(
-      client,
-      this.cache,
-      reader,
-      {
-        types: () => new Map([['m', machineType()]]),
-        loads: () => [{ shard: 0, load: 0, fitsNow: true, hasImage: true }],
-        termOf: () => 1,
-        random: () => 0,
-      },
+      { client, cache: this.cache, reader, routing, acceptanceGuard: () => null, now: steadyMs },
       { teams: settings().teams, shards: 1, valueBytes: this.valueBytes, loadThreshold: 0.85 },
-      () => null,
-      steadyMs,
     );
     this.#jobs = jobs;
     const app = new Koa();
@@ -135,14 +131,14 @@
         jobs,
         reader,
         progress: () => ({ done: 0, running: 0 }),
-        cancelled: () => undefined,
-        ready: () => true,
+        onCancelled: () => undefined,
+        isReady: () => true,
         storeAvailable: () => true,
         timeOfDay: () => 0,
-        steady: steadyMs,
+        now: steadyMs,
         random: () => 0,
-        accepted: () => undefined,
-        malformed: () => undefined,
+        onAccepted: () => undefined,
+        onMalformed: () => undefined,
       }),
     );
     const handler = app.callback();
