--- a/src/shards/shard-controller.ts
+++ b/src/shards/shard-controller.ts
@@ -12,33 +12,20 @@
 import { NO_HEARTBEATS_MS, NO_HEARTBEATS_INTERVALS, TRANSFER_SETTLE_MS } from './constants.js';
 import { Completions } from './completions.js';
 import { DirectCommands } from './direct-commands.js';
-import { renewableMs } from '../core/cancellation/cancellations.js';
+import { renewableMs } from '../core/cancellation/lease-renewal.js';
 import type { JobSpec, MachineType, Heartbeat } from '../core/model.js';
 import { Ownership, type OwnershipView } from '../core/ownership/ownership.js';
 import { Shard, type ShardSettings } from '../core/shard/shard.js';
 import { MachineRecords } from './machine-records.js';
+import { OwnedShard } from './owned-shard.js';
 import { TaskMigration } from './task-migration.js';
-import { shareSockets } from '../service/socket-budget.js';
+import { socketBudget } from '../service/socket-budget.js';
 import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
 import { key, type ShardRecord } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { Guard, Write } from '../wire/schemas.js';
 import type { HeartbeatReply } from '../workers/heartbeats.js';
 
-export interface Owned {
-  readonly shard: Shard;
-  /** the right to act for the shard under its term */
-  readonly authorization: Authorization;
-  /** handed over by a transaction whose outcome is not known: we act for the shard no more */
-  suspended: boolean;
-  saving: boolean;
-  lastSave: number;
-  lastProgress: number;
-  /** built just now: it has to take in everything once */
-  fresh: boolean;
-  readonly claiming: Set<string>;
-}
-
 /** What other nodes tell that matters for owning shards. */
 export interface PeerView {
   /** a reachable node that has state, other than this one; null if none */
@@ -59,7 +46,7 @@
 
 /** Takes shards, gives them back, and runs the loops of those that this node owns. */
 export class ShardController {
-  readonly owned = new Map<number, Owned>();
+  readonly owned = new Map<number, OwnedShard>();
   readonly #ownership = new Ownership();
   /** when shards were given away by a transaction whose outcome is not known */
   readonly #given = new Map<number, number>();
@@ -97,7 +84,7 @@
     private readonly nowOfDay: () => number,
     private readonly log: Logger,
   ) {
-    const { direct } = shareSockets(config.sockets, config.peers.length);
+    const { direct } = socketBudget(config.sockets, config.peers.length);
     this.#direct = new DirectCommands(
       direct,
       (shard) => this.owned.get(shard.index)?.shard === shard,
@@ -119,7 +106,7 @@
   /** Whether this node provably owns what the cache shows as its own. */
   authority(now: number): boolean {
     const valid =
-      this.lease.valid(now) && this.cache.ready && this.cache.epoch >= this.lease.registeredAt;
+      this.lease.valid(now) && this.cache.ready && this.cache.revision >= this.lease.registeredAt;
     if (!valid) return false;
     // After an outage the lease lives again before the feed has told what happened: jobs may have been
     // cancelled, and would be started.
@@ -147,8 +134,8 @@
   }
 
   /** Whether this node acts for the shard now, under the term that `owned` stands for. */
-  actsFor(owned: Owned): boolean {
-    const present = this.owned.get(owned.shard.index) === owned && !owned.suspended;
+  actsFor(owned: OwnedShard): boolean {
+    const present = this.owned.get(owned.shard.index) === owned && owned.isActive;
     return present && this.authority(this.now());
   }
 
@@ -201,7 +188,7 @@
     }
     for (const [index, owned] of this.owned) {
       const { shard } = owned;
-      if (owned.suspended) continue;
+      if (!owned.isActive) continue;
       shard.expireLeases(now);
       if (!authority) {
         this.#direct.stops(owned, now);
@@ -240,7 +227,7 @@
           continue;
         }
         // Everything that earlier owners knew must be known here first.
-        if (types === null || this.cache.epoch < record.revision) continue;
+        if (types === null || this.cache.revision < record.revision) continue;
         this.#built.set(index, record.value.term);
         const shard = new Shard(index, record.value.term, {
           heartbeatIntervalMs: this.config.workers.heartbeatIntervalS * 1000,
@@ -252,31 +239,22 @@
           startObjectives: this.startObjectives,
           imagesOf: (machine) => this.peers.imagesOf(machine),
         });
-        this.owned.set(index, {
-          shard,
-          authorization: this.#authorization(shard, record.revision),
-          suspended: false,
-          saving: false,
-          lastSave: now,
-          lastProgress: now,
-          fresh: true,
-          claiming: new Set(),
-        });
+        const authorization = this.#authorization(shard, record.revision);
+        this.owned.set(index, new OwnedShard(shard, authorization, now));
         this.log.info({ shard: index, term: shard.term }, 'shard owned');
       }
       const present = this.owned.get(index)!;
-      if (present.suspended) {
-        present.fresh = true;
+      if (!present.isActive) {
+        present.requireFullSync();
         continue;
       }
-      const everything = present.fresh || changes.all;
+      const everything = present.takeFullSync() || changes.everything;
       const changed = changes.machines || changes.jobs.size > 0 || present.shard.hasDeferredJobs;
       if (!everything && !changed) continue;
-      present.fresh = false;
       present.shard.sync(
         {
           jobs: this.cache.tables.activeJobs,
-          done: (uid, from) => this.cache.done(index, uid, from),
+          done: (uid, from) => this.cache.completedTasks(index, uid, from),
           machines: this.cache.machines,
         },
         now,
@@ -310,8 +288,8 @@
       // transactions comes second fails.
       if (now - at > TRANSFER_SETTLE_MS) void this.#take(index);
     }
-    for (const [index, { shard, suspended }] of this.owned) {
-      if (!suspended) this.#handOverIfCutOff(index, shard, now);
+    for (const [index, { shard, isActive }] of this.owned) {
+      if (isActive) this.#handOverIfCutOff(index, shard, now);
     }
   }
 
@@ -384,14 +362,14 @@
   #give(index: number, to: string, incarnation: string): Promise<void> {
     return this.#once(index, async () => {
       const owned = this.owned.get(index);
-      if (owned === undefined || owned.suspended) return;
+      if (owned === undefined || !owned.isActive) return;
       const [guards, writes] = this.#ownerWrite(index, to, incarnation);
       guards.push({
         key: key.node(to, incarnation),
         revision: this.#nodeRevision(to, incarnation),
       });
       // From here on we act for the shard no more, whatever becomes of the transaction.
-      owned.suspended = true;
+      owned.suspend();
       this.#given.set(index, this.now());
       const result = await this.client.compareAndSwap(CALL_PRIORITY.renew, guards, writes);
       this.#given.delete(index);
@@ -399,7 +377,7 @@
         this.#ownership.handedOver(index);
         this.cache.applyOwn(writes, result.epoch);
         this.log.info({ shard: index, to }, 'shard handed over');
-      } else owned.suspended = false;
+      } else owned.resume();
     });
   }
 
@@ -415,7 +393,7 @@
     const record = this.cache.machines.get(heartbeat.machine)?.value;
     if (record === undefined) return { kind: 'unavailable' };
     const owned = this.owned.get(record.shard);
-    if (owned === undefined || owned.suspended) return this.#sendOn(heartbeat, record.shard, now);
+    if (owned === undefined || !owned.isActive) return this.#sendOn(heartbeat, record.shard, now);
     const authority = this.authority(now);
     if (!authority) {
       // Running work must survive an outage of the state service, so its leases are kept. But if
