--- a/src/core/placement/scheduler.ts
+++ b/src/core/placement/scheduler.ts
@@ -37,11 +37,11 @@
    * `BEGIN_MS` after acceptance, so no stream of newer work can keep it waiting.
    */
   queue(now: number): JobState[] {
-    const { recovered: rebuilt } = this.state;
+    const { recovered } = this.state;
     const aimsOf = new Map<string, readonly number[]>();
     const open: { job: JobState; guaranteed: boolean; due: number }[] = [];
     for (const job of this.state.jobs.values()) {
-      if (!isOpen(job, rebuilt, now)) continue;
+      if (!isOpen(job, recovered, now)) continue;
       const { jobClass } = job.spec;
       let aims = aimsOf.get(jobClass);
       if (aims === undefined) {
@@ -98,9 +98,9 @@
   placeOn(m: MachineState, now: number): void {
     if (this.#last === null || !fits(this.#last.least, m.free)) return;
     // Thousands may wait, and reports are many: what cannot fit is not looked at any further.
-    const { recovered: rebuilt } = this.state;
+    const { recovered } = this.state;
     const open = this.#last.stuck.filter(
-      (job) => fits(job.spec.demand, m.free) && isOpen(job, rebuilt, now),
+      (job) => fits(job.spec.demand, m.free) && isOpen(job, recovered, now),
     );
     const queue = this.#imagesFirst(open, m, now);
     if (queue.length > 0) this.#place(queue, new Candidates(this.state, this.#last.least, now, m));
@@ -220,8 +220,8 @@
 }
 
 /** It has tasks to place, and none of its tasks can still be running by an earlier owner's order. */
-const isOpen = (job: JobState, rebuilt: boolean, now: number): boolean =>
-  (rebuilt || job.inheritedTasks.size === 0) && placeableTasks(job, now) > 0;
+const isOpen = (job: JobState, recovered: boolean, now: number): boolean =>
+  (recovered || job.inheritedTasks.size === 0) && placeableTasks(job, now) > 0;
 
 /** Some task of it is or was on a machine. */
 const hasBegun = (job: JobState): boolean =>
--- a/src/core/shard/shard.ts
+++ b/src/core/shard/shard.ts
@@ -15,7 +15,7 @@
 import { ShardState } from './shard-state.js';
 import { StoreSynchronizer } from './store-synchronizer.js';
 import type {
-  Changes,
+  ChangedRecords,
   ClassActivity,
   DirectCommandBatch,
   FinishedRun,
@@ -25,13 +25,13 @@
   Placement,
   PreemptibleMachine,
   ShardSettings,
-  ShardView,
+  StoredRecords,
   TaskEvent,
 } from './types.js';
 
 export { isLeaving } from '../reachability/machine-health.js';
 export { hostsServiceReplicas } from './placements.js';
-export type { JobState, MachineState, ShardSettings, ShardView, Placement } from './types.js';
+export type { JobState, MachineState, ShardSettings, StoredRecords, Placement } from './types.js';
 
 /**
  * What became of a heartbeat.
@@ -76,8 +76,13 @@
    * Takes over the records of the store. With `changes` only what has changed since the last time is looked at.
    * `nowOfDay` is the time of day in ms.
    */
-  sync(view: ShardView, now: number, nowOfDay = 0, changes: Changes | null = null): void {
-    this.#synchronizer.sync(view, now, nowOfDay, changes);
+  sync(
+    records: StoredRecords,
+    now: number,
+    timeOfDayMs = 0,
+    changes: ChangedRecords | null = null,
+  ): void {
+    this.#synchronizer.sync(records, now, timeOfDayMs, changes);
   }
 
   /** Some record waits for a migration to end, so that `sync` is due without any change. */
--- a/src/core/shard/store-synchronizer.ts
+++ b/src/core/shard/store-synchronizer.ts
@@ -12,7 +12,7 @@
 import { constraintKey } from '../placement/constraints.js';
 import { dominant } from '../placement/pairing.js';
 import type { ShardState } from './shard-state.js';
-import type { Changes, JobState, MachineState, ShardView } from './types.js';
+import type { ChangedRecords, JobState, MachineState, StoredRecords } from './types.js';
 
 /** Takes over what the store says about a shard: its jobs and machines come and go by it. */
 export class StoreSynchronizer {
@@ -27,15 +27,20 @@
   }
 
   /** With `changes` only what has changed since the last time is looked at. `nowOfDay` is in ms. */
-  sync(view: ShardView, now: number, nowOfDay: number, changes: Changes | null): void {
-    if (changes === null || changes.machines) this.#syncMachines(view, now);
+  sync(
+    records: StoredRecords,
+    now: number,
+    timeOfDayMs: number,
+    changes: ChangedRecords | null,
+  ): void {
+    if (changes === null || changes.machines) this.#syncMachines(records, now);
     const { jobs, index } = this.state;
-    const uids = new Set(changes?.jobs ?? [...jobs.keys(), ...view.jobs.keys()]);
+    const uids = new Set(changes?.jobs ?? [...jobs.keys(), ...records.jobs.keys()]);
     for (const uid of this.#deferredJobs) uids.add(uid);
     this.#deferredJobs.clear();
     for (const uid of uids) {
-      const record = view.jobs.get(uid)?.value;
-      if (record !== undefined) this.#syncJob(record, view, now, nowOfDay);
+      const record = records.jobs.get(uid)?.value;
+      if (record !== undefined) this.#syncJob(record, records, now, timeOfDayMs);
       const job = jobs.get(uid);
       const stays = record?.ranges.some((range) => range.shard === index) ?? false;
       if (job !== undefined && !stays) this.state.endJob(job, now);
@@ -44,9 +49,9 @@
 
   // --- machines ----------------------------------------------------------------------------------
 
-  #syncMachines(view: ShardView, now: number): void {
+  #syncMachines(records: StoredRecords, now: number): void {
     const { state } = this;
-    for (const { value: record } of view.machines.values()) {
+    for (const { value: record } of records.machines.values()) {
       if (record.shard !== state.index) {
         // It may come back when machines are rebalanced.
         state.terminatedMachines.delete(record.name);
@@ -57,7 +62,7 @@
       else if (!state.terminatedMachines.has(record.name)) this.#addMachine(record, now);
     }
     for (const machine of [...state.machines.values()]) {
-      const record = view.machines.get(machine.record.name)?.value;
+      const record = records.machines.get(machine.record.name)?.value;
       if (record !== undefined && record.shard === state.index) continue;
       // A record that goes without our having returned the machine says nothing of the machine: what runs
       // there is gone only when the lease that we renewed last has run out.
@@ -113,7 +118,7 @@
 
   // --- jobs --------------------------------------------------------------------------------------
 
-  #syncJob(record: JobRecord, view: ShardView, now: number, nowOfDay: number): void {
+  #syncJob(record: JobRecord, records: StoredRecords, now: number, timeOfDayMs: number): void {
     const { uid } = record.spec;
     let job = this.state.jobs.get(uid);
     if (job !== undefined && job.migratingTasks.length > 0) {
@@ -122,12 +127,12 @@
     }
     for (const range of record.ranges) {
       if (range.shard !== this.state.index || job?.ownTasks.has(range.from) === true) continue;
-      job ??= this.#addJob(record, now, nowOfDay);
-      this.#addRange(job, range, view.done(uid, range.from));
+      job ??= this.#addJob(record, now, timeOfDayMs);
+      this.#addRange(job, range, records.done(uid, range.from));
     }
   }
 
-  #addJob({ spec, at }: JobRecord, now: number, nowOfDay: number): JobState {
+  #addJob({ spec, at }: JobRecord, now: number, timeOfDayMs: number): JobState {
     const demandShare = shareOf(spec.demand, this.state.largest);
     const job: JobState = {
       spec,
@@ -137,7 +142,7 @@
       constraintKey: constraintKey(spec),
       acceptedAt: at,
       // A new owner counts a job's age on, rather than anew.
-      acceptedAtSteady: now - Math.max(0, nowOfDay - at),
+      acceptedAtSteady: now - Math.max(0, timeOfDayMs - at),
       waitingTasks: [],
       ownTasks: new TaskSet(),
       inheritedTasks: new TaskSet(),
--- a/src/core/shard/types.ts
+++ b/src/core/shard/types.ts
@@ -211,13 +211,13 @@
 }
 
 /** Records that have changed in the store since the last synchronisation. */
-export interface Changes {
+export interface ChangedRecords {
   readonly jobs: ReadonlySet<string>;
   readonly machines: boolean;
 }
 
 /** The records of the store that concern this shard. */
-export interface ShardView {
+export interface StoredRecords {
   readonly jobs: ReadonlyMap<string, { readonly value: JobRecord }>;
   /** bitmap of the completed tasks of the range that begins at `from`, as saved */
   done(uid: string, from: number): string | undefined;
--- a/test/move-candidates.test.ts
+++ b/test/move-candidates.test.ts
@@ -44,6 +44,9 @@
   ['it seems to hear nothing', (m) => (m.commandsLostSince = NOW), false],
   ['it has a notice', (m) => (m.preemptionNoticeAt = NOW), false],
   ['it is to be returned', (m) => (m.terminating = true), false],
+  ['it is being emptied', (m) => (m.lifecycle = 'draining'), false],
+  ["its record is another shard's", (m) => (m.lifecycle = 'orphaned'), false],
+  ['it fails tasks', (m) => (m.faultStatus = 'quarantined'), false],
   ['its record does not say that it is up', (m) => (m.record = { ...m.record, up: false }), false],
 ];
 
