--- a/src/service/service.ts
+++ b/src/service/service.ts
@@ -17,7 +17,8 @@
 import { WorkloadStatistics } from '../core/capacity/workload-statistics.js';
 import { type Heartbeat } from '../core/model.js';
 import { Duties } from '../singletons/singleton-controllers.js';
-import { ShardController, type PeerView } from '../shards/shard-controller.js';
+import type { PeerView } from '../shards/peer-view.js';
+import { ShardController } from '../shards/shard-controller.js';
 import { Gossip, type OwnStatus } from '../peers/gossip.js';
 import type { PeerStatus } from '../peers/frames.js';
 import { ShardDirectory } from '../peers/shard-directory.js';
@@ -139,22 +140,22 @@
       this.#gossip,
       this.#now,
     );
-    this.#shardController = new ShardController(
+    this.#shardController = new ShardController({
       config,
       operator,
-      this.#incarnation,
-      this.#store,
-      this.#cache,
-      this.#lease,
-      () => this.#linearizable.wait(),
-      this.#peerView(),
-      this.#refusals,
-      () => this.#types.current,
-      (jobClass) => this.#startObjectives(jobClass),
-      this.#now,
-      timeOfDayMs,
+      incarnation: this.#incarnation,
+      client: this.#store,
+      cache: this.#cache,
+      lease: this.#lease,
+      waitForCurrentCache: () => this.#linearizable.wait(),
+      peers: this.#peerView(),
+      refusals: this.#refusals,
+      machineTypes: () => this.#types.current,
+      startObjectives: (jobClass) => this.#startObjectives(jobClass),
+      now: this.#now,
+      timeOfDay: timeOfDayMs,
       log,
-    );
+    });
     this.#duties =
       dutiesConfig === null
         ? null
@@ -395,13 +396,13 @@
 
   #peerView(): PeerView {
     return {
-      withStore: () => this.#peerWithStore(),
-      fit: (node) =>
+      reachablePeerWithStore: () => this.#peerWithStore(),
+      incarnationWithStore: (node) =>
         this.#gossip.fresh().find((s) => s.node === node && s.hasState)?.incarnation ?? null,
-      capacityElsewhere: (spec, not) => this.#directory.capacityElsewhere(spec, not),
-      lessAllocated: (spec, than) => this.#directory.lessAllocated(spec, than),
+      capacityElsewhere: (spec, excluded) => this.#directory.capacityElsewhere(spec, excluded),
+      lessAllocated: (spec, shard) => this.#directory.lessAllocated(spec, shard),
       imagesOf: (machine) => this.#directory.imagesOf(machine),
-      hears: (shard) => this.#directory.hearsMost(shard),
+      peerReceivingHeartbeats: (shard) => this.#directory.hearsMost(shard),
       cancellationsKnownUntil: () => this.#receiver.knownUntil(this.#cache.currentAt),
     };
   }
--- a/src/shards/constants.ts
+++ b/src/shards/constants.ts
@@ -12,24 +12,23 @@
 /** bytes; well under the 64 KiB of a transaction, keys and conditions included. */
 export const BATCH_BYTES = 40_000;
 
-/** ms; a handover without an answer is settled after this: the call itself has timed out by then. */
+/** ms; a transfer without an answer is settled after this: the call itself has timed out by then. */
 export const TRANSFER_SETTLE_MS = 2500;
 
-/** ms; an owner whose workers are all silent for this long, while a peer hears them, hands over. */
+/** ms; an owner that receives no heartbeat of its shard for this long transfers it to a peer that does. */
 export const NO_HEARTBEATS_MS = 7000;
 
-/** report intervals; the same where workers report so often that this comes sooner: machines count as lost
- * after `LOST_REPORTS` of them. */
+/** heartbeat intervals; the same limit where it is the shorter one, so that no machine counts as lost before. */
 export const NO_HEARTBEATS_INTERVALS = 2.5;
 
-/** ms; between attempts to tell a worker of our term directly. */
-export const CLAIM_PAUSE_MS = 2000;
+/** ms; pause between two probes that tell a worker of the shard's term. */
+export const PROBE_PAUSE_MS = 2000;
 
-/** ranges of one job: its record must stay well within a value of the state service. */
-export const MAX_RANGES = 64;
+/** ranges of one job, whose record must stay well within a value of the store. */
+export const MAX_RANGES_PER_JOB = 64;
 
-/** share of a value's limit that a job's record may fill when tasks pass: cuts add to it. */
-export const RECORD_FILL = 0.95;
+/** share of a value's limit that a job's record may fill when its tasks migrate: that adds ranges. */
+export const RECORD_FILL_LIMIT = 0.95;
 
 /** bytes of a machine's name in a record of machines, with its quotes and state */
 export const HOST_BYTES = 40;
@@ -37,20 +36,20 @@
 /** bytes of everything else in such a record: type and zone are short names */
 export const GROUP_BYTES = 300;
 
-/** ms; a waiting range that fits nowhere in its shard may pass to another shard after this. */
-export const TRANSFER_AFTER_MS = 1500;
+/** ms; tasks that fit nowhere in their shard may migrate after this. */
+export const MIGRATION_DELAY_MS = 1500;
 
-/** ms; what other nodes say of their room comes about once a second, so passes are tried as often. */
-export const TRANSFER_EVERY_MS = 500;
+/** ms; between two looks for tasks that may migrate: peers tell of their capacity about once a second. */
+export const MIGRATION_INTERVAL_MS = 500;
 
-/** jobs looked at in one try, the longest waiting first. */
-export const TRANSFER_TRIES = 10;
+/** jobs considered in one look, the longest waiting first. */
+export const MAX_MIGRATION_CANDIDATES = 10;
 
-/** ms; tasks that wait longer than this although no shard has room may pass to one that is less booked. */
-export const BALANCE_AFTER_MS = 10_000;
+/** ms; tasks that wait this long while no shard has capacity may migrate to one that is allocated less. */
+export const BALANCING_DELAY_MS = 10_000;
 
-/** ms; between two such passes of a shard: each costs a write, and what others told is a second old. */
-export const BALANCE_EVERY_MS = 1000;
+/** ms; between two such migrations of a shard: each costs a write, and what peers told is a second old. */
+export const BALANCING_INTERVAL_MS = 1000;
 
 /** ms; between repeats of a rental without an answer. */
 export const RENT_RETRY_MS = 1000;
--- a/src/shards/direct-commands.ts
+++ b/src/shards/direct-commands.ts
@@ -1,85 +1,112 @@
-import { CLAIM_PAUSE_MS } from './constants.js';
+/**
+ * Commands that should not wait for a worker's next heartbeat: stops, starts, and probes that tell a worker of the
+ * shard's term. Each has a socket of its own while it is in flight, so their number is limited; the rest goes out in
+ * the next round, or with the answer to the worker's heartbeat.
+ */
 import type { Command } from '../core/model.js';
-import type { MachineState, Shard, Placement } from '../core/shard/shard.js';
-import { sendDirect } from '../workers/heartbeats.js';
+import type { MachineState, Placement, Shard } from '../core/shard/shard.js';
+import { sendDirect, type DirectResult } from '../workers/heartbeats.js';
+import { PROBE_PAUSE_MS } from './constants.js';
 import type { OwnedShard } from './owned-shard.js';
 
-/** times that a worker of a session that we did not know is tried */
-const TRIES = 2;
+/** attempts for a worker whose agent epoch turns out to be another one */
+const MAX_ATTEMPTS = 2;
 
-/**
- * Commands that should not wait for a worker's next report: stops, starts, and the news of our term. Each has
- * a socket of its own while it is under way, so there are only so many at a time; the rest is told in the
- * next round, or by the answer to the worker's report.
- */
+/** What direct commands need of the process. */
+export interface DirectCommandsDependencies {
+  /** sockets that direct commands may use at a time */
+  readonly maxInFlight: number;
+  /** whether this node still owns the shard under the term of this object */
+  readonly isOwned: (shard: Shard) => boolean;
+  /** steady ms */
+  readonly now: () => number;
+}
+
+/** One message to a worker, and the placements that its starts stand for. */
+interface Message {
+  readonly machine: MachineState;
+  readonly commands: readonly Command[];
+  readonly starts: readonly Placement[];
+}
+
+/** Sends commands to workers directly. */
 export class DirectCommands {
-  #underWay = 0;
+  #inFlight = 0;
 
-  constructor(
-    private readonly most: number,
-    private readonly isOwned: (shard: Shard) => boolean,
-    private readonly now: () => number,
-  ) {}
+  constructor(private readonly dependencies: DirectCommandsDependencies) {}
 
-  /** Stopping under our own term can only be safe, whatever we know: it needs no authority. */
-  stops(owned: OwnedShard, now: number): void {
-    const { shard } = owned;
-    const room = this.most - this.#underWay;
-    for (const { machine, commands } of shard.directCommands(now, room, false)) {
-      void this.#send(owned, machine, commands);
+  /** Sends stops alone: under the shard's own term they are safe whatever else is known, so need no authority. */
+  sendStops(owned: OwnedShard, now: number): void {
+    for (const message of owned.shard.directCommands(now, this.#free, false)) {
+      void this.#send(owned, message);
     }
   }
 
-  /** Starts and stops, and the news of our term to workers that may not know it. */
-  tick(owned: OwnedShard, now: number): void {
-    const { shard } = owned;
-    const room = this.most - this.#underWay;
-    for (const { machine, commands, starts } of shard.directCommands(now, room, true)) {
-      void this.#send(owned, machine, commands, starts);
+  /** Sends starts and stops, and probes workers that may not know the term; to be called with authority only. */
+  sendAll(owned: OwnedShard, now: number): void {
+    for (const message of owned.shard.directCommands(now, this.#free, true)) {
+      void this.#send(owned, message);
     }
-    this.#claim(owned);
+    this.#probe(owned);
   }
 
-  #claim(owned: OwnedShard): void {
-    const { shard } = owned;
-    for (const m of shard.machinesToProbe()) {
-      const { name } = m.record;
-      if (this.#underWay >= this.most) return;
-      if (m.address === null || !owned.beginProbe(name)) continue;
-      void this.#send(owned, m, []).finally(() => {
-        setTimeout(() => owned.endProbe(name), CLAIM_PAUSE_MS);
+  get #free(): number {
+    return this.dependencies.maxInFlight - this.#inFlight;
+  }
+
+  #probe(owned: OwnedShard): void {
+    for (const machine of owned.shard.machinesToProbe()) {
+      const { name } = machine.record;
+      if (this.#free <= 0) return;
+      if (machine.address === null || !owned.beginProbe(name)) continue;
+      void this.#send(owned, { machine, commands: [], starts: [] }).finally(() => {
+        setTimeout(() => {
+          owned.endProbe(name);
+        }, PROBE_PAUSE_MS);
       });
     }
   }
 
-  async #send(
+  async #send(owned: OwnedShard, message: Message): Promise<void> {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
+      const agentEpoch = Math.max(1, message.machine.agentEpoch);
+      const result = await this.#sendOnce(owned.shard, message, agentEpoch);
+      const retry = this.#settle(owned, message, agentEpoch, result);
+      if (!retry) return;
+    }
+  }
+
+  #sendOnce(shard: Shard, message: Message, agentEpoch: number): Promise<DirectResult> {
+    const { machine, commands } = message;
+    this.#inFlight += 1;
+    return sendDirect(machine.address!, shard.term, agentEpoch, commands).finally(() => {
+      this.#inFlight -= 1;
+    });
+  }
+
+  /** Takes in the outcome; true if the worker refused an agent epoch that is known to be outdated now. */
+  #settle(
     { shard, authorization }: OwnedShard,
-    m: MachineState,
-    commands: readonly Command[],
-    starts: readonly Placement[] = [],
-  ): Promise<void> {
-    for (let tries = 0; tries < TRIES; tries++) {
-      const agentEpoch = Math.max(1, m.agentEpoch);
-      this.#underWay += 1;
-      const sent = await sendDirect(m.address!, shard.term, agentEpoch, commands).finally(() => {
-        this.#underWay -= 1;
-      });
-      if (sent.kind !== 'not_sent' && sent.kind !== 'in_doubt' && !sent.executed) {
-        const { fencingToken } = sent.heartbeat;
-        if (fencingToken > shard.term) authorization.refused('machine', fencingToken);
-      }
-      if (sent.kind === 'in_doubt' || !this.isOwned(shard)) return;
-      if (sent.kind === 'not_sent') {
-        shard.directSettled(starts, false);
-        return;
-      }
-      shard.handleCommandStatus(sent.heartbeat, this.now());
-      shard.directSettled(starts, sent.executed);
-      if (sent.executed || starts.length > 0) return;
-      // 409 by a session that we did not know; its report has told us now.
-      if (sent.heartbeat.agentEpoch === agentEpoch || sent.heartbeat.fencingToken > shard.term)
-        return;
-      m.agentEpoch = Math.max(m.agentEpoch, sent.heartbeat.agentEpoch);
+    { machine, starts }: Message,
+    agentEpoch: number,
+    result: DirectResult,
+  ): boolean {
+    if (result.kind === 'answered' && !result.executed) {
+      const { fencingToken } = result.heartbeat;
+      if (fencingToken > shard.term) authorization.refused('machine', fencingToken);
+    }
+    if (result.kind === 'in_doubt' || !this.dependencies.isOwned(shard)) return false;
+    if (result.kind === 'not_sent') {
+      shard.directSettled(starts, false);
+      return false;
     }
+    const { executed, heartbeat } = result;
+    shard.handleCommandStatus(heartbeat, this.dependencies.now());
+    shard.directSettled(starts, executed);
+    if (executed || starts.length > 0) return false;
+    // 409: the worker's agent epoch was another one, which its heartbeat has told now.
+    if (heartbeat.agentEpoch === agentEpoch || heartbeat.fencingToken > shard.term) return false;
+    machine.agentEpoch = Math.max(machine.agentEpoch, heartbeat.agentEpoch);
+    return true;
   }
 }
--- /dev/null
+++ b/src/shards/live-nodes.ts
@@ -0,0 +1,13 @@
+/** The nodes registered in the store, as the watch cache shows them. */
+import type { WatchCache } from '../store/watch-cache.js';
+
+/** Incarnations with a valid lease by node; a node restarted quickly has two for a while. */
+export const liveIncarnations = ({ tables }: WatchCache): Map<string, Set<string>> => {
+  const live = new Map<string, Set<string>>();
+  for (const { value } of tables.nodes.values()) {
+    const incarnations = live.get(value.node) ?? new Set();
+    incarnations.add(value.incarnation);
+    live.set(value.node, incarnations);
+  }
+  return live;
+};
--- /dev/null
+++ b/src/shards/ownership-reconciler.ts
@@ -0,0 +1,205 @@
+/**
+ * Reconciliation of shard ownership: acquires shards without a live owner, lets shards fail back to their preferred
+ * nodes, and transfers those whose workers only a peer can reach. Every change is a compare-and-swap on the owner
+ * record and the term counter, so of several nodes that try at once one succeeds.
+ */
+import type { Logger } from 'pino';
+import type { PlatformConfig } from '../config/platform.js';
+import { FAILBACK_MS } from '../core/ownership/constants.js';
+import {
+  OwnershipPolicy,
+  type OwnershipStep,
+  type OwnershipView,
+} from '../core/ownership/ownership-policy.js';
+import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
+import { key, type ShardRecord } from '../store/keys.js';
+import type { WatchCache } from '../store/watch-cache.js';
+import type { Guard, Write } from '../wire/schemas.js';
+import { NO_HEARTBEATS_INTERVALS, NO_HEARTBEATS_MS, TRANSFER_SETTLE_MS } from './constants.js';
+import { liveIncarnations } from './live-nodes.js';
+import type { OwnedShard } from './owned-shard.js';
+import type { PeerView } from './peer-view.js';
+
+/** What the reconciliation of ownership needs of the process. */
+export interface OwnershipReconcilerDependencies {
+  readonly config: PlatformConfig;
+  readonly incarnation: string;
+  readonly client: Pick<StoreClient, 'compareAndSwap'>;
+  readonly cache: WatchCache;
+  readonly owned: ReadonlyMap<number, OwnedShard>;
+  readonly peers: Pick<PeerView, 'incarnationWithStore' | 'peerReceivingHeartbeats'>;
+  /** steady ms */
+  readonly now: () => number;
+  readonly log: Logger;
+}
+
+/** A transfer that has been sent and whose outcome is not known. */
+interface PendingTransfer {
+  readonly owned: OwnedShard;
+  /** steady ms */
+  readonly sentAt: number;
+}
+
+/** One life of another node that a shard goes to. */
+interface NewOwner {
+  readonly node: string;
+  readonly incarnation: string;
+}
+
+interface Transaction {
+  readonly guards: readonly Guard[];
+  readonly writes: readonly Write[];
+}
+
+/** Decides on ownership and carries it out, one transaction per shard at a time. */
+export class OwnershipReconciler {
+  readonly #policy = new OwnershipPolicy();
+  readonly #pendingTransfers = new Map<number, PendingTransfer>();
+  /** shards with a transaction under way */
+  readonly #busy = new Set<number>();
+  /** steady ms; until then no other node's shard is acquired */
+  #acquisitionsSuspendedUntil = -Infinity;
+
+  constructor(private readonly dependencies: OwnershipReconcilerDependencies) {}
+
+  /** One round over all shards; to be called with authority only. */
+  reconcile(now: number): void {
+    this.#dropPendingOfLostShards();
+    const view = this.#observe();
+    const { peers, owned } = this.dependencies;
+    const steps = this.#policy.decide(view, now, (node) => peers.incarnationWithStore(node));
+    for (const step of steps) this.#carryOut(step, view, now);
+    this.#settleTransfers(now);
+    for (const [index, shard] of owned) {
+      if (shard.isActive) this.#transferIfWorkersUnreachable(index, shard, now);
+    }
+  }
+
+  /** Makes this node the owner under a new term, whether it owns the shard already or not. */
+  acquire(index: number): Promise<void> {
+    return this.#exclusively(index, async () => {
+      const { config, incarnation, client, cache, log } = this.dependencies;
+      const { guards, writes } = this.#ownerChange(index, config.node, incarnation);
+      const result = await client.compareAndSwap(CALL_PRIORITY.renew, guards, writes);
+      if (!result.ok) return;
+      this.#pendingTransfers.delete(index);
+      cache.applyOwn(writes, result.epoch);
+      log.info({ shard: index }, 'shard acquired');
+    });
+  }
+
+  #transfer(index: number, { node, incarnation }: NewOwner): Promise<void> {
+    return this.#exclusively(index, async () => {
+      const { client, cache, now, log } = this.dependencies;
+      const owned = this.dependencies.owned.get(index);
+      if (owned === undefined || !owned.isActive) return;
+      const { guards, writes } = this.#ownerChange(index, node, incarnation);
+      const registration = {
+        key: key.node(node, incarnation),
+        revision: cache.tables.nodes.get(`${node}/${incarnation}`)?.revision ?? 0,
+      };
+      // From here on this node acts for the shard no more, whatever becomes of the transaction.
+      owned.suspend();
+      this.#pendingTransfers.set(index, { owned, sentAt: now() });
+      const all = [...guards, registration];
+      const result = await client.compareAndSwap(CALL_PRIORITY.renew, all, writes);
+      this.#pendingTransfers.delete(index);
+      if (!result.ok) {
+        owned.resume();
+        return;
+      }
+      this.#policy.failedBack(index);
+      cache.applyOwn(writes, result.epoch);
+      log.info({ shard: index, to: node }, 'shard transferred');
+    });
+  }
+
+  #dropPendingOfLostShards(): void {
+    for (const [index, { owned }] of this.#pendingTransfers) {
+      if (this.dependencies.owned.get(index) !== owned) this.#pendingTransfers.delete(index);
+    }
+  }
+
+  #observe(): OwnershipView {
+    const { config, incarnation, cache } = this.dependencies;
+    const owners = new Map<number, ShardRecord>();
+    for (const [id, { value }] of cache.tables.shards) owners.set(Number(id), value);
+    return {
+      node: config.node,
+      incarnation,
+      nodes: [config.node, ...config.peers.map((peer) => peer.node)].sort(),
+      live: liveIncarnations(cache),
+      owners,
+      shardCount: config.nodes,
+    };
+  }
+
+  #carryOut(step: OwnershipStep, { owners }: OwnershipView, now: number): void {
+    if (step.kind === 'transfer') {
+      if (this.#pendingTransfers.has(step.shard)) return;
+      void this.#transfer(step.shard, { node: step.to, incarnation: step.incarnation });
+    } else if (now >= this.#acquisitionsSuspendedUntil || !owners.has(step.shard)) {
+      void this.acquire(step.shard);
+    }
+  }
+
+  /**
+   * The outcome of a transfer is not known: acquiring the shard under a new term settles it, because of the two
+   * transactions the one that comes second fails.
+   */
+  #settleTransfers(now: number): void {
+    for (const [index, { sentAt }] of this.#pendingTransfers) {
+      if (now - sentAt > TRANSFER_SETTLE_MS) void this.acquire(index);
+    }
+  }
+
+  /** Cut off from the workers alone: a peer that receives their heartbeats should own their shard. */
+  #transferIfWorkersUnreachable(index: number, { shard }: OwnedShard, now: number): void {
+    const { config, peers, log } = this.dependencies;
+    const heartbeatIntervalMs = config.workers.heartbeatIntervalS * 1000;
+    const silentMs = Math.min(NO_HEARTBEATS_MS, heartbeatIntervalMs * NO_HEARTBEATS_INTERVALS);
+    if (!shard.hearsNoHeartbeats(now, silentMs)) return;
+    const to = peers.peerReceivingHeartbeats(index);
+    const incarnation = to === null ? null : peers.incarnationWithStore(to);
+    if (to === null || to === config.node || incarnation === null) return;
+    this.#acquisitionsSuspendedUntil = now + FAILBACK_MS * 2;
+    log.info({ shard: index, to, reason: 'workers report to peer' }, 'shard transfer started');
+    void this.#transfer(index, { node: to, incarnation });
+  }
+
+  async #exclusively(index: number, work: () => Promise<void>): Promise<void> {
+    if (this.#busy.has(index)) return;
+    this.#busy.add(index);
+    try {
+      await work();
+    } catch (error) {
+      if (!(error instanceof StoreRequestError)) throw error;
+      const { log } = this.dependencies;
+      log.debug({ shard: index, error: error.message }, 'shard record not written');
+    } finally {
+      this.#busy.delete(index);
+    }
+  }
+
+  /** Raises the term and names a new owner; depends on the present record, and on the end of another owner's lease. */
+  #ownerChange(index: number, owner: string, incarnation: string): Transaction {
+    const { config, cache } = this.dependencies;
+    const term = cache.tables.term.get('');
+    const present = cache.tables.shards.get(String(index));
+    const nextTerm = (term?.value ?? 0) + 1;
+    const guards: Guard[] = [
+      { key: key.term, revision: term?.revision ?? 0 },
+      { key: key.shard(index), revision: present?.revision ?? 0 },
+    ];
+    if (present !== undefined && present.value.owner !== config.node) {
+      const { value } = present;
+      guards.push({ key: key.node(value.owner, value.incarnation), revision: 0 });
+    }
+    const value: ShardRecord = { owner, incarnation, term: nextTerm };
+    const writes = [
+      { put: key.term, value: nextTerm },
+      { put: key.shard(index), value },
+    ];
+    return { guards, writes };
+  }
+}
--- a/src/shards/task-migration.ts
+++ b/src/shards/task-migration.ts
@@ -1,159 +1,198 @@
+/**
+ * Task migration between shards: a task that fits nowhere in its shard moves, by compare-and-swap on its job's
+ * record, to a shard where it fits. Exception: while no shard has free capacity, tasks that have waited for long
+ * move to one that is allocated far less. A shard whose owner began to rent late may get no machines, and an array
+ * has ranges in most shards.
+ */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { fencedCompareAndSwap } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import type { PlatformConfig } from '../config/platform.js';
-import {
-  BALANCE_AFTER_MS,
-  BALANCE_EVERY_MS,
-  TRANSFER_AFTER_MS,
-  TRANSFER_EVERY_MS,
-  TRANSFER_TRIES,
-  MAX_RANGES,
-  RECORD_FILL,
-} from './constants.js';
-import { STORE_RETRY_MS } from '../store/constants.js';
 import { hasGuarantee, hasLimit } from '../core/jobs/jobs.js';
-import type { JobSpec, TaskRange } from '../core/model.js';
+import type { JobRecord, TaskRange } from '../core/model.js';
 import type { JobState } from '../core/shard/shard.js';
-import type { OwnedShard } from './owned-shard.js';
+import { STORE_RETRY_MS } from '../store/constants.js';
 import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
 import { decodeJob, encodeJob, key } from '../store/keys.js';
-import type { WatchCache } from '../store/watch-cache.js';
-import type { Write } from '../wire/schemas.js';
+import type { Cached, WatchCache } from '../store/watch-cache.js';
+import type { Guard, Write } from '../wire/schemas.js';
+import {
+  BALANCING_DELAY_MS,
+  BALANCING_INTERVAL_MS,
+  MAX_MIGRATION_CANDIDATES,
+  MAX_RANGES_PER_JOB,
+  MIGRATION_DELAY_MS,
+  MIGRATION_INTERVAL_MS,
+  RECORD_FILL_LIMIT,
+} from './constants.js';
+import type { OwnedShard } from './owned-shard.js';
+import type { MigrationDestination, OtherShards } from './peer-view.js';
 
-/** What is known of the other shards' room. */
-export interface OtherShards {
-  /** how many tasks of the job would fit now into another shard */
-  capacityElsewhere(spec: JobSpec, not: number): Destination | null;
-  /** a shard that is booked much less than another one for the job */
-  lessAllocated(spec: JobSpec, than: number): number | null;
+/** What task migration needs of the process. */
+export interface TaskMigrationDependencies {
+  readonly config: PlatformConfig;
+  readonly client: Pick<StoreClient, 'compareAndSwap' | 'get'>;
+  readonly cache: WatchCache;
+  /** whether this node still owns the shard under the term of `owned` */
+  readonly isOwned: (owned: OwnedShard) => boolean;
+  readonly otherShards: OtherShards;
+  /** steady ms */
+  readonly now: () => number;
+  readonly log: Logger;
 }
 
-/** Where tasks may pass to, and how many of them. */
-interface Destination {
-  readonly shard: number;
-  readonly tasks: number;
+/** Tasks `from` to the end of `range`, and the shard that they move to. */
+interface Migration {
+  readonly job: JobState;
+  readonly record: Cached<JobRecord>;
+  readonly range: TaskRange;
+  readonly from: number;
+  readonly target: { readonly shard: number; readonly term: number };
+  /** the target has no free capacity either, but is allocated less */
+  readonly balancing: boolean;
 }
 
-/** Hands tasks that fit nowhere in their shard to one where they fit. */
+/** The record's ranges once the tasks have moved. */
+const rangesAfter = ({ record, range, from, target }: Migration): TaskRange[] =>
+  record.value.ranges.flatMap((present) => {
+    if (present.from !== range.from) return [present];
+    const moved = { from, to: present.to, ...target };
+    return from > present.from ? [{ ...present, to: from }, moved] : [moved];
+  });
+
+/** Moves tasks that fit nowhere in their shard to other shards. */
 export class TaskMigration {
-  /** when each shard last tried to pass tasks, steady ms */
-  readonly #lastTry = new Map<number, number>();
-  /** when each shard last passed tasks to one that had no room either, steady ms */
-  readonly #lastBalanced = new Map<number, number>();
+  /** when each shard last looked for tasks to move, steady ms */
+  readonly #lastTriedAt = new Map<number, number>();
+  /** when each shard last moved tasks to one without free capacity, steady ms */
+  readonly #lastBalancedAt = new Map<number, number>();
 
-  constructor(
-    private readonly config: PlatformConfig,
-    private readonly client: Pick<StoreClient, 'compareAndSwap' | 'get'>,
-    private readonly cache: WatchCache,
-    private readonly stillOwned: (index: number, owned: OwnedShard) => boolean,
-    private readonly otherShards: OtherShards,
-    private readonly now: () => number,
-    private readonly log: Logger,
-  ) {}
+  constructor(private readonly dependencies: TaskMigrationDependencies) {}
 
-  /**
-   * A task that fits nowhere in its shard passes, by transaction, to a shard where it fits. Exception: while
-   * no shard has room, what has waited for long passes to one that is booked far less. A shard whose owner
-   * began to rent late may get no machines, and an array has ranges in most shards.
-   */
+  /** Begins at most one migration, of the job that waits longest among those that can move. */
   migrateUnschedulable(index: number, owned: OwnedShard, now: number): void {
-    if (now - (this.#lastTry.get(index) ?? -Infinity) < TRANSFER_EVERY_MS) return;
-    this.#lastTry.set(index, now);
-    let tries = 0;
+    if (now - (this.#lastTriedAt.get(index) ?? -Infinity) < MIGRATION_INTERVAL_MS) return;
+    this.#lastTriedAt.set(index, now);
+    let candidates = 0;
     for (const job of owned.shard.jobs.values()) {
-      if (job.unschedulableSince === null || now - job.unschedulableSince < TRANSFER_AFTER_MS)
-        continue;
-      if (now < job.migrateAfter || job.migrating.length > 0) continue;
-      const team = this.config.teams.get(job.spec.team);
-      if (hasLimit(team) || hasGuarantee(team)) continue;
-      const active = this.cache.tables.activeJobs.get(job.spec.uid);
-      if (active === undefined || active.value.ranges.length >= MAX_RANGES) continue;
-      tries += 1;
-      if (tries > TRANSFER_TRIES) return;
-      const to =
-        this.otherShards.capacityElsewhere(job.spec, index) ?? this.#lessAllocated(job, index, now);
-      const can = to === null ? null : owned.shard.migratable(job, active.value);
-      const term =
-        to === null ? null : (this.cache.tables.shards.get(String(to.shard))?.value.term ?? null);
-      if (can === null || to === null || term === null) continue;
-      const { range } = can;
-      const whole = job.spec.kind === 'gang' || job.spec.oneZone || job.spec.spread;
-      const count = Math.min(range.to - can.from, to.tasks);
-      if (whole && count < range.to - range.from) continue;
-      if (to.tasks === Infinity) this.#lastBalanced.set(index, now);
-      void this.#pass(index, owned, job, range, range.to - count, { shard: to.shard, term });
-      // The room that another node spoke of is there once.
+      const record = this.#candidateRecord(job, now);
+      if (record === undefined) continue;
+      candidates += 1;
+      if (candidates > MAX_MIGRATION_CANDIDATES) return;
+      const migration = this.#plan(owned, job, record, now);
+      if (migration === null) continue;
+      if (migration.balancing) this.#lastBalancedAt.set(index, now);
+      void this.#migrate(owned, migration);
+      // The free capacity that another node told of is there once.
       return;
     }
   }
 
-  #lessAllocated(job: JobState, index: number, now: number): Destination | null {
-    if (job.unschedulableSince === null || now - job.unschedulableSince < BALANCE_AFTER_MS)
-      return null;
-    if (now - (this.#lastBalanced.get(index) ?? -Infinity) < BALANCE_EVERY_MS) return null;
-    const shard = this.otherShards.lessAllocated(job.spec, index);
-    return shard === null ? null : { shard, tasks: Infinity };
+  /** The record of a job whose tasks have waited for long enough and may move; else undefined. */
+  #candidateRecord(job: JobState, now: number): Cached<JobRecord> | undefined {
+    const { config, cache } = this.dependencies;
+    const since = job.unschedulableSince;
+    if (since === null || now - since < MIGRATION_DELAY_MS) return undefined;
+    if (now < job.migrateAfter || job.migrating.length > 0) return undefined;
+    const team = config.teams.get(job.spec.team);
+    if (hasLimit(team) || hasGuarantee(team)) return undefined;
+    const record = cache.tables.activeJobs.get(job.spec.uid);
+    if (record === undefined || record.value.ranges.length >= MAX_RANGES_PER_JOB) return undefined;
+    return record;
   }
 
-  async #pass(
-    index: number,
-    owned: OwnedShard,
+  #plan(
+    { shard }: OwnedShard,
     job: JobState,
-    range: TaskRange,
-    from: number,
-    to: { shard: number; term: number },
-  ): Promise<void> {
-    const { uid } = job.spec;
-    const active = this.cache.tables.activeJobs.get(uid)!;
-    const ranges = active.value.ranges.flatMap((r) => {
-      if (r.from !== range.from) return [r];
-      const moved = { from, to: r.to, ...to };
-      return from > r.from ? [{ ...r, to: from }, moved] : [moved];
-    });
-    const value = encodeJob({ ...active.value, ranges });
-    const { valueBytes } = this.config.storeLimits;
-    if (JSON.stringify(value).length > valueBytes * RECORD_FILL) return;
-    const writes: Write[] = [{ put: key.activeJob(uid), value }];
-    // A part of the range may be saved under the old cut; the bitmap's end is simply cut off.
-    const guards = [{ key: key.activeJob(uid), revision: active.revision }];
+    record: Cached<JobRecord>,
+    now: number,
+  ): Migration | null {
+    const { otherShards, cache } = this.dependencies;
+    const { spec } = job;
+    const destination =
+      otherShards.capacityElsewhere(spec, shard.index) ??
+      this.#lessAllocated(job, shard.index, now);
+    if (destination === null) return null;
+    const migratable = shard.migratable(job, record.value);
+    const term = cache.tables.shards.get(String(destination.shard))?.value.term;
+    if (migratable === null || term === undefined) return null;
+    const { range } = migratable;
+    const indivisible = spec.kind === 'gang' || spec.oneZone || spec.spread;
+    const count = Math.min(range.to - migratable.from, destination.tasks);
+    if (indivisible && count < range.to - range.from) return null;
+    const from = range.to - count;
+    const target = { shard: destination.shard, term };
+    return { job, record, range, from, target, balancing: destination.tasks === Infinity };
+  }
+
+  #lessAllocated(job: JobState, index: number, now: number): MigrationDestination | null {
+    const since = job.unschedulableSince;
+    if (since === null || now - since < BALANCING_DELAY_MS) return null;
+    if (now - (this.#lastBalancedAt.get(index) ?? -Infinity) < BALANCING_INTERVAL_MS) return null;
+    const shard = this.dependencies.otherShards.lessAllocated(job.spec, index);
+    return shard === null ? null : { shard, tasks: Infinity };
+  }
+
+  /** Repeats the transaction until its outcome is known, or the shard is owned no more. */
+  async #migrate(owned: OwnedShard, migration: Migration): Promise<void> {
+    const { config, now } = this.dependencies;
+    const { job, record, range, from } = migration;
+    const value = encodeJob({ ...record.value, ranges: rangesAfter(migration) });
+    const maxBytes = config.storeLimits.valueBytes * RECORD_FILL_LIMIT;
+    if (JSON.stringify(value).length > maxBytes) return;
+    const writes: Write[] = [{ put: key.activeJob(job.spec.uid), value }];
     owned.shard.beginMigration(job, from, range.to);
     for (;;) {
       try {
-        const { authorization } = owned;
-        const result = await fencedCompareAndSwap(
-          this.client,
-          authorization,
-          CALL_PRIORITY.completion,
-          guards,
-          writes,
-        );
-        if (result.ok) {
-          this.cache.applyOwn(writes, result.epoch);
-          owned.shard.endMigration(job, true, this.now());
-          this.log.info({ job: uid, shard: index, to: to.shard, tasks: range.to - from }, 'passed');
-          return;
-        }
-        // A conflict after a lost answer may be our own success: only the present record tells. The
-        // cache must show it too, or the old one would bring the tasks back as fresh.
-        const found = await this.client.get(key.activeJob(uid), CALL_PRIORITY.completion);
-        let passed = false;
-        if (!('missing' in found)) {
-          this.cache.applyOwn([{ put: key.activeJob(uid), value: found.value }], found.revision);
-          const { ranges: present } = decodeJob(uid, found.value);
-          passed = !present.some((r) => r.shard === index && r.from <= from && r.to > from);
-        }
-        owned.shard.endMigration(job, passed, this.now());
+        await this.#attempt(owned, migration, writes);
         return;
       } catch (error) {
         if (!(error instanceof StoreRequestError)) throw error;
-        if (!this.stillOwned(index, owned)) return;
+        if (!this.dependencies.isOwned(owned)) return;
         if (error.kind === 'invalid') {
-          owned.shard.endMigration(job, false, this.now());
+          owned.shard.endMigration(job, false, now());
           return;
         }
         await sleep(STORE_RETRY_MS);
       }
     }
   }
+
+  async #attempt(owned: OwnedShard, migration: Migration, writes: readonly Write[]): Promise<void> {
+    const { client, cache, now, log } = this.dependencies;
+    const { job, record, range, from, target } = migration;
+    const { uid } = job.spec;
+    // Completions of the range may be saved for its old end; what a bitmap has too much is cut off.
+    const guards: Guard[] = [{ key: key.activeJob(uid), revision: record.revision }];
+    const { authorization, shard } = owned;
+    const priority = CALL_PRIORITY.completion;
+    const result = await fencedCompareAndSwap(client, authorization, priority, guards, writes);
+    if (!result.ok) {
+      await this.#settleConflict(owned, migration);
+      return;
+    }
+    cache.applyOwn(writes, result.epoch);
+    shard.endMigration(job, true, now());
+    const tasks = range.to - from;
+    log.info({ job: uid, shard: shard.index, to: target.shard, tasks }, 'tasks migrated');
+  }
+
+  /**
+   * A conflict after a lost answer may be the own success: only the present record tells. The cache must show it
+   * too, or the old one would bring the tasks back as not started.
+   */
+  async #settleConflict({ shard }: OwnedShard, { job, from }: Migration): Promise<void> {
+    const { client, cache, now } = this.dependencies;
+    const { uid } = job.spec;
+    const found = await client.get(key.activeJob(uid), CALL_PRIORITY.completion);
+    let migrated = false;
+    if (!('missing' in found)) {
+      cache.applyOwn([{ put: key.activeJob(uid), value: found.value }], found.revision);
+      const { ranges } = decodeJob(uid, found.value);
+      migrated = !ranges.some(
+        (range) => range.shard === shard.index && range.from <= from && range.to > from,
+      );
+    }
+    shard.endMigration(job, migrated, now());
+  }
 }
--- a/test/shard-controller.test.ts
+++ b/test/shard-controller.test.ts
@@ -7,9 +7,9 @@
 import { ATTEMPTS_PER_TERM } from '../src/core/shard/constants.js';
 import {
   TRANSFER_SETTLE_MS,
-  BALANCE_AFTER_MS,
-  TRANSFER_AFTER_MS,
-  TRANSFER_EVERY_MS,
+  BALANCING_DELAY_MS,
+  MIGRATION_DELAY_MS,
+  MIGRATION_INTERVAL_MS,
 } from '../src/shards/constants.js';
 import { STORE_RETRY_MS } from '../src/store/constants.js';
 import { renewableMs } from '../src/core/cancellation/cancellations.js';
@@ -65,30 +65,30 @@
       return result instanceof StoreRequestError ? Promise.reject(result) : Promise.resolve(result);
     },
   };
-  const shardController = new ShardController(
-    CONFIG,
-    parseOperator('', ''),
-    'a',
+  const shardController = new ShardController({
+    config: CONFIG,
+    operator: parseOperator('', ''),
+    incarnation: 'a',
     client,
     cache,
-    { valid: () => world.valid, registeredAt: 1, validSince: -Infinity },
-    () => Promise.resolve(),
-    {
-      withStore: () => null,
-      fit: (n) => (n === 'n1' ? 'b' : null),
-      hears: () => null,
+    lease: { valid: () => world.valid, registeredAt: 1, validSince: -Infinity },
+    waitForCurrentCache: () => Promise.resolve(),
+    peers: {
+      reachablePeerWithStore: () => null,
+      incarnationWithStore: (node) => (node === 'n1' ? 'b' : null),
+      peerReceivingHeartbeats: () => null,
       capacityElsewhere: () => world.room,
       lessAllocated: () => world.lessAllocated,
       imagesOf: () => new Map(),
       cancellationsKnownUntil: () => world.knownUntil,
     },
-    silentRefusals(),
-    () => new Map([['m', machineType()]]),
-    () => [],
-    () => world.now,
-    () => 0,
-    pino({ level: 'silent' }),
-  );
+    refusals: silentRefusals(),
+    machineTypes: () => new Map([['m', machineType()]]),
+    startObjectives: () => [],
+    now: () => world.now,
+    timeOfDay: () => 0,
+    log: pino({ level: 'silent' }),
+  });
   const put = (key: string, value: unknown, revision: number) => ({
     key,
     value,
@@ -291,7 +291,7 @@
     const s = scene();
     s.world.room = { shard: 0, tasks: 2 };
     s.shardController.tick();
-    s.world.now = TRANSFER_AFTER_MS + 1;
+    s.world.now = MIGRATION_DELAY_MS + 1;
     s.world.outcome = outcome;
     s.shardController.tick();
     await settle();
@@ -345,11 +345,11 @@
   s.shardController.tick();
   const passes = () =>
     s.world.written.flat().filter((w) => 'put' in w && w.put === 'active/job-000001').length;
-  s.world.now = BALANCE_AFTER_MS - 1;
+  s.world.now = BALANCING_DELAY_MS - 1;
   s.shardController.tick();
   await settle();
   assert.equal(passes(), 0, 'room may still come up here');
-  s.world.now = BALANCE_AFTER_MS + TRANSFER_EVERY_MS;
+  s.world.now = BALANCING_DELAY_MS + MIGRATION_INTERVAL_MS;
   s.shardController.tick();
   await settle();
   assert.equal(passes(), 1);
@@ -363,7 +363,7 @@
   const s = scene();
   s.world.room = { shard: 0, tasks: 2 };
   s.shardController.tick();
-  s.world.now = TRANSFER_AFTER_MS + 1;
+  s.world.now = MIGRATION_DELAY_MS + 1;
   s.world.outcome = () => new StoreRequestError('no_answer', 'gone');
   s.shardController.tick();
   await settle();
