--- a/src/shards/shard-controller.ts
+++ b/src/shards/shard-controller.ts
@@ -10,7 +10,7 @@
 import { LOOP_MS } from '../constants.js';
 import type { Heartbeat, MachineType } from '../core/model.js';
 import type { ShardSettings } from '../core/shard/shard.js';
-import { shareSockets } from '../service/socket-budget.js';
+import { socketBudget } from '../service/socket-budget.js';
 import type { StoreClient } from '../store/store-client.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { HeartbeatReply } from '../workers/heartbeats.js';
@@ -90,7 +90,7 @@
       },
     });
     this.#direct = new DirectCommands({
-      maxInFlight: shareSockets(config.sockets, config.peers.length).direct,
+      maxInFlight: socketBudget(config.sockets, config.peers.length).direct,
       isOwned: (shard) => this.#shards.isCurrentState(shard),
       now,
     });
