--- a/src/service/service.ts
+++ b/src/service/service.ts
@@ -15,7 +15,8 @@
 import { WorkloadStatistics } from '../core/capacity/workload-statistics.js';
 import type { Heartbeat, JobSpec } from '../core/model.js';
 import { SingletonControllers } from '../singletons/singleton-controllers.js';
-import { ShardController, type PeerView } from '../shards/shard-controller.js';
+import type { PeerView } from '../shards/peer-view.js';
+import { ShardController } from '../shards/shard-controller.js';
 import { Gossip, type OwnStatus } from '../peers/gossip.js';
 import type { PeerStatus } from '../peers/frames.js';
 import { ShardDirectory } from '../peers/shard-directory.js';
@@ -141,22 +142,22 @@
       this.#gossip,
       this.#now,
     );
-    this.#shardController = new ShardController(
+    this.#shardController = new ShardController({
       config,
       operator,
-      this.#incarnation,
-      this.#store,
-      this.#cache,
-      this.#lease,
-      () => this.#linearizable.waitUntilCurrent(),
-      this.#peerView(),
-      this.#fencingRejections,
-      () => this.#types.current,
-      (jobClass) => this.#startObjectives(jobClass),
-      this.#now,
-      timeOfDayMs,
+      incarnation: this.#incarnation,
+      client: this.#store,
+      cache: this.#cache,
+      lease: this.#lease,
+      waitForCurrentCache: () => this.#linearizable.waitUntilCurrent(),
+      peers: this.#peerView(),
+      fencingRejections: this.#fencingRejections,
+      machineTypes: () => this.#types.current,
+      startObjectives: (jobClass) => this.#startObjectives(jobClass),
+      now: this.#now,
+      timeOfDay: timeOfDayMs,
       log,
-    );
+    });
     this.#duties =
       dutiesConfig === null
         ? null
@@ -400,13 +401,13 @@
 
   #peerView(): PeerView {
     return {
-      withStore: () => this.#peerWithStore(),
-      fit: (node) =>
+      reachablePeerWithStore: () => this.#peerWithStore(),
+      incarnationWithStore: (node) =>
         this.#gossip.reachable().find((s) => s.node === node && s.hasStore)?.incarnation ?? null,
-      capacityElsewhere: (spec, not) => this.#directory.capacityElsewhere(spec, not),
-      lessAllocated: (spec, than) => this.#directory.lessAllocated(spec, than),
+      capacityElsewhere: (spec, excluded) => this.#directory.capacityElsewhere(spec, excluded),
+      lessAllocated: (spec, shard) => this.#directory.lessAllocated(spec, shard),
       imagesOf: (machine) => this.#directory.imagesOf(machine),
-      hears: (shard) => this.#directory.nodeReachingMostWorkers(shard),
+      peerReceivingHeartbeats: (shard) => this.#directory.nodeReachingMostWorkers(shard),
       cancellationsKnownUntil: () => this.#coverage.knownUntil(this.#cache.currentAt),
     };
   }
--- a/test/share-commands.test.ts
+++ b/test/share-commands.test.ts
@@ -43,8 +43,8 @@
 const machinesOf = (c: Cluster, shard: number): string[] =>
   [...c.state.items].flatMap(([key, { value }]) => {
     if (!key.startsWith('machines/')) return [];
-    const group = value as { shard: number; hosts: Record<string, number> };
-    return group.shard === shard ? Object.keys(group.hosts) : [];
+    const group = value as { part: number; hosts: Record<string, number> };
+    return group.part === shard ? Object.keys(group.hosts) : [];
   });
 
 /** Submits until some shard has machines; returns that shard. */
