--- a/src/shards/completions.ts
+++ b/src/shards/completions.ts
@@ -2,7 +2,7 @@
 import type { Logger } from 'pino';
 import type { PlatformConfig } from '../config/platform.js';
 import { MAX_RANGE_TASKS, SLOT_FILL } from '../core/jobs/constants.js';
-import { BATCH_BYTES } from './constants.js';
+import { MAX_BATCH_BYTES } from './constants.js';
 import type { JobState } from '../core/shard/types.js';
 import { allDone, encodeDone, maxRangeTasks } from '../core/jobs/jobs.js';
 import type { JobRecord, TaskRange } from '../core/model.js';
@@ -97,7 +97,7 @@
       ];
       const size = JSON.stringify(add).length;
       const over = batch.writes.length + add.length > this.config.storeLimits.transactionOps;
-      if (batch.writes.length > 0 && (over || bytes + size > BATCH_BYTES)) continue;
+      if (batch.writes.length > 0 && (over || bytes + size > MAX_BATCH_BYTES)) continue;
       bytes += size;
       batch.writes.push(...add);
       batch.guards.push({ key: key.activeJob(uid), revision: active.revision });
@@ -133,7 +133,7 @@
       const slot = this.#slotFor(slots, name, bits);
       if (!changed.has(slot)) {
         const size = sizeOf(slots.get(slot)!) + bits.length;
-        if (batch.writes.length + changed.size >= most || bytes + size > BATCH_BYTES) continue;
+        if (batch.writes.length + changed.size >= most || bytes + size > MAX_BATCH_BYTES) continue;
         bytes += size;
         changed.add(slot);
       }
--- /dev/null
+++ b/src/shards/machine-records/machine-records.ts
@@ -0,0 +1,144 @@
+/** The stored machine records of the shards that this node owns. */
+import type { Logger } from 'pino';
+import type { MachineState } from '../../core/shard/types.js';
+import { CALL_PRIORITY, StoreRequestError, type CallPriority } from '../../store/store-client.js';
+import type { WatchCache } from '../../store/watch-cache.js';
+import type { Guard } from '../../wire/schemas.js';
+import type { RentalRecord } from '../../store/keys.js';
+import { MACHINE_RECORDS_INTERVAL_MS } from '../constants.js';
+import type { OwnedShard } from '../owned-shard.js';
+import {
+  commit,
+  type CommitDependencies,
+  type StoreSizeLimits,
+  type Transaction,
+} from '../transaction.js';
+import { GroupEdits } from './group-edits.js';
+import { planMove, type MoveTarget } from './machine-move.js';
+import {
+  adoptionTransaction,
+  isRentalPending,
+  rentalTransaction,
+  type OrphanedMachine,
+} from './new-groups.js';
+import { ReturnedInstances } from './returned-instances.js';
+
+/** What machine records need of the process. */
+export interface MachineRecordsDependencies {
+  readonly config: { readonly storeLimits: StoreSizeLimits };
+  readonly client: CommitDependencies['client'];
+  readonly cache: WatchCache;
+  /** resolves once the cache shows everything that was committed before the call */
+  readonly current: () => Promise<unknown>;
+  /** steady ms */
+  readonly now: () => number;
+  readonly log: Logger;
+}
+
+/**
+ * Writes the machine records of owned shards. All changes of a shard's existing groups go through here, one
+ * transaction at a time, so that none undoes another.
+ */
+export class MachineRecords {
+  readonly returnedInstances = new ReturnedInstances();
+  /** shards with a write of their groups under way */
+  readonly #writing = new Set<number>();
+  /** by shard, steady ms */
+  readonly #lastWriteAt = new Map<number, number>();
+
+  constructor(private readonly dependencies: MachineRecordsDependencies) {}
+
+  /** Records machines that have come up, and removes the records of returned ones. */
+  async reconcile(owned: OwnedShard, now: number): Promise<void> {
+    const { index } = owned.shard;
+    const lastWriteAt = this.#lastWriteAt.get(index) ?? -Infinity;
+    if (this.#writing.has(index) || now - lastWriteAt < MACHINE_RECORDS_INTERVAL_MS) return;
+    const justUp = owned.shard.justUp();
+    const edits = this.#observedChanges(index, justUp);
+    if (edits.isEmpty) return;
+    const priority = justUp.length > 0 ? CALL_PRIORITY.completion : CALL_PRIORITY.rest;
+    if (!(await this.#writeGroups(owned, priority, edits.transaction()))) return;
+    for (const { record } of justUp) {
+      if (!edits.holds(record.name)) continue;
+      this.dependencies.log.info({ machine: record.name, shard: index }, 'machine came up');
+    }
+  }
+
+  #observedChanges(shard: number, justUp: readonly MachineState[]): GroupEdits {
+    const { cache, config } = this.dependencies;
+    const edits = new GroupEdits(cache, shard, config.storeLimits.transactionOps);
+    for (const { record } of justUp) edits.edit(record.name)?.set(record.name, true);
+    this.returnedInstances.forEachRecorded(cache.machines, (name) => {
+      edits.edit(name)?.delete(name);
+    });
+    return edits;
+  }
+
+  /** Resolves with false if the groups have changed in the store, or if it did not answer. */
+  async #writeGroups(
+    { shard, authorization }: OwnedShard,
+    priority: CallPriority,
+    transaction: Transaction,
+  ): Promise<boolean> {
+    this.#writing.add(shard.index);
+    try {
+      return await commit(this.dependencies, authorization, priority, transaction);
+    } catch (error) {
+      if (!(error instanceof StoreRequestError)) throw error;
+      const { log } = this.dependencies;
+      log.debug({ shard: shard.index, error: error.message }, 'machine records write failed');
+      return false;
+    } finally {
+      this.#writing.delete(shard.index);
+      this.#lastWriteAt.set(shard.index, this.dependencies.now());
+    }
+  }
+
+  /** Records the machines of an answered rental and drops the rental's record, in one transaction. */
+  async recordRental(
+    { shard, authorization }: OwnedShard,
+    rental: RentalRecord,
+    machines: readonly string[],
+  ): Promise<void> {
+    const transaction = rentalTransaction(this.dependencies.cache, shard.term, rental, machines);
+    await commit(this.dependencies, authorization, CALL_PRIORITY.completion, transaction);
+  }
+
+  /**
+   * Takes a machine that is in no record into a group of its own. A rental that is not settled may be about
+   * to record it for another shard, and with two records two owners would have it
+   * (docs/incidents/2026-12-02-two-records.md). Every rental is recorded before its call, so once a current
+   * cache shows neither a rental of the machine's kind nor the machine, none can record it any more.
+   */
+  async adopt(
+    { shard, authorization }: OwnedShard,
+    machine: OrphanedMachine,
+    guards: readonly Guard[] = [],
+  ): Promise<void> {
+    const { cache, current, log } = this.dependencies;
+    await current();
+    if (cache.machines.has(machine.name)) return;
+    if (isRentalPending(cache.tables.rentals, machine)) return;
+    const transaction = adoptionTransaction(shard.term, machine, guards);
+    const adopted = await commit(this.dependencies, authorization, CALL_PRIORITY.rest, transaction);
+    if (adopted) log.info({ machine: machine.name, shard: machine.shard }, 'machine adopted');
+  }
+
+  /**
+   * Moves machines on which nothing is, and where nothing may arrive any more, to another shard in one
+   * transaction. As many as it holds go; resolves with their names, none if the records have changed.
+   */
+  async move(
+    owned: OwnedShard,
+    names: readonly string[],
+    target: MoveTarget,
+  ): Promise<readonly string[]> {
+    const { index } = owned.shard;
+    if (this.#writing.has(index)) return [];
+    const { cache, config } = this.dependencies;
+    const move = planMove(cache, config.storeLimits, index, names, target);
+    if (move === null) return [];
+    const committed = await this.#writeGroups(owned, CALL_PRIORITY.completion, move.transaction);
+    return committed ? move.moved : [];
+  }
+}
--- a/src/shards/orphaned-instances.ts
+++ b/src/shards/orphaned-instances.ts
@@ -1,7 +1,7 @@
 import type { Logger } from 'pino';
 import type { CloudClient } from '../cloud/client.js';
 import type { PlatformConfig } from '../config/platform.js';
-import { ADOPT_MS, LIST_MS } from './constants.js';
+import { ADOPTION_DELAY_MS, MACHINE_LIST_INTERVAL_MS } from './constants.js';
 import { shardOfMachine } from '../core/jobs/jobs.js';
 import type { Heartbeat } from '../core/model.js';
 import type { Reclaiming } from '../singletons/orphan-collector.js';
@@ -9,7 +9,7 @@
 import type { WatchCache } from '../store/watch-cache.js';
 import type { ListedMachine } from '../wire/schemas.js';
 import type { ShardController } from './shard-controller.js';
-import { isRetryable } from './retryable-error.js';
+import { isRetryable } from './retryable-errors.js';
 
 /** The duty of returning machines that no record knows, where it is switched on. */
 export interface Reclaimer {
@@ -49,7 +49,7 @@
         machine.address ??= this.#addresses.get(machine.record.name) ?? null;
       }
     }
-    const listMs = Math.max(LIST_MS, this.cloud.listEveryMs());
+    const listMs = Math.max(MACHINE_LIST_INTERVAL_MS, this.cloud.listEveryMs());
     if (now - this.#lastList > listMs && this.#needsList()) void this.#list();
   }
 
@@ -105,8 +105,8 @@
     const now = this.now();
     const since = this.#since.get(name) ?? now;
     this.#since.set(name, since);
-    const settledMs = ADOPT_MS + this.config.cloudLimits.listLagS * 3000;
-    return now - since > settledMs && !this.shardController.machines.isReturned(name);
+    const settledMs = ADOPTION_DELAY_MS + this.config.cloudLimits.listLagS * 3000;
+    return now - since > settledMs && !this.shardController.machines.returnedInstances.has(name);
   }
 
   /**
@@ -115,14 +115,15 @@
    */
   observe({ machine }: Heartbeat): void {
     if (this.cache.machines.has(machine)) return;
-    if (this.shardController.machines.isReturned(machine) || this.#since.has(machine)) return;
-    this.#lastList = Math.min(this.#lastList, this.now() - LIST_MS / 2);
+    if (this.shardController.machines.returnedInstances.has(machine) || this.#since.has(machine))
+      return;
+    this.#lastList = Math.min(this.#lastList, this.now() - MACHINE_LIST_INTERVAL_MS / 2);
   }
 
   async #reclaim(machines: readonly ListedMachine[]): Promise<void> {
     if (machines.length === 0 || this.reclaimer === null) return;
     const gone = await this.reclaimer.reclaiming.reclaim(machines);
-    this.shardController.machines.returned(gone);
+    this.shardController.machines.returnedInstances.add(gone);
   }
 
   async #adopt({ name, type, zone, spot }: ListedMachine): Promise<void> {
@@ -135,7 +136,7 @@
     const guards = intents === null ? [] : [intents.condition('unrecorded')];
     this.#adopting.add(name);
     await this.#guarded('machine not adopted', () =>
-      this.shardController.machines.adopt(owned, { shard, type, zone, spot }, name, guards),
+      this.shardController.machines.adopt(owned, { name, shard, type, zone, spot }, guards),
     );
     this.#adopting.delete(name);
   }
--- a/src/shards/owned-shard.ts
+++ b/src/shards/owned-shard.ts
@@ -4,7 +4,7 @@
  */
 import type { Authorization } from '@sumacstep/leader-election';
 import type { Shard } from '../core/shard/shard.js';
-import { PROGRESS_MS, SAVE_MS } from './constants.js';
+import { PROGRESS_SAVE_INTERVAL_MS, COMPLETION_SAVE_INTERVAL_MS } from './constants.js';
 
 /**
  * `transferring`: a transaction that names another owner has been sent and its outcome is not known, so this
@@ -65,7 +65,7 @@
 
   /** Whether completions may be saved now: one write at a time, at least `SAVE_MS` after the last one. */
   saveDue(now: number): boolean {
-    return !this.#saving && now - this.#lastSaveAt >= SAVE_MS;
+    return !this.#saving && now - this.#lastSaveAt >= COMPLETION_SAVE_INTERVAL_MS;
   }
 
   beginSave(): void {
@@ -80,7 +80,7 @@
 
   /** Whether completions that end neither a job nor a range are due. */
   progressDue(now: number): boolean {
-    return now - this.#lastProgressAt >= PROGRESS_MS;
+    return now - this.#lastProgressAt >= PROGRESS_SAVE_INTERVAL_MS;
   }
 
   /** Progress is part of a save that is about to be sent. */
--- a/src/shards/scale-in.ts
+++ b/src/shards/scale-in.ts
@@ -4,7 +4,7 @@
 import type { ReturnIntents } from '../singletons/return-intents.js';
 import type { OwnedShard } from './owned-shard.js';
 import type { ShardController } from './shard-controller.js';
-import { isRetryable } from './retryable-error.js';
+import { isRetryable } from './retryable-errors.js';
 
 /** A machine to be returned, and why. */
 export interface PlannedReturn {
@@ -81,6 +81,6 @@
   async #giveBack(owned: OwnedShard, names: readonly string[]): Promise<void> {
     await this.cloud.returnMachines(names, owned.authorization);
     for (const name of names) owned.shard.removeMachine(name, this.now());
-    this.shardController.machines.returned(names);
+    this.shardController.machines.returnedInstances.add(names);
   }
 }
--- a/src/shards/scale-out.ts
+++ b/src/shards/scale-out.ts
@@ -4,12 +4,12 @@
 import type { PlatformConfig } from '../config/platform.js';
 import { SUMMARY_MS } from '../constants.js';
 import {
-  GROUP_BYTES,
-  HOST_BYTES,
-  NO_CAPACITY_MS,
+  MACHINE_GROUP_BYTES,
+  MACHINE_ENTRY_BYTES,
+  NO_CAPACITY_BACKOFF_MS,
   MAX_RENTAL_BATCH,
-  RENT_MS,
-  RENT_RETRY_MS,
+  CAPACITY_PLAN_INTERVAL_MS,
+  RENTAL_RETRY_MS,
 } from './constants.js';
 import type { CloudClient } from '../cloud/client.js';
 import { planCapacity } from '../core/capacity/capacity-planner.js';
@@ -22,7 +22,7 @@
 import type { WatchCache } from '../store/watch-cache.js';
 import type { Write } from '../wire/schemas.js';
 import type { ScaleIn } from './scale-in.js';
-import { isRetryable } from './retryable-error.js';
+import { isRetryable } from './retryable-errors.js';
 
 type Wish = { type: string; zone: string; spot: boolean; count: number };
 
@@ -56,7 +56,9 @@
     private readonly nowOfDay: () => number,
     private readonly log: Logger,
   ) {
-    const room = Math.floor((config.storeLimits.valueBytes - GROUP_BYTES) / HOST_BYTES);
+    const room = Math.floor(
+      (config.storeLimits.valueBytes - MACHINE_GROUP_BYTES) / MACHINE_ENTRY_BYTES,
+    );
     this.#rentMost = Math.max(1, Math.min(MAX_RENTAL_BATCH, room));
   }
 
@@ -67,7 +69,7 @@
     for (const [index, owned] of this.shardController.owned) {
       if (owned.isActive) this.#rentals(index, owned);
     }
-    if (now - this.#lastPlan < RENT_MS) return;
+    if (now - this.#lastPlan < CAPACITY_PLAN_INTERVAL_MS) return;
     this.#lastPlan = now;
     for (const [index, owned] of this.shardController.owned) {
       if (owned.isActive) this.#plan(index, owned, types, now);
@@ -164,7 +166,7 @@
       const intent = RecordedIntent.found(owned.authorization, stored);
       void this.#guard('rental not answered', () => this.#rent(owned, rental, intent)).finally(
         () => {
-          setTimeout(() => this.#renting.delete(rental.name), RENT_RETRY_MS);
+          setTimeout(() => this.#renting.delete(rental.name), RENTAL_RETRY_MS);
         },
       );
     }
@@ -174,19 +176,19 @@
     const result = await this.cloud.rent({ request: rental.name, ...rental }, intent);
     const where = { type: rental.type, zone: rental.zone, spot: rental.spot, part: rental.shard };
     if (result.kind !== 'rented') {
-      const until = this.now() + NO_CAPACITY_MS;
+      const until = this.now() + NO_CAPACITY_BACKOFF_MS;
       this.#refused.set(`${rental.type} ${rental.zone} ${rental.spot}`, until);
       if (result.kind === 'malformed')
         this.log.error({ ...where, answer: result.answer }, 'rental');
       else this.log.info(where, 'no capacity');
-      await this.shardController.machines.hired(owned, rental, []);
+      await this.shardController.machines.recordRental(owned, rental, []);
       return;
     }
     this.log.info({ ...where, machines: result.machines.length }, 'machines rented');
     if (result.machines.length < rental.count) {
-      const until = this.now() + NO_CAPACITY_MS;
+      const until = this.now() + NO_CAPACITY_BACKOFF_MS;
       this.#refused.set(`${rental.type} ${rental.zone} ${rental.spot}`, until);
     }
-    await this.shardController.machines.hired(owned, rental, result.machines);
+    await this.shardController.machines.recordRental(owned, rental, result.machines);
   }
 }
--- a/src/shards/shard-controller.ts
+++ b/src/shards/shard-controller.ts
@@ -16,7 +16,7 @@
 import type { JobSpec, MachineType, Heartbeat } from '../core/model.js';
 import { Ownership, type OwnershipView } from '../core/ownership/ownership.js';
 import { Shard, type ShardSettings } from '../core/shard/shard.js';
-import { MachineRecords } from './machine-records.js';
+import { MachineRecords } from './machine-records/machine-records.js';
 import { OwnedShard } from './owned-shard.js';
 import { TaskMigration } from './task-migration.js';
 import { shareSockets } from '../service/socket-budget.js';
@@ -90,7 +90,7 @@
       (shard) => this.owned.get(shard.index)?.shard === shard,
       now,
     );
-    this.machines = new MachineRecords(config, client, cache, current, now, log);
+    this.machines = new MachineRecords({ config, client, cache, current, now, log });
     this.#completions = new Completions(config, client, cache, now, log);
     this.#migration = new TaskMigration(
       config,
@@ -196,7 +196,7 @@
       }
       shard.placeAll(now);
       this.#direct.tick(owned, now);
-      void this.machines.tick(index, owned, now);
+      void this.machines.reconcile(owned, now);
       this.#migration.migrateUnschedulable(index, owned, now);
       void this.#completions.save(index, owned, now);
     }
--- a/test/budget.test.ts
+++ b/test/budget.test.ts
@@ -4,9 +4,13 @@
 import pino from 'pino';
 import { Completions } from '../src/shards/completions.js';
 import type { PlatformConfig } from '../src/config/platform.js';
-import { MACHINES_MS, PROGRESS_MS, SAVE_MS } from '../src/shards/constants.js';
+import {
+  MACHINE_RECORDS_INTERVAL_MS,
+  PROGRESS_SAVE_INTERVAL_MS,
+  COMPLETION_SAVE_INTERVAL_MS,
+} from '../src/shards/constants.js';
 import { HELD_READ_MS } from '../src/store/constants.js';
-import { MachineRecords } from '../src/shards/machine-records.js';
+import { MachineRecords } from '../src/shards/machine-records/machine-records.js';
 import { encodeDone } from '../src/core/jobs/jobs.js';
 import { StoreRequestError, type CompareAndSwapResult } from '../src/store/store-client.js';
 import { LinearizableReads } from '../src/store/linearizable-reads.js';
@@ -63,26 +67,26 @@
     shard.handleCommandStatus(w.heartbeat(), 1);
   }
   let now = 1000;
-  const records = new MachineRecords(
-    CONFIG,
+  const records = new MachineRecords({
+    config: CONFIG,
     client,
     cache,
-    () => Promise.resolve(),
-    () => now,
-    LOG,
-  );
-  await records.tick(0, ownedShard(shard), now);
+    current: () => Promise.resolve(),
+    now: () => now,
+    log: LOG,
+  });
+  await records.reconcile(ownedShard(shard), now);
   assert.deepEqual(
     written.map((w) => w.length),
     [1],
   );
   assert.ok(names.every((n) => cache.machines.get(n)?.value.up === true));
   shard.sync({ jobs: store.jobs, done: () => undefined, machines: cache.machines }, now);
-  records.returned(names);
-  await records.tick(0, ownedShard(shard), now);
+  records.returnedInstances.add(names);
+  await records.reconcile(ownedShard(shard), now);
   assert.equal(written.length, 1, 'not at once: more may come');
-  now += MACHINES_MS;
-  await records.tick(0, ownedShard(shard), now);
+  now += MACHINE_RECORDS_INTERVAL_MS;
+  await records.reconcile(ownedShard(shard), now);
   assert.deepEqual(written.slice(1), [[{ drop: 'machines/rental-1' }]]);
   assert.equal(cache.machines.size, 0);
 });
@@ -101,9 +105,9 @@
     j.unsaved.add(index);
   };
   for (const uid of uids) finish(uid, 0);
-  await completions.save(0, owned, SAVE_MS);
+  await completions.save(0, owned, COMPLETION_SAVE_INTERVAL_MS);
   assert.equal(written.length, 0, 'nobody waits for a part of a range');
-  await completions.save(0, owned, PROGRESS_MS);
+  await completions.save(0, owned, PROGRESS_SAVE_INTERVAL_MS);
   assert.deepEqual(
     written.map((w) => w.length),
     [1],
@@ -113,7 +117,7 @@
   assert.ok(uids.every((uid) => shard.jobs.get(uid)!.saved.has(0)));
 
   for (const i of [1, 2, 3]) finish(uids[0]!, i);
-  await completions.save(0, owned, PROGRESS_MS + SAVE_MS);
+  await completions.save(0, owned, PROGRESS_SAVE_INTERVAL_MS + COMPLETION_SAVE_INTERVAL_MS);
   assert.deepEqual(written[1]?.map((w) => ('put' in w ? w.put : w.drop)).sort(), [
     `active/${uids[0]}`,
     `final/${uids[0]}`,
@@ -198,7 +202,7 @@
       state.unsaved.add(index);
       state.waiting = state.waiting.filter((i) => i !== index);
     }
-    now += PROGRESS_MS + SAVE_MS;
+    now += PROGRESS_SAVE_INTERVAL_MS + COMPLETION_SAVE_INTERVAL_MS;
     await completions.save(0, owned, now);
   };
   losing = true;
@@ -242,9 +246,22 @@
       show(found);
       return Promise.resolve();
     };
-    const records = new MachineRecords(CONFIG, client, cache, current, () => 0, LOG);
+    const records = new MachineRecords({
+      config: CONFIG,
+      client,
+      cache,
+      current,
+      now: () => 0,
+      log: LOG,
+    });
     const { type, zone, spot } = group;
-    await records.adopt(ownedShard(shardWith(new Store())), { shard: 0, type, zone, spot }, 'x');
+    await records.adopt(ownedShard(shardWith(new Store())), {
+      name: 'x',
+      shard: 0,
+      type,
+      zone,
+      spot,
+    });
     assert.equal(written.length, adopted ? 1 : 0, name);
   }
 });
--- a/test/move-candidates.test.ts
+++ b/test/move-candidates.test.ts
@@ -1,8 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import pino from 'pino';
-import type { PlatformConfig } from '../src/config/platform.js';
-import { MachineRecords } from '../src/shards/machine-records.js';
+import { MachineRecords } from '../src/shards/machine-records/machine-records.js';
 import { candidateOf } from '../src/rebalancing/shard-mover.js';
 import type { MachineState } from '../src/core/shard/shard.js';
 import { encodeMachineGroup } from '../src/store/keys.js';
@@ -81,14 +80,14 @@
       return Promise.resolve({ ok: true as const, epoch: 10 });
     },
   };
-  const records = new MachineRecords(
-    { storeLimits: { valueBytes: 8192, transactionOps: 4 } } as unknown as PlatformConfig,
+  const records = new MachineRecords({
+    config: { storeLimits: { valueBytes: 8192, transactionOps: 4 } },
     client,
     cache,
-    () => Promise.resolve(),
-    () => 0,
-    pino({ level: 'silent' }),
-  );
+    current: () => Promise.resolve(),
+    now: () => 0,
+    log: pino({ level: 'silent' }),
+  });
   const { shard } = settledMachine();
   const moved = await records.move(ownedShard(shard), ['x', 'z'], {
     shard: 1,
--- a/test/quotas.test.ts
+++ b/test/quotas.test.ts
@@ -4,7 +4,7 @@
 import { Completions } from '../src/shards/completions.js';
 import { ConfigError, parsePlatform, type PlatformConfig } from '../src/config/platform.js';
 import { SLOT_FILL } from '../src/core/jobs/constants.js';
-import { PROGRESS_MS, SAVE_MS } from '../src/shards/constants.js';
+import { PROGRESS_SAVE_INTERVAL_MS, COMPLETION_SAVE_INTERVAL_MS } from '../src/shards/constants.js';
 import { cutRanges, decodeDone, encodeDone, maxRangeTasks } from '../src/core/jobs/jobs.js';
 import type { JobRecord } from '../src/core/model.js';
 import type { Shard } from '../src/core/shard/shard.js';
@@ -109,7 +109,7 @@
   } as unknown as PlatformConfig;
   const completions = new Completions(config, client, cache, () => world.now, LOG);
   const save = async (shard: Shard) => {
-    world.now += PROGRESS_MS + SAVE_MS;
+    world.now += PROGRESS_SAVE_INTERVAL_MS + COMPLETION_SAVE_INTERVAL_MS;
     await completions.save(0, ownedShard(shard), world.now);
     show();
   };
