--- a/src/service/service.ts
+++ b/src/service/service.ts
@@ -20,7 +20,7 @@
 import type { PeerStatus } from '../peers/frames.js';
 import { ShardDirectory } from '../peers/shard-directory.js';
 import { randomFrom } from '../random.js';
-import { ScaleOut } from '../shards/scale-out.js';
+import { ScaleOut } from '../shards/scale-out/scale-out.js';
 import { ScaleIn } from '../shards/scale-in.js';
 import { OrphanedInstances } from '../shards/orphaned-instances.js';
 import { HttpServer } from './http-server.js';
@@ -64,8 +64,8 @@
   readonly #duties: Duties | null;
   /** null: moves of machines between shards are switched off */
   readonly #shareOwner: ShareOwner | null;
-  readonly #returns: ScaleIn;
-  readonly #unrecorded: OrphanedInstances;
+  readonly #scaleIn: ScaleIn;
+  readonly #orphanedInstances: OrphanedInstances;
   readonly #workload = new WorkloadStatistics();
   readonly #gossip: Gossip;
   readonly #broadcast: CancellationBroadcast;
@@ -77,7 +77,7 @@
   readonly #summary: Summary;
   readonly #server: HttpServer;
   readonly #shardController: ShardController;
-  readonly #rentals: ScaleOut;
+  readonly #scaleOut: ScaleOut;
   readonly #jobReader: JobReader;
   readonly #jobs: Jobs;
   readonly #stop = new AbortController();
@@ -177,39 +177,34 @@
             now: this.#now,
             log,
           });
-    this.#returns = new ScaleIn(
-      this.#cloud,
-      this.#shardController,
-      this.#duties?.shardReturns ?? null,
-      this.#now,
-      log,
-    );
-    this.#unrecorded = new OrphanedInstances(
+    const loopDependencies = {
       config,
-      this.#cloud,
-      this.#cache,
-      this.#shardController,
-      this.#duties?.reclaimer ?? null,
-      this.#now,
+      cloud: this.#cloud,
+      cache: this.#cache,
+      shardController: this.#shardController,
+      now: this.#now,
       log,
-    );
-    this.#rentals = new ScaleOut(
-      config,
+    };
+    this.#scaleIn = new ScaleIn({
+      ...loopDependencies,
+      intents: this.#duties?.shardReturns ?? null,
+    });
+    this.#orphanedInstances = new OrphanedInstances({
+      ...loopDependencies,
+      reclaimer: this.#duties?.reclaimer ?? null,
+    });
+    this.#scaleOut = new ScaleOut({
+      ...loopDependencies,
       operator,
-      this.#incarnation,
-      this.#cloud,
-      this.#store,
-      this.#cache,
-      this.#shardController,
-      this.#returns,
-      this.#workload,
-      (shard) => this.#directory.busyElsewhere(shard),
-      () => this.#jobs.sentAway(),
-      () => this.#types.current,
-      this.#now,
-      timeOfDayMs,
-      log,
-    );
+      incarnation: this.#incarnation,
+      client: this.#store,
+      scaleIn: this.#scaleIn,
+      workload: this.#workload,
+      busyElsewhere: (shard) => this.#directory.busyElsewhere(shard),
+      expectedJobs: () => this.#jobs.sentAway(),
+      machineTypes: () => this.#types.current,
+      timeOfDay: timeOfDayMs,
+    });
     this.#jobReader = new JobReader(this.#store, this.#cache, this.#linearizable);
     this.#jobs = new Jobs(
       this.#store,
@@ -320,7 +315,7 @@
     const { ready } = this.#cache;
     this.#limits.update(ready ? this.#shardController.aliveNodes() : this.config.nodes);
     this.#learn();
-    this.#returns.markRecorded();
+    this.#scaleIn.markRecordedReturns();
     this.#shareOwner?.tick();
     this.#shardController.tick();
     for (const [index, { shard }] of this.#shardController.owned) {
@@ -329,9 +324,9 @@
         this.log.debug({ job: uid, shard: index, term: shard.term, ...e }, 'task');
       }
     }
-    this.#returns.markRecorded();
-    this.#unrecorded.tick();
-    this.#rentals.tick();
+    this.#scaleIn.markRecordedReturns();
+    this.#orphanedInstances.tick();
+    this.#scaleOut.tick();
     this.#duties?.tick();
   }
 
@@ -351,7 +346,7 @@
 
   #handleHeartbeat(heartbeat: Heartbeat): HeartbeatReply {
     const reply = this.#shardController.handleHeartbeat(heartbeat);
-    if (reply.kind === 'unavailable') this.#unrecorded.observe(heartbeat);
+    if (reply.kind === 'unavailable') this.#orphanedInstances.handleHeartbeat(heartbeat);
     else if (reply.kind === 'answer') this.#reconcileDebounced();
     return reply;
   }
--- a/src/shards/orphaned-instances.ts
+++ b/src/shards/orphaned-instances.ts
@@ -1,142 +1,152 @@
+/**
+ * Follows the cloud's list of machines: their addresses, machines that failed, and orphaned machines, which no
+ * record knows. Those are adopted by the shard that their name belongs to, or returned by the leader of the
+ * orphan collection.
+ */
 import type { Logger } from 'pino';
 import type { CloudClient } from '../cloud/client.js';
 import type { PlatformConfig } from '../config/platform.js';
-import { ADOPTION_DELAY_MS, MACHINE_LIST_INTERVAL_MS } from './constants.js';
 import { shardOfMachine } from '../core/jobs/jobs.js';
 import type { Heartbeat } from '../core/model.js';
 import type { Reclaiming } from '../singletons/orphan-collector.js';
 import type { ReturnIntents } from '../singletons/return-intents.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { ListedMachine } from '../wire/schemas.js';
+import { ADOPTION_DELAY_MS, MACHINE_LIST_INTERVAL_MS } from './constants.js';
+import { attempt } from './retryable-errors.js';
 import type { ShardController } from './shard-controller.js';
-import { isRetryable } from './retryable-errors.js';
 
-/** The duty of returning machines that no record knows, where it is switched on. */
+/** The collection of machines that no record knows, where it is switched on. */
 export interface Reclaimer {
   readonly reclaiming: Reclaiming;
   readonly intents: ReturnIntents;
 }
 
-/**
- * Reads the cloud's list: addresses of machines, machines that failed, and machines that no record knows. Those
- * are adopted by the shard that their name belongs to, or returned by the holder of the duty of reclaiming.
- */
+/** What following the cloud's list needs of the process. */
+export interface OrphanedInstancesDependencies {
+  readonly config: Pick<PlatformConfig, 'nodes' | 'cloudLimits'>;
+  readonly cloud: Pick<CloudClient, 'list' | 'listEveryMs'>;
+  readonly cache: WatchCache;
+  readonly shardController: ShardController;
+  /** null: orphaned machines are always adopted */
+  readonly reclaimer: Reclaimer | null;
+  /** steady ms */
+  readonly now: () => number;
+  readonly log: Logger;
+}
+
+/** Reads the cloud's list while this node owns a shard or collects orphans, and acts on what it shows. */
 export class OrphanedInstances {
   readonly #addresses = new Map<string, string>();
-  /** since when the list shows them without a record, steady ms */
-  readonly #since = new Map<string, number>();
+  /** since when the list shows machines without a record, steady ms */
+  readonly #unrecordedSince = new Map<string, number>();
   readonly #adopting = new Set<string>();
-  #lastList = -Infinity;
+  #lastListAt = -Infinity;
   #listing = false;
 
-  constructor(
-    private readonly config: Pick<PlatformConfig, 'nodes' | 'cloudLimits'>,
-    private readonly cloud: Pick<CloudClient, 'list' | 'listEveryMs'>,
-    private readonly cache: WatchCache,
-    private readonly shardController: ShardController,
-    private readonly reclaimer: Reclaimer | null,
-    private readonly now: () => number,
-    private readonly log: Logger,
-  ) {}
+  constructor(private readonly dependencies: OrphanedInstancesDependencies) {}
 
-  /** Reads the list if it is due, and tells the owned shards what it said of addresses. */
+  /** Reads the list if it is due, and sets the addresses that it showed in the owned shards. */
   tick(): void {
-    const now = this.now();
-    if (!this.shardController.authority(now)) return;
-    for (const { shard, isActive } of this.shardController.owned.values()) {
+    const { shardController, cloud } = this.dependencies;
+    const now = this.dependencies.now();
+    if (!shardController.authority(now)) return;
+    for (const { shard, isActive } of shardController.owned.values()) {
       if (!isActive) continue;
       for (const machine of shard.machines.values()) {
         machine.address ??= this.#addresses.get(machine.record.name) ?? null;
       }
     }
-    const listMs = Math.max(MACHINE_LIST_INTERVAL_MS, this.cloud.listEveryMs());
-    if (now - this.#lastList > listMs && this.#needsList()) void this.#list();
+    const intervalMs = Math.max(MACHINE_LIST_INTERVAL_MS, cloud.listEveryMs());
+    if (now - this.#lastListAt > intervalMs && this.#needsList()) void this.#readList();
+  }
+
+  /**
+   * A heartbeat of a machine that may be in no record: a rental that was carried out late, or a late copy of
+   * a heartbeat of a machine that is gone. Only the cloud's list tells which, so it is read soon.
+   */
+  handleHeartbeat({ machine }: Heartbeat): void {
+    const { cache, shardController, now } = this.dependencies;
+    if (cache.machines.has(machine)) return;
+    if (shardController.machines.returnedInstances.has(machine)) return;
+    if (this.#unrecordedSince.has(machine)) return;
+    this.#lastListAt = Math.min(this.#lastListAt, now() - MACHINE_LIST_INTERVAL_MS / 2);
   }
 
   #needsList(): boolean {
-    return this.shardController.owned.size > 0 || (this.reclaimer?.reclaiming.held ?? false);
+    const { shardController, reclaimer } = this.dependencies;
+    return shardController.owned.size > 0 || (reclaimer?.reclaiming.held ?? false);
   }
 
-  async #list(): Promise<void> {
+  async #readList(): Promise<void> {
     if (this.#listing) return;
     this.#listing = true;
-    await this.#guarded('machine list not answered', async () => {
-      await this.#listed(await this.cloud.list());
+    const { cloud, log, now } = this.dependencies;
+    await attempt(log, 'machine list request failed', async () => {
+      await this.#handleList(await cloud.list());
     });
     this.#listing = false;
-    this.#lastList = this.now();
+    this.#lastListAt = now();
   }
 
-  async #guarded(what: string, work: () => Promise<void>): Promise<void> {
-    try {
-      await work();
-    } catch (error) {
-      if (!isRetryable(error)) throw error;
-      this.log.debug({ error: error.message }, what);
-    }
+  async #handleList(list: readonly ListedMachine[]): Promise<void> {
+    this.#forgetUnlisted(new Set(list.map((machine) => machine.name)));
+    for (const { name, address } of list) if (address !== null) this.#addresses.set(name, address);
+    const unrecorded = list.filter((machine) => !this.#isRecorded(machine));
+    const orphaned = unrecorded.filter((machine) => this.#isOrphaned(machine));
+    if (this.dependencies.reclaimer?.reclaiming.begun ?? false) await this.#reclaim(orphaned);
+    else for (const machine of orphaned) void this.#adopt(machine);
   }
 
-  async #listed(list: readonly ListedMachine[]): Promise<void> {
-    const names = new Set(list.map((machine) => machine.name));
-    for (const name of this.#addresses.keys()) if (!names.has(name)) this.#addresses.delete(name);
-    for (const name of this.#since.keys()) if (!names.has(name)) this.#since.delete(name);
-    for (const { name, address } of list) if (address !== null) this.#addresses.set(name, address);
-    const unrecorded = list.filter((machine) => !this.#recorded(machine));
-    const settled = unrecorded.filter((machine) => this.#settled(machine));
-    if (this.reclaimer?.reclaiming.begun ?? false) await this.#reclaim(settled);
-    else for (const machine of settled) void this.#adopt(machine);
+  #forgetUnlisted(listed: ReadonlySet<string>): void {
+    for (const map of [this.#addresses, this.#unrecordedSince]) {
+      for (const name of map.keys()) if (!listed.has(name)) map.delete(name);
+    }
   }
 
-  /** Whether a record knows the machine; notes it if the cloud says that it failed. */
-  #recorded({ name, status }: ListedMachine): boolean {
-    const record = this.cache.machines.get(name)?.value;
+  /** Whether a record knows the machine; marks it for return if the cloud says that it failed. */
+  #isRecorded({ name, status }: ListedMachine): boolean {
+    const { cache, shardController, log } = this.dependencies;
+    const record = cache.machines.get(name)?.value;
     if (record === undefined) return false;
-    this.#since.delete(name);
-    const state = this.shardController.owned.get(record.shard)?.shard.machines.get(name);
-    if (status === 'failed' && state !== undefined && !state.terminating) {
-      state.terminating = true;
-      this.log.info({ machine: name, shard: record.shard }, 'machine failed');
+    this.#unrecordedSince.delete(name);
+    const machine = shardController.owned.get(record.shard)?.shard.machines.get(name);
+    if (status === 'failed' && machine !== undefined && !machine.terminating) {
+      machine.terminating = true;
+      log.info({ machine: name, shard: record.shard }, 'machine failed');
     }
     return true;
   }
 
   /** The list may show machines that are gone and were returned; it can't any more after some time. */
-  #settled({ name }: ListedMachine): boolean {
-    const now = this.now();
-    const since = this.#since.get(name) ?? now;
-    this.#since.set(name, since);
-    const settledMs = ADOPTION_DELAY_MS + this.config.cloudLimits.listLagS * 3000;
-    return now - since > settledMs && !this.shardController.machines.returnedInstances.has(name);
-  }
-
-  /**
-   * A report of a machine that is in no record: a rental that was carried out late, or a late copy of
-   * the report of a machine that is gone. Only the cloud's list tells which, so it is read soon.
-   */
-  observe({ machine }: Heartbeat): void {
-    if (this.cache.machines.has(machine)) return;
-    if (this.shardController.machines.returnedInstances.has(machine) || this.#since.has(machine))
-      return;
-    this.#lastList = Math.min(this.#lastList, this.now() - MACHINE_LIST_INTERVAL_MS / 2);
+  #isOrphaned({ name }: ListedMachine): boolean {
+    const { config, shardController } = this.dependencies;
+    const now = this.dependencies.now();
+    const since = this.#unrecordedSince.get(name) ?? now;
+    this.#unrecordedSince.set(name, since);
+    const settledMs = ADOPTION_DELAY_MS + config.cloudLimits.listLagS * 3000;
+    return now - since > settledMs && !shardController.machines.returnedInstances.has(name);
   }
 
   async #reclaim(machines: readonly ListedMachine[]): Promise<void> {
-    if (machines.length === 0 || this.reclaimer === null) return;
-    const gone = await this.reclaimer.reclaiming.reclaim(machines);
-    this.shardController.machines.returnedInstances.add(gone);
+    const { reclaimer, shardController } = this.dependencies;
+    if (machines.length === 0 || reclaimer === null) return;
+    const returned = await reclaimer.reclaiming.reclaim(machines);
+    shardController.machines.returnedInstances.add(returned);
   }
 
   async #adopt({ name, type, zone, spot }: ListedMachine): Promise<void> {
-    const shard = shardOfMachine(name, this.config.nodes);
-    const owned = this.shardController.owned.get(shard);
+    const { config, shardController, reclaimer, log } = this.dependencies;
+    const shard = shardOfMachine(name, config.nodes);
+    const owned = shardController.owned.get(shard);
     if (owned === undefined || this.#adopting.has(name)) return;
-    // Whoever held the duty before it was paused may have sent the machine's return.
-    const intents = this.reclaimer?.intents ?? null;
+    // The leader of the orphan collection may have sent the machine's return before it was paused.
+    const intents = reclaimer?.intents ?? null;
     if (intents?.recorded('unrecorded').has(name) ?? false) return;
     const guards = intents === null ? [] : [intents.condition('unrecorded')];
     this.#adopting.add(name);
-    await this.#guarded('machine not adopted', () =>
-      this.shardController.machines.adopt(owned, { name, shard, type, zone, spot }, guards),
+    await attempt(log, 'machine adoption failed', () =>
+      shardController.machines.adopt(owned, { name, shard, type, zone, spot }, guards),
     );
     this.#adopting.delete(name);
   }
--- a/src/shards/scale-in.ts
+++ b/src/shards/scale-in.ts
@@ -1,10 +1,11 @@
+/** Returns machines of the shards that this node owns to the cloud. */
 import type { Logger } from 'pino';
 import type { CloudClient } from '../cloud/client.js';
 import { MAX_RETURN_BATCH } from '../constants.js';
 import type { ReturnIntents } from '../singletons/return-intents.js';
 import type { OwnedShard } from './owned-shard.js';
+import { attempt } from './retryable-errors.js';
 import type { ShardController } from './shard-controller.js';
-import { isRetryable } from './retryable-errors.js';
 
 /** A machine to be returned, and why. */
 export interface PlannedReturn {
@@ -12,36 +13,42 @@
   readonly reason: string;
 }
 
-/** Returns machines of the shards that this node owns to the cloud. */
+/** What scaling in needs of the process. */
+export interface ScaleInDependencies {
+  readonly cloud: Pick<CloudClient, 'returnMachines'>;
+  readonly shardController: Pick<ShardController, 'owned' | 'machines'>;
+  /** write-ahead records of returns; null: returns are sent without being recorded */
+  readonly intents: ReturnIntents | null;
+  /** steady ms */
+  readonly now: () => number;
+  readonly log: Logger;
+}
+
+/** Marks machines as terminating, and returns those that are marked until the cloud has confirmed it. */
 export class ScaleIn {
-  /** machines whose return is on its way */
-  readonly #sending = new Set<string>();
+  /** machines with a return under way */
+  readonly #returning = new Set<string>();
 
-  constructor(
-    private readonly cloud: Pick<CloudClient, 'returnMachines'>,
-    private readonly shardController: Pick<ShardController, 'owned' | 'machines'>,
-    /** null: returns are sent without being recorded */
-    private readonly intents: ReturnIntents | null,
-    private readonly now: () => number,
-    private readonly log: Logger,
-  ) {}
+  constructor(private readonly dependencies: ScaleInDependencies) {}
 
   /** Takes machines out of use, for a return. */
-  mark(index: number, owned: OwnedShard, planned: readonly PlannedReturn[]): void {
+  markForReturn({ shard }: OwnedShard, planned: readonly PlannedReturn[]): void {
     for (const { name, reason } of planned) {
-      const machine = owned.shard.machines.get(name);
-      if (machine === undefined || this.#sending.has(name)) continue;
+      const machine = shard.machines.get(name);
+      if (machine === undefined || this.#returning.has(name)) continue;
       machine.terminating = true;
-      this.log.info({ machine: name, shard: index, reason }, 'machine to be returned');
+      const fields = { machine: name, shard: shard.index, reason };
+      this.dependencies.log.info(fields, 'machine marked for return');
     }
   }
 
   /** Takes machines out of use whose return an earlier owner has recorded: its call may still arrive. */
-  markRecorded(): void {
-    if (this.intents === null) return;
-    for (const [index, { shard }] of this.shardController.owned) {
+  markRecordedReturns(): void {
+    const { intents, shardController } = this.dependencies;
+    if (intents === null) return;
+    for (const [index, { shard }] of shardController.owned) {
       for (const list of [index, 'unrecorded'] as const) {
-        for (const name of this.intents.recorded(list)) {
+        for (const name of intents.recorded(list)) {
           const machine = shard.machines.get(name);
           if (machine !== undefined) machine.terminating = true;
         }
@@ -49,38 +56,46 @@
     }
   }
 
-  /** Returns whatever is out of use and not on its way yet. */
-  send(index: number, owned: OwnedShard): void {
+  /** Returns whatever is out of use and has no return under way yet. */
+  returnMarked(owned: OwnedShard): void {
     const names = [...owned.shard.machines.values()]
-      .filter((machine) => machine.terminating && !this.#sending.has(machine.record.name))
+      .filter((machine) => machine.terminating && !this.#returning.has(machine.record.name))
       .map((machine) => machine.record.name);
-    if (names.length > 0) void this.#send(index, owned, names);
+    if (names.length > 0) void this.#return(owned, names);
   }
 
-  async #send(index: number, owned: OwnedShard, names: readonly string[]): Promise<void> {
-    for (const name of names) this.#sending.add(name);
+  async #return(owned: OwnedShard, names: readonly string[]): Promise<void> {
+    for (const name of names) this.#returning.add(name);
     try {
-      const recorded = await this.#record(index, owned, names);
-      for (let at = 0; at < recorded.length; at += MAX_RETURN_BATCH) {
-        await this.#giveBack(owned, recorded.slice(at, at + MAX_RETURN_BATCH));
-      }
-    } catch (error) {
-      if (!isRetryable(error)) throw error;
-      this.log.debug({ error: error.message }, 'return not answered');
+      await attempt(this.dependencies.log, 'machine return failed', async () => {
+        const recorded = await this.#record(owned, names);
+        for (let from = 0; from < recorded.length; from += MAX_RETURN_BATCH) {
+          await this.#returnBatch(owned, recorded.slice(from, from + MAX_RETURN_BATCH));
+        }
+      });
     } finally {
-      for (const name of names) this.#sending.delete(name);
+      for (const name of names) this.#returning.delete(name);
     }
   }
 
-  async #record(index: number, owned: OwnedShard, names: readonly string[]) {
-    if (this.intents === null) return names;
-    const needed = (name: string) => owned.shard.machines.has(name);
-    return this.intents.record(index, owned.authorization, names, needed);
+  /** The machines whose return is recorded and may be sent now. */
+  async #record(
+    { shard, authorization }: OwnedShard,
+    names: readonly string[],
+  ): Promise<readonly string[]> {
+    const { intents } = this.dependencies;
+    if (intents === null) return names;
+    const needed = (name: string) => shard.machines.has(name);
+    return intents.record(shard.index, authorization, names, needed);
   }
 
-  async #giveBack(owned: OwnedShard, names: readonly string[]): Promise<void> {
-    await this.cloud.returnMachines(names, owned.authorization);
-    for (const name of names) owned.shard.removeMachine(name, this.now());
-    this.shardController.machines.returnedInstances.add(names);
+  async #returnBatch(
+    { shard, authorization }: OwnedShard,
+    names: readonly string[],
+  ): Promise<void> {
+    const { cloud, shardController, now } = this.dependencies;
+    await cloud.returnMachines(names, authorization);
+    for (const name of names) shard.removeMachine(name, now());
+    shardController.machines.returnedInstances.add(names);
   }
 }
--- /dev/null
+++ b/src/shards/scale-out/rental-requests.ts
@@ -0,0 +1,135 @@
+/**
+ * Rentals from the cloud with write-ahead records. A rental's name is its idempotency key at the cloud, and
+ * it is written to the store before the first call. Whoever owns the shard later, after a crash or a failover,
+ * finds the record and repeats the call under the same name until its machines are known: no machine is
+ * rented twice, and none is paid for that no record leads to.
+ */
+import { RecordedIntent } from '@sumacstep/leader-election';
+import type { Logger } from 'pino';
+import type { CloudClient, RentResult } from '../../cloud/client.js';
+import type { RentWish } from '../../core/capacity/capacity-planner.js';
+import { CALL_PRIORITY } from '../../store/store-client.js';
+import { key, type RentalRecord } from '../../store/keys.js';
+import type { WatchCache } from '../../store/watch-cache.js';
+import type { Write } from '../../wire/schemas.js';
+import { MAX_RENTAL_BATCH, RENTAL_RETRY_MS } from '../constants.js';
+import { groupCapacity } from '../machine-records/group-edits.js';
+import type { MachineRecords } from '../machine-records/machine-records.js';
+import type { OwnedShard } from '../owned-shard.js';
+import { attempt } from '../retryable-errors.js';
+import { commit, type CommitDependencies, type StoreSizeLimits } from '../transaction.js';
+import type { CapacityBackoff } from './capacity-backoff.js';
+
+/** What rentals need of the process. */
+export interface RentalRequestsDependencies {
+  readonly config: { readonly node: string; readonly storeLimits: StoreSizeLimits };
+  /** of this process: with the node and a sequence it makes the names of rentals unique */
+  readonly incarnation: string;
+  readonly cloud: Pick<CloudClient, 'rent'>;
+  readonly client: CommitDependencies['client'];
+  readonly cache: WatchCache;
+  readonly machineRecords: Pick<MachineRecords, 'recordRental'>;
+  readonly backoff: CapacityBackoff;
+  /** steady ms */
+  readonly now: () => number;
+  readonly log: Logger;
+}
+
+/** The stored form of a rental that has not been answered. */
+const encodeRental = ({ type, zone, spot, count }: RentWish) => ({ type, zone, spot, count });
+
+/** Records rentals, asks the cloud for what is recorded, and settles the records by its answers. */
+export class RentalRequests {
+  #sequence = 0;
+  /** shards whose new rentals are being recorded */
+  readonly #recording = new Set<number>();
+  /** by rental: when it may be asked for again, steady ms; `Infinity` while a call is under way */
+  readonly #retryAt = new Map<string, number>();
+  /** machines of one rental: their record must fit a value of the store */
+  readonly #maxMachines: number;
+
+  constructor(private readonly dependencies: RentalRequestsDependencies) {
+    const capacity = Math.floor(groupCapacity(dependencies.config.storeLimits.valueBytes));
+    this.#maxMachines = Math.max(1, Math.min(MAX_RENTAL_BATCH, capacity));
+  }
+
+  /** Whether new rentals of the shard are being recorded, so that the cache does not show them yet. */
+  isRecording(shard: number): boolean {
+    return this.#recording.has(shard);
+  }
+
+  /** Records new rentals, as many as one transaction holds, and then asks for them. */
+  async start(owned: OwnedShard, wanted: readonly RentWish[]): Promise<void> {
+    const { config, log } = this.dependencies;
+    const { index } = owned.shard;
+    const rentals = this.#split(wanted).slice(0, config.storeLimits.transactionOps);
+    if (rentals.length === 0) return;
+    this.#recording.add(index);
+    await attempt(log, 'rentals write failed', async () => {
+      const writes = rentals.map((rental): Write => {
+        this.#sequence += 1;
+        const name = `${config.node}-${this.dependencies.incarnation}-${this.#sequence}`;
+        return { put: key.rental(index, name), value: encodeRental(rental) };
+      });
+      const transaction = { guards: [], writes };
+      await commit(this.dependencies, owned.authorization, CALL_PRIORITY.completion, transaction);
+    });
+    this.#recording.delete(index);
+    this.requestRecorded(owned);
+  }
+
+  /** Cuts what is wanted into rentals of at most the size that one record holds. */
+  #split(wanted: readonly RentWish[]): RentWish[] {
+    const rentals: RentWish[] = [];
+    for (const wish of wanted) {
+      for (let left = wish.count; left > 0; left -= this.#maxMachines) {
+        rentals.push({ ...wish, count: Math.min(left, this.#maxMachines) });
+      }
+    }
+    return rentals;
+  }
+
+  /** Asks the cloud for every recorded rental of the shard that is neither under way nor just answered. */
+  requestRecorded(owned: OwnedShard): void {
+    const { cache, log, now } = this.dependencies;
+    const { index } = owned.shard;
+    const startedAt = now();
+    for (const [name, at] of this.#retryAt) if (at <= startedAt) this.#retryAt.delete(name);
+    for (const { value: rental, revision } of cache.tables.rentals.values()) {
+      if (rental.shard !== index || this.#retryAt.has(rental.name)) continue;
+      this.#retryAt.set(rental.name, Infinity);
+      const stored = { key: key.rental(index, rental.name), revision };
+      const intent = RecordedIntent.found(owned.authorization, stored);
+      void attempt(log, 'rental request failed', () => this.#rent(owned, rental, intent)).finally(
+        () => this.#retryAt.set(rental.name, now() + RENTAL_RETRY_MS),
+      );
+    }
+  }
+
+  async #rent(owned: OwnedShard, rental: RentalRecord, intent: RecordedIntent): Promise<void> {
+    const { cloud, machineRecords } = this.dependencies;
+    const result = await cloud.rent({ request: rental.name, ...rental }, intent);
+    this.#noteResult(rental, result);
+    const machines = result.kind === 'rented' ? result.machines : [];
+    await machineRecords.recordRental(owned, rental, machines);
+  }
+
+  #noteResult(rental: RentalRecord, result: RentResult): void {
+    const { backoff, log, now } = this.dependencies;
+    const { type, zone, spot, shard } = rental;
+    const fields = { type, zone, spot, shard };
+    switch (result.kind) {
+      case 'rented':
+        log.info({ ...fields, machines: result.machines.length }, 'machines rented');
+        if (result.machines.length < rental.count) backoff.begin(rental, now());
+        return;
+      case 'malformed':
+        backoff.begin(rental, now());
+        log.error({ ...fields, answer: result.answer }, 'rental rejected');
+        return;
+      case 'no_capacity':
+        backoff.begin(rental, now());
+        log.info(fields, 'rental found no capacity');
+    }
+  }
+}
--- /dev/null
+++ b/src/shards/scale-out/scale-out.ts
@@ -0,0 +1,136 @@
+/**
+ * Capacity control loop of the shards that this node owns: observes demand and machines, decides with the
+ * capacity planner, and acts by renting (scale out) and by returning what is not needed (scale in).
+ */
+import type { Logger } from 'pino';
+import type { CloudClient } from '../../cloud/client.js';
+import type { OperatorConfig } from '../../config/operator.js';
+import type { PlatformConfig } from '../../config/platform.js';
+import { SUMMARY_MS } from '../../constants.js';
+import {
+  planCapacity,
+  type CapacityInput,
+  type CapacityPlan,
+} from '../../core/capacity/capacity-planner.js';
+import type { WorkloadStatistics } from '../../core/capacity/workload-statistics.js';
+import type { JobSpec, MachineType } from '../../core/model.js';
+import type { StoreClient } from '../../store/store-client.js';
+import type { WatchCache } from '../../store/watch-cache.js';
+import { CAPACITY_PLAN_INTERVAL_MS } from '../constants.js';
+import type { OwnedShard } from '../owned-shard.js';
+import type { ScaleIn } from '../scale-in.js';
+import type { ShardController } from '../shard-controller.js';
+import { CapacityBackoff } from './capacity-backoff.js';
+import { RentalRequests } from './rental-requests.js';
+
+/** What scaling out needs of the process. */
+export interface ScaleOutDependencies {
+  readonly config: PlatformConfig;
+  readonly operator: OperatorConfig;
+  readonly incarnation: string;
+  readonly cloud: Pick<CloudClient, 'rent'>;
+  readonly client: Pick<StoreClient, 'compareAndSwap'>;
+  readonly cache: WatchCache;
+  readonly shardController: ShardController;
+  readonly scaleIn: ScaleIn;
+  readonly workload: WorkloadStatistics;
+  /** tasks of each class in the other shards, waiting or placed */
+  readonly busyElsewhere: (shard: number) => ReadonlyMap<string, number>;
+  /** jobs that were told to come back: they will be submitted again, here or elsewhere */
+  readonly expectedJobs: () => readonly JobSpec[];
+  /** null: not known yet */
+  readonly machineTypes: () => ReadonlyMap<string, MachineType> | null;
+  /** steady ms */
+  readonly now: () => number;
+  /** ms */
+  readonly timeOfDay: () => number;
+  readonly log: Logger;
+}
+
+/** Plans the machines of owned shards, rents what is missing and has the rest returned. */
+export class ScaleOut {
+  readonly #backoff = new CapacityBackoff();
+  readonly #rentals: RentalRequests;
+  #lastPlanAt = -Infinity;
+  #lastLimitLogAt = -Infinity;
+
+  constructor(private readonly dependencies: ScaleOutDependencies) {
+    const { shardController } = dependencies;
+    this.#rentals = new RentalRequests({
+      ...dependencies,
+      machineRecords: shardController.machines,
+      backoff: this.#backoff,
+    });
+  }
+
+  /** Repeats recorded rentals in every round, and plans anew every `CAPACITY_PLAN_INTERVAL_MS`. */
+  tick(): void {
+    const { shardController, machineTypes } = this.dependencies;
+    const now = this.dependencies.now();
+    const types = machineTypes();
+    if (types === null || !shardController.authority(now)) return;
+    for (const owned of shardController.owned.values()) {
+      if (owned.isActive) this.#rentals.requestRecorded(owned);
+    }
+    if (now - this.#lastPlanAt < CAPACITY_PLAN_INTERVAL_MS) return;
+    this.#lastPlanAt = now;
+    for (const owned of shardController.owned.values()) {
+      // What is being recorded is not in the cache yet and would be planned a second time.
+      if (!owned.isActive || this.#rentals.isRecording(owned.shard.index)) continue;
+      const plan = planCapacity(this.#observe(owned, types, now));
+      this.#logPlan(owned.shard.index, plan, now);
+      this.#act(owned, plan);
+    }
+  }
+
+  #observe(
+    { shard }: OwnedShard,
+    types: ReadonlyMap<string, MachineType>,
+    now: number,
+  ): CapacityInput {
+    const { config, operator, cache, workload, timeOfDay } = this.dependencies;
+    const { index } = shard;
+    return {
+      shard,
+      shards: config.nodes,
+      types,
+      zones: config.zones,
+      objectives: config.objectives,
+      stats: workload.stats(timeOfDay() / 1000),
+      elsewhere: this.dependencies.busyElsewhere(index),
+      expected: this.#isFirstOwned(index) ? this.dependencies.expectedJobs() : [],
+      pending: [...cache.tables.rentals.values()]
+        .map(({ value }) => value)
+        .filter((rental) => rental.shard === index),
+      refused: (type, zone, spot) => this.#backoff.isActive({ type, zone, spot }, now),
+      reserveSigma: operator.reserveSigma,
+      drainS: operator.drainS,
+      idleKeepMs: operator.idleKeepS * 1000,
+      machinesMost: operator.machinesMost,
+      now,
+    };
+  }
+
+  /** Expected jobs have no shard yet: one shard of this node plans for them. */
+  #isFirstOwned(shard: number): boolean {
+    return this.dependencies.shardController.owned.keys().next().value === shard;
+  }
+
+  #logPlan(shard: number, { wanted, rentals, returns, capped }: CapacityPlan, now: number): void {
+    const { log, operator } = this.dependencies;
+    if (rentals.length > 0 || returns.length > 0) {
+      log.debug({ shard, wanted, rentals, returns }, 'capacity planned');
+    }
+    if (capped > 0 && now - this.#lastLimitLogAt > SUMMARY_MS) {
+      this.#lastLimitLogAt = now;
+      log.info({ shard, limit: operator.machinesMost, missing: capped }, 'machine limit reached');
+    }
+  }
+
+  #act(owned: OwnedShard, { rentals, returns }: CapacityPlan): void {
+    const { scaleIn } = this.dependencies;
+    void this.#rentals.start(owned, rentals);
+    scaleIn.markForReturn(owned, returns);
+    scaleIn.returnMarked(owned);
+  }
+}
--- a/src/shards/shard-controller.ts
+++ b/src/shards/shard-controller.ts
@@ -10,7 +10,7 @@
 import { LOOP_MS } from '../constants.js';
 import { FAILBACK_MS } from '../core/ownership/constants.js';
 import { NO_HEARTBEATS_MS, NO_HEARTBEATS_INTERVALS, TRANSFER_SETTLE_MS } from './constants.js';
-import { Completions } from './completions.js';
+import { CompletionSaver } from './completions/completion-saver.js';
 import { DirectCommands } from './direct-commands.js';
 import { renewableMs } from '../core/cancellation/lease-renewal.js';
 import type { JobSpec, MachineType, Heartbeat } from '../core/model.js';
@@ -64,7 +64,7 @@
   #lastOwn = -Infinity;
   readonly #direct: DirectCommands;
   readonly machines: MachineRecords;
-  readonly #completions: Completions;
+  readonly #completions: CompletionSaver;
   readonly #migration: TaskMigration;
 
   constructor(
@@ -91,7 +91,7 @@
       now,
     );
     this.machines = new MachineRecords({ config, client, cache, current, now, log });
-    this.#completions = new Completions(config, client, cache, now, log);
+    this.#completions = new CompletionSaver({ config, client, cache, now, log });
     this.#migration = new TaskMigration(
       config,
       client,
@@ -198,7 +198,7 @@
       this.#direct.tick(owned, now);
       void this.machines.reconcile(owned, now);
       this.#migration.migrateUnschedulable(index, owned, now);
-      void this.#completions.save(index, owned, now);
+      void this.#completions.save(owned, now);
     }
   }
 
--- a/test/budget.test.ts
+++ b/test/budget.test.ts
@@ -2,8 +2,7 @@
 import { test } from 'node:test';
 import { setTimeout as sleep } from 'node:timers/promises';
 import pino from 'pino';
-import { Completions } from '../src/shards/completions.js';
-import type { PlatformConfig } from '../src/config/platform.js';
+import { CompletionSaver } from '../src/shards/completions/completion-saver.js';
 import {
   MACHINE_RECORDS_INTERVAL_MS,
   PROGRESS_SAVE_INTERVAL_MS,
@@ -21,9 +20,7 @@
 import { FakeWorker, World } from './standins/worker.js';
 
 /** What the state service is asked for, and how much of it: its limits are small and shared. */
-const CONFIG = {
-  storeLimits: { rps: 100, writeRps: 100, valueBytes: 8192, transactionOps: 8 },
-} as unknown as PlatformConfig;
+const CONFIG = { storeLimits: { valueBytes: 8192, transactionOps: 8 } };
 const LOG = pino({ level: 'silent' });
 
 const scene = () => {
@@ -97,7 +94,13 @@
   const records = uids.map((uid) => job({ uid, tasks: 4 }));
   show(records.map((r) => [`active/${r.spec.uid}`, encodeJob(r)]));
   const shard = shardWith(new Store().add(...records));
-  const completions = new Completions(CONFIG, client, cache, () => 0, LOG);
+  const completions = new CompletionSaver({
+    config: CONFIG,
+    client,
+    cache,
+    now: () => 0,
+    log: LOG,
+  });
   const owned = ownedShard(shard);
   const finish = (uid: string, index: number) => {
     const j = shard.jobs.get(uid)!;
@@ -105,9 +108,9 @@
     j.unsaved.add(index);
   };
   for (const uid of uids) finish(uid, 0);
-  await completions.save(0, owned, COMPLETION_SAVE_INTERVAL_MS);
+  await completions.save(owned, COMPLETION_SAVE_INTERVAL_MS);
   assert.equal(written.length, 0, 'nobody waits for a part of a range');
-  await completions.save(0, owned, PROGRESS_SAVE_INTERVAL_MS);
+  await completions.save(owned, PROGRESS_SAVE_INTERVAL_MS);
   assert.deepEqual(
     written.map((w) => w.length),
     [1],
@@ -117,7 +120,7 @@
   assert.ok(uids.every((uid) => shard.jobs.get(uid)!.saved.has(0)));
 
   for (const i of [1, 2, 3]) finish(uids[0]!, i);
-  await completions.save(0, owned, PROGRESS_SAVE_INTERVAL_MS + COMPLETION_SAVE_INTERVAL_MS);
+  await completions.save(owned, PROGRESS_SAVE_INTERVAL_MS + COMPLETION_SAVE_INTERVAL_MS);
   assert.deepEqual(written[1]?.map((w) => ('put' in w ? w.put : w.drop)).sort(), [
     `active/${uids[0]}`,
     `final/${uids[0]}`,
@@ -196,14 +199,20 @@
   const state = shard.jobs.get('job-000001')!;
   const owned = ownedShard(shard);
   let now = 0;
-  const completions = new Completions(CONFIG, client, cache, () => now, LOG);
+  const completions = new CompletionSaver({
+    config: CONFIG,
+    client,
+    cache,
+    now: () => now,
+    log: LOG,
+  });
   const save = async (index: number) => {
     if (index >= 0) {
       state.unsaved.add(index);
       state.waiting = state.waiting.filter((i) => i !== index);
     }
     now += PROGRESS_SAVE_INTERVAL_MS + COMPLETION_SAVE_INTERVAL_MS;
-    await completions.save(0, owned, now);
+    await completions.save(owned, now);
   };
   losing = true;
   await save(0);
--- a/test/quotas.test.ts
+++ b/test/quotas.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import pino from 'pino';
-import { Completions } from '../src/shards/completions.js';
-import { ConfigError, parsePlatform, type PlatformConfig } from '../src/config/platform.js';
+import { CompletionSaver } from '../src/shards/completions/completion-saver.js';
+import { ConfigError, parsePlatform } from '../src/config/platform.js';
 import { SLOT_FILL } from '../src/core/jobs/constants.js';
 import { PROGRESS_SAVE_INTERVAL_MS, COMPLETION_SAVE_INTERVAL_MS } from '../src/shards/constants.js';
 import { cutRanges, decodeDone, encodeDone, maxRangeTasks } from '../src/core/jobs/jobs.js';
@@ -104,13 +104,17 @@
       return Promise.resolve({ ok: true, epoch });
     },
   };
-  const config = {
-    storeLimits: { rps: 1, writeRps: 1, valueBytes, transactionOps },
-  } as unknown as PlatformConfig;
-  const completions = new Completions(config, client, cache, () => world.now, LOG);
+  const config = { storeLimits: { valueBytes, transactionOps } };
+  const completions = new CompletionSaver({
+    config,
+    client,
+    cache,
+    now: () => world.now,
+    log: LOG,
+  });
   const save = async (shard: Shard) => {
     world.now += PROGRESS_SAVE_INTERVAL_MS + COMPLETION_SAVE_INTERVAL_MS;
-    await completions.save(0, ownedShard(shard), world.now);
+    await completions.save(ownedShard(shard), world.now);
     show();
   };
   /** What a node that starts now knows to be done, whichever of two copies it meets first. */
