--- a/src/shards/completions/completion-batch.ts
+++ b/src/shards/completions/completion-batch.ts
@@ -1,6 +1,6 @@
 /** One transaction of completions, and what it saves if it is committed. */
 import type { Guard, Write } from '../../wire/schemas.js';
-import { MAX_BATCH_BYTES } from '../constants.js';
+import { MAX_BATCH_BYTES } from './constants.js';
 import type { Transaction } from '../transaction.js';
 
 /** Tasks of one job that count as saved once the batch is committed. */
--- a/src/shards/machine-records/group-edits.ts
+++ b/src/shards/machine-records/group-edits.ts
@@ -5,7 +5,7 @@
 import { encodeMachineGroup, key, type MachineGroup } from '../../store/keys.js';
 import type { WatchCache } from '../../store/watch-cache.js';
 import type { Guard, Write } from '../../wire/schemas.js';
-import { MACHINE_ENTRY_BYTES, MACHINE_GROUP_BYTES } from '../constants.js';
+import { MACHINE_ENTRY_BYTES, MACHINE_GROUP_BYTES } from './constants.js';
 import type { Transaction } from '../transaction.js';
 
 interface GroupEdit {
--- a/src/shards/machine-records/machine-records.ts
+++ b/src/shards/machine-records/machine-records.ts
@@ -5,7 +5,7 @@
 import type { WatchCache } from '../../store/watch-cache.js';
 import type { Guard } from '../../wire/schemas.js';
 import type { RentalRecord } from '../../store/keys.js';
-import { MACHINE_RECORDS_INTERVAL_MS } from '../constants.js';
+import { MACHINE_RECORDS_INTERVAL_MS } from './constants.js';
 import type { OwnedShard } from '../owned-shard.js';
 import {
   commit,
--- a/src/shards/machine-records/returned-instances.ts
+++ b/src/shards/machine-records/returned-instances.ts
@@ -1,5 +1,5 @@
 /** Memory of the machines that the cloud has taken back: late lists and heartbeats must not bring them back. */
-import { RETURNED_INSTANCES_LIMIT } from '../constants.js';
+import { RETURNED_INSTANCES_LIMIT } from './constants.js';
 
 /** Names of returned machines; the oldest are forgotten first. */
 export class ReturnedInstances {
--- a/src/shards/owned-shard.ts
+++ b/src/shards/owned-shard.ts
@@ -4,7 +4,7 @@
  */
 import type { Authorization } from '@sumacstep/leader-election';
 import type { Shard } from '../core/shard/shard.js';
-import { PROGRESS_SAVE_INTERVAL_MS, COMPLETION_SAVE_INTERVAL_MS } from './constants.js';
+import { PROGRESS_SAVE_INTERVAL_MS, COMPLETION_SAVE_INTERVAL_MS } from './completions/constants.js';
 
 /**
  * `transferring`: a transaction that names another owner has been sent and its outcome is not known, so this
--- a/src/shards/scale-out/capacity-backoff.ts
+++ b/src/shards/scale-out/capacity-backoff.ts
@@ -1,5 +1,5 @@
 /** Kinds of machines of which the cloud had no more, and until when they are not asked for again. */
-import { NO_CAPACITY_BACKOFF_MS } from '../constants.js';
+import { NO_CAPACITY_BACKOFF_MS } from './constants.js';
 import { machineKindKey, type MachineKind } from '../machine-kind.js';
 
 /** Backoff by kind of machine after the cloud's answer "no capacity". */
--- a/src/shards/scale-out/rental-requests.ts
+++ b/src/shards/scale-out/rental-requests.ts
@@ -12,7 +12,7 @@
 import { key, type RentalRecord } from '../../store/keys.js';
 import type { WatchCache } from '../../store/watch-cache.js';
 import type { Write } from '../../wire/schemas.js';
-import { MAX_RENTAL_BATCH, RENTAL_RETRY_MS } from '../constants.js';
+import { MAX_RENTAL_BATCH, RENTAL_RETRY_MS } from './constants.js';
 import { groupCapacity } from '../machine-records/group-edits.js';
 import type { MachineRecords } from '../machine-records/machine-records.js';
 import type { OwnedShard } from '../owned-shard.js';
--- a/src/shards/scale-out/scale-out.ts
+++ b/src/shards/scale-out/scale-out.ts
@@ -16,7 +16,7 @@
 import type { JobSpec, MachineType } from '../../core/model.js';
 import type { StoreClient } from '../../store/store-client.js';
 import type { WatchCache } from '../../store/watch-cache.js';
-import { CAPACITY_PLAN_INTERVAL_MS } from '../constants.js';
+import { CAPACITY_PLAN_INTERVAL_MS } from './constants.js';
 import type { OwnedShard } from '../owned-shard.js';
 import type { ScaleIn } from '../scale-in.js';
 import type { ShardController } from '../shard-controller.js';
--- a/test/budget.test.ts
+++ b/test/budget.test.ts
@@ -3,11 +3,11 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import pino from 'pino';
 import { CompletionSaver } from '../src/shards/completions/completion-saver.js';
+import { MACHINE_RECORDS_INTERVAL_MS } from '../src/shards/machine-records/constants.js';
 import {
-  MACHINE_RECORDS_INTERVAL_MS,
   PROGRESS_SAVE_INTERVAL_MS,
   COMPLETION_SAVE_INTERVAL_MS,
-} from '../src/shards/constants.js';
+} from '../src/shards/completions/constants.js';
 import { HELD_READ_MS } from '../src/store/constants.js';
 import { MachineRecords } from '../src/shards/machine-records/machine-records.js';
 import { encodeDone } from '../src/core/jobs/jobs.js';
@@ -17,9 +17,10 @@
 import { WatchCache } from '../src/store/watch-cache.js';
 import type { Guard, Write } from '../src/wire/schemas.js';
 import { job, machine, ownedShard, shardWith, Store } from './helpers.js';
+import { MemoryStore } from './standins/memory-store.js';
 import { FakeWorker, World } from './standins/worker.js';
 
-/** What the state service is asked for, and how much of it: its limits are small and shared. */
+/** What the store is asked for, and how much of it: its limits are small and shared. */
 const CONFIG = { storeLimits: { valueBytes: 8192, transactionOps: 8 } };
 const LOG = pino({ level: 'silent' });
 
@@ -29,8 +30,8 @@
   let epoch = 10;
   const client = {
     compareAndSwap: (
-      _c: unknown,
-      _w: unknown,
+      _priority: unknown,
+      _guards: unknown,
       writes: readonly Write[],
     ): Promise<CompareAndSwapResult> => {
       written.push(writes);
@@ -57,11 +58,11 @@
   show([['machines/rental-1', encodeMachineGroup(group)]]);
   const store = new Store().add(...names.map((n) => machine(n, { up: false })));
   const shard = shardWith(store);
-  for (const n of names) {
-    const w = new FakeWorker(n, new World(), 1000, 18_000, 0);
-    shard.handleHeartbeat(w.heartbeat(), 0, true);
-    w.direct(1, 1, []);
-    shard.handleCommandStatus(w.heartbeat(), 1);
+  for (const name of names) {
+    const worker = new FakeWorker(name, new World(), 1000, 18_000, 0);
+    shard.handleHeartbeat(worker.heartbeat(), 0, true);
+    worker.direct(1, 1, []);
+    shard.handleCommandStatus(worker.heartbeat(), 1);
   }
   let now = 1000;
   const records = new MachineRecords({
@@ -94,7 +95,7 @@
   const records = uids.map((uid) => job({ uid, tasks: 4 }));
   show(records.map((r) => [`active/${r.spec.uid}`, encodeJob(r)]));
   const shard = shardWith(new Store().add(...records));
-  const completions = new CompletionSaver({
+  const saver = new CompletionSaver({
     config: CONFIG,
     client,
     cache,
@@ -103,14 +104,14 @@
   });
   const owned = ownedShard(shard);
   const finish = (uid: string, index: number) => {
-    const j = shard.jobs.get(uid)!;
-    j.waiting = j.waiting.filter((i) => i !== index);
-    j.unsaved.add(index);
+    const state = shard.jobs.get(uid)!;
+    state.waiting = state.waiting.filter((waiting) => waiting !== index);
+    state.unsaved.add(index);
   };
   for (const uid of uids) finish(uid, 0);
-  await completions.save(owned, COMPLETION_SAVE_INTERVAL_MS);
+  await saver.save(owned, COMPLETION_SAVE_INTERVAL_MS);
   assert.equal(written.length, 0, 'nobody waits for a part of a range');
-  await completions.save(owned, PROGRESS_SAVE_INTERVAL_MS);
+  await saver.save(owned, PROGRESS_SAVE_INTERVAL_MS);
   assert.deepEqual(
     written.map((w) => w.length),
     [1],
@@ -120,7 +121,7 @@
   assert.ok(uids.every((uid) => shard.jobs.get(uid)!.saved.has(0)));
 
   for (const i of [1, 2, 3]) finish(uids[0]!, i);
-  await completions.save(owned, PROGRESS_SAVE_INTERVAL_MS + COMPLETION_SAVE_INTERVAL_MS);
+  await saver.save(owned, PROGRESS_SAVE_INTERVAL_MS + COMPLETION_SAVE_INTERVAL_MS);
   assert.deepEqual(written[1]?.map((w) => ('put' in w ? w.put : w.drop)).sort(), [
     `active/${uids[0]}`,
     `final/${uids[0]}`,
@@ -166,83 +167,72 @@
 
 test('a write of completions that is carried out late does not undo what newer ones saved', async () => {
   const cache = new WatchCache();
-  const values = new Map<string, { value: unknown; revision: number }>();
-  let epoch = 10;
-  const run = (guards: readonly Guard[], writes: readonly Write[]): CompareAndSwapResult => {
-    const failed = guards.filter((c) => (values.get(c.key)?.revision ?? 0) !== c.revision);
-    if (failed.length > 0) return { ok: false, failed: failed.map((c) => c.key) };
-    epoch += 1;
-    for (const w of writes) {
-      if ('drop' in w) values.delete(w.drop);
-      else values.set(w.put, { value: w.value, revision: epoch });
-    }
-    return { ok: true, epoch };
-  };
-  const show = () => {
-    const changes = [...values].map(([key, v]) => ({ key, ...v, removed: false }));
-    cache.apply({ fresh: false, epoch, changes });
-  };
-  const lost: (() => CompareAndSwapResult)[] = [];
-  let losing = false;
+  const store = new MemoryStore();
+  const unanswered: (() => CompareAndSwapResult)[] = [];
+  let answers = true;
   const client = {
-    compareAndSwap: (_c: unknown, guards: readonly Guard[], writes: readonly Write[]) => {
-      if (!losing) return Promise.resolve(run(guards, writes));
-      lost.push(() => run(guards, writes));
+    compareAndSwap: (_priority: unknown, guards: readonly Guard[], writes: readonly Write[]) => {
+      if (answers) return Promise.resolve(store.commit(guards, writes));
+      unanswered.push(() => store.commit(guards, writes));
       return Promise.reject(new StoreRequestError('no_answer', 'lost'));
     },
   };
   const record = job({ tasks: 3 });
-  values.set('parts/0', { value: { owner: 'n', incarnation: 'a', term: 1 }, revision: 1 });
-  values.set('active/job-000001', { value: encodeJob(record), revision: 2 });
-  show();
+  store.values.set('parts/0', { value: { owner: 'n', incarnation: 'a', term: 1 }, revision: 1 });
+  store.values.set('active/job-000001', { value: encodeJob(record), revision: 2 });
+  store.show(cache, 'changes');
   const shard = shardWith(new Store().add(record));
   const state = shard.jobs.get('job-000001')!;
   const owned = ownedShard(shard);
   let now = 0;
-  const completions = new CompletionSaver({
+  const saver = new CompletionSaver({
     config: CONFIG,
     client,
     cache,
     now: () => now,
     log: LOG,
   });
-  const save = async (index: number) => {
-    if (index >= 0) {
-      state.unsaved.add(index);
-      state.waiting = state.waiting.filter((i) => i !== index);
-    }
+  const complete = (index: number) => {
+    state.unsaved.add(index);
+    state.waiting = state.waiting.filter((waiting) => waiting !== index);
+  };
+  const save = async () => {
     now += PROGRESS_SAVE_INTERVAL_MS + COMPLETION_SAVE_INTERVAL_MS;
-    await completions.save(owned, now);
+    await saver.save(owned, now);
+  };
+  const saveWithoutAnswer = async () => {
+    answers = false;
+    await save();
+    answers = true;
   };
-  losing = true;
-  await save(0);
-  losing = false;
-  await save(1);
-  show();
-  for (const late of lost) late();
-  show();
+  complete(0);
+  await saveWithoutAnswer();
+  complete(1);
+  await save();
+  store.show(cache, 'changes');
+  for (const carryOut of unanswered) carryOut();
+  store.show(cache, 'changes');
   assert.equal(cache.done(0, 'job-000001', 0), encodeDone({ from: 0, to: 3 }, new Set([0, 1])));
   // The other way round: the late one comes first, and the newer one is repeated on what it left.
-  losing = true;
-  await save(2);
-  losing = false;
+  complete(2);
+  await saveWithoutAnswer();
   state.waiting = [0];
-  for (const late of lost.splice(1)) assert.equal(late().ok, true);
-  await save(-1);
-  show();
-  await save(-1);
-  assert.deepEqual([...state.unsaved], [], 'saved once the mirror shows the late one');
+  for (const carryOut of unanswered.splice(1)) assert.equal(carryOut().ok, true);
+  await save();
+  store.show(cache, 'changes');
+  await save();
+  assert.deepEqual([...state.unsaved], [], 'saved once the cache shows the late one');
 });
 
-test('a machine that nobody recorded is adopted only when no hire can still record it', async () => {
+test('a machine that nobody recorded is adopted only when no rental can still record it', async () => {
   const rental = { type: 'm', zone: 'z', spot: true, count: 1 };
   const group = { shard: 1, term: 1, type: 'm', zone: 'z', spot: true };
   const cases: [string, [string, unknown][], boolean][] = [
     ['nothing else', [], true],
-    ['a hire of its kind is open', [['hires/1/n-1', rental]], false],
-    ['a hire of another kind is open', [['hires/1/n-1', { ...rental, zone: 'y' }]], true],
+    ['a rental of its kind is pending', [['hires/1/n-1', rental]], false],
+    ['a rental of another kind is pending', [['hires/1/n-1', { ...rental, zone: 'y' }]], true],
     [
-      'the hire has recorded it just now',
+      'the rental has recorded it just now',
       [['machines/n-1', encodeMachineGroup({ ...group, hosts: new Map([['x', false]]) })]],
       false,
     ],
--- a/test/quotas.test.ts
+++ b/test/quotas.test.ts
@@ -4,7 +4,10 @@
 import { CompletionSaver } from '../src/shards/completions/completion-saver.js';
 import { ConfigError, parsePlatform } from '../src/config/platform.js';
 import { SLOT_FILL } from '../src/core/jobs/constants.js';
-import { PROGRESS_SAVE_INTERVAL_MS, COMPLETION_SAVE_INTERVAL_MS } from '../src/shards/constants.js';
+import {
+  PROGRESS_SAVE_INTERVAL_MS,
+  COMPLETION_SAVE_INTERVAL_MS,
+} from '../src/shards/completions/constants.js';
 import { cutRanges, decodeDone, encodeDone, maxRangeTasks } from '../src/core/jobs/jobs.js';
 import type { JobRecord } from '../src/core/model.js';
 import type { Shard } from '../src/core/shard/shard.js';
@@ -19,9 +22,10 @@
 import type { Guard, Write } from '../src/wire/schemas.js';
 import { job, ownedShard, shardWith, PLATFORM, Store } from './helpers.js';
 import { Cluster } from './standins/cluster.js';
+import { MemoryStore } from './standins/memory-store.js';
 import { FakeStateService } from './standins/store.js';
 
-/** Limits of the state service that fall at a moment that nobody announces. */
+/** Limits of the store that fall at a moment that nobody announces. */
 const LOG = pino({ level: 'silent' });
 
 test("the platform's `state.next`: the smaller sizes hold from the start, wrong keys are named", () => {
@@ -70,65 +74,48 @@
   }
 });
 
-/** A shard whose values were written when they could be larger, on a service that allows less now. */
-const scene = (valueBytes: number, transactionOps: number) => {
+/** A shard whose values were written when they could be larger, on a store that allows less now. */
+const shrunkenStore = (valueBytes: number, transactionOps: number) => {
   const cache = new WatchCache();
-  const values = new Map<string, { value: unknown; revision: number }>();
-  let epoch = 10;
-  const world = { most: 0, now: 0 };
-  const show = (target = cache) => {
-    const changes = [...values].map(([key, v]) => ({ key, ...v, removed: false }));
-    target.apply({ fresh: true, epoch, whole: epoch, changes });
-  };
+  const store = new MemoryStore();
+  const written = { maxBytes: 0 };
+  let now = 0;
   const client = {
     compareAndSwap: (
-      _c: unknown,
+      _priority: unknown,
       guards: readonly Guard[],
       writes: readonly Write[],
     ): Promise<CompareAndSwapResult> => {
       assert.ok(writes.length <= transactionOps, `${writes.length} changes`);
-      for (const w of writes) {
-        if (!('put' in w)) continue;
-        const size = JSON.stringify(w.value).length;
-        assert.ok(size <= valueBytes, `${w.put}: ${size} bytes`);
-        world.most = Math.max(world.most, size);
-      }
-      const failed = guards.filter((c) => (values.get(c.key)?.revision ?? 0) !== c.revision);
-      if (failed.length > 0)
-        return Promise.resolve({ ok: false, failed: failed.map((c) => c.key) });
-      epoch += 1;
-      for (const w of writes) {
-        if ('drop' in w) values.delete(w.drop);
-        else values.set(w.put, { value: w.value, revision: epoch });
+      for (const write of writes) {
+        if (!('put' in write)) continue;
+        const bytes = JSON.stringify(write.value).length;
+        assert.ok(bytes <= valueBytes, `${write.put}: ${bytes} bytes`);
+        written.maxBytes = Math.max(written.maxBytes, bytes);
       }
-      return Promise.resolve({ ok: true, epoch });
+      return Promise.resolve(store.commit(guards, writes));
     },
   };
   const config = { storeLimits: { valueBytes, transactionOps } };
-  const completions = new CompletionSaver({
-    config,
-    client,
-    cache,
-    now: () => world.now,
-    log: LOG,
-  });
+  const saver = new CompletionSaver({ config, client, cache, now: () => now, log: LOG });
+  const show = () => store.show(cache, 'listing');
   const save = async (shard: Shard) => {
-    world.now += PROGRESS_SAVE_INTERVAL_MS + COMPLETION_SAVE_INTERVAL_MS;
-    await completions.save(ownedShard(shard), world.now);
+    now += PROGRESS_SAVE_INTERVAL_MS + COMPLETION_SAVE_INTERVAL_MS;
+    await saver.save(ownedShard(shard), now);
     show();
   };
   /** What a node that starts now knows to be done, whichever of two copies it meets first. */
   const known = (uid: string): Set<number> => {
     const fresh = new WatchCache();
-    show(fresh);
-    const out = new Set<number>();
-    for (const r of fresh.tables.activeJobs.get(uid)!.value.ranges) {
-      const bits = fresh.done(r.shard, uid, r.from);
-      if (bits !== undefined) for (const i of decodeDone(r, bits)) out.add(i);
+    store.show(fresh, 'listing');
+    const done = new Set<number>();
+    for (const range of fresh.tables.activeJobs.get(uid)!.value.ranges) {
+      const bitmap = fresh.done(range.shard, uid, range.from);
+      if (bitmap !== undefined) for (const index of decodeDone(range, bitmap)) done.add(index);
     }
-    return out;
+    return done;
   };
-  return { values, cache, show, save, known, world };
+  return { values: store.values, cache, show, save, known, written };
 };
 
 test('a slot from a time of larger values is taken apart, each step right by itself', async () => {
@@ -137,37 +124,40 @@
     [1024, 2],
     [512, 5],
   ] as const) {
-    const s = scene(valueBytes, ops);
-    s.values.set('parts/0', { value: { owner: 'n', incarnation: 'a', term: 1 }, revision: 1 });
+    const fixture = shrunkenStore(valueBytes, ops);
+    fixture.values.set('parts/0', {
+      value: { owner: 'n', incarnation: 'a', term: 1 },
+      revision: 1,
+    });
     const records: JobRecord[] = [];
     const slot: Record<string, string> = {};
     for (let n = 0; n < 60; n++) {
       const record = job({ uid: `job-${n}`, tasks: 240 });
       records.push(record);
-      s.values.set(`active/job-${n}`, { value: encodeJob(record), revision: 2 });
+      fixture.values.set(`active/job-${n}`, { value: encodeJob(record), revision: 2 });
       slot[`job-${n}/0`] = encodeDone({ from: 0, to: 240 }, new Set([n, 239]));
     }
     assert.ok(JSON.stringify(slot).length > 4000);
-    s.values.set('done/0/0', { value: slot, revision: 3 });
-    s.show();
+    fixture.values.set('done/0/0', { value: slot, revision: 3 });
+    fixture.show();
     const shard = shardWith(new Store().add(...records));
     let steps = 0;
     const large = () =>
-      [...s.values].some(
+      [...fixture.values].some(
         ([k, v]) => k.startsWith('done/') && JSON.stringify(v.value).length > valueBytes,
       );
     while (large()) {
-      await s.save(shard);
+      await fixture.save(shard);
       steps += 1;
       assert.ok(steps < 40);
       for (let n = 0; n < 60; n++) {
         assert.deepEqual(
-          [...s.known(`job-${n}`)].sort((a, b) => a - b),
+          [...fixture.known(`job-${n}`)].sort((a, b) => a - b),
           [...new Set([n, 239])],
         );
       }
     }
-    assert.ok(steps > 0 && s.world.most <= valueBytes);
+    assert.ok(steps > 0 && fixture.written.maxBytes <= valueBytes);
   }
 });
 
@@ -175,24 +165,24 @@
   // The old version reads and writes the first slot that holds a range. The other copy is older then,
   // and a split that continues from it would bring completed tasks back as waiting.
   const [valueBytes, ops] = [512, 2];
-  const s = scene(valueBytes, ops);
+  const fixture = shrunkenStore(valueBytes, ops);
   const tasks = 240;
   const range = { from: 0, to: tasks };
-  s.values.set('parts/0', { value: { owner: 'n', incarnation: 'a', term: 1 }, revision: 1 });
+  fixture.values.set('parts/0', { value: { owner: 'n', incarnation: 'a', term: 1 }, revision: 1 });
   const records: JobRecord[] = [];
   const large: Record<string, string> = {};
   for (let n = 0; n < 20; n++) {
     const record = job({ uid: `job-${n}`, tasks });
     records.push(record);
-    s.values.set(`active/job-${n}`, { value: encodeJob(record), revision: 2 });
+    fixture.values.set(`active/job-${n}`, { value: encodeJob(record), revision: 2 });
     large[`job-${n}/0`] = encodeDone(range, new Set([n]));
   }
-  s.values.set('done/0/0', { value: {}, revision: 3 });
-  s.values.set('done/0/1', { value: large, revision: 3 });
-  s.show();
+  fixture.values.set('done/0/0', { value: {}, revision: 3 });
+  fixture.values.set('done/0/1', { value: large, revision: 3 });
+  fixture.show();
   const shard = shardWith(new Store().add(...records));
-  const slot = (n: number) => s.values.get(`done/0/${n}`)!.value as Record<string, string>;
-  await s.save(shard);
+  const slot = (n: number) => fixture.values.get(`done/0/${n}`)!.value as Record<string, string>;
+  await fixture.save(shard);
   const twice = Object.keys(slot(0)).filter((name) => name in slot(1));
   assert.ok(twice.length > 0, 'the split is half done');
   const value = { ...slot(0) };
@@ -200,16 +190,18 @@
     const n = Number(/\d+/.exec(name)![0]);
     value[name] = encodeDone(range, new Set([n, 100]));
   }
-  s.values.set('done/0/0', { value, revision: 99 });
-  s.show();
+  fixture.values.set('done/0/0', { value, revision: 99 });
+  fixture.show();
   for (let step = 0; step < 20; step++) {
-    await s.save(shard);
+    await fixture.save(shard);
     for (const name of twice) {
       const uid = name.slice(0, name.indexOf('/'));
-      assert.ok(s.known(uid).has(100), `${uid} after step ${step}`);
+      assert.ok(fixture.known(uid).has(100), `${uid} after step ${step}`);
     }
   }
-  assert.ok([...s.values.values()].every((v) => JSON.stringify(v.value).length <= valueBytes));
+  assert.ok(
+    [...fixture.values.values()].every((v) => JSON.stringify(v.value).length <= valueBytes),
+  );
 });
 
 test('a range that stands in two slots is done where either says so, whichever is met first', () => {
@@ -236,24 +228,24 @@
 });
 
 test('a range whose bitmap fits no value any more is cut, and nothing that is done is lost', async () => {
-  const s = scene(1024, 4);
+  const fixture = shrunkenStore(1024, 4);
   const record = job({ uid: 'job-1', tasks: 6000 });
   const done = new Set(Array.from({ length: 1500 }, (_, i) => i * 4 + 1));
-  s.values.set('parts/0', { value: { owner: 'n', incarnation: 'a', term: 1 }, revision: 1 });
-  s.values.set('active/job-1', { value: encodeJob(record), revision: 2 });
-  s.values.set('done/0/0', {
+  fixture.values.set('parts/0', { value: { owner: 'n', incarnation: 'a', term: 1 }, revision: 1 });
+  fixture.values.set('active/job-1', { value: encodeJob(record), revision: 2 });
+  fixture.values.set('done/0/0', {
     value: { 'job-1/0': encodeDone({ from: 0, to: 6000 }, done) },
     revision: 3,
   });
-  s.show();
+  fixture.show();
   const store = new Store().add(record);
   store.bits.set('job-1/0', encodeDone({ from: 0, to: 6000 }, done));
   const shard = shardWith(store);
-  const ranges = () => s.cache.tables.activeJobs.get('job-1')!.value.ranges;
+  const ranges = () => fixture.cache.tables.activeJobs.get('job-1')!.value.ranges;
   for (let step = 0; step < 12; step++) {
-    await s.save(shard);
+    await fixture.save(shard);
     assert.deepEqual(
-      [...s.known('job-1')].sort((a, b) => a - b),
+      [...fixture.known('job-1')].sort((a, b) => a - b),
       [...done],
       `after step ${step}`,
     );
@@ -265,8 +257,8 @@
   );
   // What ends now is saved in the new cut.
   shard.jobs.get('job-1')!.unsaved.add(0);
-  await s.save(shard);
-  assert.ok(s.known('job-1').has(0));
+  await fixture.save(shard);
+  assert.ok(fixture.known('job-1').has(0));
 });
 
 test('the state client: sizes at the edge, 400s that are not repeated, a 429 that lowers the rate', async () => {
--- /dev/null
+++ b/test/standins/memory-store.ts
@@ -0,0 +1,31 @@
+/** The store's values in memory, for tests of control loops that call nothing but compare-and-swap. */
+import type { CompareAndSwapResult } from '../../src/store/store-client.js';
+import type { WatchCache } from '../../src/store/watch-cache.js';
+import type { Guard, Write } from '../../src/wire/schemas.js';
+
+/** Carries out transactions as the store does, and shows its values to watch caches. */
+export class MemoryStore {
+  readonly values = new Map<string, { value: unknown; revision: number }>();
+  #epoch = 10;
+
+  commit(guards: readonly Guard[], writes: readonly Write[]): CompareAndSwapResult {
+    const failed = guards.filter(
+      ({ key, revision }) => (this.values.get(key)?.revision ?? 0) !== revision,
+    );
+    if (failed.length > 0) return { ok: false, failed: failed.map(({ key }) => key) };
+    this.#epoch += 1;
+    for (const write of writes) {
+      if ('drop' in write) this.values.delete(write.drop);
+      else this.values.set(write.put, { value: write.value, revision: this.#epoch });
+    }
+    return { ok: true, epoch: this.#epoch };
+  }
+
+  /** Shows every value: as a new listing, or as changes of the watch. */
+  show(cache: WatchCache, as: 'listing' | 'changes'): void {
+    const changes = [...this.values].map(([key, stored]) => ({ key, ...stored, removed: false }));
+    const epoch = this.#epoch;
+    if (as === 'listing') cache.apply({ fresh: true, epoch, whole: epoch, changes });
+    else cache.apply({ fresh: false, epoch, changes });
+  }
+}
