--- a/src/shards/completions/completion-collector.ts
+++ b/src/shards/completions/completion-collector.ts
@@ -38,7 +38,10 @@
   const completed = completedTasks(job);
   const own = new Map(ownRanges.map((range) => [range.from, encodeDone(range, completed)]));
   const { uid } = job.spec;
-  return allDone(record, ({ from, shard }) => own.get(from) ?? cache.done(shard, uid, from));
+  return allDone(
+    record,
+    ({ from, shard }) => own.get(from) ?? cache.completedTasks(shard, uid, from),
+  );
 };
 
 const addFinishedJob = (batch: CompletionBatch, job: JobState, revision: number): void => {
--- a/src/shards/completions/completion-slots.ts
+++ b/src/shards/completions/completion-slots.ts
@@ -3,12 +3,13 @@
  * shard, so that a shard costs about one write in a while, however many arrays it runs.
  */
 import { SLOT_FILL } from '../../core/jobs/constants.js';
-import { encodeDoneSlot, key, type DoneSlot } from '../../store/keys.js';
+import { encodeCompletions, key, type CompletionBitmaps } from '../../store/keys.js';
 import type { WatchCache } from '../../store/watch-cache.js';
 import type { CompletionBatch } from './completion-batch.js';
 
 /** Bytes of a slot's stored value. */
-export const slotBytes = (slot: DoneSlot): number => JSON.stringify(encodeDoneSlot(slot)).length;
+export const slotBytes = (slot: CompletionBitmaps): number =>
+  JSON.stringify(encodeCompletions(slot)).length;
 
 /** Hex characters of a bitmap that covers so many tasks. */
 export const bitmapLength = (tasks: number): number => Math.ceil(tasks / 4);
@@ -25,7 +26,7 @@
 export function* storedSlots(
   cache: WatchCache,
   shard: number,
-): Generator<[slot: number, value: DoneSlot]> {
+): Generator<[slot: number, value: CompletionBitmaps]> {
   const prefix = `${shard}/`;
   for (const [id, { value }] of cache.tables.completions) {
     if (id.startsWith(prefix)) yield [Number(id.slice(prefix.length)), value];
@@ -36,13 +37,17 @@
  * The bitmaps of a slot without those of ended jobs, cut to the present ends of their ranges. A range that
  * stands in two slots is done where either says so, whichever copy an owner went on with.
  */
-const liveBitmaps = (cache: WatchCache, shard: number, slot: DoneSlot): Map<string, string> => {
+const liveBitmaps = (
+  cache: WatchCache,
+  shard: number,
+  slot: CompletionBitmaps,
+): Map<string, string> => {
   const live = new Map<string, string>();
   for (const name of slot.keys()) {
     const { uid, from } = parseRangeName(name);
     const job = cache.tables.activeJobs.get(uid);
     const range = job?.value.ranges.find((each) => each.shard === shard && each.from === from);
-    const bitmap = cache.done(shard, uid, from);
+    const bitmap = cache.completedTasks(shard, uid, from);
     if (range === undefined || bitmap === undefined) continue;
     live.set(name, bitmap.slice(0, bitmapLength(range.to - from)));
   }
@@ -118,9 +123,9 @@
    * Adds the write of a slot to the batch. A write without an answer may be carried out after newer ones and
    * would undo what those saved, so it depends on the slot's revision.
    */
-  write(batch: CompletionBatch, slot: number, bitmaps: DoneSlot = this.get(slot)): void {
+  write(batch: CompletionBatch, slot: number, bitmaps: CompletionBitmaps = this.get(slot)): void {
     const revision = this.cache.tables.completions.get(`${this.shard}/${slot}`)?.revision ?? 0;
-    const value = encodeDoneSlot(bitmaps);
+    const value = encodeCompletions(bitmaps);
     batch.add({ put: key.completions(this.shard, slot), value }, revision);
   }
 }
--- a/src/shards/completions/range-splitting.ts
+++ b/src/shards/completions/range-splitting.ts
@@ -41,7 +41,7 @@
   batch.add({ put: key.activeJob(uid), value }, job.revision);
   // The value may still hold the bitmap of an earlier, longer cut.
   const bitmap = cache
-    .done(shard, uid, long.from)
+    .completedTasks(shard, uid, long.from)
     ?.slice(bitmapLength(cut - long.from), bitmapLength(long.to - long.from));
   if (bitmap !== undefined && bitmap.length > 0) {
     const slots = CompletionSlots.load(cache, shard, valueBytes);
--- a/src/shards/completions/slot-splitting.ts
+++ b/src/shards/completions/slot-splitting.ts
@@ -3,14 +3,14 @@
  * they are.
  */
 import { SLOT_FILL } from '../../core/jobs/constants.js';
-import type { DoneSlot } from '../../store/keys.js';
+import type { CompletionBitmaps } from '../../store/keys.js';
 import { CompletionBatch } from './completion-batch.js';
 import { CompletionSlots, slotBytes, storedSlots } from './completion-slots.js';
 import type { CompletionContext } from './completion-context.js';
 
 /** What becomes of a slot that is split. */
 interface SlotSplit {
-  readonly kept: DoneSlot;
+  readonly kept: CompletionBitmaps;
   /** the other slots, with copies of what is not kept */
   readonly others: CompletionSlots;
   /** other slots that have to be written before the split one may lose anything */
@@ -20,7 +20,7 @@
 const planSplit = (
   slots: CompletionSlots,
   large: number,
-  bitmaps: DoneSlot,
+  bitmaps: CompletionBitmaps,
   maxBytes: number,
 ): SlotSplit => {
   const kept = new Map<string, string>();
@@ -43,7 +43,7 @@
 /** Finds slots that are too large, and splits them step by step. */
 export class SlotSplitter {
   /** by slot value: looked at several times a second, so the size is taken once */
-  readonly #bytes = new WeakMap<DoneSlot, number>();
+  readonly #bytes = new WeakMap<CompletionBitmaps, number>();
 
   constructor(private readonly context: CompletionContext) {}
 
--- a/src/shards/machine-records/group-edits.ts
+++ b/src/shards/machine-records/group-edits.ts
@@ -12,7 +12,7 @@
   /** of the record that is edited */
   readonly revision: number;
   /** by machine: whether it is recorded as up */
-  readonly hosts: Map<string, boolean>;
+  readonly machines: Map<string, boolean>;
   readonly group: MachineGroup;
 }
 
@@ -45,16 +45,16 @@
     if (edit === undefined) {
       const record = this.cache.tables.machineGroups.get(cached.group);
       if (record === undefined || this.#byGroup.size >= this.groupLimit) return null;
-      const hosts = new Map(record.value.hosts);
-      edit = { revision: record.revision, hosts, group: { ...record.value, hosts } };
+      const machines = new Map(record.value.machines);
+      edit = { revision: record.revision, machines, group: { ...record.value, machines } };
       this.#byGroup.set(cached.group, edit);
     }
-    return edit.hosts;
+    return edit.machines;
   }
 
   /** Whether an edited group still holds the machine. */
   holds(machine: string): boolean {
-    for (const { hosts } of this.#byGroup.values()) if (hosts.has(machine)) return true;
+    for (const { machines } of this.#byGroup.values()) if (machines.has(machine)) return true;
     return false;
   }
 
@@ -62,10 +62,10 @@
   transaction(): Transaction {
     const guards: Guard[] = [];
     const writes: Write[] = [];
-    for (const [id, { revision, hosts, group }] of this.#byGroup) {
+    for (const [id, { revision, machines, group }] of this.#byGroup) {
       const name = key.machineGroup(id);
       guards.push({ key: name, revision });
-      if (hosts.size === 0) writes.push({ drop: name });
+      if (machines.size === 0) writes.push({ drop: name });
       else writes.push({ put: name, value: encodeMachineGroup(group) });
     }
     return { guards, writes };
--- a/src/shards/machine-records/machine-move.ts
+++ b/src/shards/machine-records/machine-move.ts
@@ -41,10 +41,10 @@
     const machine = cache.machines.get(name)?.value;
     if (machine === undefined || moved.length >= capacity) continue;
     if (kind !== null && !isSameKind(kind, machine)) continue;
-    const hosts = edits.edit(name);
-    if (hosts === null) continue;
+    const groupMachines = edits.edit(name);
+    if (groupMachines === null) continue;
     kind ??= machine;
-    hosts.delete(name);
+    groupMachines.delete(name);
     moved.push(name);
   }
   return kind === null ? null : { kind, moved };
@@ -63,8 +63,15 @@
   if (taken === null) return null;
   const { moved } = taken;
   const { type, zone, spot } = taken.kind;
-  const hosts = new Map(moved.map((name) => [name, true]));
-  const group: MachineGroup = { shard: target.shard, term: target.term, type, zone, spot, hosts };
+  const machines = new Map(moved.map((name) => [name, true]));
+  const group: MachineGroup = {
+    shard: target.shard,
+    term: target.term,
+    type,
+    zone,
+    spot,
+    machines,
+  };
   const groupKey = key.machineGroup(target.group);
   const sources = edits.transaction();
   return {
--- a/src/shards/machine-records/machine-records.ts
+++ b/src/shards/machine-records/machine-records.ts
@@ -56,7 +56,7 @@
     const justUp = owned.shard.justUp();
     const edits = this.#observedChanges(index, justUp);
     if (edits.isEmpty) return;
-    const priority = justUp.length > 0 ? CALL_PRIORITY.completion : CALL_PRIORITY.rest;
+    const priority = justUp.length > 0 ? CALL_PRIORITY.completion : CALL_PRIORITY.background;
     if (!(await this.#writeGroups(owned, priority, edits.transaction()))) return;
     for (const { record } of justUp) {
       if (!edits.holds(record.name)) continue;
@@ -120,7 +120,12 @@
     if (cache.machines.has(machine.name)) return;
     if (isRentalPending(cache.tables.rentals, machine)) return;
     const transaction = adoptionTransaction(shard.term, machine, guards);
-    const adopted = await commit(this.dependencies, authorization, CALL_PRIORITY.rest, transaction);
+    const adopted = await commit(
+      this.dependencies,
+      authorization,
+      CALL_PRIORITY.background,
+      transaction,
+    );
     if (adopted) log.info({ machine: machine.name, shard: machine.shard }, 'machine adopted');
   }
 
--- a/src/shards/machine-records/new-groups.ts
+++ b/src/shards/machine-records/new-groups.ts
@@ -21,23 +21,23 @@
 };
 
 /**
- * Settles a rental that the cloud has answered with these machines: drops its record, and records those of
+ * Settles a rental that the cloud has answered with the machines `rented`: drops its record, and records those of
  * its machines that are in no group yet.
  */
 export const rentalTransaction = (
   cache: Pick<WatchCache, 'machines' | 'tables'>,
   term: number,
   rental: RentalRecord,
-  machines: readonly string[],
+  rented: readonly string[],
 ): Transaction => {
   const { shard, type, zone, spot, name } = rental;
   const rentalKey = key.rental(shard, name);
   const writes: Write[] = [{ drop: rentalKey }];
   const guards: Guard[] = [];
-  const unrecorded = machines.filter((machine) => !cache.machines.has(machine));
+  const unrecorded = rented.filter((machine) => !cache.machines.has(machine));
   if (unrecorded.length > 0) {
-    const hosts = new Map(unrecorded.map((machine) => [machine, false]));
-    const group: MachineGroup = { shard, term, type, zone, spot, hosts };
+    const machines = new Map(unrecorded.map((machine) => [machine, false]));
+    const group: MachineGroup = { shard, term, type, zone, spot, machines };
     const revision = cache.tables.rentals.get(`${shard}/${name}`)?.revision ?? 0;
     writes.push({ put: key.machineGroup(name), value: encodeMachineGroup(group) });
     guards.push({ key: key.machineGroup(name), revision: 0 }, { key: rentalKey, revision });
@@ -51,8 +51,8 @@
   { name, shard, type, zone, spot }: OrphanedMachine,
   guards: readonly Guard[],
 ): Transaction => {
-  const hosts = new Map([[name, false]]);
-  const group: MachineGroup = { shard, type, zone, spot, term, hosts };
+  const machines = new Map([[name, false]]);
+  const group: MachineGroup = { shard, type, zone, spot, term, machines };
   const groupKey = key.adoptedMachineGroup(name);
   return {
     guards: [{ key: groupKey, revision: 0 }, ...guards],
--- a/src/shards/orphaned-instances.ts
+++ b/src/shards/orphaned-instances.ts
@@ -25,7 +25,7 @@
 /** What following the cloud's list needs of the process. */
 export interface OrphanedInstancesDependencies {
   readonly config: Pick<PlatformConfig, 'nodes' | 'cloudLimits'>;
-  readonly cloud: Pick<CloudClient, 'list' | 'listEveryMs'>;
+  readonly cloud: Pick<CloudClient, 'listMachines' | 'minListIntervalMs'>;
   readonly cache: WatchCache;
   readonly shardController: ShardController;
   /** null: orphaned machines are always adopted */
@@ -57,7 +57,7 @@
         machine.address ??= this.#addresses.get(machine.record.name) ?? null;
       }
     }
-    const intervalMs = Math.max(MACHINE_LIST_INTERVAL_MS, cloud.listEveryMs());
+    const intervalMs = Math.max(MACHINE_LIST_INTERVAL_MS, cloud.minListIntervalMs());
     if (now - this.#lastListAt > intervalMs && this.#needsList()) void this.#readList();
   }
 
@@ -83,7 +83,7 @@
     this.#listing = true;
     const { cloud, log, now } = this.dependencies;
     await attempt(log, 'machine list request failed', async () => {
-      await this.#handleList(await cloud.list());
+      await this.#handleList(await cloud.listMachines());
     });
     this.#listing = false;
     this.#lastListAt = now();
--- a/src/shards/scale-out/scale-out.ts
+++ b/src/shards/scale-out/scale-out.ts
@@ -35,7 +35,7 @@
   readonly scaleIn: ScaleIn;
   readonly workload: WorkloadStatistics;
   /** tasks of each class in the other shards, waiting or placed */
-  readonly busyElsewhere: (shard: number) => ReadonlyMap<string, number>;
+  readonly activeTasksElsewhere: (shard: number) => ReadonlyMap<string, number>;
   /** jobs that were told to come back: they will be submitted again, here or elsewhere */
   readonly expectedJobs: () => readonly JobSpec[];
   /** null: not known yet */
@@ -97,7 +97,7 @@
       zones: config.zones,
       objectives: config.objectives,
       stats: workload.stats(timeOfDay() / 1000),
-      elsewhere: this.dependencies.busyElsewhere(index),
+      elsewhere: this.dependencies.activeTasksElsewhere(index),
       expected: this.#isFirstOwned(index) ? this.dependencies.expectedJobs() : [],
       pending: [...cache.tables.rentals.values()]
         .map(({ value }) => value)
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -8,10 +8,10 @@
 import { StatusDecoder, StatusEncoder, type PeerStatus } from '../src/peers/frames.js';
 import {
   decodeJob,
-  decodeFinal,
+  decodeFinalState,
   decoders,
   encodeJob,
-  encodeDoneSlot,
+  encodeCompletions,
   encodeMachineGroup,
   prefixOf,
 } from '../src/store/keys.js';
@@ -82,7 +82,7 @@
   let seen = 0;
   for (const [key, value] of Object.entries(OLD.values)) {
     if (key.startsWith('final/')) {
-      assert.deepEqual(decodeFinal(value), value, key);
+      assert.deepEqual(decodeFinalState(value), value, key);
       continue;
     }
     const prefix = prefixOf(key);
@@ -92,7 +92,7 @@
     seen += 1;
     if (prefix === 'active/') assert.deepEqual(encodeJob(decodeJob(id, value)), value, key);
     if (prefix === 'machines/') assert.deepEqual(encodeMachineGroup(known as never), value, key);
-    if (prefix === 'done/') assert.deepEqual(encodeDoneSlot(known as never), value, key);
+    if (prefix === 'done/') assert.deepEqual(encodeCompletions(known as never), value, key);
     CONTRACT[prefix]!.parse(value);
   }
   assert.ok(seen >= 9);
@@ -111,13 +111,37 @@
   }
 });
 
+/** Fields of the nodes' messages that have other names now; on the wire they are numbers. */
+const PRESENT_NAMES: Readonly<Record<string, string>> = {
+  hasState: 'hasStore',
+  parts: 'shards',
+  part: 'shard',
+  rooms: 'freeCapacity',
+  rank: 'minimumRank',
+  busy: 'activeTasks',
+  sightings: 'observedWorkers',
+};
+
+/** A recorded message with the same values under the present names. */
+const underPresentNames = (recorded: unknown): unknown => {
+  if (Array.isArray(recorded)) return recorded.map(underPresentNames);
+  if (typeof recorded !== 'object' || recorded === null) return recorded;
+  return Object.fromEntries(
+    Object.entries(recorded).map(([name, value]) => [
+      PRESENT_NAMES[name] ?? name,
+      underPresentNames(value),
+    ]),
+  );
+};
+
 test('messages between nodes: the old one is read whole, the new one by the old definition', async () => {
   const got: unknown[] = [];
   const bytes = Buffer.from(OLD.frame, 'hex');
   for await (const s of Readable.from([bytes]).pipe(new StatusDecoder())) got.push(s);
-  assert.deepEqual(got, [OLD.status]);
+  const present = underPresentNames(OLD.status);
+  assert.deepEqual(got, [present]);
   const frames: Buffer[] = [];
-  for await (const b of Readable.from([OLD.status]).pipe(new StatusEncoder())) {
+  for await (const b of Readable.from([present]).pipe(new StatusEncoder())) {
     frames.push(b as Buffer);
   }
   const Old = protobuf.parse(fixture('production/peers.proto')).root.lookupType('sumacstep.Status');
@@ -134,11 +158,11 @@
     revision: i + 1,
     removed: false,
   }));
-  cache.apply({ fresh: true, epoch: 50, whole: 50, changes });
+  cache.apply({ isListing: true, revision: 50, consistentFrom: 50, changes });
   const store = new Store();
   for (const { value } of cache.tables.activeJobs.values()) store.add(value);
   for (const { value } of cache.machines.values()) store.add({ ...value, shard: 0 });
-  const bits = cache.done(0, 'job-000001', 0);
+  const bits = cache.completedTasks(0, 'job-000001', 0);
   assert.ok(bits !== undefined);
   store.bits.set('job-000001/0', bits);
   // The shard was the old version's; what it may have started waits for its machines' answers.
