--- a/src/shards/machine-records/machine-records.ts
+++ b/src/shards/machine-records/machine-records.ts
@@ -29,7 +29,7 @@
   readonly client: CommitDependencies['client'];
   readonly cache: WatchCache;
   /** resolves once the cache shows everything that was committed before the call */
-  readonly current: () => Promise<unknown>;
+  readonly waitForCurrentCache: () => Promise<unknown>;
   /** steady ms */
   readonly now: () => number;
   readonly log: Logger;
@@ -115,8 +115,8 @@
     machine: OrphanedMachine,
     guards: readonly Guard[] = [],
   ): Promise<void> {
-    const { cache, current, log } = this.dependencies;
-    await current();
+    const { cache, waitForCurrentCache, log } = this.dependencies;
+    await waitForCurrentCache();
     if (cache.machines.has(machine.name)) return;
     if (isRentalPending(cache.tables.rentals, machine)) return;
     const transaction = adoptionTransaction(shard.term, machine, guards);
--- a/src/shards/owned-shard.ts
+++ b/src/shards/owned-shard.ts
@@ -63,7 +63,7 @@
     return needed;
   }
 
-  /** Whether completions may be saved now: one write at a time, at least `SAVE_MS` after the last one. */
+  /** Whether completions may be saved now: one write at a time, at least `COMPLETION_SAVE_INTERVAL_MS` after the last one. */
   saveDue(now: number): boolean {
     return !this.#saving && now - this.#lastSaveAt >= COMPLETION_SAVE_INTERVAL_MS;
   }
--- a/test/budget.test.ts
+++ b/test/budget.test.ts
@@ -69,7 +69,7 @@
     config: CONFIG,
     client,
     cache,
-    current: () => Promise.resolve(),
+    waitForCurrentCache: () => Promise.resolve(),
     now: () => now,
     log: LOG,
   });
@@ -253,7 +253,7 @@
       config: CONFIG,
       client,
       cache,
-      current,
+      waitForCurrentCache: current,
       now: () => 0,
       log: LOG,
     });
--- a/test/move-candidates.test.ts
+++ b/test/move-candidates.test.ts
@@ -84,7 +84,7 @@
     config: { storeLimits: { valueBytes: 8192, transactionOps: 4 } },
     client,
     cache,
-    current: () => Promise.resolve(),
+    waitForCurrentCache: () => Promise.resolve(),
     now: () => 0,
     log: pino({ level: 'silent' }),
   });
