--- a/src/rebalancing/shard-mover.ts
+++ b/src/rebalancing/shard-mover.ts
@@ -1,24 +1,29 @@
 import { fencedCompareAndSwap, type Versioned } from '@sumacstep/leader-election';
 import {
-  ends,
-  isOver,
+  moveEndpoints,
+  isTerminal,
   moveKey,
-  select,
+  selectMachines,
   type Candidate,
   type Move,
 } from '@sumacstep/shard-rebalancing';
 import type { Logger } from 'pino';
 import type { SharesConfig } from '../config/shares.js';
-import { MOVE_REASON_MS } from './constants.js';
-import { serves, type MachineState, type Shard } from '../core/shard/shard.js';
+import { WAIT_REASON_WRITE_INTERVAL_MS } from './constants.js';
+import {
+  hostsServiceReplicas,
+  isLeaving,
+  type MachineState,
+  type Shard,
+} from '../core/shard/shard.js';
 import type { OwnedShard } from '../shards/owned-shard.js';
 import type { ShardController } from '../shards/shard-controller.js';
 import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
 import type { WatchCache } from '../store/watch-cache.js';
-import { movesIn, obstacleOf } from './move-coordinator.js';
+import { movesById, obstacleTo } from './move-coordinator.js';
 
 const unfitness = (shard: Shard, m: MachineState, now: number): string | null => {
-  if (m.terminating || m.draining || m.quarantined || m.orphaned) return 'is to be returned';
+  if (isLeaving(m)) return 'is to be returned';
   if (m.preemptionNoticeAt !== null) return 'has a notice';
   if (!m.record.up) return 'is not up yet';
   if (!shard.isFresh(m, now) || m.commandsLostSince !== null) return 'cannot be reached';
@@ -30,16 +35,19 @@
   const { name, type, zone, spot } = m.record;
   const unfit = unfitness(shard, m, now);
   const empty =
-    m.tasks.size === 0 && m.unknownTasks === 0 && m.doubtful.size === 0 && m.listed === 0;
+    m.tasks.size === 0 &&
+    m.unknownTaskCount === 0 &&
+    m.unsettledDirectStarts.size === 0 &&
+    m.reportedTaskCount === 0;
   return {
     name,
     type,
     zone,
     spot,
     tasks: m.tasks.size,
-    endless: serves(m),
-    unfit,
-    settled: unfit === null && empty && m.cordoned,
+    runsService: hostsServiceReplicas(m),
+    ineligibleBecause: unfit,
+    readyToMove: unfit === null && empty && m.cordoned,
   };
 };
 
@@ -47,7 +55,7 @@
   a.length === b.length && a.every((name, i) => name === b[i]);
 
 /** What the owners' side of moves needs of the process. */
-export interface ShareOwnerPorts {
+export interface ShardMoverDependencies {
   readonly client: Pick<StoreClient, 'compareAndSwap'>;
   readonly cache: WatchCache;
   readonly shardController: ShardController;
@@ -61,7 +69,7 @@
  * transaction when nothing is there and nothing may arrive any more; the target's owner sees to it that its term is
  * the higher one, so that workers take its commands.
  */
-export class ShareOwner {
+export class ShardMover {
   readonly #busy = new Set<string>();
   /** whether machines may be marked as chosen since an earlier round */
   #marked = false;
@@ -70,20 +78,20 @@
 
   constructor(
     private readonly config: SharesConfig,
-    private readonly ports: ShareOwnerPorts,
+    private readonly ports: ShardMoverDependencies,
   ) {}
 
   /** One round over the moves that concern shards of this node. */
   tick(): void {
     const { cache, shardController } = this.ports;
-    const moves = [...movesIn(cache.tables).values()].filter(({ value }) => !isOver(value));
+    const moves = [...movesById(cache.tables).values()].filter(({ value }) => !isTerminal(value));
     if (moves.length > 0 || this.#marked) this.#mark(moves);
     this.#marked = moves.length > 0;
     for (const move of moves) {
       const { state } = move.value;
       if (state !== 'preparing' && state !== 'moving') continue;
-      if (obstacleOf(cache.tables, move.value) !== null) continue;
-      const { source, target } = ends(move.value);
+      if (obstacleTo(cache.tables, move.value) !== null) continue;
+      const { source, target } = moveEndpoints(move.value);
       if (!this.#targetIsNewer(source, target)) shardController.renewTerm(target);
       const owned = shardController.owned.get(source);
       if (owned !== undefined && shardController.actsFor(owned))
@@ -98,7 +106,7 @@
   #mark(moves: readonly Versioned<Move>[]): void {
     const chosen = new Map<number, Set<string>>();
     for (const { value: move } of moves) {
-      const { source } = ends(move);
+      const { source } = moveEndpoints(move);
       const names = chosen.get(source) ?? new Set();
       for (const name of move.chosen) names.add(name);
       chosen.set(source, names);
@@ -120,7 +128,7 @@
     const now = this.ports.now();
     const present = this.#withoutGone(move, shard.index);
     const machines = [...shard.machines.values()].map((m) => candidateOf(shard, m, now));
-    const selection = select(present, machines, this.config.emptyingMost);
+    const selection = selectMachines(present, machines, this.config.emptyingMost);
     const newer = this.#targetIsNewer(shard.index, target);
     if (newer && selection.ready.length > 0 && move.state === 'moving') {
       void this.#once(move.id, () =>
@@ -153,7 +161,7 @@
       old.state !== next.state || !same(old.chosen, next.chosen) || !same(old.moved, next.moved);
     if (changed) return true;
     if (old.waitsFor === next.waitsFor) return false;
-    return now - (this.#reasonAt.get(next.id) ?? -Infinity) >= MOVE_REASON_MS;
+    return now - (this.#reasonAt.get(next.id) ?? -Infinity) >= WAIT_REASON_WRITE_INTERVAL_MS;
   }
 
   async #once(id: string, work: () => Promise<void>): Promise<void> {
--- a/src/service/summary.ts
+++ b/src/service/summary.ts
@@ -1,5 +1,5 @@
 import hdr from 'hdr-histogram-js';
-import type { RefusalCounts } from '@sumacstep/leader-election';
+import type { FencingRejectionCounts } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import type { Shard } from '../core/shard/shard.js';
 
@@ -12,11 +12,11 @@
   let waiting = 0;
   let placed = 0;
   for (const job of shard.jobs.values()) {
-    waiting += job.waiting.length;
-    placed += job.placed.size;
+    waiting += job.waitingTasks.length;
+    placed += job.placements.size;
   }
   const machines = [...shard.machines.values()];
-  const known = machines.filter((m) => m.known);
+  const known = machines.filter((m) => m.confirmedSince !== null);
   const idle = known.filter((m) => m.tasks.size === 0).length;
   return {
     part: index,
@@ -54,7 +54,7 @@
     shards: ReadonlyMap<number, { readonly shard: Shard }>,
     activeJobs: number,
     storeAvailable: boolean,
-    ordersRefused: RefusalCounts,
+    ordersRefused: FencingRejectionCounts,
   ): void {
     const percentile = (p: number) => this.#acceptMs.getValueAtPercentile(p);
     const count = this.#acceptMs.totalCount;
--- a/src/shards/completions/completion-collector.ts
+++ b/src/shards/completions/completion-collector.ts
@@ -19,14 +19,14 @@
 }
 
 const hasOpenTasks = (job: JobState): boolean =>
-  job.waiting.length + job.placed.size + job.migrating.length > 0;
+  job.waitingTasks.length + job.placements.size + job.migratingTasks.length > 0;
 
 const completedTasks = (job: JobState): { has(index: number): boolean } => ({
-  has: (index) => job.saved.has(index) || job.unsaved.has(index),
+  has: (index) => job.savedTasks.has(index) || job.unsavedTasks.has(index),
 });
 
 const unsavedIn = (job: JobState, { from, to }: TaskRange): number[] =>
-  [...job.unsaved].filter((index) => index >= from && index < to);
+  [...job.unsavedTasks].filter((index) => index >= from && index < to);
 
 /** Whether every task is done: those of this shard by its own state, those of others by what they saved. */
 const isFinished = (
@@ -57,7 +57,7 @@
   batch.writes.push(...writes);
   batch.guards.push({ key: key.activeJob(uid), revision });
   batch.finishedJobs.push(uid);
-  batch.savedTasks.push({ uid, indexes: [...job.unsaved] });
+  batch.savedTasks.push({ uid, indexes: [...job.unsavedTasks] });
 };
 
 const addProgress = (
@@ -100,7 +100,7 @@
     return [];
   }
   return ownRanges
-    .filter(({ from, to }) => [...job.unsaved].some((index) => index >= from && index < to))
+    .filter(({ from, to }) => [...job.unsavedTasks].some((index) => index >= from && index < to))
     .map((range) => ({ job, range, isUrgent: !isOpen }));
 };
 
@@ -118,7 +118,7 @@
   const progress: RangeProgress[] = [];
   for (const job of jobs.values()) {
     if (job.ended || job.spec.kind === 'service') continue;
-    if (job.unsaved.size === 0 && hasOpenTasks(job)) continue;
+    if (job.unsavedTasks.size === 0 && hasOpenTasks(job)) continue;
     const active = context.cache.tables.activeJobs.get(job.spec.uid);
     if (active === undefined) continue;
     progress.push(...collectJob(context, batch, index, job, active));
--- a/src/shards/direct-commands.ts
+++ b/src/shards/direct-commands.ts
@@ -93,16 +93,16 @@
   ): boolean {
     if (result.kind === 'answered' && !result.executed) {
       const { fencingToken } = result.heartbeat;
-      if (fencingToken > shard.term) authorization.refused('machine', fencingToken);
+      if (fencingToken > shard.term) authorization.recordRejection('machine', fencingToken);
     }
     if (result.kind === 'in_doubt' || !this.dependencies.isOwned(shard)) return false;
     if (result.kind === 'not_sent') {
-      shard.directSettled(starts, false);
+      shard.directStartsSettled(starts, false);
       return false;
     }
     const { executed, heartbeat } = result;
     shard.handleCommandStatus(heartbeat, this.dependencies.now());
-    shard.directSettled(starts, executed);
+    shard.directStartsSettled(starts, executed);
     if (executed || starts.length > 0) return false;
     // 409: the worker's agent epoch was another one, which its heartbeat has told now.
     if (heartbeat.agentEpoch === agentEpoch || heartbeat.fencingToken > shard.term) return false;
--- a/src/shards/machine-records/machine-records.ts
+++ b/src/shards/machine-records/machine-records.ts
@@ -53,7 +53,7 @@
     const { index } = owned.shard;
     const lastWriteAt = this.#lastWriteAt.get(index) ?? -Infinity;
     if (this.#writing.has(index) || now - lastWriteAt < MACHINE_RECORDS_INTERVAL_MS) return;
-    const justUp = owned.shard.justUp();
+    const justUp = owned.shard.newlyReadyMachines();
     const edits = this.#observedChanges(index, justUp);
     if (edits.isEmpty) return;
     const priority = justUp.length > 0 ? CALL_PRIORITY.completion : CALL_PRIORITY.background;
--- a/src/shards/orphaned-instances.ts
+++ b/src/shards/orphaned-instances.ts
@@ -8,7 +8,7 @@
 import type { PlatformConfig } from '../config/platform.js';
 import { shardOfMachine } from '../core/jobs/jobs.js';
 import type { Heartbeat } from '../core/model.js';
-import type { Reclaiming } from '../singletons/orphan-collector.js';
+import type { OrphanCollector } from '../singletons/orphan-collector.js';
 import type { ReturnIntents } from '../singletons/return-intents.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { ListedMachine } from '../wire/schemas.js';
@@ -18,7 +18,7 @@
 
 /** The collection of machines that no record knows, where it is switched on. */
 export interface Reclaimer {
-  readonly reclaiming: Reclaiming;
+  readonly reclaiming: OrphanCollector;
   readonly intents: ReturnIntents;
 }
 
--- a/src/shards/owned-shards.ts
+++ b/src/shards/owned-shards.ts
@@ -2,7 +2,7 @@
  * The shards that this node owns by what the watch cache shows (*observe*): builds the state of an acquired shard,
  * drops that of a lost one, and keeps the rest in step with the cache.
  */
-import { Authorization, fencingToken, type Refusals } from '@sumacstep/leader-election';
+import { Authorization, fencingToken, type FencingRejections } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import type { PlatformConfig } from '../config/platform.js';
 import type { MachineType } from '../core/model.js';
@@ -18,7 +18,7 @@
   readonly incarnation: string;
   readonly cache: WatchCache;
   readonly authority: Authority;
-  readonly refusals: Refusals;
+  readonly fencingRejections: FencingRejections;
   /** null until the cloud has told them */
   readonly machineTypes: () => ReadonlyMap<string, MachineType> | null;
   readonly shardOptions: Pick<ShardSettings, 'preempt' | 'startObjectives' | 'imagesOf'>;
@@ -131,14 +131,14 @@
 
   /** The right to act for a shard under its term, which is its fencing token. */
   #authorization(shard: Shard, revision: number): Authorization {
-    const holds = () => {
+    const isCurrent = () => {
       const owned = this.#byIndex.get(shard.index);
       return owned?.shard === shard && this.actsFor(owned);
     };
-    const duty = key.shard(shard.index);
-    const condition = { key: duty, revision };
-    const tenure = { duty, token: fencingToken(shard.term), condition, holds };
-    return new Authorization(tenure, this.dependencies.refusals);
+    const role = key.shard(shard.index);
+    const guard = { key: role, revision };
+    const leadership = { role, fencingToken: fencingToken(shard.term), guard, isCurrent };
+    return new Authorization(leadership, this.dependencies.fencingRejections);
   }
 
   #sync(index: number, owned: OwnedShard, changes: CacheChanges, now: number): void {
@@ -147,8 +147,7 @@
       return;
     }
     const full = owned.takeFullSync() || changes.everything;
-    const { unsynced } = owned.shard.state;
-    const changed = changes.machines || changes.jobs.size > 0 || unsynced.size > 0;
+    const changed = changes.machines || changes.jobs.size > 0 || owned.shard.hasDeferredJobs;
     if (!full && !changed) return;
     const { cache, timeOfDay } = this.dependencies;
     owned.shard.sync(
--- a/src/shards/ownership-reconciler.ts
+++ b/src/shards/ownership-reconciler.ts
@@ -158,7 +158,7 @@
     const { config, peers, log } = this.dependencies;
     const heartbeatIntervalMs = config.workers.heartbeatIntervalS * 1000;
     const silentMs = Math.min(NO_HEARTBEATS_MS, heartbeatIntervalMs * NO_HEARTBEATS_INTERVALS);
-    if (!shard.hearsNoHeartbeats(now, silentMs)) return;
+    if (!shard.allHeartbeatsLost(now, silentMs)) return;
     const to = peers.peerReceivingHeartbeats(index);
     const incarnation = to === null ? null : peers.incarnationWithStore(to);
     if (to === null || to === config.node || incarnation === null) return;
--- a/src/shards/retryable-errors.ts
+++ b/src/shards/retryable-errors.ts
@@ -1,5 +1,5 @@
 /** Errors after which a control loop simply tries again in a later round. */
-import { NotEntitledError } from '@sumacstep/leader-election';
+import { NotLeaderError } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import { CloudRequestError } from '../cloud/client.js';
 import { StoreRequestError } from '../store/store-client.js';
@@ -8,7 +8,7 @@
 export const isRetryable = (error: unknown): error is Error =>
   error instanceof StoreRequestError ||
   error instanceof CloudRequestError ||
-  error instanceof NotEntitledError;
+  error instanceof NotLeaderError;
 
 /** Runs one attempt of work that is repeated anyway: a retryable error is logged as `failure`, others pass. */
 export const attempt = async (
--- a/src/shards/shard-controller.ts
+++ b/src/shards/shard-controller.ts
@@ -3,7 +3,7 @@
  * and carries that out (ownership-reconciler.ts), and runs the control loops of each owned shard: placement, direct
  * commands, machine records, task migration, completions. Who may start a task, and why: authority.ts.
  */
-import type { Refusals, SessionLease } from '@sumacstep/leader-election';
+import type { FencingRejections, SessionLease } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import type { PlatformConfig } from '../config/platform.js';
 import type { OperatorConfig } from '../config/operator.js';
@@ -39,7 +39,7 @@
   /** resolves once the cache shows everything that was committed before the call */
   readonly waitForCurrentCache: () => Promise<unknown>;
   readonly peers: PeerView;
-  readonly refusals: Refusals;
+  readonly fencingRejections: FencingRejections;
   /** null until the cloud has told them */
   readonly machineTypes: () => ReadonlyMap<string, MachineType> | null;
   readonly startObjectives: ShardSettings['startObjectives'];
@@ -156,7 +156,7 @@
     }
     for (const [index, owned] of this.owned) {
       if (!owned.isActive) continue;
-      owned.shard.age(now);
+      owned.shard.expireLeases(now);
       if (authorized) this.#runLoops(index, owned, now);
       else this.#direct.sendStops(owned, now);
     }
--- a/src/shards/task-migration.ts
+++ b/src/shards/task-migration.ts
@@ -93,7 +93,7 @@
     const { config, cache } = this.dependencies;
     const since = job.unschedulableSince;
     if (since === null || now - since < MIGRATION_DELAY_MS) return undefined;
-    if (now < job.migrateAfter || job.migrating.length > 0) return undefined;
+    if (now < job.nextMigrationAt || job.migratingTasks.length > 0) return undefined;
     const team = config.teams.get(job.spec.team);
     if (hasLimit(team) || hasGuarantee(team)) return undefined;
     const record = cache.tables.activeJobs.get(job.spec.uid);
--- a/src/store/keys.ts
+++ b/src/store/keys.ts
@@ -68,7 +68,7 @@
   readonly node: string;
   readonly incarnation: string;
   /** whether this life takes part in exclusive duties; versions that don't know them say nothing */
-  readonly supportsElections: boolean;
+  readonly supportsElection: boolean;
   /** whether this life takes part in moves of machines between shards */
   readonly supportsRebalancing: boolean;
 }
@@ -80,11 +80,11 @@
 const SHARES_VERSION = 1;
 
 /** What a life of a node takes part in. */
-export type NodeCapabilities = Pick<NodeRecord, 'supportsElections' | 'supportsRebalancing'>;
+export type NodeCapabilities = Pick<NodeRecord, 'supportsElection' | 'supportsRebalancing'>;
 
 export const encodeNode = (incarnation: string, abilities: NodeCapabilities): unknown => ({
   incarnation,
-  ...(abilities.supportsElections ? { duties: DUTIES_VERSION } : {}),
+  ...(abilities.supportsElection ? { duties: DUTIES_VERSION } : {}),
   ...(abilities.supportsRebalancing ? { shares: SHARES_VERSION } : {}),
 });
 export interface RentalRecord {
@@ -207,7 +207,7 @@
     return {
       node: name,
       incarnation,
-      supportsElections: knowsDuties,
+      supportsElection: knowsDuties,
       supportsRebalancing: shares === SHARES_VERSION,
     };
   },
--- a/test/budget.test.ts
+++ b/test/budget.test.ts
@@ -105,8 +105,8 @@
   const owned = ownedShard(shard);
   const finish = (uid: string, index: number) => {
     const state = shard.jobs.get(uid)!;
-    state.waiting = state.waiting.filter((waiting) => waiting !== index);
-    state.unsaved.add(index);
+    state.waitingTasks = state.waitingTasks.filter((waiting) => waiting !== index);
+    state.unsavedTasks.add(index);
   };
   for (const uid of uids) finish(uid, 0);
   await saver.save(owned, COMPLETION_SAVE_INTERVAL_MS);
@@ -118,7 +118,7 @@
     'one value for thirty ranges',
   );
   assert.ok(uids.every((uid) => cache.completedTasks(0, uid, 0) === '8'));
-  assert.ok(uids.every((uid) => shard.jobs.get(uid)!.saved.has(0)));
+  assert.ok(uids.every((uid) => shard.jobs.get(uid)!.savedTasks.has(0)));
 
   for (const i of [1, 2, 3]) finish(uids[0]!, i);
   await saver.save(owned, PROGRESS_SAVE_INTERVAL_MS + COMPLETION_SAVE_INTERVAL_MS);
@@ -194,8 +194,8 @@
     log: LOG,
   });
   const complete = (index: number) => {
-    state.unsaved.add(index);
-    state.waiting = state.waiting.filter((waiting) => waiting !== index);
+    state.unsavedTasks.add(index);
+    state.waitingTasks = state.waitingTasks.filter((waiting) => waiting !== index);
   };
   const save = async () => {
     now += PROGRESS_SAVE_INTERVAL_MS + COMPLETION_SAVE_INTERVAL_MS;
@@ -220,12 +220,12 @@
   // The other way round: the late one comes first, and the newer one is repeated on what it left.
   complete(2);
   await saveWithoutAnswer();
-  state.waiting = [0];
+  state.waitingTasks = [0];
   for (const carryOut of unanswered.splice(1)) assert.equal(carryOut().ok, true);
   await save();
   store.show(cache, 'changes');
   await save();
-  assert.deepEqual([...state.unsaved], [], 'saved once the cache shows the late one');
+  assert.deepEqual([...state.unsavedTasks], [], 'saved once the cache shows the late one');
 });
 
 test('a machine that nobody recorded is adopted only when no rental can still record it', async () => {
--- a/test/controller-scene.ts
+++ b/test/controller-scene.ts
@@ -9,7 +9,7 @@
 import { StoreRequestError, type CompareAndSwapResult } from '../src/store/store-client.js';
 import { WatchCache } from '../src/store/watch-cache.js';
 import type { Write } from '../src/wire/schemas.js';
-import { job, machine, machineType, settings, silentRefusals } from './helpers.js';
+import { job, machine, machineType, settings, silentRejections } from './helpers.js';
 
 /** Platform settings of node n0, with the peer n1. */
 export const CONFIG = {
@@ -86,7 +86,7 @@
         imagesOf: () => new Map(),
         cancellationsKnownUntil: () => this.cancellationsKnownUntil,
       },
-      refusals: silentRefusals(),
+      fencingRejections: silentRejections(),
       machineTypes: () => new Map([['m', machineType()]]),
       startObjectives: () => [],
       now: () => this.now,
--- a/test/shard-controller.test.ts
+++ b/test/shard-controller.test.ts
@@ -40,7 +40,7 @@
   scene.tick();
   const { shard } = scene.owned(1)!;
   assert.equal(shard.term, TERM + 1);
-  assert.equal(shard.rebuilt, false, 'and every machine has to send a heartbeat first');
+  assert.equal(shard.recovered, false, 'and every machine has to send a heartbeat first');
 });
 
 test('a shard that was lost and shows up again is not built again under its term', async () => {
--- a/test/task-migration.test.ts
+++ b/test/task-migration.test.ts
@@ -28,14 +28,14 @@
   scene.watched(50);
   scene.tick();
   assert.equal(scene.owned(1)?.shard.jobs.size, 0, 'gone from here');
-  assert.equal(scene.owned(0)?.shard.waiting(0, 0), 1, 'and waits there');
+  assert.equal(scene.owned(0)?.shard.waitingTasks(0, 0), 1, 'and waits there');
 });
 
 test('a task whose migration meets a conflict stays in its shard', async () => {
   const scene = await unschedulable(() => ({ ok: false, failed: [JOB_KEY] }));
   await settle();
   scene.tick();
-  assert.equal(scene.owned(1)?.shard.waiting(0, 0), 1);
+  assert.equal(scene.owned(1)?.shard.waitingTasks(0, 0), 1);
 });
 
 test('a migration whose answer was lost is settled by the present record', async () => {
@@ -53,7 +53,7 @@
   assert.equal(attempts, 2);
   assert.deepEqual(scene.ranges(), MIGRATED, 'only the present record tells');
   scene.tick();
-  assert.equal(scene.owned(1)?.shard.waiting(0, 0) ?? 0, 0, 'not brought back as not started');
+  assert.equal(scene.owned(1)?.shard.waitingTasks(0, 0) ?? 0, 0, 'not brought back as not started');
 });
 
 test('tasks migrate to a shard that is allocated less only after a long wait, and once in a while', async () => {
