--- a/src/core/cancellation/cancellation.ts
+++ b/src/core/cancellation/cancellation.ts
@@ -1,3 +1,5 @@
+/** The record of a cancellation that the store and the gossip of the nodes share. */
+
 /** A confirmed cancellation, as the store holds it and as the nodes gossip it. */
 export interface Cancellation {
   readonly uid: string;
--- a/src/rebalancing/shard-mover.ts
+++ b/src/rebalancing/shard-mover.ts
@@ -216,7 +216,7 @@
     const moved = await shardController.machines.move(owned, ready, {
       shard: target,
       term: to.value.term,
-      condition: { key: `parts/${target}`, revision: to.revision },
+      shardGuard: { key: `parts/${target}`, revision: to.revision },
       group: `moved-${move.id}-${revision}`,
       guards: [{ key, revision }],
       writes: (names) => [{ put: key, value: after(names) }],
--- a/src/shards/completions/completion-context.ts
+++ b/src/shards/completions/completion-context.ts
@@ -1,3 +1,4 @@
+/** The input that collecting and splitting of completions share. */
 import type { WatchCache } from '../../store/watch-cache.js';
 import type { StoreSizeLimits } from '../transaction.js';
 
--- a/src/shards/machine-kind.ts
+++ b/src/shards/machine-kind.ts
@@ -1,3 +1,5 @@
+/** Kinds of machines, as rentals, their pending records and refusals are told apart. */
+
 /** What the cloud distinguishes in rentals: machines of one kind are interchangeable. */
 export interface MachineKind {
   readonly type: string;
--- a/src/shards/machine-records/machine-move.ts
+++ b/src/shards/machine-records/machine-move.ts
@@ -15,7 +15,7 @@
   readonly shard: number;
   readonly term: number;
   /** the target shard's record as it is known */
-  readonly condition: Guard;
+  readonly shardGuard: Guard;
   /** the new group that holds them */
   readonly group: string;
   readonly guards: readonly Guard[];
@@ -78,7 +78,7 @@
     moved,
     transaction: {
       guards: [
-        target.condition,
+        target.shardGuard,
         { key: groupKey, revision: 0 },
         ...sources.guards,
         ...target.guards,
--- a/test/budget.test.ts
+++ b/test/budget.test.ts
@@ -159,7 +159,7 @@
   now = 10 + HELD_WATCH_MS;
   present = 12;
   await sleep(3 * HELD_WATCH_MS);
-  assert.deepEqual([late(), reads], [0, 1], 'the mirror is behind');
+  assert.deepEqual([late(), reads], [0, 1], 'the cache is behind');
   cache.apply({ isListing: false, revision: 12, changes: [], readStartedAt: 0 });
   await sleep(0);
   assert.deepEqual([late(), reads], [1, 1]);
--- a/test/move-candidates.test.ts
+++ b/test/move-candidates.test.ts
@@ -65,22 +65,16 @@
 
 test('machines move in one transaction that depends on both shards, their groups and the move', async () => {
   const cache = new WatchCache();
-  const group = (hosts: string[]) =>
-    encodeMachineGroup({
-      ...machine('x', { shard: 0, term: 1 }),
-      machines: new Map(hosts.map((n) => [n, true])),
-    });
-  const put = (key: string, value: unknown, revision: number) => ({
-    key,
-    value,
-    revision,
-    removed: false,
-  });
-  const changes = [put('machines/g', group(['x', 'y']), 5), put('machines/h', group(['z']), 6)];
+  const groupChange = (key: string, names: string[], revision: number) => {
+    const machines = new Map(names.map((name) => [name, true]));
+    const value = encodeMachineGroup({ ...machine('x', { shard: 0, term: 1 }), machines });
+    return { key, value, revision, removed: false };
+  };
+  const changes = [groupChange('machines/g', ['x', 'y'], 5), groupChange('machines/h', ['z'], 6)];
   cache.apply({ isListing: true, revision: 9, consistentFrom: 9, changes });
   const sent: { guards: readonly Guard[]; writes: readonly Write[] }[] = [];
   const client = {
-    compareAndSwap: (_cls: unknown, guards: readonly Guard[], writes: readonly Write[]) => {
+    compareAndSwap: (_priority: unknown, guards: readonly Guard[], writes: readonly Write[]) => {
       sent.push({ guards, writes });
       return Promise.resolve({ ok: true as const, epoch: 10 });
     },
@@ -97,14 +91,14 @@
   const moved = await records.move(ownedShard(shard), ['x', 'z'], {
     shard: 1,
     term: 8,
-    condition: { key: 'parts/1', revision: 7 },
+    shardGuard: { key: 'parts/1', revision: 7 },
     group: 'moved-m-3',
     guards: [{ key: 'shares/moves/m', revision: 3 }],
     writes: (names) => [{ put: 'shares/moves/m', value: names }],
   });
   assert.deepEqual(moved, ['x', 'z']);
   assert.deepEqual(
-    new Map(sent[0]!.guards.map((c) => [c.key, c.revision])),
+    new Map(sent[0]!.guards.map(({ key, revision }) => [key, revision])),
     new Map([
       ['parts/0', 1],
       ['parts/1', 7],
