--- a/src/shards/direct-commands.ts
+++ b/src/shards/direct-commands.ts
@@ -5,7 +5,7 @@
  */
 import type { Command } from '../core/model.js';
 import type { MachineState, Placement, Shard } from '../core/shard/shard.js';
-import { sendDirect, type DirectResult } from '../workers/heartbeats.js';
+import { sendDirectCommands, type DirectCommandResult } from '../workers/direct-command-client.js';
 import { PROBE_PAUSE_MS } from './constants.js';
 import type { OwnedShard } from './owned-shard.js';
 
@@ -76,10 +76,10 @@
     }
   }
 
-  #sendOnce(shard: Shard, message: Message, agentEpoch: number): Promise<DirectResult> {
+  #sendOnce(shard: Shard, message: Message, agentEpoch: number): Promise<DirectCommandResult> {
     const { machine, commands } = message;
     this.#inFlight += 1;
-    return sendDirect(machine.address!, shard.term, agentEpoch, commands).finally(() => {
+    return sendDirectCommands(machine.address!, shard.term, agentEpoch, commands).finally(() => {
       this.#inFlight -= 1;
     });
   }
@@ -89,7 +89,7 @@
     { shard, authorization }: OwnedShard,
     { machine, starts }: Message,
     agentEpoch: number,
-    result: DirectResult,
+    result: DirectCommandResult,
   ): boolean {
     if (result.kind === 'answered' && !result.executed) {
       const { fencingToken } = result.heartbeat;
--- a/src/shards/heartbeat-router.ts
+++ b/src/shards/heartbeat-router.ts
@@ -6,7 +6,7 @@
 import type { PlatformConfig } from '../config/platform.js';
 import type { Heartbeat } from '../core/model.js';
 import type { WatchCache } from '../store/watch-cache.js';
-import type { HeartbeatReply } from '../workers/heartbeats.js';
+import type { HeartbeatResponse } from '../workers/heartbeat-routes.js';
 import type { Authority } from './authority.js';
 import type { LeaseWithholding } from './lease-withholding.js';
 import { liveIncarnations } from './live-nodes.js';
@@ -35,7 +35,7 @@
   readonly at: number;
 }
 
-const UNAVAILABLE: HeartbeatReply = { kind: 'unavailable' };
+const UNAVAILABLE: HeartbeatResponse = { kind: 'unavailable' };
 
 /** Answers or redirects heartbeats. */
 export class HeartbeatRouter {
@@ -45,7 +45,7 @@
   constructor(private readonly dependencies: HeartbeatRouterDependencies) {}
 
   /** The reply to a heartbeat; `unavailable` lets the worker try another node, and does not renew its lease. */
-  handle(heartbeat: Heartbeat): HeartbeatReply {
+  handle(heartbeat: Heartbeat): HeartbeatResponse {
     const { cache, owned: ownedShards, authority, peers } = this.dependencies;
     const now = this.dependencies.now();
     if (!cache.ready) return UNAVAILABLE;
@@ -70,7 +70,7 @@
     heartbeat: Heartbeat,
     authorized: boolean,
     now: number,
-  ): HeartbeatReply {
+  ): HeartbeatResponse {
     const { leases, peers, refresh, log } = this.dependencies;
     const { shard } = owned;
     if (!shard.machines.has(heartbeat.machine)) refresh(now);
@@ -90,7 +90,7 @@
     return UNAVAILABLE;
   }
 
-  #redirectToOwner(heartbeat: Heartbeat, shard: number, now: number): HeartbeatReply {
+  #redirectToOwner(heartbeat: Heartbeat, shard: number, now: number): HeartbeatResponse {
     const { cache, config } = this.dependencies;
     const record = cache.tables.shards.get(String(shard))?.value;
     if (record === undefined) return UNAVAILABLE;
--- a/src/shards/orphaned-instances.ts
+++ b/src/shards/orphaned-instances.ts
@@ -4,7 +4,7 @@
  * orphan collection.
  */
 import type { Logger } from 'pino';
-import type { CloudClient } from '../cloud/client.js';
+import type { CloudClient } from '../cloud/cloud-client.js';
 import type { PlatformConfig } from '../config/platform.js';
 import { shardOfMachine } from '../core/jobs/jobs.js';
 import type { Heartbeat } from '../core/model.js';
--- a/src/shards/retryable-errors.ts
+++ b/src/shards/retryable-errors.ts
@@ -1,7 +1,7 @@
 /** Errors after which a control loop simply tries again in a later round. */
 import { NotLeaderError } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
-import { CloudRequestError } from '../cloud/client.js';
+import { CloudRequestError } from '../cloud/cloud-client.js';
 import { StoreRequestError } from '../store/store-client.js';
 
 /** Whether a call was not carried out, or has no outcome: it is repeated while it is still wanted. */
--- a/src/shards/scale-out/rental-requests.ts
+++ b/src/shards/scale-out/rental-requests.ts
@@ -6,7 +6,7 @@
  */
 import { RecordedIntent } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
-import type { CloudClient, RentResult } from '../../cloud/client.js';
+import type { CloudClient, RentResult } from '../../cloud/cloud-client.js';
 import type { RentWish } from '../../core/capacity/capacity-planner.js';
 import { CALL_PRIORITY } from '../../store/store-client.js';
 import { key, type RentalRecord } from '../../store/keys.js';
--- a/src/shards/scale-out/scale-out.ts
+++ b/src/shards/scale-out/scale-out.ts
@@ -3,7 +3,7 @@
  * capacity planner, and acts by renting (scale out) and by returning what is not needed (scale in).
  */
 import type { Logger } from 'pino';
-import type { CloudClient } from '../../cloud/client.js';
+import type { CloudClient } from '../../cloud/cloud-client.js';
 import type { OperatorConfig } from '../../config/operator.js';
 import type { PlatformConfig } from '../../config/platform.js';
 import { SUMMARY_MS } from '../../constants.js';
@@ -106,7 +106,7 @@
       reserveSigma: operator.reserveSigma,
       drainS: operator.drainS,
       idleKeepMs: operator.idleKeepS * 1000,
-      machinesMost: operator.machinesMost,
+      maxMachines: operator.maxMachines,
       now,
     };
   }
@@ -123,7 +123,7 @@
     }
     if (capped > 0 && now - this.#lastLimitLogAt > SUMMARY_MS) {
       this.#lastLimitLogAt = now;
-      log.info({ shard, limit: operator.machinesMost, missing: capped }, 'machine limit reached');
+      log.info({ shard, limit: operator.maxMachines, missing: capped }, 'machine limit reached');
     }
   }
 
--- a/src/shards/shard-controller.ts
+++ b/src/shards/shard-controller.ts
@@ -13,7 +13,7 @@
 import { socketBudget } from '../service/socket-budget.js';
 import type { StoreClient } from '../store/store-client.js';
 import type { WatchCache } from '../store/watch-cache.js';
-import type { HeartbeatReply } from '../workers/heartbeats.js';
+import type { HeartbeatResponse } from '../workers/heartbeat-routes.js';
 import { Authority } from './authority.js';
 import { CompletionSaver } from './completions/completion-saver.js';
 import { DirectCommands } from './direct-commands.js';
@@ -163,7 +163,7 @@
   }
 
   /** The reply to a worker's heartbeat. */
-  handleHeartbeat(heartbeat: Heartbeat): HeartbeatReply {
+  handleHeartbeat(heartbeat: Heartbeat): HeartbeatResponse {
     return this.#heartbeats.handle(heartbeat);
   }
 
--- a/test/controller-scene.ts
+++ b/test/controller-scene.ts
@@ -1,5 +1,5 @@
 import pino from 'pino';
-import { parseOperator } from '../src/config/operator.js';
+import { parseOperatorConfig } from '../src/config/operator.js';
 import type { PlatformConfig } from '../src/config/platform.js';
 import { FAILBACK_MS } from '../src/core/ownership/constants.js';
 import type { Heartbeat, JobRecord, TaskRange } from '../src/core/model.js';
@@ -68,7 +68,7 @@
   constructor() {
     this.controller = new ShardController({
       config: CONFIG,
-      operator: parseOperator('', ''),
+      operator: parseOperatorConfig('', ''),
       incarnation: 'a',
       client: {
         get: (key) => Promise.resolve(this.#read(key)),
--- a/test/quotas.test.ts
+++ b/test/quotas.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import pino from 'pino';
 import { CompletionSaver } from '../src/shards/completions/completion-saver.js';
-import { ConfigError, parsePlatform } from '../src/config/platform.js';
+import { ConfigError, parsePlatformConfig } from '../src/config/platform.js';
 import { SLOT_FILL } from '../src/core/jobs/constants.js';
 import {
   PROGRESS_SAVE_INTERVAL_MS,
@@ -37,7 +37,7 @@
     [next('later_field = 1'), 8192, 16, 25],
   ];
   for (const [text, valueBytes, transactionOps, writeRps] of good) {
-    const { storeLimits } = parsePlatform('f', text);
+    const { storeLimits } = parsePlatformConfig('f', text);
     assert.equal(storeLimits.valueBytes, valueBytes);
     assert.equal(storeLimits.transactionOps, transactionOps);
     assert.equal(storeLimits.writeRps, 25);
@@ -52,7 +52,7 @@
   ]) {
     const name = key.split(' ')[0]!;
     assert.throws(
-      () => parsePlatform('f', next(key)),
+      () => parsePlatformConfig('f', next(key)),
       (e: unknown) =>
         e instanceof ConfigError &&
         e.problems.some((p) => p.startsWith(`settings.state.next.${name}`)),
--- a/test/rental-requests.test.ts
+++ b/test/rental-requests.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import pino from 'pino';
-import { CloudRequestError, type RentResult } from '../src/cloud/client.js';
+import { CloudRequestError, type RentResult } from '../src/cloud/cloud-client.js';
 import { MachineRecords } from '../src/shards/machine-records/machine-records.js';
 import { CapacityBackoff } from '../src/shards/scale-out/capacity-backoff.js';
 import {
