--- a/src/shards/shard-controller.ts
+++ b/src/shards/shard-controller.ts
@@ -15,12 +15,12 @@
 import type { WatchCache } from '../store/watch-cache.js';
 import type { HeartbeatResponse } from '../workers/heartbeat-routes.js';
 import { Authority } from './authority.js';
-import { Completions } from './completions.js';
+import { CompletionSaver } from './completions/completion-saver.js';
 import { DirectCommands } from './direct-commands.js';
 import { HeartbeatRouter, type ObservedWorker } from './heartbeat-router.js';
 import { LeaseWithholding } from './lease-withholding.js';
 import { liveIncarnations } from './live-nodes.js';
-import { MachineRecords } from './machine-records.js';
+import { MachineRecords } from './machine-records/machine-records.js';
 import type { OwnedShard } from './owned-shard.js';
 import { OwnedShards } from './owned-shards.js';
 import { OwnershipReconciler } from './ownership-reconciler.js';
@@ -60,7 +60,7 @@
   readonly #ownership: OwnershipReconciler;
   readonly #heartbeats: HeartbeatRouter;
   readonly #direct: DirectCommands;
-  readonly #completions: Completions;
+  readonly #completions: CompletionSaver;
   readonly #migration: TaskMigration;
   #reconciledAt = -Infinity;
 
@@ -94,15 +94,8 @@
       isOwned: (shard) => this.#shards.isCurrentState(shard),
       now,
     });
-    this.machines = new MachineRecords(
-      config,
-      client,
-      cache,
-      dependencies.waitForCurrentCache,
-      now,
-      log,
-    );
-    this.#completions = new Completions(config, client, cache, now, log);
+    this.machines = new MachineRecords(dependencies);
+    this.#completions = new CompletionSaver({ config, client, cache, now, log });
     this.#migration = new TaskMigration({
       ...dependencies,
       isOwned: (shard) => this.#shards.isCurrent(shard),
@@ -177,9 +170,9 @@
   #runLoops(index: number, owned: OwnedShard, now: number): void {
     owned.shard.placeAll(now);
     this.#direct.sendAll(owned, now);
-    void this.machines.tick(index, owned, now);
+    void this.machines.reconcile(owned, now);
     this.#migration.migrateUnschedulable(index, owned, now);
-    void this.#completions.save(index, owned, now);
+    void this.#completions.save(owned, now);
   }
 
   #refresh(now: number): void {
--- a/test/controller-scene.ts
+++ b/test/controller-scene.ts
@@ -135,9 +135,9 @@
     await settle();
   }
 
-  /** The watch shows nothing new up to an epoch, or some changes. */
-  watched(epoch: number, changes: readonly ReturnType<typeof changed>[] = []): void {
-    this.cache.apply({ isListing: false, revision: epoch, changes: [...changes] });
+  /** The watch shows nothing new up to a revision, or some changes. */
+  watched(revision: number, changes: readonly ReturnType<typeof changed>[] = []): void {
+    this.cache.apply({ isListing: false, revision, changes: [...changes] });
   }
 
   /** The round in which shard 1 fails back to its preferred node. */
--- a/test/owned-shard.test.ts
+++ b/test/owned-shard.test.ts
@@ -1,6 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { PROGRESS_MS, SAVE_MS } from '../src/shards/constants.js';
+import {
+  COMPLETION_SAVE_INTERVAL_MS,
+  PROGRESS_SAVE_INTERVAL_MS,
+} from '../src/shards/completions/constants.js';
 import { ownedShard, shardWith, Store } from './helpers.js';
 
 const owned = () => ownedShard(shardWith(new Store()));
@@ -25,21 +28,21 @@
 
 test('completions are saved one write at a time, with a pause that counts from its end', () => {
   const shard = owned();
-  assert.equal(shard.saveDue(SAVE_MS - 1), false);
-  assert.equal(shard.saveDue(SAVE_MS), true);
+  assert.equal(shard.saveDue(COMPLETION_SAVE_INTERVAL_MS - 1), false);
+  assert.equal(shard.saveDue(COMPLETION_SAVE_INTERVAL_MS), true);
   shard.beginSave();
-  assert.equal(shard.saveDue(10 * SAVE_MS), false, 'one is under way');
-  shard.endSave(10 * SAVE_MS);
-  assert.equal(shard.saveDue(11 * SAVE_MS - 1), false);
-  assert.equal(shard.saveDue(11 * SAVE_MS), true);
+  assert.equal(shard.saveDue(10 * COMPLETION_SAVE_INTERVAL_MS), false, 'one is under way');
+  shard.endSave(10 * COMPLETION_SAVE_INTERVAL_MS);
+  assert.equal(shard.saveDue(11 * COMPLETION_SAVE_INTERVAL_MS - 1), false);
+  assert.equal(shard.saveDue(11 * COMPLETION_SAVE_INTERVAL_MS), true);
 });
 
 test('progress is due a while after the last one', () => {
   const shard = owned();
-  assert.equal(shard.progressDue(PROGRESS_MS - 1), false);
-  assert.equal(shard.progressDue(PROGRESS_MS), true);
-  shard.noteProgress(PROGRESS_MS);
-  assert.equal(shard.progressDue(2 * PROGRESS_MS - 1), false);
+  assert.equal(shard.progressDue(PROGRESS_SAVE_INTERVAL_MS - 1), false);
+  assert.equal(shard.progressDue(PROGRESS_SAVE_INTERVAL_MS), true);
+  shard.noteProgress(PROGRESS_SAVE_INTERVAL_MS);
+  assert.equal(shard.progressDue(2 * PROGRESS_SAVE_INTERVAL_MS - 1), false);
 });
 
 test('a worker is probed once at a time', () => {
