--- a/src/shards/completions.ts
+++ b/src/shards/completions.ts
@@ -8,7 +8,10 @@
 import type { JobRecord, TaskRange } from '../core/model.js';
 import type { Owned } from './shard-controller.js';
 import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
-import { encodeJob, encodeCompletions, key, type CompletionBitmaps } from '../store/keys.js';
+import { encodeJob } from '../store/codecs/job.js';
+import { encodeCompletions, type CompletionBitmaps } from '../store/codecs/completions.js';
+import { encodeFinalState } from '../store/codecs/final-state.js';
+import { key } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { Guard, Write } from '../wire/schemas.js';
 
@@ -97,7 +100,10 @@
       }
       const add: Write[] = [
         { drop: key.activeJob(uid) },
-        { put: key.finalState(uid), value: { status: 'done', tasks, done: tasks } },
+        {
+          put: key.finalState(uid),
+          value: encodeFinalState({ status: 'done', tasks, done: tasks }),
+        },
       ];
       const size = JSON.stringify(add).length;
       const over = batch.writes.length + add.length > this.config.storeLimits.transactionOps;
--- a/src/shards/machine-records.ts
+++ b/src/shards/machine-records.ts
@@ -5,7 +5,9 @@
 import type { MachineState } from '../core/shard/types.js';
 import type { Owned } from './shard-controller.js';
 import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
-import { encodeMachineGroup, key, type RentalRecord, type MachineGroup } from '../store/keys.js';
+import { encodeMachineGroup, type MachineGroup } from '../store/codecs/machine-group.js';
+import { key } from '../store/keys.js';
+import type { RentalRecord } from '../store/codecs/rental.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { Guard, Write } from '../wire/schemas.js';
 
--- a/src/shards/scale-out.ts
+++ b/src/shards/scale-out.ts
@@ -17,14 +17,13 @@
 import type { JobSpec, MachineType } from '../core/model.js';
 import type { ShardController, Owned } from './shard-controller.js';
 import { CALL_PRIORITY, type StoreClient } from '../store/store-client.js';
-import { key, type RentalRecord } from '../store/keys.js';
+import { key } from '../store/keys.js';
+import { type RentalSpec, encodeRental, type RentalRecord } from '../store/codecs/rental.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { Write } from '../wire/schemas.js';
 import type { ScaleIn } from './scale-in.js';
 import { isRetryable } from './retryable-error.js';
 
-type Wish = { type: string; zone: string; spot: boolean; count: number };
-
 /** Plans the machines of the shards that this node owns, and rents what is missing. */
 export class ScaleOut {
   #sequence = 0;
@@ -104,7 +103,7 @@
       const limit = this.operator.machinesMost;
       this.log.info({ shard: index, limit, missing: plan.capped }, 'machine limit reached');
     }
-    const wishes: Wish[] = [];
+    const wishes: RentalSpec[] = [];
     for (const wish of plan.rentals) {
       for (let left = wish.count; left > 0; left -= this.#rentMost) {
         wishes.push({ ...wish, count: Math.min(left, this.#rentMost) });
@@ -127,14 +126,14 @@
   // --- renting -----------------------------------------------------------------------------------
 
   /** The names are written before the calls, so that whoever owns the shard can ask again. */
-  async #newRentals(shard: number, owned: Owned, wishes: readonly Wish[]): Promise<void> {
+  async #newRentals(shard: number, owned: Owned, wishes: readonly RentalSpec[]): Promise<void> {
     this.#planning.add(shard);
     const some = wishes.slice(0, this.config.storeLimits.transactionOps);
     await this.#guard('hires not recorded', async () => {
       const writes = some.map((wish): Write => {
         this.#sequence += 1;
         const name = `${this.config.node}-${this.incarnation}-${this.#sequence}`;
-        return { put: key.rental(shard, name), value: wish };
+        return { put: key.rental(shard, name), value: encodeRental(wish) };
       });
       const { authorization } = owned;
       const result = await fencedCompareAndSwap(
--- a/src/shards/shard-controller.ts
+++ b/src/shards/shard-controller.ts
@@ -20,7 +20,9 @@
 import { TaskMigration } from './task-migration.js';
 import { shareSockets } from '../service/socket-budget.js';
 import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
-import { key, type ShardRecord } from '../store/keys.js';
+import { encodeTerm } from '../store/codecs/term.js';
+import { key } from '../store/keys.js';
+import { encodeShard, type ShardRecord } from '../store/codecs/shard.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { Guard, Write } from '../wire/schemas.js';
 import type { HeartbeatReply } from '../workers/heartbeats.js';
@@ -361,12 +363,12 @@
     if (old !== undefined && old.value.owner !== this.config.node) {
       guards.push({ key: key.node(old.value.owner, old.value.incarnation), revision: 0 });
     }
-    const value: ShardRecord = { owner, incarnation, term: next };
+    const record: ShardRecord = { owner, incarnation, term: next };
     return [
       guards,
       [
-        { put: key.term, value: next },
-        { put: key.shard(index), value },
+        { put: key.term, value: encodeTerm(next) },
+        { put: key.shard(index), value: encodeShard(record) },
       ],
     ];
   }
--- a/src/shards/task-migration.ts
+++ b/src/shards/task-migration.ts
@@ -17,7 +17,8 @@
 import type { JobState } from '../core/shard/shard.js';
 import type { Owned } from './shard-controller.js';
 import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
-import { decodeJob, encodeJob, key } from '../store/keys.js';
+import { decodeJob, encodeJob } from '../store/codecs/job.js';
+import { key } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { Write } from '../wire/schemas.js';
 
--- a/src/singletons/garbage-collector.ts
+++ b/src/singletons/garbage-collector.ts
@@ -21,7 +21,8 @@
   type Entry,
   type StoreClient,
 } from '../store/store-client.js';
-import { electionEntryKey } from '../store/election-entries.js';
+import { encodeAcceptanceMarker } from '../store/codecs/election-entry.js';
+import { electionEntryKey } from '../store/keys.js';
 import { FINAL_STATE_PREFIX, key } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import { CLEAR, type DutyController } from './singleton-controller.js';
@@ -187,7 +188,8 @@
   #dropFinals(authorization: Authorization, batch: readonly Clearable[]): Promise<boolean> {
     const guards = batch.map(({ key: name, revision }) => ({ key: name, revision }));
     const drops: Write[] = batch.map(({ key: name }) => ({ drop: name }));
-    const acceptance = { put: electionEntryKey.acceptance, value: { token: authorization.token } };
+    const marker = encodeAcceptanceMarker(authorization.token);
+    const acceptance = { put: electionEntryKey.acceptance, value: marker };
     return this.#compareAndSwap(authorization, guards, [...drops, acceptance]);
   }
 
--- a/src/singletons/return-intents.ts
+++ b/src/singletons/return-intents.ts
@@ -5,11 +5,8 @@
   type Write,
 } from '@sumacstep/leader-election';
 import { CALL_PRIORITY, type StoreClient } from '../store/store-client.js';
-import {
-  electionEntryKey,
-  encodeReturnIntents,
-  type ReturnIntentList,
-} from '../store/election-entries.js';
+import { electionEntryKey, type ReturnIntentList } from '../store/keys.js';
+import { encodeReturnIntents } from '../store/codecs/election-entry.js';
 import type { WatchCache } from '../store/watch-cache.js';
 
 const NONE: ReadonlySet<string> = new Set();
--- a/src/singletons/singleton-controller.ts
+++ b/src/singletons/singleton-controller.ts
@@ -16,7 +16,8 @@
 import type { DutiesConfig } from '../config/duties.js';
 import { DUTY_GRACE_MS } from './constants.js';
 import { CALL_PRIORITY, type CallPriority, type StoreClient } from '../store/store-client.js';
-import { key, type CachedValues } from '../store/keys.js';
+import { key } from '../store/keys.js';
+import type { CachedValues } from '../store/codecs/cached-values.js';
 import type { Cached, WatchCache } from '../store/watch-cache.js';
 
 /** Returning machines that no record knows. */
--- a/src/singletons/singleton-controllers.ts
+++ b/src/singletons/singleton-controllers.ts
@@ -7,7 +7,7 @@
 import { Mover } from '../rebalancing/move-coordinator.js';
 import type { Reclaimer } from '../shards/orphaned-instances.js';
 import type { StoreClient } from '../store/store-client.js';
-import { electionEntryKey } from '../store/election-entries.js';
+import { electionEntryKey } from '../store/keys.js';
 import { key } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { Guard } from '../wire/schemas.js';
--- a/src/store/election-entries.ts
+++ b/src/store/codecs/election-entry.ts
@@ -1,3 +1,4 @@
+/** Codec of what the store holds of leader election and singleton controllers (`duties/`). */
 import {
   decodeDuty,
   decodeHandOver,
@@ -9,25 +10,9 @@
   type RetentionRecord,
 } from '@sumacstep/leader-election';
 import * as z from 'zod';
+import { electionEntryKey, ELECTIONS_PREFIX, RETURN_INTENTS_PREFIX } from '../keys.js';
 
-/** What the state service holds of exclusive duties, all under one prefix. */
-export const DUTIES = 'duties/';
-
-const RETURNS = `${DUTIES}returns/`;
-
-/** Machines of a shard that are being returned, or machines that no shard has a record of. */
-export type ReturnIntentList = number | 'unrecorded';
-
-export const electionEntryKey = {
-  /** machines whose return was decided: nobody may count on them any more */
-  returns: (list: ReturnIntentList) => `${RETURNS}${list}`,
-  /** how much time has been observed since which revision */
-  retention: `${DUTIES}retention`,
-  /** changes whenever a final state is cleared: acceptances from before then fail */
-  acceptance: `${DUTIES}acceptance`,
-} as const;
-
-/** One value under the prefix. */
+/** One value under the prefix. A value of another version is `other` and is left alone. */
 export type ElectionEntry =
   | { readonly kind: 'record'; readonly duty: string; readonly record: DutyRecord }
   | { readonly kind: 'request'; readonly duty: string; readonly request: HandOverRequest }
@@ -35,13 +20,21 @@
   | { readonly kind: 'retention'; readonly retention: RetentionRecord }
   | { readonly kind: 'other' };
 
-const returns = z.object({ machines: z.array(z.string()) });
+const storedReturnIntents = z.object({ machines: z.array(z.string()) });
+
+/** Machines whose return was decided, as they are stored. */
+export const encodeReturnIntents = (
+  machines: readonly string[],
+): { readonly machines: readonly string[] } => ({ machines });
 
-export const encodeReturnIntents = (machines: readonly string[]): unknown => ({ machines });
+/** The marker that changes with every garbage collection of final states, as it is stored. */
+export const encodeAcceptanceMarker = (fencingToken: number): { readonly token: number } => ({
+  token: fencingToken,
+});
 
-/** `id` is the key without the prefix. */
+/** Reads a stored entry; `id` is the key without its prefix. */
 export const decodeElectionEntry = (id: string, value: unknown): ElectionEntry => {
-  const key = `${DUTIES}${id}`;
+  const key = `${ELECTIONS_PREFIX}${id}`;
   if (key.startsWith(DUTY_PREFIX)) {
     return { kind: 'record', duty: key.slice(DUTY_PREFIX.length), record: decodeDuty(value) };
   }
@@ -50,8 +43,8 @@
     const request = decodeHandOver(value);
     return request === null ? { kind: 'other' } : { kind: 'request', duty, request };
   }
-  if (key.startsWith(RETURNS)) {
-    return { kind: 'returns', machines: new Set(returns.parse(value).machines) };
+  if (key.startsWith(RETURN_INTENTS_PREFIX)) {
+    return { kind: 'returns', machines: new Set(storedReturnIntents.parse(value).machines) };
   }
   if (key === electionEntryKey.retention) {
     return { kind: 'retention', retention: decodeRetention(value) };
--- a/src/store/rebalancing-entries.ts
+++ b/src/store/codecs/rebalancing-entry.ts
@@ -1,20 +1,26 @@
+/** Codec of what the store holds of moves of machines between shards (`shares/`). */
 import { decodeLock, decodeMove, type Move } from '@sumacstep/shard-rebalancing';
 
-/** What the state service holds of moves of machines, all under one prefix. */
+/** One value under the prefix. A value of another version is `other` and is left alone. */
 export type RebalancingEntry =
   | { readonly kind: 'move'; readonly move: Move }
+  /** the move that holds a shard; one at a time touches it */
   | { readonly kind: 'lock'; readonly shard: number; readonly move: string }
   | { readonly kind: 'other' };
 
-/** `id` is the key without the prefix. */
+/** Stored keys after `shares/`: moves by their id, and locks by the index of the shard. */
+const MOVES = 'moves/';
+const LOCKS = 'parts/';
+
+/** Reads a stored entry; `id` is the key without its prefix. */
 export const decodeRebalancingEntry = (id: string, value: unknown): RebalancingEntry => {
-  if (id.startsWith('moves/')) {
+  if (id.startsWith(MOVES)) {
     const move = decodeMove(value);
     return move === null ? { kind: 'other' } : { kind: 'move', move };
   }
-  if (id.startsWith('parts/')) {
+  if (id.startsWith(LOCKS)) {
     const move = decodeLock(value);
-    const shard = Number(id.slice('parts/'.length));
+    const shard = Number(id.slice(LOCKS.length));
     return move === null ? { kind: 'other' } : { kind: 'lock', shard, move };
   }
   return { kind: 'other' };
--- a/src/store/node-session.ts
+++ b/src/store/node-session.ts
@@ -3,7 +3,8 @@
 import { CLOCK_DRIFT } from '../constants.js';
 import { LEASE_MARGIN_MS, LEASE_RENEW_MS, LEASE_RETRY_MS, LEASE_TTL_MS } from './constants.js';
 import type { StoreClient } from './store-client.js';
-import { encodeNode, key, type NodeCapabilities } from './keys.js';
+import { encodeNode, type NodeCapabilities } from './codecs/node.js';
+import { key } from './keys.js';
 
 const TIMING = {
   ttlMs: LEASE_TTL_MS,
--- a/src/store/watch-cache.ts
+++ b/src/store/watch-cache.ts
@@ -6,19 +6,10 @@
 import type { Cancellation } from '../core/cancellation/cancellations.js';
 import { eitherDone } from '../core/jobs/jobs.js';
 import type { MachineRecord } from '../core/model.js';
-import {
-  FINAL_STATE_PREFIX,
-  key,
-  decodeFinalState,
-  machinesOf,
-  prefixOf,
-  TABLE_OF_PREFIX,
-  type FinalState,
-  type MachineGroup,
-  type CachedPrefix,
-  decoders,
-  type CachedValues,
-} from './keys.js';
+import { FINAL_STATE_PREFIX, key, prefixOf, TABLE_OF_PREFIX, type CachedPrefix } from './keys.js';
+import { encodeFinalState, decodeFinalState, type FinalState } from './codecs/final-state.js';
+import { machinesOf, type MachineGroup } from './codecs/machine-group.js';
+import { decoders, type CachedValues } from './codecs/cached-values.js';
 
 /** A value of the state service, and the revision of its last change. */
 export interface Cached<T> {
@@ -202,7 +193,7 @@
     if (this.finalStates.has(uid)) return;
     const final: FinalState = { status: 'cancelled', tasks, done };
     this.applyOwn(
-      [{ drop: key.activeJob(uid) }, { put: key.finalState(uid), value: final }],
+      [{ drop: key.activeJob(uid) }, { put: key.finalState(uid), value: encodeFinalState(final) }],
       epoch,
     );
   }
--- a/src/users/job-reader.ts
+++ b/src/users/job-reader.ts
@@ -1,6 +1,7 @@
 import type { JobRecord } from '../core/model.js';
 import type { StoreClient } from '../store/store-client.js';
-import { key, type FinalState } from '../store/keys.js';
+import { key } from '../store/keys.js';
+import type { FinalState } from '../store/codecs/final-state.js';
 import type { LinearizableReads } from '../store/linearizable-reads.js';
 import { SharedReads } from '../store/shared-reads.js';
 import type { WatchCache } from '../store/watch-cache.js';
--- a/src/users/jobs.ts
+++ b/src/users/jobs.ts
@@ -20,7 +20,9 @@
 import type { ShardLoad } from '../core/jobs/jobs.js';
 import type { JobRecord, JobSpec, MachineType, TaskRange, Team } from '../core/model.js';
 import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
-import { encodeJob, key, type FinalState } from '../store/keys.js';
+import { encodeJob } from '../store/codecs/job.js';
+import { key } from '../store/keys.js';
+import { encodeFinalState, type FinalState } from '../store/codecs/final-state.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { Guard, Write } from '../wire/schemas.js';
 import { finalReading, type JobReader, type JobReading } from './job-reader.js';
@@ -207,7 +209,7 @@
       const final: FinalState = { status: 'cancelled', tasks: answer.job.spec.tasks, done: 0 };
       const writes: Write[] = [
         { drop: key.activeJob(uid) },
-        { put: key.finalState(uid), value: final },
+        { put: key.finalState(uid), value: encodeFinalState(final) },
       ];
       const result = await this.client.compareAndSwap(
         CALL_PRIORITY.cancellation,
--- a/test/measurements/duty-takeover.ts
+++ b/test/measurements/duty-takeover.ts
@@ -7,7 +7,7 @@
 import { dutyKey, type DutyRecord } from '@sumacstep/leader-election';
 import { parseDuties, type DutiesConfig } from '../../src/config/duties.js';
 import { RECLAIM } from '../../src/singletons/singleton-controller.js';
-import type { ShardRecord } from '../../src/store/keys.js';
+import type { ShardRecord } from '../../src/store/codecs/shard.js';
 import { Cluster } from '../standins/cluster.js';
 import type { Version } from '../standins/controllers.js';
 import { htmlReport, machineText, Series } from './report.js';
--- a/test/mixed-versions.test.ts
+++ b/test/mixed-versions.test.ts
@@ -2,7 +2,7 @@
 import { readFileSync } from 'node:fs';
 import { describe, test } from 'node:test';
 import { encodeDone } from '../src/core/jobs/jobs.js';
-import { encodeJob } from '../src/store/keys.js';
+import { encodeJob } from '../src/store/codecs/job.js';
 import { job } from './helpers.js';
 import { Cluster, type ClusterOptions } from './standins/cluster.js';
 
--- a/test/move-candidates.test.ts
+++ b/test/move-candidates.test.ts
@@ -5,7 +5,7 @@
 import { MachineRecords } from '../src/shards/machine-records.js';
 import { candidateOf } from '../src/rebalancing/shard-mover.js';
 import type { MachineState } from '../src/core/shard/shard.js';
-import { encodeMachineGroup } from '../src/store/keys.js';
+import { encodeMachineGroup } from '../src/store/codecs/machine-group.js';
 import { WatchCache } from '../src/store/watch-cache.js';
 import type { Guard, Write } from '../src/wire/schemas.js';
 import { job, machine, ownedShard, shardWith, Store } from './helpers.js';
--- a/test/quotas.test.ts
+++ b/test/quotas.test.ts
@@ -14,7 +14,7 @@
   StoreRequestError,
   type CompareAndSwapResult,
 } from '../src/store/store-client.js';
-import { encodeJob } from '../src/store/keys.js';
+import { encodeJob } from '../src/store/codecs/job.js';
 import { WatchCache } from '../src/store/watch-cache.js';
 import type { Guard, Write } from '../src/wire/schemas.js';
 import { job, ownedShard, shardWith, PLATFORM, Store } from './helpers.js';
--- a/test/single-holder.test.ts
+++ b/test/single-holder.test.ts
@@ -3,7 +3,7 @@
 import { dutyKey, handOverKey, type DutyRecord } from '@sumacstep/leader-election';
 import type { DutiesConfig } from '../src/config/duties.js';
 import { CLEAR, RECLAIM } from '../src/singletons/singleton-controller.js';
-import { electionEntryKey } from '../src/store/election-entries.js';
+import { electionEntryKey } from '../src/store/keys.js';
 import { Cluster, type ClusterOptions } from './standins/cluster.js';
 import type { Version } from './standins/controllers.js';
 import type { Request } from './standins/server.js';
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -6,15 +6,15 @@
 import * as z from 'zod';
 import type { JobRecord } from '../src/core/model.js';
 import { StatusDecoder, StatusEncoder, type PeerStatus } from '../src/peers/frames.js';
-import {
-  decodeJob,
-  decodeFinalState,
-  decoders,
-  encodeJob,
-  encodeCompletions,
-  encodeMachineGroup,
-  prefixOf,
-} from '../src/store/keys.js';
+import { decodeJob, encodeJob } from '../src/store/codecs/job.js';
+import { decodeFinalState, encodeFinalState } from '../src/store/codecs/final-state.js';
+import { encodeRental } from '../src/store/codecs/rental.js';
+import { encodeShard } from '../src/store/codecs/shard.js';
+import { encodeTerm } from '../src/store/codecs/term.js';
+import { decoders } from '../src/store/codecs/cached-values.js';
+import { encodeCompletions } from '../src/store/codecs/completions.js';
+import { encodeMachineGroup } from '../src/store/codecs/machine-group.js';
+import { prefixOf } from '../src/store/keys.js';
 import { WatchCache } from '../src/store/watch-cache.js';
 import { shardWith, Store } from './helpers.js';
 import { FakeWorker, World } from './standins/worker.js';
@@ -83,6 +83,7 @@
   for (const [key, value] of Object.entries(OLD.values)) {
     if (key.startsWith('final/')) {
       assert.deepEqual(decodeFinalState(value), value, key);
+      assert.deepEqual(encodeFinalState(decodeFinalState(value)), value, key);
       continue;
     }
     const prefix = prefixOf(key);
@@ -93,6 +94,9 @@
     if (prefix === 'active/') assert.deepEqual(encodeJob(decodeJob(id, value)), value, key);
     if (prefix === 'machines/') assert.deepEqual(encodeMachineGroup(known as never), value, key);
     if (prefix === 'done/') assert.deepEqual(encodeCompletions(known as never), value, key);
+    if (prefix === 'parts/') assert.deepEqual(encodeShard(known as never), value, key);
+    if (prefix === 'hires/') assert.deepEqual(encodeRental(known as never), value, key);
+    if (prefix === 'term') assert.deepEqual(encodeTerm(known as never), value, key);
     CONTRACT[prefix]!.parse(value);
   }
   assert.ok(seen >= 9);
