--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -1,11 +1,7 @@
-import {
-  CLOUD_BURST_S,
-  CLOUD_CALL_TIMEOUT_MS,
-  CLOUD_LIST_PAGE_SIZE,
-  MAX_CLOUD_SOCKETS,
-  LIST_RATE_SHARE,
-  TOKEN_POLL_MS,
-} from './constants.js';
+/**
+ * The client of the cloud, which rents and returns machines. Calls wait for this node's share of the rate
+ * limit, the most important first, and fail with a `CloudRequestError`.
+ */
 import type { Authorization, RecordedIntent } from '@sumacstep/leader-election';
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { MachineType } from '../core/model.js';
@@ -19,29 +15,47 @@
   returnBody,
   type ListedMachine,
   type RentRequest,
-} from '../wire/schemas.js';
-
-/** The cloud did not carry the call out, or did not answer; ask again later. */
-export class CloudRequestError extends Error {}
+} from '../wire/cloud.js';
+import {
+  CLOUD_BURST_S,
+  CLOUD_CALL_TIMEOUT_MS,
+  CLOUD_LIST_PAGE_SIZE,
+  LIST_RATE_SHARE,
+  MAX_CLOUD_SOCKETS,
+  TOKEN_POLL_MS,
+} from './constants.js';
+import { CloudRequestError } from './errors.js';
 
+/** The result of a rental request that was answered. */
 export type RentResult =
   | { readonly kind: 'rented'; readonly machines: readonly string[] }
   | { readonly kind: 'no_capacity' }
+  /** the cloud will never accept this request */
   | { readonly kind: 'malformed'; readonly answer: string };
 
-/** Order in which calls get tokens: what must be gone, then what is waited for, then news. */
-const CALL_PRIORITY = { giveBack: 0, rent: 1, list: 2 } as const;
+/** Order in which calls get tokens; lower goes first. */
+const CALL_PRIORITY = { return: 0, rent: 1, list: 2 } as const;
 type CallPriority = (typeof CALL_PRIORITY)[keyof typeof CALL_PRIORITY];
 
-const burst = (rps: number): number => Math.max(1, rps * CLOUD_BURST_S);
+interface Call {
+  readonly priority: CallPriority;
+  readonly method: 'GET' | 'POST';
+  readonly path: string;
+  readonly body?: unknown;
+  /** what the call was decided on; it must still hold when the call is sent */
+  readonly authorization?: Authorization;
+}
+
+const burstTokens = (rps: number): number => Math.max(1, rps * CLOUD_BURST_S);
 
+/** The one place for calls to the cloud. */
 export class CloudClient {
   readonly #http: CborClient;
   readonly #tokens: TokenBucket;
-  /** calls that wait for a token, by class */
+  /** calls that wait for a token, by priority */
   readonly #waiting = [0, 0, 0];
   #rps: number;
-  /** of the newest list */
+  /** pages of the last complete list */
   #pages = 1;
 
   constructor(
@@ -51,115 +65,126 @@
   ) {
     this.#http = new CborClient(address, MAX_CLOUD_SOCKETS);
     this.#rps = rps;
-    this.#tokens = new TokenBucket(rps, burst(rps), now());
+    this.#tokens = new TokenBucket(rps, burstTokens(rps), now());
   }
 
-  /** The node's share of the limit changes with the number of nodes that live. */
+  /** The node's share of the limit changes with the number of live nodes. */
   setRate(rps: number): void {
     this.#rps = rps;
-    this.#tokens.setRate(rps, burst(rps), this.now());
+    this.#tokens.setRate(rps, burstTokens(rps), this.now());
   }
 
-  /** ms; a list of so many pages may be read this often without taking the calls from the rest. */
+  /** ms between two lists so that reading them leaves the other calls their share of the limit. */
   minListIntervalMs(): number {
     return (this.#pages * 1000) / (this.#rps * LIST_RATE_SHARE);
   }
 
-  async #token(cls: CallPriority): Promise<void> {
-    this.#waiting[cls]! += 1;
-    try {
-      for (;;) {
-        const ahead = this.#waiting.slice(0, cls).some((n) => n > 0);
-        if (!ahead && this.#tokens.take(1, this.now())) return;
-        await sleep(Math.max(TOKEN_POLL_MS, Math.ceil(this.#tokens.waitMs(1, this.now()))));
-      }
-    } finally {
-      this.#waiting[cls]! -= 1;
-    }
-  }
-
-  async #call(
-    cls: CallPriority,
-    method: string,
-    path: string,
-    body?: unknown,
-    authorization?: Authorization,
-  ): Promise<Response> {
-    await this.#token(cls);
-    // The wait may have been long, or the process may have stood still: what it was decided on is over.
-    authorization?.ensureHeld();
-    try {
-      const answer = await this.#http.call(method, path, body, CLOUD_CALL_TIMEOUT_MS);
-      if (answer.status === 429) throw new CloudRequestError(`${method} ${path}: 429`);
-      return answer;
-    } catch (error) {
-      if (error instanceof NoResponseError) throw new CloudRequestError(error.message);
-      throw error;
-    }
-  }
-
+  /** Reads all machine types. */
   async listMachineTypes(): Promise<MachineType[]> {
-    const a = await this.#call(CALL_PRIORITY.rent, 'GET', '/machine_types');
-    if (a.status !== 200) throw new CloudRequestError(`machine types: ${a.status}`);
-    return machineTypesSchema.parse(a.body).Hosttypes;
+    const response = await this.#call({
+      priority: CALL_PRIORITY.rent,
+      method: 'GET',
+      path: '/machine_types',
+    });
+    if (response.status !== 200) throw unexpectedStatus('machine types not read', response);
+    return machineTypesSchema.parse(response.body);
   }
 
-  /** Throws `NotEntitledError` if the tenure is over at the moment of sending. */
-  async rent(request: RentRequest, { authorization }: RecordedIntent): Promise<RentResult> {
-    const a = await this.#call(
-      CALL_PRIORITY.rent,
-      'POST',
-      '/rentals',
-      rentBody(request),
+  /**
+   * Rents machines. The request may be repeated under its name. Throws `NotEntitledError` if the
+   * authorization has ended at the moment of sending.
+   */
+  async rent(rental: RentRequest, { authorization }: RecordedIntent): Promise<RentResult> {
+    const response = await this.#call({
+      priority: CALL_PRIORITY.rent,
+      method: 'POST',
+      path: '/rentals',
+      body: rentBody(rental),
       authorization,
-    );
-    if (a.status === 200) return { kind: 'rented', machines: rentedSchema.parse(a.body).Hosts };
-    if (a.status === 400) return { kind: 'malformed', answer: JSON.stringify(a.body) };
-    const error = (a.body as { error?: unknown } | null)?.error;
-    if (a.status === 503 && error === 'no capacity') return { kind: 'no_capacity' };
-    throw new CloudRequestError(`rental: ${a.status} ${String(error)}`);
+    });
+    const { status, body } = response;
+    if (status === 200) return { kind: 'rented', machines: rentedSchema.parse(body) };
+    if (status === 400) return { kind: 'malformed', answer: JSON.stringify(body) };
+    const error = (body as { error?: unknown } | null)?.error;
+    if (status === 503 && error === 'no capacity') return { kind: 'no_capacity' };
+    throw unexpectedStatus(`rental ${rental.request} not granted`, response);
   }
 
   /**
-   * When this resolves, the machines and everything on them are gone. Throws `NotEntitledError` if the tenure
-   * is over at the moment of sending.
+   * When this resolves, the machines and everything on them are gone. Throws `NotEntitledError` if the
+   * authorization has ended at the moment of sending.
    */
   async returnMachines(machines: readonly string[], authorization: Authorization): Promise<void> {
-    const body = returnBody(machines);
-    const a = await this.#call(
-      CALL_PRIORITY.giveBack,
-      'POST',
-      '/rentals/return',
-      body,
+    const response = await this.#call({
+      priority: CALL_PRIORITY.return,
+      method: 'POST',
+      path: '/rentals/return',
+      body: returnBody(machines),
       authorization,
-    );
-    if (a.status !== 200) throw new CloudRequestError(`return: ${a.status}`);
+    });
+    if (response.status !== 200) throw unexpectedStatus('machines not returned', response);
   }
 
+  /** Reads all rented machines; those that change meanwhile may or may not be in the list. */
   async listMachines(): Promise<ListedMachine[]> {
-    const out: ListedMachine[] = [];
+    const machines: ListedMachine[] = [];
     let pages = 0;
     for (let since = ''; ;) {
       pages += 1;
       const after = since === '' ? '' : `Since=${encodeURIComponent(since)}&`;
-      const a = await this.#call(
-        CALL_PRIORITY.list,
-        'GET',
-        `/rentals?${after}Limit=${CLOUD_LIST_PAGE_SIZE}`,
-      );
-      if (a.status !== 200) throw new CloudRequestError(`machine list: ${a.status}`);
-      const page = machineListSchema.parse(a.body);
-      out.push(...page.Hosts);
-      const last = page.Hosts.at(-1);
-      if (!(page.Truncated ?? false) || last === undefined) {
+      const response = await this.#call({
+        priority: CALL_PRIORITY.list,
+        method: 'GET',
+        path: `/rentals?${after}Limit=${CLOUD_LIST_PAGE_SIZE}`,
+      });
+      if (response.status !== 200) throw unexpectedStatus('machines not listed', response);
+      const page = machineListSchema.parse(response.body);
+      machines.push(...page.machines);
+      const last = page.machines.at(-1);
+      if (!page.more || last === undefined) {
         this.#pages = pages;
-        return out;
+        return machines;
       }
       since = last.name;
     }
   }
 
+  /** Closes all connections. */
   close(): void {
     this.#http.close();
   }
+
+  async #takeToken(priority: CallPriority): Promise<void> {
+    this.#waiting[priority]! += 1;
+    try {
+      for (;;) {
+        const precededByOthers = this.#waiting.slice(0, priority).some((calls) => calls > 0);
+        if (!precededByOthers && this.#tokens.take(1, this.now())) return;
+        await sleep(Math.max(TOKEN_POLL_MS, Math.ceil(this.#tokens.waitMs(1, this.now()))));
+      }
+    } finally {
+      this.#waiting[priority]! -= 1;
+    }
+  }
+
+  async #call({ priority, method, path, body, authorization }: Call): Promise<Response> {
+    await this.#takeToken(priority);
+    // The authorization may have ended while the call waited or the process was suspended.
+    authorization?.ensureHeld();
+    let response: Response;
+    try {
+      response = await this.#http.call(method, path, body, CLOUD_CALL_TIMEOUT_MS);
+    } catch (error) {
+      if (!(error instanceof NoResponseError)) throw error;
+      throw new CloudRequestError('no_response', error.message, { cause: error });
+    }
+    if (response.status !== 429) return response;
+    throw new CloudRequestError('rate_limited', `${method} ${path}: 429, rate limit reached`);
+  }
 }
+
+const unexpectedStatus = (what: string, { status, body }: Response): CloudRequestError => {
+  const error = (body as { error?: unknown } | null)?.error;
+  const detail = error === undefined ? '' : ` (${JSON.stringify(error)})`;
+  return new CloudRequestError('unavailable', `${what}: the cloud answered ${status}${detail}`);
+};
--- a/src/cloud/machine-types.ts
+++ b/src/cloud/machine-types.ts
@@ -2,7 +2,8 @@
 import type { Logger } from 'pino';
 import { TYPES_REFRESH_MS, TYPES_RETRY_MS } from './constants.js';
 import type { MachineType } from '../core/model.js';
-import { CloudRequestError, type CloudClient } from './client.js';
+import { CloudRequestError } from './errors.js';
+import type { CloudClient } from './client.js';
 
 /** The machine types of the cloud, read anew from time to time since prices move. */
 export class MachineTypes {
--- a/src/commands/duties.ts
+++ b/src/commands/duties.ts
@@ -8,7 +8,7 @@
 } from '@sumacstep/leader-election';
 import type { PlatformConfig } from '../config/platform.js';
 import { DUTY_NAMES, dutyView } from '../singletons/singleton-controller.js';
-import { CALL_PRIORITY } from '../store/store-client.js';
+import { CALL_PRIORITY } from '../store/call-priority.js';
 import { key } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import { CommandError, EXIT } from './exit-codes.js';
--- a/src/commands/shares.ts
+++ b/src/commands/shares.ts
@@ -16,7 +16,7 @@
 import { hasGuarantee, hasLimit, shardOfTeam } from '../core/jobs/jobs.js';
 import type { MachineRecord } from '../core/model.js';
 import { movesIn, obstacleOf } from '../rebalancing/move-coordinator.js';
-import { CALL_PRIORITY } from '../store/store-client.js';
+import { CALL_PRIORITY } from '../store/call-priority.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import { CommandError, EXIT } from './exit-codes.js';
 import { StoreAccess } from './store-access.js';
--- a/src/rebalancing/move-coordinator.ts
+++ b/src/rebalancing/move-coordinator.ts
@@ -2,6 +2,7 @@
   fencedCompareAndSwap,
   type Authorization,
   type Versioned,
+  type Write,
 } from '@sumacstep/leader-election';
 import {
   advance,
@@ -13,9 +14,10 @@
 } from '@sumacstep/shard-rebalancing';
 import type { Logger } from 'pino';
 import { MOVE, type DutyController } from '../singletons/singleton-controller.js';
-import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
+import { CALL_PRIORITY } from '../store/call-priority.js';
+import { StoreRequestError } from '../store/errors.js';
+import type { StoreClient } from '../store/store-client.js';
 import type { WatchCache } from '../store/watch-cache.js';
-import type { Write } from '../wire/schemas.js';
 
 type Tables = Pick<WatchCache['tables'], 'nodes' | 'shards' | 'moves'>;
 
--- a/src/rebalancing/shard-mover.ts
+++ b/src/rebalancing/shard-mover.ts
@@ -12,7 +12,9 @@
 import { MOVE_REASON_MS } from './constants.js';
 import { serves, type MachineState, type Shard } from '../core/shard/shard.js';
 import type { Owned, ShardController } from '../shards/shard-controller.js';
-import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
+import { CALL_PRIORITY } from '../store/call-priority.js';
+import { StoreRequestError } from '../store/errors.js';
+import type { StoreClient } from '../store/store-client.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import { movesIn, obstacleOf } from './move-coordinator.js';
 
--- a/src/service/limit-sharing.ts
+++ b/src/service/limit-sharing.ts
@@ -1,7 +1,8 @@
 import type { CloudClient } from '../cloud/client.js';
 import type { OperatorConfig } from '../config/operator.js';
 import type { PlatformConfig } from '../config/platform.js';
-import type { StoreClient, StoreLimits } from '../store/store-client.js';
+import type { StoreClient } from '../store/store-client.js';
+import type { StoreLimits } from '../store/request-scheduler.js';
 
 type Config = Pick<PlatformConfig, 'nodes' | 'storeLimits' | 'cloudLimits'>;
 type Shares = Pick<OperatorConfig, 'storeRequestShare' | 'storeWriteShare' | 'cloudRequestShare'>;
--- a/src/shards/completions.ts
+++ b/src/shards/completions.ts
@@ -1,4 +1,4 @@
-import { fencedCompareAndSwap } from '@sumacstep/leader-election';
+import { fencedCompareAndSwap, type Guard, type Write } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import type { PlatformConfig } from '../config/platform.js';
 import { MAX_RANGE_TASKS, SLOT_FILL } from '../core/jobs/constants.js';
@@ -7,13 +7,14 @@
 import { allDone, encodeDone, maxRangeTasks } from '../core/jobs/jobs.js';
 import type { JobRecord, TaskRange } from '../core/model.js';
 import type { Owned } from './shard-controller.js';
-import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
+import { CALL_PRIORITY } from '../store/call-priority.js';
+import { StoreRequestError } from '../store/errors.js';
+import type { StoreClient } from '../store/store-client.js';
 import { encodeJob } from '../store/codecs/job.js';
 import { encodeCompletions, type CompletionBitmaps } from '../store/codecs/completions.js';
 import { encodeFinalState } from '../store/codecs/final-state.js';
 import { key } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
-import type { Guard, Write } from '../wire/schemas.js';
 
 interface Batch {
   readonly guards: Guard[];
--- a/src/shards/machine-records.ts
+++ b/src/shards/machine-records.ts
@@ -1,15 +1,16 @@
-import { fencedCompareAndSwap } from '@sumacstep/leader-election';
+import { fencedCompareAndSwap, type Guard, type Write } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import type { PlatformConfig } from '../config/platform.js';
 import { GROUP_BYTES, HOST_BYTES, MACHINES_MS, RETURNED_KEPT } from './constants.js';
 import type { MachineState } from '../core/shard/types.js';
 import type { Owned } from './shard-controller.js';
-import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
+import { CALL_PRIORITY } from '../store/call-priority.js';
+import { StoreRequestError } from '../store/errors.js';
+import type { StoreClient } from '../store/store-client.js';
 import { encodeMachineGroup, type MachineGroup } from '../store/codecs/machine-group.js';
 import { key } from '../store/keys.js';
 import type { RentalRecord } from '../store/codecs/rental.js';
 import type { WatchCache } from '../store/watch-cache.js';
-import type { Guard, Write } from '../wire/schemas.js';
 
 /** Where machines move to, and what is written along with it. */
 export interface MoveTarget {
--- a/src/shards/orphaned-instances.ts
+++ b/src/shards/orphaned-instances.ts
@@ -7,7 +7,7 @@
 import type { Reclaiming } from '../singletons/orphan-collector.js';
 import type { ReturnIntents } from '../singletons/return-intents.js';
 import type { WatchCache } from '../store/watch-cache.js';
-import type { ListedMachine } from '../wire/schemas.js';
+import type { ListedMachine } from '../wire/cloud.js';
 import type { ShardController } from './shard-controller.js';
 import { isRetryable } from './retryable-error.js';
 
--- a/src/shards/scale-out.ts
+++ b/src/shards/scale-out.ts
@@ -1,4 +1,4 @@
-import { fencedCompareAndSwap, RecordedIntent } from '@sumacstep/leader-election';
+import { fencedCompareAndSwap, RecordedIntent, type Write } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import type { OperatorConfig } from '../config/operator.js';
 import type { PlatformConfig } from '../config/platform.js';
@@ -16,11 +16,11 @@
 import type { WorkloadStatistics } from '../core/capacity/workload-statistics.js';
 import type { JobSpec, MachineType } from '../core/model.js';
 import type { ShardController, Owned } from './shard-controller.js';
-import { CALL_PRIORITY, type StoreClient } from '../store/store-client.js';
+import { CALL_PRIORITY } from '../store/call-priority.js';
+import type { StoreClient } from '../store/store-client.js';
 import { key } from '../store/keys.js';
 import { type RentalSpec, encodeRental, type RentalRecord } from '../store/codecs/rental.js';
 import type { WatchCache } from '../store/watch-cache.js';
-import type { Write } from '../wire/schemas.js';
 import type { ScaleIn } from './scale-in.js';
 import { isRetryable } from './retryable-error.js';
 
--- a/src/shards/shard-controller.ts
+++ b/src/shards/shard-controller.ts
@@ -3,6 +3,8 @@
   fencingToken,
   type Refusals,
   type SessionLease,
+  type Guard,
+  type Write,
 } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import type { PlatformConfig } from '../config/platform.js';
@@ -19,12 +21,13 @@
 import { MachineRecords } from './machine-records.js';
 import { TaskMigration } from './task-migration.js';
 import { shareSockets } from '../service/socket-budget.js';
-import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
+import { CALL_PRIORITY } from '../store/call-priority.js';
+import { StoreRequestError } from '../store/errors.js';
+import type { StoreClient } from '../store/store-client.js';
 import { encodeTerm } from '../store/codecs/term.js';
 import { key } from '../store/keys.js';
 import { encodeShard, type ShardRecord } from '../store/codecs/shard.js';
 import type { WatchCache } from '../store/watch-cache.js';
-import type { Guard, Write } from '../wire/schemas.js';
 import type { HeartbeatReply } from '../workers/heartbeats.js';
 
 export interface Owned {
--- a/src/shards/task-migration.ts
+++ b/src/shards/task-migration.ts
@@ -1,5 +1,5 @@
 import { setTimeout as sleep } from 'node:timers/promises';
-import { fencedCompareAndSwap } from '@sumacstep/leader-election';
+import { fencedCompareAndSwap, type Write } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import type { PlatformConfig } from '../config/platform.js';
 import {
@@ -16,11 +16,12 @@
 import type { JobSpec, TaskRange } from '../core/model.js';
 import type { JobState } from '../core/shard/shard.js';
 import type { Owned } from './shard-controller.js';
-import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
+import { CALL_PRIORITY } from '../store/call-priority.js';
+import { StoreRequestError } from '../store/errors.js';
+import type { StoreClient } from '../store/store-client.js';
 import { decodeJob, encodeJob } from '../store/codecs/job.js';
 import { key } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
-import type { Write } from '../wire/schemas.js';
 
 /** What is known of the other shards' room. */
 export interface OtherShards {
--- a/src/singletons/garbage-collector.ts
+++ b/src/singletons/garbage-collector.ts
@@ -15,15 +15,12 @@
 import { CLOCK_DRIFT } from '../constants.js';
 import { CLEAR_ROUND_MS, RETENTION_WRITE_MS } from './constants.js';
 import { LIST_PAGE_SIZE } from '../store/constants.js';
-import {
-  CALL_PRIORITY,
-  StoreRequestError,
-  type Entry,
-  type StoreClient,
-} from '../store/store-client.js';
+import { CALL_PRIORITY } from '../store/call-priority.js';
+import { StoreRequestError } from '../store/errors.js';
+import type { Entry } from '../store/types.js';
+import type { StoreClient } from '../store/store-client.js';
 import { encodeAcceptanceMarker } from '../store/codecs/election-entry.js';
-import { electionEntryKey } from '../store/keys.js';
-import { FINAL_STATE_PREFIX, key } from '../store/keys.js';
+import { electionEntryKey, FINAL_STATE_PREFIX, key } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import { CLEAR, type DutyController } from './singleton-controller.js';
 
--- a/src/singletons/orphan-collector.ts
+++ b/src/singletons/orphan-collector.ts
@@ -5,7 +5,7 @@
 import { MAX_GUARDS_PER_WRITE } from '../store/constants.js';
 import { key } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
-import type { ListedMachine } from '../wire/schemas.js';
+import type { ListedMachine } from '../wire/cloud.js';
 import { RECLAIM, type DutyController } from './singleton-controller.js';
 import type { ReturnIntents } from './return-intents.js';
 
--- a/src/singletons/return-intents.ts
+++ b/src/singletons/return-intents.ts
@@ -4,7 +4,8 @@
   type Guard,
   type Write,
 } from '@sumacstep/leader-election';
-import { CALL_PRIORITY, type StoreClient } from '../store/store-client.js';
+import { CALL_PRIORITY } from '../store/call-priority.js';
+import type { StoreClient } from '../store/store-client.js';
 import { electionEntryKey, type ReturnIntentList } from '../store/keys.js';
 import { encodeReturnIntents } from '../store/codecs/election-entry.js';
 import type { WatchCache } from '../store/watch-cache.js';
--- a/src/singletons/singleton-controller.ts
+++ b/src/singletons/singleton-controller.ts
@@ -15,7 +15,8 @@
 import type { Logger } from 'pino';
 import type { DutiesConfig } from '../config/duties.js';
 import { DUTY_GRACE_MS } from './constants.js';
-import { CALL_PRIORITY, type CallPriority, type StoreClient } from '../store/store-client.js';
+import { CALL_PRIORITY, type CallPriority } from '../store/call-priority.js';
+import type { StoreClient } from '../store/store-client.js';
 import { key } from '../store/keys.js';
 import type { CachedValues } from '../store/codecs/cached-values.js';
 import type { Cached, WatchCache } from '../store/watch-cache.js';
--- a/src/singletons/singleton-controllers.ts
+++ b/src/singletons/singleton-controllers.ts
@@ -1,4 +1,4 @@
-import type { Refusals } from '@sumacstep/leader-election';
+import type { Refusals, Guard } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import type { CloudClient } from '../cloud/client.js';
 import type { DutiesConfig } from '../config/duties.js';
@@ -7,10 +7,8 @@
 import { Mover } from '../rebalancing/move-coordinator.js';
 import type { Reclaimer } from '../shards/orphaned-instances.js';
 import type { StoreClient } from '../store/store-client.js';
-import { electionEntryKey } from '../store/keys.js';
-import { key } from '../store/keys.js';
+import { electionEntryKey, key } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
-import type { Guard } from '../wire/schemas.js';
 import { Clearing } from './garbage-collector.js';
 import { DutyController } from './singleton-controller.js';
 import { Reclaiming } from './orphan-collector.js';
--- a/src/store/constants.ts
+++ b/src/store/constants.ts
@@ -56,3 +56,6 @@
 
 /** ms; calls stop for this long after a 429, since somebody has spent the shared budget. */
 export const RATE_LIMITED_BACKOFF_MS = 300;
+
+/** connections for watches; a late one may overlap with the next. */
+export const WATCH_SOCKETS = 2;
--- a/src/store/linearizable-reads.ts
+++ b/src/store/linearizable-reads.ts
@@ -1,6 +1,8 @@
 import { USER_CALL_MS } from '../constants.js';
 import { HELD_WATCH_MS } from './constants.js';
-import { CALL_PRIORITY, StoreRequestError, type StoreClient } from './store-client.js';
+import { CALL_PRIORITY } from './call-priority.js';
+import { StoreRequestError } from './errors.js';
+import type { StoreClient } from './store-client.js';
 import { key } from './keys.js';
 import type { WatchCache } from './watch-cache.js';
 
@@ -83,7 +85,7 @@
   #expire(): void {
     const since = this.now() - 2 * USER_CALL_MS;
     for (const waiter of this.#waiters) {
-      if (waiter.asked < since) waiter.reject(new StoreRequestError('busy', 'late'));
+      if (waiter.asked < since) waiter.reject(new StoreRequestError('overloaded', 'late'));
     }
     this.#waiters = this.#waiters.filter((w) => w.asked >= since);
   }
--- /dev/null
+++ b/src/store/request-scheduler.ts
@@ -0,0 +1,147 @@
+/** Keeps a node's calls to within its share of the store's rate limits, the most important first. */
+import type { Logger } from 'pino';
+import { TokenBucket } from '../transport/token-bucket.js';
+import { CALL_PRIORITY, type CallPriority } from './call-priority.js';
+import {
+  MIN_STORE_BURST_TOKENS,
+  RATE_LIMITED_BACKOFF_MS,
+  STORE_BURST_S,
+  STORE_QUEUE_LIMIT,
+} from './constants.js';
+import { StoreRequestError } from './errors.js';
+
+/** Requests and written keys per second. */
+interface StoreRates {
+  readonly rps: number;
+  readonly writeRps: number;
+}
+
+/** One node's share of the store's limits. */
+export interface StoreLimits extends StoreRates {
+  /** what is allowed from some moment on, which a 429 shows; as now if nothing is announced */
+  readonly next?: StoreRates;
+}
+
+type Rate = keyof StoreRates;
+
+interface QueuedCall {
+  /** keys that the call writes, or 0 for a read */
+  readonly writes: number;
+  readonly send: () => void;
+}
+
+const burstTokens = (rate: number): number =>
+  Math.max(MIN_STORE_BURST_TOKENS, rate * STORE_BURST_S);
+
+/** Lets calls go by priority, each for a token per request and a token per written key. */
+export class RequestScheduler {
+  readonly #requests: TokenBucket;
+  readonly #writes: TokenBucket;
+  /** by priority */
+  readonly #queues: QueuedCall[][] = Object.values(CALL_PRIORITY).map(() => []);
+  #queued = 0;
+  #timer: NodeJS.Timeout | null = null;
+  /** the limits that have come down to what was announced */
+  readonly #lowered = { rps: false, writeRps: false };
+
+  constructor(
+    private limits: StoreLimits,
+    private readonly now: () => number,
+    private readonly log: Logger,
+  ) {
+    this.#requests = new TokenBucket(limits.rps, burstTokens(limits.rps), now());
+    this.#writes = new TokenBucket(limits.writeRps, burstTokens(limits.writeRps), now());
+  }
+
+  /** Resolves when the call may be sent. Rejects at once if too many wait; renewals always wait. */
+  acquire(priority: CallPriority, writes: number): Promise<void> {
+    if (this.#queued >= STORE_QUEUE_LIMIT && priority !== CALL_PRIORITY.renew) {
+      const message = `store call not sent: ${this.#queued} calls wait for the rate limit`;
+      return Promise.reject(new StoreRequestError('overloaded', message));
+    }
+    return new Promise((resolve) => {
+      this.#queues[priority]!.push({ writes, send: resolve });
+      this.#queued += 1;
+      this.#sendReady();
+    });
+  }
+
+  /** The node's share of the limits changes with the number of live nodes. */
+  setLimits(limits: StoreLimits): void {
+    this.limits = limits;
+    const now = this.now();
+    const rps = this.#rate('rps');
+    const writeRps = this.#rate('writeRps');
+    this.#requests.setRate(rps, burstTokens(rps), now);
+    this.#writes.setRate(writeRps, burstTokens(writeRps), now);
+  }
+
+  /** After a 429: calls pause, and the limit may have come down to what was announced. */
+  recordRateLimited(writes: number): void {
+    const bucket = writes > 0 ? this.#writes : this.#requests;
+    bucket.block(RATE_LIMITED_BACKOFF_MS, this.now());
+    this.#lower(writes > 0 ? 'writeRps' : 'rps');
+  }
+
+  /** ms until a write of this priority that comes now would probably be sent. */
+  expectedWaitMs(priority: CallPriority): number {
+    let writes = 1;
+    for (const queue of this.#queues.slice(0, priority + 1)) {
+      for (const call of queue) writes += call.writes;
+    }
+    return this.#writes.backlogWaitMs(writes, this.now());
+  }
+
+  close(): void {
+    if (this.#timer !== null) clearTimeout(this.#timer);
+  }
+
+  #rate(rate: Rate): number {
+    const { limits } = this;
+    return this.#lowered[rate] && limits.next !== undefined ? limits.next[rate] : limits[rate];
+  }
+
+  #lower(rate: Rate): void {
+    const next = this.limits.next?.[rate];
+    if (this.#lowered[rate] || next === undefined || next >= this.limits[rate]) return;
+    this.#lowered[rate] = true;
+    this.setLimits(this.limits);
+    this.log.info({ limit: rate, share: next }, 'store rate limit lowered');
+  }
+
+  #sendReady(): void {
+    if (this.#timer !== null) return;
+    const now = this.now();
+    for (const queue of this.#queues) {
+      while (queue.length > 0) {
+        const { writes, send } = queue[0]!;
+        const waitMs = this.#waitMs(writes, now);
+        if (waitMs > 0) {
+          // A waiting write holds back less important writes, not reads: the next queue may go on.
+          this.#scheduleAfter(waitMs);
+          break;
+        }
+        this.#requests.take(1, now);
+        if (writes > 0) this.#writes.take(writes, now);
+        queue.shift();
+        this.#queued -= 1;
+        send();
+      }
+    }
+  }
+
+  #waitMs(writes: number, now: number): number {
+    const requestMs = this.#requests.waitMs(1, now);
+    return writes > 0 ? Math.max(requestMs, this.#writes.waitMs(writes, now)) : requestMs;
+  }
+
+  #scheduleAfter(waitMs: number): void {
+    this.#timer ??= setTimeout(
+      () => {
+        this.#timer = null;
+        this.#sendReady();
+      },
+      Math.max(1, Math.ceil(waitMs)),
+    );
+  }
+}
--- a/src/store/shared-reads.ts
+++ b/src/store/shared-reads.ts
@@ -1,5 +1,7 @@
 import { READ_BATCH_WINDOW_MS } from './constants.js';
-import { CALL_PRIORITY, type Found, type StoreClient } from './store-client.js';
+import { CALL_PRIORITY } from './call-priority.js';
+import type { Found } from './types.js';
+import type { StoreClient } from './store-client.js';
 
 /**
  * Current reads, shared: requests that come in while a read of the same key has not left yet join
--- a/src/store/store-client.ts
+++ b/src/store/store-client.ts
@@ -1,333 +1,212 @@
-import { StoreUnavailableError, type CompareAndSwapResult } from '@sumacstep/leader-election';
+/**
+ * The client of the key-value store. Each call waits for its turn (`RequestScheduler`) and either returns
+ * the store's answer or throws a `StoreRequestError`.
+ */
+import type { CompareAndSwapResult, Guard, Write } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
+import { CborClient, type Response } from '../transport/http.js';
 import {
-  RATE_LIMITED_BACKOFF_MS,
-  MAX_GUARDS_PER_WRITE,
-  MAX_REMEMBERED_REJECTIONS,
-  MIN_STORE_BURST_TOKENS,
-  STORE_BURST_S,
-  STORE_CALL_TIMEOUT_MS,
-  STORE_QUEUE_LIMIT,
-  MAX_STORE_SOCKETS,
-  CONSECUTIVE_FAILURES_LIMIT,
-} from './constants.js';
-import { CborClient, NoResponseError, type Response } from '../transport/http.js';
-import { TokenBucket } from '../transport/token-bucket.js';
-import {
-  committedSchema,
   conflictSchema,
-  listingSchema,
   entrySchema,
-  leaseSchema,
   leaseBody,
-  missingSchema,
-  watchSchema,
+  leaseSchema,
+  listingSchema,
+  storeRevisionSchema,
   transactionBody,
-  type Guard,
-  type Write,
-} from '../wire/schemas.js';
-
-/** The state service did not carry the call out (503, 429) or did not answer (unknown). */
-export class StoreRequestError extends StoreUnavailableError {
-  constructor(
-    readonly kind: 'refused' | 'no_answer' | 'busy' | 'invalid',
-    message: string,
-  ) {
-    super(message);
-  }
-}
-
-/** Order in which calls get tokens. */
-export const CALL_PRIORITY = {
-  renew: 0,
-  watch: 1,
-  cancellation: 2,
-  acceptance: 3,
-  completion: 4,
-  read: 5,
-  background: 6,
-} as const;
-export type CallPriority = (typeof CALL_PRIORITY)[keyof typeof CALL_PRIORITY];
-
-export interface Entry {
-  readonly key: string;
-  readonly value: unknown;
-  readonly revision: number;
-  /** the lease that the key is attached to, if the answer tells */
-  readonly lease?: number | null;
-}
-export interface Page {
-  readonly entries: readonly Entry[];
-  readonly more: boolean;
-  readonly storeRevision: number;
-}
-export type Found = Entry | { readonly missing: true; readonly storeRevision: number };
-export type { CompareAndSwapResult };
-export interface Change {
-  readonly key: string;
-  readonly revision: number;
-  /** undefined: removed */
-  readonly value: unknown;
-  readonly removed: boolean;
-}
-
-interface Waiter {
-  readonly cost: { requests: number; writes: number };
-  readonly go: () => void;
-}
-
-export interface StoreLimits {
-  readonly rps: number;
-  readonly writeRps: number;
-  /** what is allowed from some moment on, which a 429 tells; as now if nothing is announced */
-  readonly next?: { readonly rps: number; readonly writeRps: number };
-}
-
-/** What the state service takes at the most, now and later. */
-export interface StoreSizeLimits {
-  readonly valueBytes: number;
-  readonly transactionOps: number;
+  watchSchema,
+} from '../wire/store.js';
+import { StoreAvailability } from './availability.js';
+import { CALL_PRIORITY, type CallPriority } from './call-priority.js';
+import { MAX_STORE_SOCKETS, STORE_CALL_TIMEOUT_MS, WATCH_SOCKETS } from './constants.js';
+import { StoreRequestError } from './errors.js';
+import { RequestScheduler, type StoreLimits } from './request-scheduler.js';
+import { keyOf, TransactionLimits, type StoreSizeLimits } from './transaction-limits.js';
+import type { Changes, Found, Page } from './types.js';
+
+interface Call {
+  readonly priority: CallPriority;
+  readonly method: 'GET' | 'POST';
+  readonly path: string;
+  readonly body?: unknown;
+  /** keys that the call writes */
+  readonly writes?: number;
+  readonly timeoutMs?: number;
 }
 
-const keyOf = (write: Write): string => ('put' in write ? write.put : write.drop);
-
-const burst = (rate: number) => Math.max(MIN_STORE_BURST_TOKENS, rate * STORE_BURST_S);
-
-/** The one place for calls to the state service. */
+/** The one place for calls to the store. */
 export class StoreClient {
   readonly #http: CborClient;
-  readonly #watch: CborClient;
-  readonly #requests: TokenBucket;
-  readonly #writes: TokenBucket;
-  readonly #queues: Waiter[][] = Object.values(CALL_PRIORITY).map(() => []);
-  #queued = 0;
-  #timer: NodeJS.Timeout | null = null;
-  /** steady ms of the last answer that shows the service working */
-  lastSuccessAt = -Infinity;
-  #troubles = 0;
-  /** what was refused for good: the same is not sent again */
-  readonly #invalid = new Set<string>();
-  /** the limits that have come down to what was announced */
-  readonly #lowered = { rps: false, writeRps: false };
+  /** connections of their own, since a watch holds one for as long as nothing changes */
+  readonly #watchHttp: CborClient;
+  readonly #scheduler: RequestScheduler;
+  readonly #transactionLimits: TransactionLimits;
+  readonly #availability = new StoreAvailability();
 
   constructor(
     address: string,
-    private limits: StoreLimits,
-    private readonly sizes: StoreSizeLimits,
+    limits: StoreLimits,
+    sizeLimits: StoreSizeLimits,
     private readonly now: () => number,
-    private readonly log: Logger,
+    log: Logger,
   ) {
     this.#http = new CborClient(address, MAX_STORE_SOCKETS);
-    this.#watch = new CborClient(address, 2);
-    this.#requests = new TokenBucket(limits.rps, burst(limits.rps), now());
-    this.#writes = new TokenBucket(limits.writeRps, burst(limits.writeRps), now());
+    this.#watchHttp = new CborClient(address, WATCH_SOCKETS);
+    this.#scheduler = new RequestScheduler(limits, now, log);
+    this.#transactionLimits = new TransactionLimits(sizeLimits, log);
   }
 
-  #pump(): void {
-    if (this.#timer !== null) return;
-    const now = this.now();
-    for (const queue of this.#queues) {
-      while (queue.length > 0) {
-        const { cost, go } = queue[0]!;
-        const wait = Math.max(
-          this.#requests.waitMs(cost.requests, now),
-          cost.writes > 0 ? this.#writes.waitMs(cost.writes, now) : 0,
-        );
-        if (wait > 0) {
-          // A waiting write holds back less important writes, not reads: look at the next class.
-          this.#timer ??= setTimeout(
-            () => {
-              this.#timer = null;
-              this.#pump();
-            },
-            Math.max(1, Math.ceil(wait)),
-          );
-          break;
-        }
-        this.#requests.take(cost.requests, now);
-        if (cost.writes > 0) this.#writes.take(cost.writes, now);
-        queue.shift();
-        this.#queued -= 1;
-        go();
-      }
-    }
+  /** steady ms of the last answer that shows the store working */
+  get lastSuccessAt(): number {
+    return this.#availability.lastSuccessAt;
   }
 
-  #token(cls: CallPriority, writes: number): Promise<void> {
-    if (this.#queued >= STORE_QUEUE_LIMIT && cls !== CALL_PRIORITY.renew) {
-      return Promise.reject(
-        new StoreRequestError('busy', 'too many calls wait for the state service'),
-      );
-    }
-    return new Promise((resolve) => {
-      this.#queues[cls]!.push({ cost: { requests: 1, writes }, go: resolve });
-      this.#queued += 1;
-      this.#pump();
-    });
+  /** False once calls fail in a row: an outage, which may be one that only this node sees. */
+  get available(): boolean {
+    return this.#availability.available;
   }
 
-  /** The node's share of the limits changes with the number of nodes that live. */
+  /** The node's share of the limits changes with the number of live nodes. */
   setLimits(limits: StoreLimits): void {
-    this.limits = limits;
-    const rate = (k: 'rps' | 'writeRps') =>
-      this.#lowered[k] && limits.next !== undefined ? limits.next[k] : limits[k];
-    this.#requests.setRate(rate('rps'), burst(rate('rps')), this.now());
-    this.#writes.setRate(rate('writeRps'), burst(rate('writeRps')), this.now());
-  }
-
-  /** A 429 although we kept to our share: the limit may have come down to what was announced. */
-  #lower(k: 'rps' | 'writeRps'): void {
-    const next = this.limits.next?.[k];
-    if (this.#lowered[k] || next === undefined || next >= this.limits[k]) return;
-    this.#lowered[k] = true;
-    this.setLimits(this.limits);
-    this.log.info({ limit: k, share: next }, 'state service refuses: lower limit from now on');
-  }
-
-  /** ms until a write of this class that comes now would probably leave. */
-  expectedWaitMs(cls: CallPriority): number {
-    let writes = 1;
-    for (const queue of this.#queues.slice(0, cls + 1)) {
-      for (const w of queue) writes += w.cost.writes;
-    }
-    return this.#writes.waitMs(writes, this.now(), true);
+    this.#scheduler.setLimits(limits);
   }
 
-  /** False once calls fail in a row: an outage, or one that only this node sees. */
-  get available(): boolean {
-    return this.#troubles < CONSECUTIVE_FAILURES_LIMIT;
+  /** ms until a write of this priority that comes now would probably be sent. */
+  expectedWaitMs(priority: CallPriority): number {
+    return this.#scheduler.expectedWaitMs(priority);
   }
 
-  async #call(
-    cls: CallPriority,
-    method: string,
-    path: string,
-    body?: unknown,
-    writes = 0,
-    timeoutMs = STORE_CALL_TIMEOUT_MS,
-    client = this.#http,
-  ): Promise<Response> {
-    await this.#token(cls, writes);
-    let answer: Response;
-    try {
-      answer = await client.call(method, path, body, timeoutMs);
-    } catch (error) {
-      this.#troubles += 1;
-      const text = error instanceof NoResponseError ? error.message : String(error);
-      throw new StoreRequestError('no_answer', text);
-    }
-    if (answer.status === 429) {
-      (writes > 0 ? this.#writes : this.#requests).block(RATE_LIMITED_BACKOFF_MS, this.now());
-      this.#lower(writes > 0 ? 'writeRps' : 'rps');
-      throw new StoreRequestError('refused', `${method} ${path}: 429`);
+  /** Reads one key, as of a moment after the call. */
+  async get(key: string, priority: CallPriority): Promise<Found> {
+    const response = await this.#call({ priority, method: 'GET', path: `/store/${key}` });
+    if (response.status === 404) {
+      return { missing: true, storeRevision: storeRevisionSchema.parse(response.body) };
     }
-    if (answer.status >= 500) {
-      this.#troubles += 1;
-      throw new StoreRequestError('refused', `${method} ${path}: ${answer.status}`);
-    }
-    this.lastSuccessAt = this.now();
-    this.#troubles = 0;
-    return answer;
-  }
-
-  async get(key: string, cls: CallPriority): Promise<Found> {
-    const a = await this.#call(cls, 'GET', `/store/${key}`);
-    if (a.status === 404)
-      return { missing: true, storeRevision: missingSchema.parse(a.body).Epoch };
-    const e = entrySchema.parse(a.body);
-    return { key: e.K, value: e.Value, revision: e.Stamp, lease: e.Permit ?? null };
+    return entrySchema.parse(response.body);
   }
 
+  /** Reads a page of the keys under a prefix; `since` is the last key of the page before. */
   async list(
     prefix: string,
     since: string | null,
     limit: number,
-    cls: CallPriority = CALL_PRIORITY.watch,
+    priority: CallPriority = CALL_PRIORITY.watch,
   ): Promise<Page> {
     const after = since === null ? '' : `&Since=${encodeURIComponent(since)}`;
     const path = `/store?Starts=${encodeURIComponent(prefix)}${after}&Limit=${limit}`;
-    const a = await this.#call(cls, 'GET', path);
-    const page = listingSchema.parse(a.body);
-    return {
-      entries: page.Entries.map((e) => ({ key: e.K, value: e.Value, revision: e.Stamp })),
-      more: page.Truncated ?? false,
-      storeRevision: page.Epoch,
-    };
-  }
-
-  /** Larger than the service may take, now or from some moment on: it is not even sent. */
-  #checkSizes(guards: readonly Guard[], writes: readonly Write[]): string {
-    const { valueBytes, transactionOps } = this.sizes;
-    const sizes = writes.map((w) => ('put' in w ? JSON.stringify(w.value).length : 0));
-    const shape = writes.map((w, i) => `${keyOf(w)} ${sizes[i]}`).join();
-    if (this.#invalid.has(shape)) throw new StoreRequestError('invalid', 'refused before as it is');
-    const large = writes.find((_, i) => sizes[i]! > valueBytes);
-    const many =
-      writes.length > transactionOps || guards.length > transactionOps * MAX_GUARDS_PER_WRITE;
-    if (large === undefined && !many) return shape;
-    const key = large === undefined ? null : keyOf(large);
-    return this.#refused(shape, { key, writes: writes.length, conditions: guards.length });
-  }
-
-  #refused(shape: string, what: object): never {
-    if (this.#invalid.size >= MAX_REMEMBERED_REJECTIONS) this.#invalid.clear();
-    this.#invalid.add(shape);
-    this.log.error(what, 'transaction over the limits of the state service');
-    throw new StoreRequestError('invalid', `transaction over the limits: ${JSON.stringify(what)}`);
+    const response = await this.#call({ priority, method: 'GET', path });
+    return listingSchema.parse(response.body);
   }
 
-  /** Checked against the limits first; a 400 all the same is an error of the caller, and logged. */
+  /**
+   * Writes all or nothing: only if each guarded key has its revision. Over the store's limits, it fails
+   * with `invalid` and is not sent.
+   */
   async compareAndSwap(
-    cls: CallPriority,
+    priority: CallPriority,
     guards: readonly Guard[],
     writes: readonly Write[],
   ): Promise<CompareAndSwapResult> {
-    const shape = this.#checkSizes(guards, writes);
-    const body = transactionBody(guards, writes);
-    const a = await this.#call(cls, 'POST', '/multi', body, Math.max(1, writes.length));
-    if (a.status === 200) return { ok: true, epoch: committedSchema.parse(a.body).Epoch };
-    if (a.status === 409) return { ok: false, failed: conflictSchema.parse(a.body).failed ?? [] };
-    return this.#refused(shape, { status: a.status, answer: a.body, keys: writes.map(keyOf) });
-  }
-
-  /** Writes a key attached to a lease; null if the lease has ended. */
-  async register(name: string, value: unknown, id: number): Promise<number | null> {
-    const body = transactionBody([], [{ put: name, value, lease: id }]);
-    const a = await this.#call(CALL_PRIORITY.renew, 'POST', '/multi', body, 1);
-    return a.status === 200 ? committedSchema.parse(a.body).Epoch : null;
+    const shape = this.#transactionLimits.check(guards, writes);
+    const { status, body } = await this.#call({
+      priority,
+      method: 'POST',
+      path: '/multi',
+      body: transactionBody(guards, writes),
+      writes: Math.max(1, writes.length),
+    });
+    if (status === 200) return { ok: true, epoch: storeRevisionSchema.parse(body) };
+    if (status === 409) return { ok: false, failed: conflictSchema.parse(body) };
+    const keys = writes.map(keyOf);
+    return this.#transactionLimits.reject(shape, { status, answer: body, keys });
+  }
+
+  /** Writes a key attached to a lease; returns the store's revision, or null if the lease has ended. */
+  async register(key: string, value: unknown, lease: number): Promise<number | null> {
+    const { status, body } = await this.#call({
+      priority: CALL_PRIORITY.renew,
+      method: 'POST',
+      path: '/multi',
+      body: transactionBody([], [{ put: key, value, lease }]),
+      writes: 1,
+    });
+    return status === 200 ? storeRevisionSchema.parse(body) : null;
   }
 
+  /** Returns the id of a new lease. */
   async grant(ttlMs: number): Promise<number> {
-    const a = await this.#call(CALL_PRIORITY.renew, 'POST', '/leases', leaseBody(ttlMs));
-    if (a.status !== 200) throw new StoreRequestError('refused', `no lease: ${a.status}`);
-    return leaseSchema.parse(a.body).Permit;
-  }
-
-  /** False if the lease has ended. */
-  async renew(id: number): Promise<boolean> {
-    const a = await this.#call(CALL_PRIORITY.renew, 'POST', `/leases/${id}/renew`, {});
-    if (a.status === 404) return false;
-    if (a.status !== 200) throw new StoreRequestError('refused', `renewal: ${a.status}`);
-    return true;
+    const { status, body } = await this.#call({
+      priority: CALL_PRIORITY.renew,
+      method: 'POST',
+      path: '/leases',
+      body: leaseBody(ttlMs),
+    });
+    if (status !== 200) {
+      throw new StoreRequestError('unavailable', `POST /leases: ${status}, no lease granted`);
+    }
+    return leaseSchema.parse(body);
   }
 
-  /** Changes after `since`; null if the service no longer keeps them. */
-  async watch(since: number, blockMs: number) {
-    const path = `/follow?Starts=&Since=${since}&BlockMs=${blockMs}`;
-    const limit = blockMs + STORE_CALL_TIMEOUT_MS;
-    const a = await this.#call(CALL_PRIORITY.watch, 'GET', path, undefined, 0, limit, this.#watch);
-    if (a.status === 410) return null;
-    const n = watchSchema.parse(a.body);
-    const changes: Change[] = n.News.map((c) => {
-      const removed = c.Drop !== undefined && c.Drop !== null;
-      return { key: (removed ? c.Drop : c.Put) ?? '', revision: c.Stamp, value: c.Value, removed };
+  /** Returns false if the lease has ended. */
+  async renew(lease: number): Promise<boolean> {
+    const path = `/leases/${lease}/renew`;
+    const { status } = await this.#call({
+      priority: CALL_PRIORITY.renew,
+      method: 'POST',
+      path,
+      body: {},
     });
-    return { epoch: n.Epoch, changes };
+    if (status === 404) return false;
+    if (status !== 200) {
+      throw new StoreRequestError('unavailable', `POST ${path}: ${status}, lease not renewed`);
+    }
+    return true;
   }
 
+  /**
+   * Returns the changes after a revision, and waits up to `blockMs` for one. Null if the store no longer
+   * keeps them: then the keys must be listed anew.
+   */
+  async watch(since: number, blockMs: number): Promise<Changes | null> {
+    const { status, body } = await this.#call(
+      {
+        priority: CALL_PRIORITY.watch,
+        method: 'GET',
+        path: `/follow?Starts=&Since=${since}&BlockMs=${blockMs}`,
+        timeoutMs: blockMs + STORE_CALL_TIMEOUT_MS,
+      },
+      this.#watchHttp,
+    );
+    return status === 410 ? null : watchSchema.parse(body);
+  }
+
+  /** Closes all connections. */
   close(): void {
-    if (this.#timer !== null) clearTimeout(this.#timer);
+    this.#scheduler.close();
     this.#http.close();
-    this.#watch.close();
+    this.#watchHttp.close();
+  }
+
+  async #call(call: Call, http = this.#http): Promise<Response> {
+    const { priority, method, path, body, writes = 0, timeoutMs = STORE_CALL_TIMEOUT_MS } = call;
+    await this.#scheduler.acquire(priority, writes);
+    let response: Response;
+    try {
+      response = await http.call(method, path, body, timeoutMs);
+    } catch (error) {
+      this.#availability.recordFailure();
+      const text = error instanceof Error ? error.message : String(error);
+      throw new StoreRequestError('no_response', text, { cause: error });
+    }
+    if (response.status === 429) {
+      this.#scheduler.recordRateLimited(writes);
+      throw new StoreRequestError('rate_limited', `${method} ${path}: 429, rate limit reached`);
+    }
+    if (response.status >= 500) {
+      this.#availability.recordFailure();
+      const message = `${method} ${path}: ${response.status}, store unavailable`;
+      throw new StoreRequestError('unavailable', message);
+    }
+    this.#availability.recordSuccess(this.now());
+    return response;
   }
 }
--- a/src/store/watch-cache.ts
+++ b/src/store/watch-cache.ts
@@ -1,8 +1,8 @@
 import { EventEmitter } from 'node:events';
 import { MAX_FINAL_STATES_IN_MEMORY } from './constants.js';
-import type { Change } from './store-client.js';
+import type { Change } from './types.js';
 import type { WatchBatch } from './watch.js';
-import type { Write } from '../wire/schemas.js';
+import type { Write } from '@sumacstep/leader-election';
 import type { Cancellation } from '../core/cancellation/cancellations.js';
 import { eitherDone } from '../core/jobs/jobs.js';
 import type { MachineRecord } from '../core/model.js';
--- a/src/store/watch.ts
+++ b/src/store/watch.ts
@@ -1,7 +1,9 @@
 import { Readable } from 'node:stream';
 import { setTimeout as sleep } from 'node:timers/promises';
 import { WATCH_BLOCK_MS, LIST_PAGE_SIZE, STORE_RETRY_MS } from './constants.js';
-import { StoreRequestError, type Change, type StoreClient } from './store-client.js';
+import { StoreRequestError } from './errors.js';
+import type { Change } from './types.js';
+import type { StoreClient } from './store-client.js';
 import { CACHED_PREFIXES, type CachedPrefix } from './keys.js';
 
 /** One answer of the watch: what changed, and up to which epoch everything is known. */
@@ -57,7 +59,7 @@
           since = null;
           continue;
         }
-        since = Math.max(since, answer.epoch);
+        since = Math.max(since, answer.storeRevision);
         yield { isListing: false, changes: answer.changes, revision: since, readStartedAt: began };
         await sleep(pauseMs);
       }
--- a/src/users/jobs.ts
+++ b/src/users/jobs.ts
@@ -16,15 +16,17 @@
   staysWhole,
   hasLimit,
   hasGuarantee,
+  type ShardLoad,
 } from '../core/jobs/jobs.js';
-import type { ShardLoad } from '../core/jobs/jobs.js';
 import type { JobRecord, JobSpec, MachineType, TaskRange, Team } from '../core/model.js';
-import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
+import { CALL_PRIORITY } from '../store/call-priority.js';
+import { StoreRequestError } from '../store/errors.js';
+import type { StoreClient } from '../store/store-client.js';
 import { encodeJob } from '../store/codecs/job.js';
 import { key } from '../store/keys.js';
 import { encodeFinalState, type FinalState } from '../store/codecs/final-state.js';
 import type { WatchCache } from '../store/watch-cache.js';
-import type { Guard, Write } from '../wire/schemas.js';
+import type { Guard, Write } from '@sumacstep/leader-election';
 import { finalReading, type JobReader, type JobReading } from './job-reader.js';
 
 /** What has become of a submission. */
@@ -221,6 +223,6 @@
         return finalReading(final);
       }
     }
-    throw new StoreRequestError('busy', `job ${uid} changes faster than it can be cancelled`);
+    throw new StoreRequestError('contention', `job ${uid} changes faster than it can be cancelled`);
   }
 }
--- a/src/workers/heartbeats.ts
+++ b/src/workers/heartbeats.ts
@@ -7,7 +7,7 @@
   commandsBody,
   redirectBody,
   heartbeatSchema as reportSchema,
-} from '../wire/schemas.js';
+} from '../wire/workers.js';
 import { COMMAND_MS } from './constants.js';
 
 export type HeartbeatReply =
--- a/test/budget.test.ts
+++ b/test/budget.test.ts
@@ -8,12 +8,12 @@
 import { HELD_WATCH_MS } from '../src/store/constants.js';
 import { MachineRecords } from '../src/shards/machine-records.js';
 import { encodeDone } from '../src/core/jobs/jobs.js';
-import { StoreRequestError, type CompareAndSwapResult } from '../src/store/store-client.js';
+import { StoreRequestError } from '../src/store/errors.js';
+import type { CompareAndSwapResult, Guard, Write } from '@sumacstep/leader-election';
 import { LinearizableReads } from '../src/store/linearizable-reads.js';
 import { encodeJob } from '../src/store/codecs/job.js';
 import { encodeMachineGroup } from '../src/store/codecs/machine-group.js';
 import { WatchCache } from '../src/store/watch-cache.js';
-import type { Guard, Write } from '../src/wire/schemas.js';
 import { job, machine, ownedShard, shardWith, Store } from './helpers.js';
 import { FakeWorker, World } from './standins/worker.js';
 
@@ -184,7 +184,7 @@
     compareAndSwap: (_c: unknown, guards: readonly Guard[], writes: readonly Write[]) => {
       if (!losing) return Promise.resolve(run(guards, writes));
       lost.push(() => run(guards, writes));
-      return Promise.reject(new StoreRequestError('no_answer', 'lost'));
+      return Promise.reject(new StoreRequestError('no_response', 'lost'));
     },
   };
   const record = job({ tasks: 3 });
--- a/test/linearizable-reads.test.ts
+++ b/test/linearizable-reads.test.ts
@@ -2,7 +2,7 @@
 import { describe, test } from 'node:test';
 import { setImmediate as turn, setTimeout as sleep } from 'node:timers/promises';
 import { HELD_WATCH_MS, READ_BATCH_WINDOW_MS } from '../src/store/constants.js';
-import type { Found } from '../src/store/store-client.js';
+import type { Found } from '../src/store/types.js';
 import { key } from '../src/store/keys.js';
 import { LinearizableReads } from '../src/store/linearizable-reads.js';
 import { SharedReads } from '../src/store/shared-reads.js';
--- a/test/move-candidates.test.ts
+++ b/test/move-candidates.test.ts
@@ -7,7 +7,7 @@
 import type { MachineState } from '../src/core/shard/shard.js';
 import { encodeMachineGroup } from '../src/store/codecs/machine-group.js';
 import { WatchCache } from '../src/store/watch-cache.js';
-import type { Guard, Write } from '../src/wire/schemas.js';
+import type { Guard, Write } from '@sumacstep/leader-election';
 import { job, machine, ownedShard, shardWith, Store } from './helpers.js';
 
 /**
--- a/test/quotas.test.ts
+++ b/test/quotas.test.ts
@@ -8,15 +8,12 @@
 import { cutRanges, decodeDone, encodeDone, maxRangeTasks } from '../src/core/jobs/jobs.js';
 import type { JobRecord } from '../src/core/model.js';
 import type { Shard } from '../src/core/shard/shard.js';
-import {
-  CALL_PRIORITY,
-  StoreClient,
-  StoreRequestError,
-  type CompareAndSwapResult,
-} from '../src/store/store-client.js';
+import { CALL_PRIORITY } from '../src/store/call-priority.js';
+import { StoreClient } from '../src/store/store-client.js';
+import { StoreRequestError } from '../src/store/errors.js';
+import type { CompareAndSwapResult, Guard, Write } from '@sumacstep/leader-election';
 import { encodeJob } from '../src/store/codecs/job.js';
 import { WatchCache } from '../src/store/watch-cache.js';
-import type { Guard, Write } from '../src/wire/schemas.js';
 import { job, ownedShard, shardWith, PLATFORM, Store } from './helpers.js';
 import { Cluster } from './standins/cluster.js';
 import { FakeStateService } from './standins/store.js';
--- a/test/shard-controller.test.ts
+++ b/test/shard-controller.test.ts
@@ -14,11 +14,11 @@
 import { STORE_RETRY_MS } from '../src/store/constants.js';
 import { renewableMs } from '../src/core/cancellation/cancellations.js';
 import { ShardController } from '../src/shards/shard-controller.js';
-import { StoreRequestError, type CompareAndSwapResult } from '../src/store/store-client.js';
+import { StoreRequestError } from '../src/store/errors.js';
+import type { CompareAndSwapResult, Write } from '@sumacstep/leader-election';
 import { encodeJob } from '../src/store/codecs/job.js';
 import { encodeMachineGroup } from '../src/store/codecs/machine-group.js';
 import { WatchCache } from '../src/store/watch-cache.js';
-import type { Write } from '../src/wire/schemas.js';
 import { job, machine, machineType, settings, silentRefusals } from './helpers.js';
 
 const CONFIG = {
@@ -141,7 +141,7 @@
 
 test('a handover without an answer: no acting until the shard is taken under a new term', async () => {
   const s = scene();
-  s.world.outcome = () => new StoreRequestError('no_answer', 'lost');
+  s.world.outcome = () => new StoreRequestError('no_response', 'lost');
   await returns(s);
   s.shardController.tick();
   assert.equal(s.shardController.owned.get(1)?.suspended, true);
@@ -198,7 +198,7 @@
     tasks: [],
   };
   assert.equal(s.shardController.handleHeartbeat(heartbeat).kind, 'answer');
-  s.world.outcome = () => new StoreRequestError('no_answer', 'lost');
+  s.world.outcome = () => new StoreRequestError('no_response', 'lost');
   await returns(s);
   assert.equal(s.shardController.handleHeartbeat({ ...heartbeat, counter: 2 }).kind, 'unavailable');
   assert.equal(
@@ -321,7 +321,7 @@
     if (tries === 1) {
       const [w] = writes;
       if (w !== undefined && 'put' in w) lostValue = w.value;
-      return new StoreRequestError('no_answer', 'lost');
+      return new StoreRequestError('no_response', 'lost');
     }
     return { ok: false, failed: ['active/job-000001'] };
   });
@@ -365,7 +365,7 @@
   s.world.room = { shard: 0, tasks: 2 };
   s.shardController.tick();
   s.world.now = TRANSFER_AFTER_MS + 1;
-  s.world.outcome = () => new StoreRequestError('no_answer', 'gone');
+  s.world.outcome = () => new StoreRequestError('no_response', 'gone');
   s.shardController.tick();
   await settle();
   s.shardController.close();
--- a/test/watch-cache.test.ts
+++ b/test/watch-cache.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { randomFrom } from '../src/random.js';
-import type { Change } from '../src/store/store-client.js';
+import type { Change } from '../src/store/types.js';
 import { CACHED_PREFIXES, key, TABLE_OF_PREFIX } from '../src/store/keys.js';
 import { encodeJob } from '../src/store/codecs/job.js';
 import { encodeMachineGroup } from '../src/store/codecs/machine-group.js';
 import type { WatchBatch } from '../src/store/watch.js';
 import { WatchCache } from '../src/store/watch-cache.js';
-import type { Write } from '../src/wire/schemas.js';
+import type { Write } from '@sumacstep/leader-election';
 import { job, machine } from './helpers.js';
 
 /**
--- a/test/wire.test.ts
+++ b/test/wire.test.ts
@@ -1,12 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { fromBytes, toBytes, WireError } from '../src/wire/cbor.js';
-import {
-  heartbeatResponseBody,
-  watchSchema,
-  heartbeatSchema,
-  submissionSchema,
-} from '../src/wire/schemas.js';
+import { heartbeatResponseBody, heartbeatSchema } from '../src/wire/workers.js';
+import { watchSchema } from '../src/wire/store.js';
+import { submissionSchema } from '../src/wire/users.js';
 
 const GOOD = {
   Uid: 'job-000412',
@@ -118,5 +115,6 @@
 // The first feed stood still from the first finished job on: removals carry no value.
 test('changes: a removal has no value', () => {
   const parsed = watchSchema.parse({ Epoch: 433, News: [{ Drop: 'c/d', Stamp: 432 }] });
-  assert.equal(parsed.News[0]?.Drop, 'c/d');
+  const removal = { key: 'c/d', revision: 432, value: undefined, removed: true };
+  assert.deepEqual(parsed, { storeRevision: 433, changes: [removal] });
 });
