--- /dev/null
+++ b/packages/leader-election/test/leader-election.test.ts
@@ -0,0 +1,97 @@
+/** The transactions of leader election, answered one by one. */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { setImmediate as nextTurn } from 'node:timers/promises';
+import {
+  LeaderElection,
+  leaderKey,
+  fencingToken,
+  FencingRejections,
+  StoreUnavailableError,
+  type Guard,
+  type ElectionView,
+  type CompareAndSwapResult,
+} from '@sumacstep/leader-election';
+
+const SELF = { node: 'a', incarnation: 'one' };
+const member = (node: string, revision: number) => ({
+  node,
+  incarnation: 'one',
+  revision,
+  supportsElection: true,
+});
+
+/** An election whose transactions are kept, and answered by the test. */
+const scene = (leader: string, live: readonly string[]) => {
+  const sent: {
+    guards: readonly Guard[];
+    answer: (outcome: CompareAndSwapResult | Error) => void;
+  }[] = [];
+  const record = {
+    holder: { node: leader, incarnation: 'one' },
+    former: null,
+    token: fencingToken(4),
+    sinceMs: 0,
+  };
+  const view: ElectionView = {
+    members: live.map((node, i) => member(node, 10 + i)),
+    records: new Map([['d', { value: record, revision: 7 }]]),
+    transferRequests: new Map(),
+  };
+  const log = { info: () => undefined, debug: () => undefined };
+  const election = new LeaderElection(
+    {
+      self: SELF,
+      roles: ['d'],
+      candidateDelayMs: 0,
+      memberKey: ({ node, incarnation }) => `nodes/${node}/${incarnation}`,
+    },
+    {
+      store: {
+        compareAndSwap: (_urgency, guards) =>
+          new Promise((resolve, reject) => {
+            const answer = (outcome: CompareAndSwapResult | Error) => {
+              if (outcome instanceof Error) reject(outcome);
+              else resolve(outcome);
+            };
+            sent.push({ guards, answer });
+          }),
+      },
+      view: () => view,
+      hasAuthority: () => true,
+      onCommitted: () => undefined,
+      steadyMs: () => 0,
+      wallClockMs: () => 0,
+      rejections: new FencingRejections(() => Promise.resolve(null), log),
+      log,
+    },
+  );
+  return { election, sent };
+};
+
+test('a takeover depends on the record, the own membership, and the end of the former leader', () => {
+  const { election, sent } = scene('b', ['a', 'c']);
+  election.tick();
+  assert.deepEqual(sent[0]?.guards, [
+    { key: leaderKey('d'), revision: 7 },
+    { key: 'nodes/a/one', revision: 10 },
+    { key: 'nodes/b/one', revision: 0 },
+  ]);
+});
+
+test('while the outcome of a transfer is unknown its sender does not act, and repeats it', async () => {
+  const { election, sent } = scene('a', ['a', 'c']);
+  const authorization = election.authorize('d');
+  assert.ok(authorization !== null && authorization.isValid());
+  election.release('d');
+  assert.equal(authorization.isValid(), false, 'not from here on');
+  assert.equal(election.authorize('d'), null);
+  sent[0]!.answer(new StoreUnavailableError('no answer'));
+  await nextTurn();
+  assert.equal(authorization.isValid(), false, 'it may still be carried out');
+  election.tick();
+  assert.deepEqual(sent[1]!.guards, sent[0]!.guards, 'the same again');
+  sent[1]!.answer({ ok: false, failed: ['nodes/c/one'] });
+  await nextTurn();
+  assert.ok(authorization.isValid(), 'rejected, so no copy of it can be carried out any more');
+});
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -91,7 +91,7 @@
   }
 
   /**
-   * Rents machines. The request may be repeated under its name. Throws `NotEntitledError` if the
+   * Rents machines. The request may be repeated under its name. Throws `NotLeaderError` if the
    * authorization has ended at the moment of sending.
    */
   async rent(rental: RentRequest, { authorization }: RecordedIntent): Promise<RentResult> {
@@ -111,7 +111,7 @@
   }
 
   /**
-   * When this resolves, the machines and everything on them are gone. Throws `NotEntitledError` if the
+   * When this resolves, the machines and everything on them are gone. Throws `NotLeaderError` if the
    * authorization has ended at the moment of sending.
    */
   async returnMachines(machines: readonly string[], authorization: Authorization): Promise<void> {
@@ -170,7 +170,7 @@
   async #call({ priority, method, path, body, authorization }: Call): Promise<Response> {
     await this.#takeToken(priority);
     // The authorization may have ended while the call waited or the process was suspended.
-    authorization?.ensureHeld();
+    authorization?.ensureValid();
     let response: Response;
     try {
       response = await this.#http.call(method, path, body, CLOUD_CALL_TIMEOUT_MS);
--- a/src/shards/shard-controller.ts
+++ b/src/shards/shard-controller.ts
@@ -1,7 +1,7 @@
 import {
   Authorization,
   fencingToken,
-  type Refusals,
+  type FencingRejections,
   type SessionLease,
   type Guard,
   type Write,
@@ -14,13 +14,14 @@
 import { NO_HEARTBEATS_MS, NO_HEARTBEATS_INTERVALS, TRANSFER_SETTLE_MS } from './constants.js';
 import { Completions } from './completions.js';
 import { DirectCommands } from './direct-commands.js';
-import { renewableMs } from '../core/cancellation/cancellations.js';
+import { renewableMs } from '../core/cancellation/lease-renewal.js';
 import type { JobSpec, MachineType, Heartbeat } from '../core/model.js';
 import { Ownership, type OwnershipView } from '../core/ownership/ownership.js';
 import { Shard, type ShardSettings } from '../core/shard/shard.js';
 import { MachineRecords } from './machine-records.js';
+import { OwnedShard } from './owned-shard.js';
 import { TaskMigration } from './task-migration.js';
-import { shareSockets } from '../service/socket-budget.js';
+import { socketBudget } from '../service/socket-budget.js';
 import { CALL_PRIORITY } from '../store/call-priority.js';
 import { StoreRequestError } from '../store/errors.js';
 import type { StoreClient } from '../store/store-client.js';
@@ -30,20 +31,6 @@
 import type { WatchCache } from '../store/watch-cache.js';
 import type { HeartbeatReply } from '../workers/heartbeats.js';
 
-export interface Owned {
-  readonly shard: Shard;
-  /** the right to act for the shard under its term */
-  readonly authorization: Authorization;
-  /** handed over by a transaction whose outcome is not known: we act for the shard no more */
-  suspended: boolean;
-  saving: boolean;
-  lastSave: number;
-  lastProgress: number;
-  /** built just now: it has to take in everything once */
-  fresh: boolean;
-  readonly claiming: Set<string>;
-}
-
 /** What other nodes tell that matters for owning shards. */
 export interface PeerView {
   /** a reachable node that has state, other than this one; null if none */
@@ -64,7 +51,7 @@
 
 /** Takes shards, gives them back, and runs the loops of those that this node owns. */
 export class ShardController {
-  readonly owned = new Map<number, Owned>();
+  readonly owned = new Map<number, OwnedShard>();
   readonly #ownership = new Ownership();
   /** when shards were given away by a transaction whose outcome is not known */
   readonly #given = new Map<number, number>();
@@ -95,14 +82,14 @@
     /** resolves once the cache shows everything that was committed before the call */
     private readonly current: () => Promise<unknown>,
     private readonly peers: PeerView,
-    private readonly refusals: Refusals,
+    private readonly fencingRejections: FencingRejections,
     private readonly types: () => ReadonlyMap<string, MachineType> | null,
     private readonly startObjectives: ShardSettings['startObjectives'],
     private readonly now: () => number,
     private readonly nowOfDay: () => number,
     private readonly log: Logger,
   ) {
-    const { direct } = shareSockets(config.sockets, config.peers.length);
+    const { direct } = socketBudget(config.sockets, config.peers.length);
     this.#direct = new DirectCommands(
       direct,
       (shard) => this.owned.get(shard.index)?.shard === shard,
@@ -152,21 +139,21 @@
   }
 
   /** Whether this node acts for the shard now, under the term that `owned` stands for. */
-  actsFor(owned: Owned): boolean {
-    const present = this.owned.get(owned.shard.index) === owned && !owned.suspended;
+  actsFor(owned: OwnedShard): boolean {
+    const present = this.owned.get(owned.shard.index) === owned && owned.isActive;
     return present && this.authority(this.now());
   }
 
   /** The right to act for a shard under its term, which is its fencing token. */
   #authorization(shard: Shard, revision: number): Authorization {
-    const holds = () => {
+    const isCurrent = () => {
       const owned = this.owned.get(shard.index);
       return owned?.shard === shard && this.actsFor(owned);
     };
-    const duty = key.shard(shard.index);
-    const condition = { key: duty, revision };
-    const tenure = { duty, token: fencingToken(shard.term), condition, holds };
-    return new Authorization(tenure, this.refusals);
+    const role = key.shard(shard.index);
+    const guard = { key: role, revision };
+    const leadership = { role, fencingToken: fencingToken(shard.term), guard, isCurrent };
+    return new Authorization(leadership, this.fencingRejections);
   }
 
   /** Takes an own shard anew, under a higher term: workers then take its commands after those of another shard. */
@@ -206,7 +193,7 @@
     }
     for (const [index, owned] of this.owned) {
       const { shard } = owned;
-      if (owned.suspended) continue;
+      if (!owned.isActive) continue;
       shard.age(now);
       if (!authority) {
         this.#direct.stops(owned, now);
@@ -257,28 +244,19 @@
           startObjectives: this.startObjectives,
           imagesOf: (machine) => this.peers.imagesOf(machine),
         });
-        this.owned.set(index, {
-          shard,
-          authorization: this.#authorization(shard, record.revision),
-          suspended: false,
-          saving: false,
-          lastSave: now,
-          lastProgress: now,
-          fresh: true,
-          claiming: new Set(),
-        });
+        const authorization = this.#authorization(shard, record.revision);
+        this.owned.set(index, new OwnedShard(shard, authorization, now));
         this.log.info({ shard: index, term: shard.term }, 'shard owned');
       }
       const present = this.owned.get(index)!;
-      if (present.suspended) {
-        present.fresh = true;
+      if (!present.isActive) {
+        present.requireFullSync();
         continue;
       }
-      const everything = present.fresh || changes.everything;
+      const everything = present.takeFullSync() || changes.everything;
       const { unsynced } = present.shard.state;
       const changed = changes.machines || changes.jobs.size > 0 || unsynced.size > 0;
       if (!everything && !changed) continue;
-      present.fresh = false;
       present.shard.sync(
         {
           jobs: this.cache.tables.activeJobs,
@@ -316,8 +294,8 @@
       // transactions comes second fails.
       if (now - at > TRANSFER_SETTLE_MS) void this.#take(index);
     }
-    for (const [index, { shard, suspended }] of this.owned) {
-      if (!suspended) this.#handOverIfCutOff(index, shard, now);
+    for (const [index, { shard, isActive }] of this.owned) {
+      if (isActive) this.#handOverIfCutOff(index, shard, now);
     }
   }
 
@@ -390,14 +368,14 @@
   #give(index: number, to: string, incarnation: string): Promise<void> {
     return this.#once(index, async () => {
       const owned = this.owned.get(index);
-      if (owned === undefined || owned.suspended) return;
+      if (owned === undefined || !owned.isActive) return;
       const [guards, writes] = this.#ownerWrite(index, to, incarnation);
       guards.push({
         key: key.node(to, incarnation),
         revision: this.#nodeRevision(to, incarnation),
       });
       // From here on we act for the shard no more, whatever becomes of the transaction.
-      owned.suspended = true;
+      owned.suspend();
       this.#given.set(index, this.now());
       const result = await this.client.compareAndSwap(CALL_PRIORITY.renew, guards, writes);
       this.#given.delete(index);
@@ -405,7 +383,7 @@
         this.#ownership.handedOver(index);
         this.cache.applyOwn(writes, result.epoch);
         this.log.info({ shard: index, to }, 'shard handed over');
-      } else owned.suspended = false;
+      } else owned.resume();
     });
   }
 
@@ -421,7 +399,7 @@
     const record = this.cache.machines.get(heartbeat.machine)?.value;
     if (record === undefined) return { kind: 'unavailable' };
     const owned = this.owned.get(record.shard);
-    if (owned === undefined || owned.suspended) return this.#sendOn(heartbeat, record.shard, now);
+    if (owned === undefined || !owned.isActive) return this.#sendOn(heartbeat, record.shard, now);
     const authority = this.authority(now);
     if (!authority) {
       // Running work must survive an outage of the state service, so its leases are kept. But if
--- a/src/store/codecs/election-entry.ts
+++ b/src/store/codecs/election-entry.ts
@@ -1,12 +1,12 @@
 /** Codec of what the store holds of leader election and singleton controllers (`duties/`). */
 import {
-  decodeDuty,
-  decodeHandOver,
+  decodeLeaderRecord,
+  decodeTransferRequest,
   decodeRetention,
-  DUTY_PREFIX,
-  HAND_OVER_PREFIX,
-  type DutyRecord,
-  type HandOverRequest,
+  LEADER_PREFIX,
+  TRANSFER_REQUEST_PREFIX,
+  type LeaderRecord,
+  type LeadershipTransferRequest,
   type RetentionRecord,
 } from '@sumacstep/leader-election';
 import * as z from 'zod';
@@ -14,8 +14,8 @@
 
 /** One value under the prefix. A value of another version is `other` and is left alone. */
 export type ElectionEntry =
-  | { readonly kind: 'record'; readonly duty: string; readonly record: DutyRecord }
-  | { readonly kind: 'request'; readonly duty: string; readonly request: HandOverRequest }
+  | { readonly kind: 'record'; readonly duty: string; readonly record: LeaderRecord }
+  | { readonly kind: 'request'; readonly duty: string; readonly request: LeadershipTransferRequest }
   | { readonly kind: 'returns'; readonly machines: ReadonlySet<string> }
   | { readonly kind: 'retention'; readonly retention: RetentionRecord }
   | { readonly kind: 'other' };
@@ -35,12 +35,16 @@
 /** Reads a stored entry; `id` is the key without its prefix. */
 export const decodeElectionEntry = (id: string, value: unknown): ElectionEntry => {
   const key = `${ELECTIONS_PREFIX}${id}`;
-  if (key.startsWith(DUTY_PREFIX)) {
-    return { kind: 'record', duty: key.slice(DUTY_PREFIX.length), record: decodeDuty(value) };
+  if (key.startsWith(LEADER_PREFIX)) {
+    return {
+      kind: 'record',
+      duty: key.slice(LEADER_PREFIX.length),
+      record: decodeLeaderRecord(value),
+    };
   }
-  if (key.startsWith(HAND_OVER_PREFIX)) {
-    const duty = key.slice(HAND_OVER_PREFIX.length);
-    const request = decodeHandOver(value);
+  if (key.startsWith(TRANSFER_REQUEST_PREFIX)) {
+    const duty = key.slice(TRANSFER_REQUEST_PREFIX.length);
+    const request = decodeTransferRequest(value);
     return request === null ? { kind: 'other' } : { kind: 'request', duty, request };
   }
   if (key.startsWith(RETURN_INTENTS_PREFIX)) {
--- a/src/store/codecs/node.ts
+++ b/src/store/codecs/node.ts
@@ -4,7 +4,7 @@
 /** What one incarnation of a node takes part in. */
 export interface NodeCapabilities {
   /** leader election of singleton controllers; versions that don't know it store nothing about it */
-  readonly supportsElections: boolean;
+  readonly supportsElection: boolean;
   /** moves of machines between shards */
   readonly supportsRebalancing: boolean;
 }
@@ -31,10 +31,10 @@
 /** A registration as it is stored; the key holds the node's name. */
 export const encodeNode = (
   incarnation: string,
-  { supportsElections, supportsRebalancing }: NodeCapabilities,
+  { supportsElection, supportsRebalancing }: NodeCapabilities,
 ): z.infer<typeof storedNode> => ({
   incarnation,
-  ...(supportsElections ? { duties: ELECTIONS_VERSION } : {}),
+  ...(supportsElection ? { duties: ELECTIONS_VERSION } : {}),
   ...(supportsRebalancing ? { shares: REBALANCING_VERSION } : {}),
 });
 
@@ -44,7 +44,7 @@
   return {
     node: id.slice(0, id.lastIndexOf('/')),
     incarnation,
-    supportsElections: duties === ELECTIONS_VERSION,
+    supportsElection: duties === ELECTIONS_VERSION,
     supportsRebalancing: shares === REBALANCING_VERSION,
   };
 };
--- a/src/store/codecs/rebalancing-entry.ts
+++ b/src/store/codecs/rebalancing-entry.ts
@@ -1,5 +1,5 @@
 /** Codec of what the store holds of moves of machines between shards (`shares/`). */
-import { decodeLock, decodeMove, type Move } from '@sumacstep/shard-rebalancing';
+import { decodeShardLock, decodeMove, type Move } from '@sumacstep/shard-rebalancing';
 
 /** One value under the prefix. A value of another version is `other` and is left alone. */
 export type RebalancingEntry =
@@ -19,7 +19,7 @@
     return move === null ? { kind: 'other' } : { kind: 'move', move };
   }
   if (id.startsWith(LOCKS)) {
-    const move = decodeLock(value);
+    const move = decodeShardLock(value);
     const shard = Number(id.slice(LOCKS.length));
     return move === null ? { kind: 'other' } : { kind: 'lock', shard, move };
   }
--- a/src/store/watch-cache.ts
+++ b/src/store/watch-cache.ts
@@ -3,7 +3,7 @@
 import type { Change } from './types.js';
 import type { WatchBatch } from './watch.js';
 import type { Write } from '@sumacstep/leader-election';
-import type { Cancellation } from '../core/cancellation/cancellations.js';
+import type { Cancellation } from '../core/cancellation/cancellation.js';
 import { eitherDone } from '../core/jobs/jobs.js';
 import type { MachineRecord } from '../core/model.js';
 import { FINAL_STATE_PREFIX, key, prefixOf, TABLE_OF_PREFIX, type CachedPrefix } from './keys.js';
--- a/src/workers/heartbeats.ts
+++ b/src/workers/heartbeats.ts
@@ -3,12 +3,12 @@
 import { CborClient, NoResponseError, readBody, sendCbor as send } from '../transport/http.js';
 import { fromBytes, WireError } from '../wire/cbor.js';
 import {
-  heartbeatResponseBody,
   commandsBody,
+  heartbeatResponseBody,
+  heartbeatSchema,
   redirectBody,
-  heartbeatSchema as reportSchema,
 } from '../wire/workers.js';
-import { COMMAND_MS } from './constants.js';
+import { DIRECT_COMMAND_TIMEOUT_MS } from './constants.js';
 
 export type HeartbeatReply =
   | {
@@ -38,7 +38,7 @@
     const bytes = await readBody(ctx.req);
     let parsed;
     try {
-      parsed = bytes === null ? null : reportSchema.safeParse(fromBytes(bytes));
+      parsed = bytes === null ? null : heartbeatSchema.safeParse(fromBytes(bytes));
     } catch (error) {
       if (!(error instanceof WireError)) throw error;
       parsed = null;
@@ -69,8 +69,8 @@
   const client = new CborClient(address, 1);
   try {
     const body = commandsBody(fencingToken, agentEpoch, commands);
-    const answer = await client.call('POST', '/commands', body, COMMAND_MS);
-    const parsed = reportSchema.safeParse(answer.body);
+    const answer = await client.call('POST', '/commands', body, DIRECT_COMMAND_TIMEOUT_MS);
+    const parsed = heartbeatSchema.safeParse(answer.body);
     if (!parsed.success) return { kind: 'in_doubt' };
     return { kind: 'answered', executed: answer.status === 200, heartbeat: parsed.data };
   } catch (error) {
--- a/test/helpers.ts
+++ b/test/helpers.ts
@@ -1,8 +1,8 @@
-import { Authorization, fencingToken, Refusals } from '@sumacstep/leader-election';
+import { Authorization, fencingToken, FencingRejections } from '@sumacstep/leader-election';
 import pino from 'pino';
 import type { JobRecord, JobSpec, MachineRecord, MachineType, Team } from '../src/core/model.js';
 import { Shard, type ShardSettings } from '../src/core/shard/shard.js';
-import type { Owned } from '../src/shards/shard-controller.js';
+import { OwnedShard } from '../src/shards/owned-shard.js';
 
 export const machineType = (over: Partial<MachineType> = {}): MachineType => ({
   name: 'm',
@@ -139,8 +139,8 @@
 `;
 
 /** Counts refusals, and logs nowhere. */
-export const silentRefusals = (): Refusals =>
-  new Refusals(() => Promise.resolve(null), pino({ level: 'silent' }));
+export const silentRejections = (): FencingRejections =>
+  new FencingRejections(() => Promise.resolve(null), pino({ level: 'silent' }));
 
 /** The right to act under a token, as long as `holds` says. */
 export const authorization = (
@@ -151,19 +151,11 @@
 ): Authorization => {
   const condition = { key: duty, revision };
   return new Authorization(
-    { duty, token: fencingToken(token), condition, holds },
-    silentRefusals(),
+    { role: duty, fencingToken: fencingToken(token), guard: condition, isCurrent: holds },
+    silentRejections(),
   );
 };
 
 /** A shard as its controller holds it, whose record has revision 1. */
-export const ownedShard = (shard: Shard): Owned => ({
-  shard,
-  authorization: authorization(`parts/${shard.index}`, shard.term, 1),
-  suspended: false,
-  saving: false,
-  lastSave: 0,
-  lastProgress: 0,
-  fresh: false,
-  claiming: new Set(),
-});
+export const ownedShard = (shard: Shard): OwnedShard =>
+  new OwnedShard(shard, authorization(`parts/${shard.index}`, shard.term, 1), 0);
--- a/test/shard-controller.test.ts
+++ b/test/shard-controller.test.ts
@@ -12,14 +12,14 @@
   TRANSFER_EVERY_MS,
 } from '../src/shards/constants.js';
 import { STORE_RETRY_MS } from '../src/store/constants.js';
-import { renewableMs } from '../src/core/cancellation/cancellations.js';
+import { renewableMs } from '../src/core/cancellation/lease-renewal.js';
 import { ShardController } from '../src/shards/shard-controller.js';
 import { StoreRequestError } from '../src/store/errors.js';
 import type { CompareAndSwapResult, Write } from '@sumacstep/leader-election';
 import { encodeJob } from '../src/store/codecs/job.js';
 import { encodeMachineGroup } from '../src/store/codecs/machine-group.js';
 import { WatchCache } from '../src/store/watch-cache.js';
-import { job, machine, machineType, settings, silentRefusals } from './helpers.js';
+import { job, machine, machineType, settings, silentRejections } from './helpers.js';
 
 const CONFIG = {
   node: 'n0',
@@ -83,7 +83,7 @@
       imagesOf: () => new Map(),
       cancellationsKnownUntil: () => world.knownUntil,
     },
-    silentRefusals(),
+    silentRejections(),
     () => new Map([['m', machineType()]]),
     () => [],
     () => world.now,
@@ -144,7 +144,7 @@
   s.world.outcome = () => new StoreRequestError('no_response', 'lost');
   await returns(s);
   s.shardController.tick();
-  assert.equal(s.shardController.owned.get(1)?.suspended, true);
+  assert.equal(s.shardController.owned.get(1)?.state, 'transferring');
   s.world.outcome = () => ({ ok: true, epoch: 60 });
   s.world.now += TRANSFER_SETTLE_MS + 1;
   s.shardController.tick();
