--- a/src/cloud/machine-types.ts
+++ b/src/cloud/machine-types.ts
@@ -1,11 +1,12 @@
+/** Keeps the cloud's machine types at hand. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { Logger } from 'pino';
-import { TYPES_REFRESH_MS, TYPES_RETRY_MS } from './constants.js';
 import type { MachineType } from '../core/model.js';
-import { CloudRequestError } from './errors.js';
 import type { CloudClient } from './client.js';
+import { TYPES_REFRESH_MS, TYPES_RETRY_MS } from './constants.js';
+import { CloudRequestError } from './errors.js';
 
-/** The machine types of the cloud, read anew from time to time since prices move. */
+/** The machine types of the cloud, read again from time to time since prices change. */
 export class MachineTypes {
   #types: ReadonlyMap<string, MachineType> | null = null;
 
@@ -19,22 +20,23 @@
     return this.#types;
   }
 
-  /** Reads them until the signal is given. */
-  async run(stop: AbortSignal): Promise<void> {
-    while (!stop.aborted) {
-      const read = await this.#read();
-      await sleep(read ? TYPES_REFRESH_MS : TYPES_RETRY_MS, undefined, { signal: stop });
+  /** Reads them until the signal is given, and then rejects with its `AbortError`. */
+  async run(signal: AbortSignal): Promise<void> {
+    while (!signal.aborted) {
+      const read = await this.#refresh();
+      await sleep(read ? TYPES_REFRESH_MS : TYPES_RETRY_MS, undefined, { signal });
     }
   }
 
-  async #read(): Promise<boolean> {
+  /** Returns whether they were read; if not, the old ones stay. */
+  async #refresh(): Promise<boolean> {
     try {
       const types = await this.cloud.listMachineTypes();
-      this.#types = new Map(types.map((t) => [t.name, t]));
+      this.#types = new Map(types.map((type) => [type.name, type]));
       return true;
     } catch (error) {
       if (!(error instanceof CloudRequestError)) throw error;
-      this.log.debug({ error: error.message }, 'machine types not read');
+      this.log.debug({ kind: error.kind, error: error.message }, 'machine types not read');
       return false;
     }
   }
--- a/src/store/linearizable-reads.ts
+++ b/src/store/linearizable-reads.ts
@@ -1,16 +1,20 @@
+/** Lets answers from the cache be as current as reads of the store. */
 import { USER_CALL_MS } from '../constants.js';
-import { HELD_WATCH_MS } from './constants.js';
 import { CALL_PRIORITY } from './call-priority.js';
+import { HELD_WATCH_MS } from './constants.js';
 import { StoreRequestError } from './errors.js';
-import type { StoreClient } from './store-client.js';
 import { key } from './keys.js';
+import type { StoreClient } from './store-client.js';
 import type { WatchCache } from './watch-cache.js';
 
-interface Waiter {
-  /** steady ms of the call */
-  readonly asked: number;
-  /** a probe that began after the request found this epoch */
-  epoch: number | null;
+/** ms after which the user's call has been refused anyhow */
+const MAX_WAIT_MS = 2 * USER_CALL_MS;
+
+interface Reader {
+  /** steady ms of the request */
+  readonly requestedAt: number;
+  /** the store's revision that a probe found which was sent after the request; null: none yet */
+  probedRevision: number | null;
   readonly resolve: (currentSince: number) => void;
   readonly reject: (error: unknown) => void;
 }
@@ -18,15 +22,15 @@
 /**
  * Tells when the cache shows everything that was committed before a request came in. Then an answer
  * from the cache is as current as a read of its own would be, and all requests of a moment share
- * one read however many jobs they ask about, so no job can wait longer than another.
+ * one read however many jobs they are about, so no job can wait longer than another.
  *
- * The feed's next read does it. While the feed is held, because nothing changes, one small read
- * tells the present epoch instead.
+ * The next read of the watch shows it. While that read is held, because nothing changes, one small read (a
+ * probe) returns the store's present revision instead.
  */
 export class LinearizableReads {
-  #waiters: Waiter[] = [];
-  /** when the feed's present read began; null between reads */
-  #reading: number | null = null;
+  #readers: Reader[] = [];
+  /** steady ms at which the watch's present read began; null between reads */
+  #watchReadStartedAt: number | null = null;
   #probing = false;
   #timer: NodeJS.Timeout | null = null;
 
@@ -35,78 +39,85 @@
     private readonly cache: WatchCache,
     private readonly now: () => number,
   ) {
-    cache.on('change', () => this.#settle());
+    cache.on('change', () => {
+      this.#resolveCurrent();
+    });
   }
 
-  onReadState(since: number | null): void {
-    this.#reading = since;
+  /** To be called when a read of the watch begins, and with null when it ends. */
+  onReadState(startedAt: number | null): void {
+    this.#watchReadStartedAt = startedAt;
     if (this.#timer !== null) clearTimeout(this.#timer);
     this.#timer = null;
-    this.#look();
+    this.#scheduleCheck();
   }
 
   /** Resolves with the steady ms since which the cache is current: the moment of the call. */
   waitUntilCurrent(): Promise<number> {
     return new Promise((resolve, reject) => {
-      this.#waiters.push({ asked: this.now(), epoch: null, resolve, reject });
-      this.#look();
+      this.#readers.push({ requestedAt: this.now(), probedRevision: null, resolve, reject });
+      this.#scheduleCheck();
     });
   }
 
-  #settle(): void {
+  /** Stops the timer; readers that still wait are left unanswered. */
+  close(): void {
+    if (this.#timer !== null) clearTimeout(this.#timer);
+  }
+
+  #resolveCurrent(): void {
     if (!this.cache.ready) return;
-    const { currentAt, revision: epoch } = this.cache;
-    this.#waiters = this.#waiters.filter((waiter) => {
-      const probed = waiter.epoch !== null && epoch >= waiter.epoch;
-      const shown = probed || waiter.asked <= currentAt;
-      if (shown) waiter.resolve(waiter.asked);
-      return !shown;
+    const { currentAt, revision } = this.cache;
+    this.#readers = this.#readers.filter((reader) => {
+      const { requestedAt, probedRevision } = reader;
+      const current =
+        (probedRevision !== null && revision >= probedRevision) || requestedAt <= currentAt;
+      if (current) reader.resolve(requestedAt);
+      return !current;
     });
   }
 
-  /** Looks after the read that is under way; between two reads there is nothing to wake up for. */
-  #look(): void {
-    if (this.#timer !== null || this.#waiters.length === 0) return;
-    const between = this.#reading === null;
-    const waitMs = between ? 2 * USER_CALL_MS : HELD_WATCH_MS;
+  /** Checks whether the present read is held; between two reads only whether readers have expired. */
+  #scheduleCheck(): void {
+    if (this.#timer !== null || this.#readers.length === 0) return;
+    const waitMs = this.#watchReadStartedAt === null ? MAX_WAIT_MS : HELD_WATCH_MS;
     const timer = setTimeout(() => {
       if (this.#timer === timer) this.#timer = null;
-      this.#expire();
-      const held = this.#reading !== null && this.now() - this.#reading >= HELD_WATCH_MS;
-      if (held && !this.#probing && this.#waiters.some((w) => w.epoch === null)) {
+      this.#expireReaders();
+      const startedAt = this.#watchReadStartedAt;
+      const held = startedAt !== null && this.now() - startedAt >= HELD_WATCH_MS;
+      if (held && !this.#probing && this.#readers.some((r) => r.probedRevision === null)) {
         void this.#probe();
       }
-      this.#look();
+      this.#scheduleCheck();
     }, waitMs);
     this.#timer = timer;
   }
 
-  /** Whoever asked so long ago has been refused by now. */
-  #expire(): void {
-    const since = this.now() - 2 * USER_CALL_MS;
-    for (const waiter of this.#waiters) {
-      if (waiter.asked < since) waiter.reject(new StoreRequestError('overloaded', 'late'));
+  #expireReaders(): void {
+    const oldest = this.now() - MAX_WAIT_MS;
+    for (const reader of this.#readers) {
+      if (reader.requestedAt >= oldest) continue;
+      const message = `read not answered: the watch was not current within ${MAX_WAIT_MS} ms`;
+      reader.reject(new StoreRequestError('overloaded', message));
     }
-    this.#waiters = this.#waiters.filter((w) => w.asked >= since);
+    this.#readers = this.#readers.filter((reader) => reader.requestedAt >= oldest);
   }
 
+  /** Serves those who came before it was sent: the answer may be older than a later request. */
   async #probe(): Promise<void> {
     this.#probing = true;
-    const asked = this.#waiters.filter((w) => w.epoch === null);
+    const readers = this.#readers.filter((reader) => reader.probedRevision === null);
     try {
       const found = await this.client.get(key.probe, CALL_PRIORITY.read);
-      const epoch = 'missing' in found ? found.storeRevision : found.revision;
-      for (const waiter of asked) waiter.epoch = epoch;
-      this.#settle();
+      const revision = 'missing' in found ? found.storeRevision : found.revision;
+      for (const reader of readers) reader.probedRevision = revision;
+      this.#resolveCurrent();
     } catch (error) {
-      for (const waiter of asked) waiter.reject(error);
-      this.#waiters = this.#waiters.filter((w) => !asked.includes(w));
+      for (const reader of readers) reader.reject(error);
+      this.#readers = this.#readers.filter((reader) => !readers.includes(reader));
     } finally {
       this.#probing = false;
     }
   }
-
-  close(): void {
-    if (this.#timer !== null) clearTimeout(this.#timer);
-  }
 }
--- a/src/store/node-session.ts
+++ b/src/store/node-session.ts
@@ -1,10 +1,11 @@
+/** This node's lease on the store and the key that registers the node, which is attached to the lease. */
 import { SessionLease } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import { CLOCK_DRIFT } from '../constants.js';
+import { encodeNode, type NodeRecord } from './codecs/node.js';
 import { LEASE_MARGIN_MS, LEASE_RENEW_MS, LEASE_RETRY_MS, LEASE_TTL_MS } from './constants.js';
-import type { StoreClient } from './store-client.js';
-import { encodeNode, type NodeCapabilities } from './codecs/node.js';
 import { key } from './keys.js';
+import type { StoreClient } from './store-client.js';
 
 const TIMING = {
   ttlMs: LEASE_TTL_MS,
@@ -14,22 +15,16 @@
   marginMs: LEASE_MARGIN_MS,
 };
 
-/** One life of a node, as its record says it. */
-export interface NodeRegistration extends NodeCapabilities {
-  readonly node: string;
-  readonly incarnation: string;
-}
-
-/** This node's lease on the state service and the node key attached to it. */
+/** Makes the session of one incarnation of a node; it runs once `run` is called. */
 export const createNodeSession = (
   client: Pick<StoreClient, 'grant' | 'renew' | 'register'>,
-  { node, incarnation, ...abilities }: NodeRegistration,
+  { node, incarnation, ...capabilities }: NodeRecord,
   now: () => number,
   log: Logger,
 ): SessionLease => {
   const registration = {
     key: key.node(node, incarnation),
-    value: encodeNode(incarnation, abilities),
+    value: encodeNode(incarnation, capabilities),
   };
   return new SessionLease(client, registration, TIMING, now, log);
 };
--- a/src/store/shared-reads.ts
+++ b/src/store/shared-reads.ts
@@ -1,27 +1,29 @@
-import { READ_BATCH_WINDOW_MS } from './constants.js';
+/** Reads of single keys that several requests share. */
 import { CALL_PRIORITY } from './call-priority.js';
-import type { Found } from './types.js';
+import { READ_BATCH_WINDOW_MS } from './constants.js';
 import type { StoreClient } from './store-client.js';
+import type { Found } from './types.js';
 
 /**
- * Current reads, shared: requests that come in while a read of the same key has not left yet join
- * it. A read that has already left may be older than the request and serves it no more.
+ * Current reads, shared: requests join a read of the same key that has not been sent yet. A read that has
+ * been sent may be older than the request, and serves it no more.
  */
 export class SharedReads {
-  readonly #next = new Map<string, Promise<Found>>();
+  /** reads that have not been sent, by key */
+  readonly #unsent = new Map<string, Promise<Found>>();
 
   constructor(private readonly client: Pick<StoreClient, 'get'>) {}
 
+  /** Reads a key as of a moment after the call. */
   read(key: string): Promise<Found> {
-    const open = this.#next.get(key);
-    if (open !== undefined) return open;
-    const promise = new Promise<void>((resolve) => setTimeout(resolve, READ_BATCH_WINDOW_MS)).then(
-      () => {
-        this.#next.delete(key);
-        return this.client.get(key, CALL_PRIORITY.read);
-      },
-    );
-    this.#next.set(key, promise);
-    return promise;
+    const unsent = this.#unsent.get(key);
+    if (unsent !== undefined) return unsent;
+    const window = new Promise<void>((resolve) => setTimeout(resolve, READ_BATCH_WINDOW_MS));
+    const read = window.then(() => {
+      this.#unsent.delete(key);
+      return this.client.get(key, CALL_PRIORITY.read);
+    });
+    this.#unsent.set(key, read);
+    return read;
   }
 }
--- a/src/store/watch-cache.ts
+++ b/src/store/watch-cache.ts
@@ -1,3 +1,4 @@
+/** What this node knows of the store: decoded values by kind, kept up to date by the watch. */
 import { EventEmitter } from 'node:events';
 import { MAX_FINAL_STATES_IN_MEMORY } from './constants.js';
 import type { Change } from './types.js';
@@ -11,30 +12,35 @@
 import { machinesOf, type MachineGroup } from './codecs/machine-group.js';
 import { decoders, type CachedValues } from './codecs/cached-values.js';
 
-/** A value of the state service, and the revision of its last change. */
+/** A value of the store, and the revision of its last change. */
 export interface Cached<T> {
   readonly value: T;
   readonly revision: number;
 }
-/** What has changed since somebody last asked. */
+
+/** What has changed since the changes were last taken. */
 export interface CacheChanges {
+  /** a listing has replaced all tables */
   everything: boolean;
+  /** uids of active jobs that were written or removed */
   readonly jobs: Set<string>;
   machines: boolean;
 }
+
 /** A machine, with the group whose value holds it. */
 export interface CachedMachine extends Cached<MachineRecord> {
   readonly group: string;
 }
+
 type Tables = {
   [P in CachedPrefix as (typeof TABLE_OF_PREFIX)[P]]: Map<string, Cached<CachedValues[P]>>;
 };
 
-/** The protocol promises no order of a watch's changes; taken in another one, a removal could come first. */
-const inOrder = ({ isListing: fresh, changes }: WatchBatch): readonly Change[] =>
+/** The protocol promises no order of a watch's changes; in another one a removal could come first. */
+const inRevisionOrder = ({ isListing: fresh, changes }: WatchBatch): readonly Change[] =>
   fresh ? changes : changes.toSorted((a, b) => a.revision - b.revision);
 
-/** A write of our own as the watch will show it. */
+/** A write of this node as the watch will show it. */
 const changeOf = (write: Write, revision: number): Change =>
   'drop' in write
     ? { key: write.drop, revision, value: undefined, removed: true }
@@ -53,41 +59,44 @@
 });
 
 /**
- * What the state service held at `epoch`, as far as this node needs it. It may be old: whatever
- * depends on the present is checked by a transaction's conditions or a current read.
+ * What the store held at `revision`, as far as this node needs it, and this node's own later writes. It may
+ * be old: whatever depends on the present is checked by a transaction's guards or a current read. Emits
+ * `change` after each update, and `cancelled` with a `Cancellation` when it first sees one.
  */
 export class WatchCache extends EventEmitter {
   tables = emptyTables();
   /** the machines of all groups by name */
   readonly machines = new Map<string, CachedMachine>();
-  /** counts what was taken in: as long as it stays, there is nothing new to compare with */
+  /** counts updates: while it stays the same, nothing has changed */
   version = 0;
   #changed: CacheChanges = { everything: true, jobs: new Set(), machines: true };
-  /** final states seen; the oldest are forgotten first and can be read again */
+  /** final states by uid; the oldest are evicted first and can be read again */
   readonly finalStates = new Map<string, FinalState>();
   revision = -1;
   /** steady ms: everything that was committed before is shown */
   currentAt = -Infinity;
-  #ownEpoch = -1;
-  /** keys that we removed ahead of the watch: older changes must not bring them back */
+  #ownRevision = -1;
+  /** keys that this node removed ahead of the watch: older changes must not bring them back */
   readonly #removed = new Map<string, number>();
-  /** the listing's last page: before this epoch the cache may show a mixture */
-  #whole = Infinity;
+  /** before this revision the tables may show keys as of different revisions */
+  #consistentFrom = Infinity;
 
+  /** Whether the tables show the store as it was at one revision. */
   get ready(): boolean {
-    return this.revision >= this.#whole;
+    return this.revision >= this.#consistentFrom;
   }
 
+  /** Takes in what the watch has read. */
   apply(batch: WatchBatch): void {
     if (batch.isListing) {
       this.tables = emptyTables();
       this.machines.clear();
       this.#changed.everything = true;
-      // A listing may be older than our own latest writes: without them it would show machines as
-      // gone on which tasks run.
-      this.#whole = Math.max(batch.consistentFrom ?? batch.revision, this.#ownEpoch);
+      // A listing may be older than this node's latest writes: without them machines would be missing
+      // on which tasks run.
+      this.#consistentFrom = Math.max(batch.consistentFrom ?? batch.revision, this.#ownRevision);
     }
-    for (const change of inOrder(batch)) this.#change(change);
+    for (const change of inRevisionOrder(batch)) this.#applyChange(change);
     this.revision = batch.revision;
     this.currentAt = Math.max(this.currentAt, batch.readStartedAt ?? -Infinity);
     if (batch.isListing || batch.changes.length > 0) this.version += 1;
@@ -98,30 +107,31 @@
   }
 
   /**
-   * Shows a transaction of our own ahead of the watch. What the watch has shown already changes nothing
-   * any more: with an answer that is handled late, the key may have changed since, or be gone, and
-   * would come back for good. Final states never change, so they are learned however late.
+   * Shows this node's own transaction ahead of the watch. Once the watch has reached its revision, it changes
+   * nothing: the answer was handled late, the key may have changed or been removed since, and would come
+   * back for good (docs/incidents/2026-12-02-went-back.md). Final states never change, so they are always
+   * taken in.
    */
-  applyOwn(writes: readonly Write[], epoch: number): void {
-    const covered = epoch <= this.revision;
+  applyOwn(writes: readonly Write[], revision: number): void {
+    const covered = revision <= this.revision;
     for (const write of writes) {
-      const change = changeOf(write, epoch);
+      const change = changeOf(write, revision);
       if (covered && !change.key.startsWith(FINAL_STATE_PREFIX)) continue;
-      this.#change(change);
-      if (change.removed) this.#noteRemoval(change.key, epoch);
+      this.#applyChange(change);
+      if (change.removed) this.#noteRemoval(change.key, revision);
     }
     if (covered) return;
-    this.#ownEpoch = Math.max(this.#ownEpoch, epoch);
+    this.#ownRevision = Math.max(this.#ownRevision, revision);
     this.version += 1;
     this.emit('change');
   }
 
-  /** Answers may be handled in another order than their transactions: the newest removal counts. */
-  #noteRemoval(name: string, epoch: number): void {
-    this.#removed.set(name, Math.max(epoch, this.#removed.get(name) ?? -1));
+  /** Answers may be handled in another order than their transactions: the latest removal counts. */
+  #noteRemoval(name: string, revision: number): void {
+    this.#removed.set(name, Math.max(revision, this.#removed.get(name) ?? -1));
   }
 
-  #change(change: Change): void {
+  #applyChange(change: Change): void {
     if (change.key.startsWith(FINAL_STATE_PREFIX)) {
       const uid = change.key.slice(FINAL_STATE_PREFIX.length);
       if (!change.removed) this.learnFinalState(uid, change.value, change.revision);
@@ -132,13 +142,13 @@
     const id = change.key.slice(prefix.length);
     const table = this.tables[TABLE_OF_PREFIX[prefix]] as Map<string, Cached<unknown>>;
     const known = table.get(id);
-    // Of the same revision: our own write, which is shown already.
+    // Of the same revision: this node's own write, which is shown already.
     if (known !== undefined && known.revision >= change.revision) return;
     if ((this.#removed.get(change.key) ?? -1) > change.revision) return;
     const value = change.removed ? undefined : decoders[prefix](id, change.value);
     if (prefix === 'machines/') {
-      const old = known?.value as MachineGroup | undefined;
-      this.#regroup(id, old, value as MachineGroup | undefined, change.revision);
+      const previous = known?.value as MachineGroup | undefined;
+      this.#updateMachines(id, previous, value as MachineGroup | undefined, change.revision);
     }
     this.#noteChange(prefix, id);
     if (change.removed) table.delete(id);
@@ -150,21 +160,21 @@
     else if (prefix === 'machines/') this.#changed.machines = true;
   }
 
-  #regroup(
+  #updateMachines(
     group: string,
-    old: MachineGroup | undefined,
-    now: MachineGroup | undefined,
+    previous: MachineGroup | undefined,
+    next: MachineGroup | undefined,
     revision: number,
   ): void {
-    for (const name of old?.machines.keys() ?? []) {
+    for (const name of previous?.machines.keys() ?? []) {
       // A machine that has moved to another group in the same transaction is there already.
       if (this.machines.get(name)?.group === group) this.machines.delete(name);
     }
-    if (now === undefined) return;
-    for (const value of machinesOf(now)) this.machines.set(value.name, { value, revision, group });
+    if (next === undefined) return;
+    for (const value of machinesOf(next)) this.machines.set(value.name, { value, revision, group });
   }
 
-  /** For the one who compares what is with what is wanted: only the changed needs looking at. */
+  /** Returns what has changed since the last call, for the one reconciler that compares only that. */
   takeChanges(): CacheChanges {
     const changed = this.#changed;
     this.#changed = { everything: false, jobs: new Set(), machines: false };
@@ -172,8 +182,8 @@
   }
 
   /**
-   * Completed tasks of a range as its shard has saved them. While a value that has become too large is
-   * taken apart, a range may stand in two of them; tasks that are done stay done.
+   * Bitmap of a range's completed tasks as its shard has saved them. While a value that has become too large
+   * is split, a range may be in two of them; tasks that are done stay done.
    */
   completedTasks(shard: number, uid: string, from: number): string | undefined {
     const range = `${uid}/${from}`;
@@ -188,7 +198,7 @@
     return found;
   }
 
-  /** A cancellation that another node tells of, ahead of the watch, and without the state service. */
+  /** Takes in a cancellation that another node has sent, ahead of the watch and without the store. */
   learnCancelled({ uid, tasks, done, epoch }: Cancellation): void {
     if (this.finalStates.has(uid)) return;
     const final: FinalState = { status: 'cancelled', tasks, done };
@@ -198,14 +208,14 @@
     );
   }
 
-  /** Takes in a final state as of an epoch, and returns the one that holds: the first never changes. */
-  learnFinalState(uid: string, value: unknown, epoch: number): FinalState {
+  /** Takes in a final state as of a revision; returns the valid one, which is the first. */
+  learnFinalState(uid: string, value: unknown, revision: number): FinalState {
     const known = this.finalStates.get(uid);
     if (known !== undefined) return known;
     const final = decodeFinalState(value);
     this.finalStates.set(uid, final);
     if (final.status === 'cancelled') {
-      this.emit('cancelled', { uid, tasks: final.tasks, done: final.done, epoch });
+      this.emit('cancelled', { uid, tasks: final.tasks, done: final.done, epoch: revision });
     }
     if (this.finalStates.size > MAX_FINAL_STATES_IN_MEMORY) {
       const oldest = this.finalStates.keys().next().value;
--- a/src/store/watch.ts
+++ b/src/store/watch.ts
@@ -1,19 +1,23 @@
+/** Watches the store: a listing of everything that is cached, then every change. */
 import { Readable } from 'node:stream';
 import { setTimeout as sleep } from 'node:timers/promises';
-import { WATCH_BLOCK_MS, LIST_PAGE_SIZE, STORE_RETRY_MS } from './constants.js';
+import { LIST_PAGE_SIZE, STORE_RETRY_MS, WATCH_BLOCK_MS } from './constants.js';
 import { StoreRequestError } from './errors.js';
-import type { Change } from './types.js';
-import type { StoreClient } from './store-client.js';
 import { CACHED_PREFIXES, type CachedPrefix } from './keys.js';
+import type { StoreClient } from './store-client.js';
+import type { Change, Page } from './types.js';
 
-/** One answer of the watch: what changed, and up to which epoch everything is known. */
+/** What one read has found: a listing, or the changes since the batch before. */
 export interface WatchBatch {
-  /** a new listing replaces everything known before */
+  /** a listing replaces everything known before */
   readonly isListing: boolean;
   readonly changes: readonly Change[];
-  /** everything up to here is known; of a listing: the epoch of its first page */
+  /** all changes up to this revision are known; of a listing: the store's revision at its first page */
   readonly revision: number;
-  /** a listing's last epoch: until the changes reach it, it shows a mixture */
+  /**
+   * the store's revision at a listing's last page: until the changes reach it, the pages show the store at
+   * different revisions
+   */
   readonly consistentFrom?: number;
   /** steady ms at which the read began: what was committed before it is in the cache now */
   readonly readStartedAt?: number;
@@ -25,74 +29,90 @@
   readonly pauseMs: number;
   /** the steady clock, in ms */
   readonly now: () => number;
-  /** told when a read begins, and with null when it ends */
-  readonly onReadState?: (since: number | null) => void;
+  /** called with the steady ms when a read of changes begins, and with null when it ends */
+  readonly onReadState?: (startedAt: number | null) => void;
 }
 
 type WatchClient = Pick<StoreClient, 'list' | 'watch'>;
 
 /**
- * Watches the state service, as a stream of `WatchBatch`: first a listing, then every change. An
- * answer of 410 starts over with a listing.
+ * Streams `WatchBatch`es until the signal is given. If the store no longer keeps the changes that come
+ * next, the watch starts over with a listing. Failed reads are repeated.
  */
 export const watch = (client: WatchClient, signal: AbortSignal, options: WatchOptions): Readable =>
   Readable.from(batches(client, signal, options), { objectMode: true, highWaterMark: 1 });
 
+/** Ends early when the signal is given. */
+const pause = async (ms: number, signal: AbortSignal): Promise<void> => {
+  try {
+    await sleep(ms, undefined, { signal });
+  } catch (error) {
+    if (!signal.aborted) throw error;
+  }
+};
+
 async function* batches(
   client: WatchClient,
   signal: AbortSignal,
-  { pauseMs, now, onReadState: reading }: WatchOptions,
+  { pauseMs, now, onReadState }: WatchOptions,
 ): AsyncGenerator<WatchBatch> {
+  /** null: a listing is due */
   let since: number | null = null;
   while (!signal.aborted) {
-    const began = now();
+    const readStartedAt = now();
     try {
       if (since === null) {
         const listing: WatchBatch = await listPrefixes(client, CACHED_PREFIXES);
-        yield { ...listing, readStartedAt: began };
+        yield { ...listing, readStartedAt };
         since = listing.revision;
       } else {
-        reading?.(began);
+        onReadState?.(readStartedAt);
         const answer = await client.watch(since, WATCH_BLOCK_MS);
-        reading?.(null);
+        onReadState?.(null);
         if (answer === null) {
           since = null;
           continue;
         }
         since = Math.max(since, answer.storeRevision);
-        yield { isListing: false, changes: answer.changes, revision: since, readStartedAt: began };
-        await sleep(pauseMs);
+        yield { isListing: false, changes: answer.changes, revision: since, readStartedAt };
+        await pause(pauseMs, signal);
       }
     } catch (error) {
-      reading?.(null);
+      onReadState?.(null);
       if (!(error instanceof StoreRequestError)) throw error;
-      await sleep(STORE_RETRY_MS);
+      await pause(STORE_RETRY_MS, signal);
     }
   }
 }
 
-/**
- * Everything under some prefixes. Pages are read at different epochs, so changes are followed from the first
- * one's.
- */
+/** Lists everything under some prefixes. The pages are of different revisions: see `consistentFrom`. */
 export const listPrefixes = async (
   client: Pick<StoreClient, 'list'>,
   prefixes: readonly CachedPrefix[],
 ): Promise<WatchBatch> => {
   const changes: Change[] = [];
-  let from = Infinity;
-  let whole = 0;
+  let firstRevision = Infinity;
+  let lastRevision = 0;
   for (const prefix of prefixes) {
-    let since: string | null = null;
-    for (;;) {
-      const page = await client.list(prefix, since, LIST_PAGE_SIZE);
-      from = Math.min(from, page.storeRevision);
-      whole = Math.max(whole, page.storeRevision);
+    for await (const page of pagesOf(client, prefix)) {
+      firstRevision = Math.min(firstRevision, page.storeRevision);
+      lastRevision = Math.max(lastRevision, page.storeRevision);
       for (const entry of page.entries) changes.push({ ...entry, removed: false });
-      const last = page.entries.at(-1);
-      if (!page.more || last === undefined) break;
-      since = last.key;
     }
   }
-  return { isListing: true, changes, revision: from, consistentFrom: whole };
+  return { isListing: true, changes, revision: firstRevision, consistentFrom: lastRevision };
 };
+
+async function* pagesOf(
+  client: Pick<StoreClient, 'list'>,
+  prefix: CachedPrefix,
+): AsyncGenerator<Page> {
+  let since: string | null = null;
+  for (;;) {
+    const page: Page = await client.list(prefix, since, LIST_PAGE_SIZE);
+    yield page;
+    const last = page.entries.at(-1);
+    if (!page.more || last === undefined) return;
+    since = last.key;
+  }
+}
--- a/src/transport/http.ts
+++ b/src/transport/http.ts
@@ -101,9 +101,12 @@
       }, timeoutMs);
       const fail = (error: Error) => {
         clearTimeout(timer);
-        if (error instanceof NoResponseError) return reject(error);
         const message = `${method} ${path}: no answer (${error.message})`;
-        reject(new NoResponseError(message, connected, { cause: error }));
+        reject(
+          error instanceof NoResponseError
+            ? error
+            : new NoResponseError(message, connected, { cause: error }),
+        );
       };
       clientRequest.on('error', fail);
       clientRequest.on('response', (response) => {
--- a/src/wire/cbor.ts
+++ b/src/wire/cbor.ts
@@ -1,11 +1,13 @@
+/** CBOR as the protocol uses it. */
 import { decode, encode } from 'cborg';
 
-/** Thrown for bytes that are no CBOR of the protocol's kind. */
+/** Bytes are no CBOR of the protocol's kind. */
 export class WireError extends Error {}
 
+/** Encodes a message. */
 export const toBytes = (value: unknown): Uint8Array => encode(value);
 
-/** Strict: trailing bytes, duplicate keys, keys that are not text, NaN and infinity are errors. */
+/** Decodes a message. Strict: trailing bytes, duplicate keys, keys that are not text, NaN and infinity are errors. */
 export const fromBytes = (bytes: Uint8Array): unknown => {
   try {
     return decode(bytes, {
@@ -15,6 +17,7 @@
       allowUndefined: false,
     });
   } catch (error) {
-    throw new WireError(`not CBOR: ${error instanceof Error ? error.message : String(error)}`);
+    const reason = error instanceof Error ? error.message : String(error);
+    throw new WireError(`not CBOR: ${reason}`, { cause: error });
   }
 };
