--- a/src/wire/constants.ts
+++ b/src/wire/constants.ts
@@ -1,6 +1,6 @@
 /** Limits of the protocol's messages. */
 
-/** characters; names inside a submission end up in values of the state service, which are small. */
+/** characters; names of a submission are stored in values, whose size is limited. */
 export const MAX_NAME_LENGTH = 200;
 
 /** tasks; the protocol's limit for one job. */
--- a/test/cancellation-outage.test.ts
+++ b/test/cancellation-outage.test.ts
@@ -72,7 +72,7 @@
         for (const n of row.refused) c.doors.get(n)!.refusing = true;
         await sleep(300);
         await c.cancel('n1', doomed);
-        c.state.out = true;
+        c.state.unavailable = true;
         await row.then(c);
         await c.pass(OPTIONS.cancelS + 2);
         assert.equal(c.running(doomed), 0, 'cancelled tasks are gone in time');
@@ -100,7 +100,7 @@
       const uid = await c.submit('n0', JOB);
       await c.until('all of it runs', 30, () => c.running(uid) === TASKS);
       const { started } = c.world;
-      c.state.out = true;
+      c.state.unavailable = true;
       await c.pass(OPTIONS.cancelS + 2);
       assert.equal(c.running(uid), TASKS);
       c.state.recover();
--- a/test/combined-faults.test.ts
+++ b/test/combined-faults.test.ts
@@ -99,7 +99,7 @@
       for (const d of c.doors.values()) d.slowMs = 500;
       await Promise.all(uids.slice(0, 2).map((uid, i) => c.cancel(`n${i}`, uid)));
       for (const n of c.names) for (const uid of uids) await c.statusOf(n, uid);
-      c.state.out = true;
+      c.state.unavailable = true;
       for (let i = 0; i < 12; i++) {
         await c.pass(1);
         for (const uid of uids) await c.statusOf(c.names[i % 3]!, uid);
@@ -158,7 +158,7 @@
     jobs: [LONG, LONG, { ...SMALL, Shape: 'ensemble', Pieces: 3 }],
     meet: async (c, [first]) => {
       for (let i = 0; i < 10; i++) {
-        if (i === 5) c.state.out = true;
+        if (i === 5) c.state.unavailable = true;
         if (i === 8) c.state.recover();
         if (i === 3) await c.cancel('n2', first!);
         await crash(c, c.names[i % 3]!, i % 2 === 0 ? 300 : 900);
@@ -172,11 +172,11 @@
     jobs: [LONG, { ...SMALL, Pieces: 3 }],
     meet: async (c, [first]) => {
       const hosts = c.hosts();
-      for (const h of hosts) h.losesReports = true;
+      for (const h of hosts) h.losesHeartbeats = true;
       await c.cancel('n0', first!);
       await c.submit('n1', LONG);
       await c.pass(LEASE_S + 4);
-      for (const h of hosts) h.losesReports = false;
+      for (const h of hosts) h.losesHeartbeats = false;
     },
   },
   {
@@ -186,9 +186,9 @@
     meet: async (c) => {
       for (const h of c.hosts()) h.copyMs = (LEASE_S + 2) * 1000;
       await c.pass(1);
-      for (const h of c.hosts().slice(0, 1)) h.losesReports = true;
+      for (const h of c.hosts().slice(0, 1)) h.losesHeartbeats = true;
       await c.pass(LEASE_S + 1);
-      for (const h of c.hosts()) h.losesReports = false;
+      for (const h of c.hosts()) h.losesHeartbeats = false;
       await c.submit('n2', LONG);
       await c.pass(5);
       assert.ok(c.hosts().some((h) => h.copies > 3));
@@ -324,7 +324,7 @@
     jobs: [LONG, LONG],
     meet: async (c, [first]) => {
       c.hosts().forEach((h, i) => {
-        if (i % 3 === 0) h.losesAnswers = true;
+        if (i % 3 === 0) h.losesCommands = true;
         if (i % 3 === 1) h.worker.hung = true;
       });
       c.kill('n0');
@@ -332,7 +332,7 @@
       await c.cancel('n1', first!);
       await c.pass(12);
       for (const h of c.hosts()) {
-        h.losesAnswers = false;
+        h.losesCommands = false;
         h.worker.hung = false;
       }
       await c.start('n0');
@@ -369,13 +369,13 @@
       const busy = c.hosts().filter((h) => h.worker.tasks.size > 0);
       busy.forEach((h, i) => {
         if (i % 2 === 0) h.worker.hung = true;
-        else h.losesAnswers = h.losesReports = true;
+        else h.losesCommands = h.losesHeartbeats = true;
       });
       const cancelling = [c.cancel('n0', uids[0]!), c.cancel('n1', uids[1]!)];
       for (const n of c.names) await crash(c, n, 300);
       await c.pass(8);
       await Promise.all(cancelling);
-      for (const h of c.hosts()) h.worker.hung = h.losesAnswers = h.losesReports = false;
+      for (const h of c.hosts()) h.worker.hung = h.losesCommands = h.losesHeartbeats = false;
     },
   },
   {
--- a/test/linearizable-reads.test.ts
+++ b/test/linearizable-reads.test.ts
@@ -23,18 +23,18 @@
     this.listing(10, 0);
   }
 
-  listing(epoch: number, began: number, whole = epoch): void {
+  listing(revision: number, readStartedAt: number, consistentFrom = revision): void {
     this.cache.apply({
       isListing: true,
       changes: [],
-      revision: epoch,
-      consistentFrom: whole,
-      readStartedAt: began,
+      revision,
+      consistentFrom,
+      readStartedAt,
     });
   }
 
-  news(epoch: number, began: number): void {
-    this.cache.apply({ isListing: false, changes: [], revision: epoch, readStartedAt: began });
+  changes(revision: number, readStartedAt: number): void {
+    this.cache.apply({ isListing: false, changes: [], revision, readStartedAt });
   }
 
   ask(): void {
@@ -48,8 +48,8 @@
     while (this.probes.length === 0) await sleep(HELD_WATCH_MS / 4);
   }
 
-  answerProbe(epoch: number): void {
-    this.probes.shift()!({ missing: true, storeRevision: epoch });
+  answerProbe(revision: number): void {
+    this.probes.shift()!({ missing: true, storeRevision: revision });
   }
 }
 
@@ -57,25 +57,29 @@
   readonly name: string;
   readonly act: (scene: Scene) => Promise<void> | void;
   /** steady ms since which the reader is told that the cache is current; null: it waits on */
-  readonly since: number | null;
+  readonly currentSince: number | null;
 }
 
 const ROWS: readonly Row[] = [
-  { name: 'a read that began before', act: (s) => s.news(12, 99.9), since: null },
-  { name: 'a read that began in the same instant', act: (s) => s.news(12, 100), since: 100 },
-  { name: 'a read that began after', act: (s) => s.news(10, 100.1), since: 100 },
+  { name: 'a read that began before', act: (s) => s.changes(12, 99.9), currentSince: null },
+  {
+    name: 'a read that began in the same instant',
+    act: (s) => s.changes(12, 100),
+    currentSince: 100,
+  },
+  { name: 'a read that began after', act: (s) => s.changes(10, 100.1), currentSince: 100 },
   {
     name: "an earlier read's answer that was held up, however late it comes",
     act: (s) => {
       s.now = 900;
-      s.news(500, 50);
+      s.changes(500, 50);
     },
-    since: null,
+    currentSince: null,
   },
   {
     name: 'an own write that is ahead of the watch',
     act: (s) => s.cache.applyOwn([{ put: 'term', value: 1 }], 90),
-    since: null,
+    currentSince: null,
   },
   {
     name: 'a probe that finds the epoch of the cache',
@@ -83,7 +87,7 @@
       await s.heldUntilProbe();
       s.answerProbe(10);
     },
-    since: 100,
+    currentSince: 100,
   },
   {
     name: 'a probe that finds a later epoch, while only an own write has reached it',
@@ -92,7 +96,7 @@
       s.cache.applyOwn([{ put: 'term', value: 1 }], 12);
       s.answerProbe(12);
     },
-    since: null,
+    currentSince: null,
   },
   {
     name: 'a probe that finds a later epoch, which an older read then shows',
@@ -100,22 +104,22 @@
       await s.heldUntilProbe();
       s.answerProbe(12);
       await turn();
-      s.news(12, 60);
+      s.changes(12, 60);
     },
-    since: 100,
+    currentSince: 100,
   },
   {
     name: 'a listing that began after, as long as it shows a mixture',
     act: (s) => s.listing(12, 101, 15),
-    since: null,
+    currentSince: null,
   },
   {
     name: 'a listing that began after, once the watch has made it whole',
     act: (s) => {
       s.listing(12, 101, 15);
-      s.news(15, 102);
+      s.changes(15, 102);
     },
-    since: 100,
+    currentSince: 100,
   },
   {
     name: 'a listing older than an own write',
@@ -123,7 +127,7 @@
       s.cache.applyOwn([{ put: 'term', value: 1 }], 20);
       s.listing(12, 101);
     },
-    since: null,
+    currentSince: null,
   },
 ];
 
@@ -134,7 +138,7 @@
       scene.ask();
       await row.act(scene);
       await turn();
-      assert.equal(scene.shownSince, row.since);
+      assert.equal(scene.shownSince, row.currentSince);
       scene.reads.close();
     });
   }
--- a/test/quotas.test.ts
+++ b/test/quotas.test.ts
@@ -16,7 +16,7 @@
 import { WatchCache } from '../src/store/watch-cache.js';
 import { job, ownedShard, shardWith, PLATFORM, Store } from './helpers.js';
 import { Cluster } from './standins/cluster.js';
-import { FakeStateService } from './standins/store.js';
+import { FakeStore } from './standins/store.js';
 
 /** Limits of the state service that fall at a moment that nobody announces. */
 const LOG = pino({ level: 'silent' });
@@ -263,7 +263,7 @@
 });
 
 test('the state client: sizes at the edge, 400s that are not repeated, a 429 that lowers the rate', async () => {
-  const state = new FakeStateService();
+  const state = new FakeStore();
   await state.start();
   const errors: string[] = [];
   const log = pino({ level: 'error' }, { write: (line: string) => errors.push(line) });
--- a/test/service-faults.test.ts
+++ b/test/service-faults.test.ts
@@ -32,7 +32,7 @@
   readonly within: number;
 }
 
-const reachable = (h: WorkerHost) => !h.worker.hung && !h.losesReports && !h.losesAnswers;
+const reachable = (h: WorkerHost) => !h.worker.hung && !h.losesHeartbeats && !h.losesCommands;
 
 const onHost = (h: WorkerHost, uid: string): number =>
   [...h.worker.tasks.values()].filter((t) => t.uid === uid && t.state === 'running').length;
@@ -56,9 +56,9 @@
 
 const MACHINE_FAULTS: [string, (h: WorkerHost) => void][] = [
   ['hangs', (h) => (h.worker.hung = true)],
-  ['reaches no controller', (h) => (h.losesReports = true)],
-  ['hears nothing', (h) => (h.losesAnswers = true)],
-  ['is cut off both ways', (h) => (h.losesReports = h.losesAnswers = true)],
+  ['reaches no controller', (h) => (h.losesHeartbeats = true)],
+  ['hears nothing', (h) => (h.losesCommands = true)],
+  ['is cut off both ways', (h) => (h.losesHeartbeats = h.losesCommands = true)],
 ];
 
 const ROWS: Row[] = [
@@ -114,12 +114,12 @@
     service: { ...REPLICA, Spread: true, Pieces: 6 },
     fault: async (c, uid) => {
       const cut = c.hosts().filter((h) => h.worker.zone === 'y');
-      for (const h of cut) h.losesReports = h.losesAnswers = true;
+      for (const h of cut) h.losesHeartbeats = h.losesCommands = true;
       for (let t = 0; t < 4; t++) {
         await c.pass(1);
         assert.ok(served(c, uid) >= 3, 'the other zone serves its half');
       }
-      for (const h of cut) h.losesReports = h.losesAnswers = false;
+      for (const h of cut) h.losesHeartbeats = h.losesCommands = false;
     },
     within: 3 * LEASE_S,
   },
@@ -152,7 +152,7 @@
     name: 'the state service is out for longer than a worker lease',
     service: { ...REPLICA, Pieces: 4 },
     fault: async (c, uid) => {
-      c.state.out = true;
+      c.state.unavailable = true;
       await c.pass(LEASE_S + 2);
       assert.equal(served(c, uid), 4, 'replicas go on');
       c.state.recover();
--- a/test/service.test.ts
+++ b/test/service.test.ts
@@ -83,7 +83,7 @@
   const before = await submit('n0');
   await done('n0', before);
   const uid = await submit('n0', { Pieces: 6 });
-  state.out = true;
+  state.unavailable = true;
   const end = Date.now() + (LEASE_S + 3) * 1000;
   let refused = 0;
   while (Date.now() < end) {
--- a/test/share-commands.test.ts
+++ b/test/share-commands.test.ts
@@ -75,7 +75,7 @@
       const from = await shardWithMachines(c);
       const to = (from + 1) % 3;
       const ends = ['--from', String(from), '--to', String(to), '--count', '1'];
-      const before = c.state.epoch;
+      const before = c.state.revision;
       const planned = await run('plan', ...ends, '--json');
       const [plan] = JSON.parse(planned.out) as PlanOutput[];
       assert.deepEqual([plan!.heldBy, plan!.obstacle, plan!.lacking], [null, null, 0]);
--- a/test/standins/cloud.ts
+++ b/test/standins/cloud.ts
@@ -42,9 +42,9 @@
   worker!: FakeWorker;
   at = 0;
   /** its reports reach no node, direct commands reach it */
-  losesReports = false;
+  losesHeartbeats = false;
   /** its reports arrive, nothing that it is told does */
-  losesAnswers = false;
+  losesCommands = false;
   /** ms that direct commands are held up before they are carried out */
   heldMs = 0;
   /** the only node that it reaches, and that reaches it; null: all */
@@ -69,7 +69,7 @@
 
   async #command(r: Request): Promise<Reply> {
     const cut = this.only !== null || this.cutFrom !== null;
-    if (this.losesAnswers || this.worker.hung || cut) return 'hang';
+    if (this.losesCommands || this.worker.hung || cut) return 'hang';
     if (this.heldMs > 0) await sleep(this.heldMs);
     const body = r.body as { Mandate: number; Tenure: number; Orders: WireOrder[] };
     this.worker.advance(Date.now());
@@ -79,7 +79,7 @@
   }
 
   async #beat(nodes: readonly [string, string][]): Promise<void> {
-    if (this.losesReports || this.worker.hung) {
+    if (this.losesHeartbeats || this.worker.hung) {
       this.worker.advance(Date.now());
       return;
     }
@@ -104,7 +104,7 @@
         Orders?: WireOrder[];
         ReportsTo?: string;
       };
-      if (this.#stopped || this.losesAnswers || this.worker.hung) return;
+      if (this.#stopped || this.losesCommands || this.worker.hung) return;
       if (answer.status === 200) {
         const orders = (body.Orders ?? []).map(fromWire);
         this.worker.advance(Date.now());
--- a/test/standins/cluster.ts
+++ b/test/standins/cluster.ts
@@ -15,7 +15,7 @@
 } from './controllers.js';
 import { Link } from './link.js';
 import { nextLoopbackAddress } from './loopback.js';
-import { FakeStateService, StateDoor } from './store.js';
+import { FakeStore, StateDoor } from './store.js';
 import { World } from './worker.js';
 
 /** Below the ports that the system hands out, so that nobody is given one between two lives of a node. */
@@ -54,7 +54,7 @@
 /** Whole controllers on loopback, each way between them and to the state service open to trouble. */
 export class Cluster {
   readonly names: readonly string[];
-  readonly state = new FakeStateService();
+  readonly state = new FakeStore();
   readonly doors = new Map<string, StateDoor>();
   readonly world: World;
   readonly history: AnswerHistory;
--- a/test/standins/machine-moves.ts
+++ b/test/standins/machine-moves.ts
@@ -155,12 +155,12 @@
       door.lateMs = null;
     } else if (what === 5) {
       this.#counts.outages += 1;
-      this.cluster.state.out = true;
+      this.cluster.state.unavailable = true;
       await sleep(1000 + this.#below(7000));
       this.cluster.state.recover();
     } else if (what >= 6 && host !== undefined) {
       this.#counts.unheard += 1;
-      const lost = what === 6 ? 'losesAnswers' : 'losesReports';
+      const lost = what === 6 ? 'losesCommands' : 'losesHeartbeats';
       host[lost] = true;
       await sleep(1000 + this.#below(8000));
       host[lost] = false;
--- a/test/standins/store.ts
+++ b/test/standins/store.ts
@@ -13,16 +13,16 @@
   removed: boolean;
 }
 
-/** Stand-in for the state service: keys, transactions, leases, watches and outages. */
-export class FakeStateService extends StandInServer {
+/** Stand-in for the key-value store: keys, transactions, leases, watches and outages. */
+export class FakeStore extends StandInServer {
   readonly items = new Map<string, Item>();
   readonly #changes: Change[] = [];
   readonly #leases = new Map<number, { ttl: number; until: number }>();
-  #epoch = 0;
+  #revision = 0;
   #nextLease = 0;
   #waiting: (() => void)[] = [];
   #timer: NodeJS.Timeout | null = null;
-  out = false;
+  unavailable = false;
   /** requests that came in */
   requests = 0;
   /** what a value, a transaction and a second may hold; they may fall at any moment */
@@ -36,9 +36,9 @@
     this.#timer = setInterval(() => this.#expire(), 50);
   }
 
-  /** Number of the latest change. */
-  get epoch(): number {
-    return this.#epoch;
+  /** Revision of the latest transaction. */
+  get revision(): number {
+    return this.#revision;
   }
 
   /** Values that were there before any controller of the test. */
@@ -48,12 +48,12 @@
 
   /** Ends the outage; every lease then has its full time again. */
   recover(): void {
-    this.out = false;
+    this.unavailable = false;
     for (const l of this.#leases.values()) l.until = Date.now() + l.ttl;
   }
 
   #expire(): void {
-    if (this.out) return;
+    if (this.unavailable) return;
     for (const [id, l] of this.#leases) {
       if (l.until > Date.now()) continue;
       this.#leases.delete(id);
@@ -63,22 +63,31 @@
   }
 
   #write(writes: { Put?: string; Drop?: string; Value?: unknown; Permit?: number }[]): number {
-    this.#epoch += 1;
+    this.#revision += 1;
     for (const w of writes) {
       if (w.Put !== undefined) {
-        this.items.set(w.Put, { value: w.Value, revision: this.#epoch, lease: w.Permit ?? null });
-        this.#changes.push({ key: w.Put, value: w.Value, revision: this.#epoch, removed: false });
+        this.items.set(w.Put, {
+          value: w.Value,
+          revision: this.#revision,
+          lease: w.Permit ?? null,
+        });
+        this.#changes.push({
+          key: w.Put,
+          value: w.Value,
+          revision: this.#revision,
+          removed: false,
+        });
       } else if (w.Drop !== undefined && this.items.delete(w.Drop)) {
-        this.#changes.push({ key: w.Drop, revision: this.#epoch, removed: true });
+        this.#changes.push({ key: w.Drop, revision: this.#revision, removed: true });
       }
     }
     for (const wake of this.#waiting.splice(0)) wake();
-    return this.#epoch;
+    return this.#revision;
   }
 
   async handle(r: Request): Promise<Reply> {
     this.requests += 1;
-    if (this.out) return { status: 503, body: { error: 'trouble' } };
+    if (this.unavailable) return { status: 503, body: { error: 'trouble' } };
     if (r.path === '/multi') return this.#multi(r.body as never);
     if (r.path === '/leases') {
       this.#nextLease += 1;
@@ -96,7 +105,7 @@
     if (r.path === '/store') return this.#list(r.query);
     const key = r.path.slice('/store/'.length);
     const item = this.items.get(key);
-    if (item === undefined) return { status: 404, body: { Epoch: this.#epoch } };
+    if (item === undefined) return { status: 404, body: { Epoch: this.#revision } };
     return { status: 200, body: { K: key, Value: item.value, Stamp: item.revision } };
   }
 
@@ -126,7 +135,7 @@
     }
     const failed = body.When.filter((c) => (this.items.get(c.K)?.revision ?? 0) !== c.Stamp);
     if (failed.length > 0) {
-      return { status: 409, body: { failed: failed.map((c) => c.K), Epoch: this.#epoch } };
+      return { status: 409, body: { failed: failed.map((c) => c.K), Epoch: this.#revision } };
     }
     const writes = body.Writes as { Permit?: number }[];
     if (writes.some((w) => w.Permit !== undefined && !this.#leases.has(w.Permit))) {
@@ -144,7 +153,7 @@
       const item = this.items.get(k)!;
       return { K: k, Value: item.value, Stamp: item.revision };
     });
-    const body = { Entries: entries, Truncated: keys.length > limit, Epoch: this.#epoch };
+    const body = { Entries: entries, Truncated: keys.length > limit, Epoch: this.#revision };
     return { status: 200, body };
   }
 
@@ -166,7 +175,7 @@
         ? { Drop: c.key, Stamp: c.revision }
         : { Put: c.key, Value: c.value, Stamp: c.revision },
     );
-    return { status: 200, body: { Epoch: this.#epoch, News: changes } };
+    return { status: 200, body: { Epoch: this.#revision, News: changes } };
   }
 
   override close(): void {
@@ -199,7 +208,7 @@
   /** transactions that were carried out late */
   late = 0;
 
-  constructor(private readonly state: FakeStateService) {
+  constructor(private readonly state: FakeStore) {
     super();
   }
 
--- a/test/standins/user-node.ts
+++ b/test/standins/user-node.ts
@@ -13,7 +13,7 @@
 import { machineType, settings } from '../helpers.js';
 import { type AnswerHistory, type UserCall } from './answer-history.js';
 import { steadyMs } from '../../src/clock.js';
-import type { FakeStateService } from './store.js';
+import type { FakeStore } from './store.js';
 
 /** ms; longer than a node takes to refuse a user. */
 const USER_PATIENCE_MS = 5000;
@@ -91,7 +91,7 @@
 
   constructor(
     readonly name: string,
-    private readonly state: FakeStateService,
+    private readonly state: FakeStore,
     private readonly history: AnswerHistory,
   ) {
     this.#reads = new LinearizableReads({ get: (key) => this.#get(key) }, this.cache, steadyMs);
@@ -177,7 +177,7 @@
   async #get(key: string): Promise<Found> {
     await this.readRequest.pass();
     const item = this.state.items.get(key);
-    const epoch = this.state.epoch;
+    const epoch = this.state.revision;
     await this.readAnswer.pass();
     if (item === undefined) return { missing: true, storeRevision: epoch };
     return { key, value: item.value, revision: item.revision };
@@ -201,7 +201,7 @@
   /** A new listing, as after a restart of the watch. */
   async list(): Promise<void> {
     const began = steadyMs();
-    const { epoch } = this.state;
+    const { revision: epoch } = this.state;
     const changes = [...this.state.items].map(([key, { value, revision }]) => {
       return { key, value, revision, removed: false };
     });
--- a/test/user-answers.test.ts
+++ b/test/user-answers.test.ts
@@ -4,7 +4,7 @@
 import type { Response } from '../src/transport/http.js';
 import { key } from '../src/store/keys.js';
 import { AnswerHistory, type UserCall } from './standins/answer-history.js';
-import { FakeStateService } from './standins/store.js';
+import { FakeStore } from './standins/store.js';
 import { UserNode } from './standins/user-node.js';
 
 /**
@@ -36,7 +36,7 @@
 type NodeName = (typeof NAMES)[number];
 
 interface Scene {
-  readonly state: FakeStateService;
+  readonly state: FakeStore;
   readonly history: AnswerHistory;
   readonly broken: string[];
   readonly nodes: Readonly<Record<NodeName, UserNode>>;
@@ -92,7 +92,7 @@
 const CALLS: readonly UserCall[] = ['submit', 'query', 'withdraw'];
 
 const openScene = async (valueBytesOfA?: number): Promise<Scene> => {
-  const state = new FakeStateService();
+  const state = new FakeStore();
   const broken: string[] = [];
   const history = new AnswerHistory(broken);
   const node = (name: NodeName) => new UserNode(name, state, history);
--- a/test/watch-cache.test.ts
+++ b/test/watch-cache.test.ts
@@ -34,11 +34,15 @@
 const removal = (name: string, revision: number): Change => {
   return { key: name, value: undefined, revision, removed: true };
 };
-const listing = (epoch: number, changes: readonly Change[], whole = epoch): WatchBatch => {
-  return { isListing: true, revision: epoch, consistentFrom: whole, changes };
+const listing = (
+  revision: number,
+  changes: readonly Change[],
+  consistentFrom = revision,
+): WatchBatch => {
+  return { isListing: true, revision, consistentFrom, changes };
 };
-const news = (epoch: number, changes: readonly Change[]): WatchBatch => {
-  return { isListing: false, revision: epoch, changes };
+const changed = (revision: number, changes: readonly Change[]): WatchBatch => {
+  return { isListing: false, revision, changes };
 };
 
 /** Keys that the cache shows, with their revisions. */
@@ -62,21 +66,21 @@
 const LATE_ROWS: readonly LateRow[] = [
   {
     name: 'the watch has shown the write and its removal in one answer',
-    before: (name, value) => [listing(1, []), news(6, [put(name, value, 5), removal(name, 6)])],
+    before: (name, value) => [listing(1, []), changed(6, [put(name, value, 5), removal(name, 6)])],
     shows: null,
   },
   {
     name: 'the watch has shown them in two answers',
     before: (name, value) => [
       listing(1, []),
-      news(5, [put(name, value, 5)]),
-      news(6, [removal(name, 6)]),
+      changed(5, [put(name, value, 5)]),
+      changed(6, [removal(name, 6)]),
     ],
     shows: null,
   },
   {
     name: 'the watch has named the removal first',
-    before: (name, value) => [listing(1, []), news(6, [removal(name, 6), put(name, value, 5)])],
+    before: (name, value) => [listing(1, []), changed(6, [removal(name, 6), put(name, value, 5)])],
     shows: null,
   },
   {
@@ -86,17 +90,20 @@
   },
   {
     name: 'a listing was made between them, and the watch has shown the removal',
-    before: (name, value) => [listing(5, [put(name, value, 5)]), news(6, [removal(name, 6)])],
+    before: (name, value) => [listing(5, [put(name, value, 5)]), changed(6, [removal(name, 6)])],
     shows: null,
   },
   {
     name: 'a listing shows a mixture: the page of the key is newer than its first',
-    before: (name) => [listing(4, [], 7), news(7, [removal(name, 6)])],
+    before: (name) => [listing(4, [], 7), changed(7, [removal(name, 6)])],
     shows: null,
   },
   {
     name: 'the watch has shown a newer value',
-    before: (name, value) => [listing(1, []), news(8, [put(name, value, 5), put(name, value, 8)])],
+    before: (name, value) => [
+      listing(1, []),
+      changed(8, [put(name, value, 5), put(name, value, 8)]),
+    ],
     shows: 8,
   },
   {
@@ -124,39 +131,40 @@
 test('a final state never changes: a later one of another kind is not taken in', () => {
   const cache = new WatchCache();
   cache.apply(listing(1, []));
-  cache.apply(news(3, [put(key.finalState(UID), { status: 'done', tasks: 1, done: 1 }, 3)]));
+  cache.apply(changed(3, [put(key.finalState(UID), { status: 'done', tasks: 1, done: 1 }, 3)]));
   cache.learnCancelled({ uid: UID, tasks: 1, done: 0, epoch: 4 });
   cache.learnFinalState(UID, FINAL, 4);
   assert.equal(cache.finalStates.get(UID)?.status, 'done');
 });
 
-/** The state service as it is, with all that ever happened to each key. */
+/** The store as it is, with all that ever happened to each key. */
 class ModelStore {
-  epoch = 1;
+  revision = 1;
   readonly log: Change[] = [];
 
   write(writes: readonly Write[]): number {
-    this.epoch += 1;
+    this.revision += 1;
     for (const w of writes) {
-      const change = 'drop' in w ? removal(w.drop, this.epoch) : put(w.put, w.value, this.epoch);
+      const change =
+        'drop' in w ? removal(w.drop, this.revision) : put(w.put, w.value, this.revision);
       this.log.push(change);
     }
-    return this.epoch;
+    return this.revision;
   }
 
-  /** The newest change of a key at or before an epoch. */
-  at(name: string, epoch: number): Change | undefined {
-    return this.log.findLast((c) => c.key === name && c.revision <= epoch);
+  /** The newest change of a key at or before a revision. */
+  at(name: string, revision: number): Change | undefined {
+    return this.log.findLast((c) => c.key === name && c.revision <= revision);
   }
 
-  since(epoch: number): Change[] {
-    return this.log.filter((c) => c.revision > epoch);
+  since(revision: number): Change[] {
+    return this.log.filter((c) => c.revision > revision);
   }
 }
 
 interface OwnAnswer {
   readonly writes: readonly Write[];
-  readonly epoch: number;
+  readonly revision: number;
 }
 
 /** One run of random steps; each checks the cache against the model. */
@@ -166,10 +174,11 @@
   readonly #random: (below: number) => number;
   /** own writes that were carried out, and whose answers are still on their way */
   readonly #answers: OwnAnswer[] = [];
-  readonly #peerNews: { uid: string; epoch: number }[] = [];
+  readonly #peerCancellations: { uid: string; revision: number }[] = [];
   /** the watch's answer, or the pages of a listing so far, on the way */
-  #feed: WatchBatch | null = null;
-  #listed: { prefixes: number; first: number; whole: number; changes: Change[] } | null = null;
+  #inFlight: WatchBatch | null = null;
+  #listed: { prefixes: number; first: number; consistentFrom: number; changes: Change[] } | null =
+    null;
   #jobs = 0;
   /** by key, the newest removal that the cache was told of, by the watch or ahead of it */
   readonly #removalsTold = new Map<string, number>();
@@ -199,57 +208,59 @@
   #someWrites(): Write[] {
     if (this.#random(3) > 0) return this.#jobWrites();
     const [name, value] = VALUES[1 + this.#random(VALUES.length - 1)]!;
-    const present = this.#store.at(name, this.#store.epoch);
+    const present = this.#store.at(name, this.#store.revision);
     const exists = present !== undefined && !present.removed;
     return exists && this.#random(2) === 0 ? [{ drop: name }] : [{ put: name, value }];
   }
 
   #jobWrites(): Write[] {
     const uid = `job-${this.#random(this.#jobs + 1)}`;
-    const present = this.#store.at(key.activeJob(uid), this.#store.epoch);
-    if (present?.removed === true) return [{ put: 'term', value: this.#store.epoch }];
+    const present = this.#store.at(key.activeJob(uid), this.#store.revision);
+    if (present?.removed === true) return [{ put: 'term', value: this.#store.revision }];
     if (present === undefined) this.#jobs += 1;
     const end = present !== undefined && this.#random(2) === 0;
     if (!end) return [{ put: key.activeJob(uid), value: encodeJob(job({ uid })) }];
     const status = this.#random(2) === 0 ? 'done' : 'cancelled';
-    if (status === 'cancelled') this.#peerNews.push({ uid, epoch: this.#store.epoch + 1 });
+    if (status === 'cancelled')
+      this.#peerCancellations.push({ uid, revision: this.#store.revision + 1 });
     const value = { status, tasks: 1, done: 0 };
     return [{ drop: key.activeJob(uid) }, { put: key.finalState(uid), value }];
   }
 
   #ownWrite(): void {
     const writes = this.#someWrites();
-    this.#answers.push({ writes, epoch: this.#store.write(writes) });
+    this.#answers.push({ writes, revision: this.#store.write(writes) });
   }
 
   #answer(): void {
     const [answer] = this.#answers.splice(this.#random(this.#answers.length), 1);
     if (answer === undefined) return;
-    this.#cache.applyOwn(answer.writes, answer.epoch);
-    for (const w of answer.writes) if ('drop' in w) this.#toldRemoval(w.drop, answer.epoch);
+    this.#cache.applyOwn(answer.writes, answer.revision);
+    for (const w of answer.writes) if ('drop' in w) this.#toldRemoval(w.drop, answer.revision);
   }
 
-  #toldRemoval(name: string, epoch: number): void {
-    this.#removalsTold.set(name, Math.max(epoch, this.#removalsTold.get(name) ?? -1));
+  #toldRemoval(name: string, revision: number): void {
+    this.#removalsTold.set(name, Math.max(revision, this.#removalsTold.get(name) ?? -1));
   }
 
   #peer(): void {
-    const told = this.#peerNews[this.#random(this.#peerNews.length)];
+    const told = this.#peerCancellations[this.#random(this.#peerCancellations.length)];
     if (told === undefined) return;
-    this.#cache.learnCancelled({ ...told, tasks: 1, done: 0 });
-    this.#toldRemoval(key.activeJob(told.uid), told.epoch);
+    const { uid, revision } = told;
+    this.#cache.learnCancelled({ uid, epoch: revision, tasks: 1, done: 0 });
+    this.#toldRemoval(key.activeJob(uid), revision);
   }
 
   /** The watch's answer is made at one step and arrives at another; a listing is made page by page. */
   #read(): void {
-    if (this.#feed !== null) {
-      this.#cache.apply(this.#feed);
-      this.#feed = null;
+    if (this.#inFlight !== null) {
+      this.#cache.apply(this.#inFlight);
+      this.#inFlight = null;
     } else if (this.#listed !== null) this.#listPage();
     else if (this.#random(8) === 0) {
-      this.#listed = { prefixes: 0, first: Infinity, whole: 0, changes: [] };
+      this.#listed = { prefixes: 0, first: Infinity, consistentFrom: 0, changes: [] };
     } else {
-      this.#feed = news(this.#store.epoch, this.#store.since(this.#cache.revision));
+      this.#inFlight = changed(this.#store.revision, this.#store.since(this.#cache.revision));
     }
   }
 
@@ -258,41 +269,45 @@
     const prefix = CACHED_PREFIXES[listed.prefixes]!;
     const names = new Set(this.#store.log.map((c) => c.key).filter((k) => k.startsWith(prefix)));
     for (const name of names) {
-      const present = this.#store.at(name, this.#store.epoch);
+      const present = this.#store.at(name, this.#store.revision);
       if (present !== undefined && !present.removed) listed.changes.push(present);
     }
-    listed.first = Math.min(listed.first, this.#store.epoch);
-    listed.whole = this.#store.epoch;
+    listed.first = Math.min(listed.first, this.#store.revision);
+    listed.consistentFrom = this.#store.revision;
     listed.prefixes += 1;
     if (listed.prefixes < CACHED_PREFIXES.length) return;
-    this.#feed = listing(listed.first, listed.changes, listed.whole);
+    this.#inFlight = listing(listed.first, listed.changes, listed.consistentFrom);
     this.#listed = null;
   }
 
   #check(step: number): void {
-    const { revision: epoch } = this.#cache;
+    const { revision: cacheRevision } = this.#cache;
     const present = shown(this.#cache);
     for (const [name, revision] of present) {
-      const covered = this.#store.at(name, epoch);
+      const covered = this.#store.at(name, cacheRevision);
       const known = covered === undefined || revision >= covered.revision;
-      assert.ok(known, `step ${step}: ${name} of ${revision} at ${epoch}, ${covered?.revision}`);
+      assert.ok(
+        known,
+        `step ${step}: ${name} of ${revision} at ${cacheRevision}, ${covered?.revision}`,
+      );
       const gone = covered?.removed === true && revision <= covered.revision;
       assert.ok(!gone, `step ${step}: ${name} was removed at ${covered?.revision}`);
       const told = this.#removalsTold.get(name) ?? -1;
       assert.ok(revision > told, `step ${step}: ${name} of ${revision}, removed at ${told}`);
     }
     for (const c of this.#store.log) {
-      if (c.removed || c.revision > epoch || c.key.startsWith('final/')) continue;
-      if (this.#store.at(c.key, this.#store.epoch) !== c) continue;
+      if (c.removed || c.revision > cacheRevision || c.key.startsWith('final/')) continue;
+      if (this.#store.at(c.key, this.#store.revision) !== c) continue;
       assert.ok(
         present.has(c.key),
-        `step ${step}: ${c.key} of ${c.revision} is missing at ${epoch}`,
+        `step ${step}: ${c.key} of ${c.revision} is missing at ${cacheRevision}`,
       );
     }
-    const hosts = this.#cache.tables.machineGroups.has('g') ? ['x'] : [];
-    assert.deepEqual([...this.#cache.machines.keys()], hosts, `step ${step}: machines by name`);
+    const machines = this.#cache.tables.machineGroups.has('g') ? ['x'] : [];
+    assert.deepEqual([...this.#cache.machines.keys()], machines, `step ${step}: machines by name`);
     for (const [uid, { status }] of this.#cache.finalStates) {
-      const stored = this.#store.at(key.finalState(uid), this.#store.epoch)?.value as typeof FINAL;
+      const stored = this.#store.at(key.finalState(uid), this.#store.revision)
+        ?.value as typeof FINAL;
       assert.equal(status, stored.status, `step ${step}: ${uid}`);
     }
   }
