--- a/src/cloud/machine-types.ts
+++ b/src/cloud/machine-types.ts
@@ -2,7 +2,7 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { Logger } from 'pino';
 import type { MachineType } from '../core/model.js';
-import type { CloudClient } from './client.js';
+import type { CloudClient } from './cloud-client.js';
 import { TYPES_REFRESH_MS, TYPES_RETRY_MS } from './constants.js';
 import { CloudRequestError } from './errors.js';
 
--- a/src/rebalancing/shard-mover.ts
+++ b/src/rebalancing/shard-mover.ts
@@ -8,9 +8,14 @@
   type Move,
 } from '@sumacstep/shard-rebalancing';
 import type { Logger } from 'pino';
-import type { SharesConfig } from '../config/shares.js';
+import type { RebalancingConfig } from '../config/rebalancing.js';
 import { WAIT_REASON_WRITE_INTERVAL_MS } from './constants.js';
-import { serves, type MachineState, type Shard } from '../core/shard/shard.js';
+import {
+  hostsServiceReplicas,
+  isLeaving,
+  type MachineState,
+  type Shard,
+} from '../core/shard/shard.js';
 import type { OwnedShard } from '../shards/owned-shard.js';
 import type { ShardController } from '../shards/shard-controller.js';
 import { CALL_PRIORITY } from '../store/call-priority.js';
@@ -20,7 +25,7 @@
 import { movesById, obstacleTo } from './move-coordinator.js';
 
 const unfitness = (shard: Shard, m: MachineState, now: number): string | null => {
-  if (m.terminating || m.draining || m.quarantined || m.orphaned) return 'is to be returned';
+  if (isLeaving(m)) return 'is to be returned';
   if (m.preemptionNoticeAt !== null) return 'has a notice';
   if (!m.record.up) return 'is not up yet';
   if (!shard.isFresh(m, now) || m.commandsLostSince !== null) return 'cannot be reached';
@@ -32,14 +37,17 @@
   const { name, type, zone, spot } = m.record;
   const unfit = unfitness(shard, m, now);
   const empty =
-    m.tasks.size === 0 && m.unknownTasks === 0 && m.doubtful.size === 0 && m.listed === 0;
+    m.tasks.size === 0 &&
+    m.unknownTaskCount === 0 &&
+    m.unsettledDirectStarts.size === 0 &&
+    m.reportedTaskCount === 0;
   return {
     name,
     type,
     zone,
     spot,
     tasks: m.tasks.size,
-    runsService: serves(m),
+    runsService: hostsServiceReplicas(m),
     ineligibleBecause: unfit,
     readyToMove: unfit === null && empty && m.cordoned,
   };
@@ -71,7 +79,7 @@
   readonly #reasonAt = new Map<string, number>();
 
   constructor(
-    private readonly config: SharesConfig,
+    private readonly config: RebalancingConfig,
     private readonly ports: ShardMoverDependencies,
   ) {}
 
@@ -122,7 +130,7 @@
     const now = this.ports.now();
     const present = this.#withoutGone(move, shard.index);
     const machines = [...shard.machines.values()].map((m) => candidateOf(shard, m, now));
-    const selection = selectMachines(present, machines, this.config.emptyingMost);
+    const selection = selectMachines(present, machines, this.config.maxDrainingMachines);
     const newer = this.#targetIsNewer(shard.index, target);
     if (newer && selection.ready.length > 0 && move.state === 'moving') {
       void this.#once(move.id, () =>
--- a/src/shards/shard-controller.ts
+++ b/src/shards/shard-controller.ts
@@ -29,7 +29,7 @@
 import { key } from '../store/keys.js';
 import { encodeShard, type ShardRecord } from '../store/codecs/shard.js';
 import type { WatchCache } from '../store/watch-cache.js';
-import type { HeartbeatReply } from '../workers/heartbeats.js';
+import type { HeartbeatResponse } from '../workers/heartbeat-routes.js';
 
 /** What other nodes tell that matters for owning shards. */
 export interface PeerView {
@@ -194,7 +194,7 @@
     for (const [index, owned] of this.owned) {
       const { shard } = owned;
       if (!owned.isActive) continue;
-      shard.age(now);
+      shard.expireLeases(now);
       if (!authority) {
         this.#direct.stops(owned, now);
         continue;
@@ -254,8 +254,7 @@
         continue;
       }
       const everything = present.takeFullSync() || changes.everything;
-      const { unsynced } = present.shard.state;
-      const changed = changes.machines || changes.jobs.size > 0 || unsynced.size > 0;
+      const changed = changes.machines || changes.jobs.size > 0 || present.shard.hasDeferredJobs;
       if (!everything && !changed) continue;
       present.shard.sync(
         {
@@ -303,7 +302,7 @@
   #handOverIfCutOff(index: number, shard: Shard, now: number): void {
     const heartbeatIntervalMs = this.config.workers.heartbeatIntervalS * 1000;
     if (
-      !shard.hearsNoHeartbeats(
+      !shard.allHeartbeatsLost(
         now,
         Math.min(NO_HEARTBEATS_MS, heartbeatIntervalMs * NO_HEARTBEATS_INTERVALS),
       )
@@ -393,7 +392,7 @@
 
   // --- workers -----------------------------------------------------------------------------------
 
-  handleHeartbeat(heartbeat: Heartbeat): HeartbeatReply {
+  handleHeartbeat(heartbeat: Heartbeat): HeartbeatResponse {
     const now = this.now();
     if (!this.cache.ready) return { kind: 'unavailable' };
     const record = this.cache.machines.get(heartbeat.machine)?.value;
@@ -449,7 +448,7 @@
     return may;
   }
 
-  #sendOn(heartbeat: Heartbeat, shard: number, now: number): HeartbeatReply {
+  #sendOn(heartbeat: Heartbeat, shard: number, now: number): HeartbeatResponse {
     const owner = this.cache.tables.shards.get(String(shard))?.value;
     if (owner === undefined) return { kind: 'unavailable' };
     const me = owner.owner === this.config.node;
--- a/src/store/linearizable-reads.ts
+++ b/src/store/linearizable-reads.ts
@@ -1,5 +1,5 @@
 /** Lets answers from the cache be as current as reads of the store. */
-import { USER_CALL_MS } from '../constants.js';
+import { USER_REQUEST_TIMEOUT_MS } from '../constants.js';
 import { CALL_PRIORITY } from './call-priority.js';
 import { HELD_WATCH_MS } from './constants.js';
 import { StoreRequestError } from './errors.js';
@@ -8,7 +8,7 @@
 import type { WatchCache } from './watch-cache.js';
 
 /** ms after which the user's call has been refused anyhow */
-const MAX_WAIT_MS = 2 * USER_CALL_MS;
+const MAX_WAIT_MS = 2 * USER_REQUEST_TIMEOUT_MS;
 
 interface Reader {
   /** steady ms of the request */
--- a/test/shard-controller.test.ts
+++ b/test/shard-controller.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import pino from 'pino';
-import { parseOperator } from '../src/config/operator.js';
+import { parseOperatorConfig } from '../src/config/operator.js';
 import type { PlatformConfig } from '../src/config/platform.js';
 import { FAILBACK_MS } from '../src/core/ownership/constants.js';
 import { ATTEMPTS_PER_TERM } from '../src/core/shard/constants.js';
@@ -68,7 +68,7 @@
   };
   const shardController = new ShardController(
     CONFIG,
-    parseOperator('', ''),
+    parseOperatorConfig('', ''),
     'a',
     client,
     cache,
@@ -154,7 +154,7 @@
   s.shardController.tick();
   assert.equal(s.shardController.owned.get(1)?.shard.term, 6);
   assert.equal(
-    s.shardController.owned.get(1)?.shard.rebuilt,
+    s.shardController.owned.get(1)?.shard.recovered,
     false,
     'and everything must answer first',
   );
@@ -307,12 +307,12 @@
   good.cache.apply({ isListing: false, changes: [], revision: 50 });
   good.shardController.tick();
   assert.equal(good.shardController.owned.get(1)?.shard.jobs.size, 0, 'gone from here');
-  assert.equal(good.shardController.owned.get(0)?.shard.waiting(0, 0), 1, 'and waits there');
+  assert.equal(good.shardController.owned.get(0)?.shard.waitingTasks(0, 0), 1, 'and waits there');
 
   const refused = await stuck(() => ({ ok: false, failed: ['active/job-000001'] }));
   await settle();
   refused.shardController.tick();
-  assert.equal(refused.shardController.owned.get(1)?.shard.waiting(0, 0), 1, 'still ours');
+  assert.equal(refused.shardController.owned.get(1)?.shard.waitingTasks(0, 0), 1, 'still ours');
 
   // The first try was carried out, but its answer got lost; the second one meets a conflict.
   let tries = 0;
@@ -331,7 +331,7 @@
   assert.deepEqual(ranges(lost), moved, 'only the present record tells');
   lost.shardController.tick();
   assert.equal(
-    lost.shardController.owned.get(1)?.shard.waiting(0, 0) ?? 0,
+    lost.shardController.owned.get(1)?.shard.waitingTasks(0, 0) ?? 0,
     0,
     'not brought back as fresh',
   );
