--- a/src/commands/duties.ts
+++ b/src/commands/duties.ts
@@ -8,7 +8,7 @@
 } from '@sumacstep/leader-election';
 import type { PlatformConfig } from '../config/platform.js';
 import { SINGLETON_ROLES, electionView } from '../singletons/singleton-election.js';
-import { CALL_PRIORITY } from '../store/store-client.js';
+import { CALL_PRIORITY } from '../store/call-priority.js';
 import { key } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import { CommandError, EXIT } from './exit-codes.js';
--- a/src/rebalancing/shard-mover.ts
+++ b/src/rebalancing/shard-mover.ts
@@ -18,7 +18,9 @@
 } from '../core/shard/shard.js';
 import type { OwnedShard } from '../shards/owned-shard.js';
 import type { ShardController } from '../shards/shard-controller.js';
-import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
+import { CALL_PRIORITY } from '../store/call-priority.js';
+import { StoreRequestError } from '../store/errors.js';
+import type { StoreClient } from '../store/store-client.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import { movesById, obstacleTo } from './move-coordinator.js';
 
--- a/src/shards/authority.ts
+++ b/src/shards/authority.ts
@@ -20,7 +20,7 @@
  * lease-withholding.ts.
  */
 import type { SessionLease } from '@sumacstep/leader-election';
-import { StoreRequestError } from '../store/store-client.js';
+import { StoreRequestError } from '../store/errors.js';
 import type { WatchCache } from '../store/watch-cache.js';
 
 /** What the proof of leadership is based on. */
--- a/src/shards/completions/completion-batch.ts
+++ b/src/shards/completions/completion-batch.ts
@@ -1,5 +1,5 @@
 /** One transaction of completions, and what it saves if it is committed. */
-import type { Guard, Write } from '../../wire/schemas.js';
+import type { Guard, Write } from '@sumacstep/leader-election';
 import { MAX_BATCH_BYTES } from './constants.js';
 import type { Transaction } from '../transaction.js';
 
--- a/src/shards/completions/completion-collector.ts
+++ b/src/shards/completions/completion-collector.ts
@@ -1,10 +1,12 @@
 /** Collects the completions of a shard that are due to be saved. */
+import { encodeFinalState } from '../../store/codecs/final-state.js';
 import { allDone, encodeDone } from '../../core/jobs/jobs.js';
 import type { JobRecord, TaskRange } from '../../core/model.js';
 import type { JobState } from '../../core/shard/types.js';
-import { key, type FinalState } from '../../store/keys.js';
+import { key } from '../../store/keys.js';
+import { type FinalState } from '../../store/codecs/final-state.js';
 import type { Cached } from '../../store/watch-cache.js';
-import type { Write } from '../../wire/schemas.js';
+import type { Write } from '@sumacstep/leader-election';
 import type { OwnedShard } from '../owned-shard.js';
 import { CompletionBatch } from './completion-batch.js';
 import type { CompletionContext } from './completion-context.js';
@@ -49,7 +51,7 @@
   const finalState: FinalState = { status: 'done', tasks, done: tasks };
   const writes: Write[] = [
     { drop: key.activeJob(uid) },
-    { put: key.finalState(uid), value: finalState },
+    { put: key.finalState(uid), value: encodeFinalState(finalState) },
   ];
   const bytes = JSON.stringify(writes).length;
   if (!batch.isEmpty && !batch.fits(writes.length, bytes)) return;
--- a/src/shards/completions/completion-saver.ts
+++ b/src/shards/completions/completion-saver.ts
@@ -1,7 +1,9 @@
 /** Saves completions of the shards that this node owns. */
 import { fencedCompareAndSwap } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
-import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../../store/store-client.js';
+import { CALL_PRIORITY } from '../../store/call-priority.js';
+import { StoreRequestError } from '../../store/errors.js';
+import { type StoreClient } from '../../store/store-client.js';
 import type { WatchCache } from '../../store/watch-cache.js';
 import type { OwnedShard } from '../owned-shard.js';
 import type { StoreSizeLimits } from '../transaction.js';
--- a/src/shards/completions/completion-slots.ts
+++ b/src/shards/completions/completion-slots.ts
@@ -3,7 +3,8 @@
  * shard, so that a shard costs about one write in a while, however many arrays it runs.
  */
 import { SLOT_FILL } from '../../core/jobs/constants.js';
-import { encodeCompletions, key, type CompletionBitmaps } from '../../store/keys.js';
+import { encodeCompletions, type CompletionBitmaps } from '../../store/codecs/completions.js';
+import { key } from '../../store/keys.js';
 import type { WatchCache } from '../../store/watch-cache.js';
 import type { CompletionBatch } from './completion-batch.js';
 
--- a/src/shards/completions/slot-splitting.ts
+++ b/src/shards/completions/slot-splitting.ts
@@ -3,7 +3,7 @@
  * they are.
  */
 import { SLOT_FILL } from '../../core/jobs/constants.js';
-import type { CompletionBitmaps } from '../../store/keys.js';
+import type { CompletionBitmaps } from '../../store/codecs/completions.js';
 import { CompletionBatch } from './completion-batch.js';
 import { CompletionSlots, slotBytes, storedSlots } from './completion-slots.js';
 import type { CompletionContext } from './completion-context.js';
--- a/src/shards/machine-records/group-edits.ts
+++ b/src/shards/machine-records/group-edits.ts
@@ -2,9 +2,10 @@
  * Edits of a shard's machine groups, collected for one transaction. A group is the stored record of the
  * machines of one rental, so that a wave of boots or returns costs a few writes instead of one a machine.
  */
-import { encodeMachineGroup, key, type MachineGroup } from '../../store/keys.js';
+import { encodeMachineGroup, type MachineGroup } from '../../store/codecs/machine-group.js';
+import { key } from '../../store/keys.js';
 import type { WatchCache } from '../../store/watch-cache.js';
-import type { Guard, Write } from '../../wire/schemas.js';
+import type { Guard, Write } from '@sumacstep/leader-election';
 import { MACHINE_ENTRY_BYTES, MACHINE_GROUP_BYTES } from './constants.js';
 import type { Transaction } from '../transaction.js';
 
--- a/src/shards/machine-records/machine-move.ts
+++ b/src/shards/machine-records/machine-move.ts
@@ -1,8 +1,9 @@
 /** The transaction that moves machines from one shard to another. */
-import { encodeMachineGroup, key, type MachineGroup } from '../../store/keys.js';
+import { encodeMachineGroup, type MachineGroup } from '../../store/codecs/machine-group.js';
+import { key } from '../../store/keys.js';
 import type { WatchCache } from '../../store/watch-cache.js';
 
-import type { Guard, Write } from '../../wire/schemas.js';
+import type { Guard, Write } from '@sumacstep/leader-election';
 import { isSameKind, type MachineKind } from '../machine-kind.js';
 import type { StoreSizeLimits, Transaction } from '../transaction.js';
 import { groupCapacity, GroupEdits } from './group-edits.js';
--- a/src/shards/machine-records/machine-records.ts
+++ b/src/shards/machine-records/machine-records.ts
@@ -1,10 +1,11 @@
 /** The stored machine records of the shards that this node owns. */
 import type { Logger } from 'pino';
 import type { MachineState } from '../../core/shard/types.js';
-import { CALL_PRIORITY, StoreRequestError, type CallPriority } from '../../store/store-client.js';
+import { CALL_PRIORITY, type CallPriority } from '../../store/call-priority.js';
+import { StoreRequestError } from '../../store/errors.js';
 import type { WatchCache } from '../../store/watch-cache.js';
-import type { Guard } from '../../wire/schemas.js';
-import type { RentalRecord } from '../../store/keys.js';
+import type { Guard } from '@sumacstep/leader-election';
+import type { RentalRecord } from '../../store/codecs/rental.js';
 import { MACHINE_RECORDS_INTERVAL_MS } from './constants.js';
 import type { OwnedShard } from '../owned-shard.js';
 import {
--- a/src/shards/machine-records/new-groups.ts
+++ b/src/shards/machine-records/new-groups.ts
@@ -1,7 +1,9 @@
 /** Transactions that create the record of a group: of an answered rental, or of an adopted machine. */
-import { encodeMachineGroup, key, type MachineGroup, type RentalRecord } from '../../store/keys.js';
+import { encodeMachineGroup, type MachineGroup } from '../../store/codecs/machine-group.js';
+import { key } from '../../store/keys.js';
+import { type RentalRecord } from '../../store/codecs/rental.js';
 import type { WatchCache } from '../../store/watch-cache.js';
-import type { Guard, Write } from '../../wire/schemas.js';
+import type { Guard, Write } from '@sumacstep/leader-election';
 import { isSameKind, type MachineKind } from '../machine-kind.js';
 import type { Transaction } from '../transaction.js';
 
--- a/src/shards/orphaned-instances.ts
+++ b/src/shards/orphaned-instances.ts
@@ -11,7 +11,7 @@
 import type { OrphanCollector } from '../singletons/orphan-collector.js';
 import type { ReturnIntents } from '../singletons/return-intents.js';
 import type { WatchCache } from '../store/watch-cache.js';
-import type { ListedMachine } from '../wire/schemas.js';
+import type { ListedMachine } from '../wire/cloud.js';
 import { ADOPTION_DELAY_MS, MACHINE_LIST_INTERVAL_MS } from './constants.js';
 import { attempt } from './retryable-errors.js';
 import type { ShardController } from './shard-controller.js';
--- a/src/shards/ownership-reconciler.ts
+++ b/src/shards/ownership-reconciler.ts
@@ -3,6 +3,8 @@
  * nodes, and transfers those whose workers only a peer can reach. Every change is a compare-and-swap on the owner
  * record and the term counter, so of several nodes that try at once one succeeds.
  */
+import { encodeTerm } from '../store/codecs/term.js';
+import { encodeShard } from '../store/codecs/shard.js';
 import type { Logger } from 'pino';
 import type { PlatformConfig } from '../config/platform.js';
 import { FAILBACK_MS } from '../core/ownership/constants.js';
@@ -11,10 +13,13 @@
   type OwnershipStep,
   type OwnershipView,
 } from '../core/ownership/ownership-policy.js';
-import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
-import { key, type ShardRecord } from '../store/keys.js';
+import { CALL_PRIORITY } from '../store/call-priority.js';
+import { StoreRequestError } from '../store/errors.js';
+import { type StoreClient } from '../store/store-client.js';
+import { key } from '../store/keys.js';
+import { type ShardRecord } from '../store/codecs/shard.js';
 import type { WatchCache } from '../store/watch-cache.js';
-import type { Guard, Write } from '../wire/schemas.js';
+import type { Guard, Write } from '@sumacstep/leader-election';
 import { NO_HEARTBEATS_INTERVALS, NO_HEARTBEATS_MS, TRANSFER_SETTLE_MS } from './constants.js';
 import { liveIncarnations } from './live-nodes.js';
 import type { OwnedShard } from './owned-shard.js';
@@ -197,8 +202,8 @@
     }
     const value: ShardRecord = { owner, incarnation, term: nextTerm };
     const writes = [
-      { put: key.term, value: nextTerm },
-      { put: key.shard(index), value },
+      { put: key.term, value: encodeTerm(nextTerm) },
+      { put: key.shard(index), value: encodeShard(value) },
     ];
     return { guards, writes };
   }
--- a/src/shards/retryable-errors.ts
+++ b/src/shards/retryable-errors.ts
@@ -1,8 +1,8 @@
 /** Errors after which a control loop simply tries again in a later round. */
 import { NotLeaderError } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
-import { CloudRequestError } from '../cloud/cloud-client.js';
-import { StoreRequestError } from '../store/store-client.js';
+import { CloudRequestError } from '../cloud/errors.js';
+import { StoreRequestError } from '../store/errors.js';
 
 /** Whether a call was not carried out, or has no outcome: it is repeated while it is still wanted. */
 export const isRetryable = (error: unknown): error is Error =>
--- a/src/shards/scale-out/rental-requests.ts
+++ b/src/shards/scale-out/rental-requests.ts
@@ -8,10 +8,11 @@
 import type { Logger } from 'pino';
 import type { CloudClient, RentResult } from '../../cloud/cloud-client.js';
 import type { RentWish } from '../../core/capacity/capacity-planner.js';
-import { CALL_PRIORITY } from '../../store/store-client.js';
-import { key, type RentalRecord } from '../../store/keys.js';
+import { CALL_PRIORITY } from '../../store/call-priority.js';
+import { key } from '../../store/keys.js';
+import { encodeRental, type RentalRecord } from '../../store/codecs/rental.js';
 import type { WatchCache } from '../../store/watch-cache.js';
-import type { Write } from '../../wire/schemas.js';
+import type { Write } from '@sumacstep/leader-election';
 import { MAX_RENTAL_BATCH, RENTAL_RETRY_MS } from './constants.js';
 import { groupCapacity } from '../machine-records/group-edits.js';
 import type { MachineRecords } from '../machine-records/machine-records.js';
@@ -35,9 +36,6 @@
   readonly log: Logger;
 }
 
-/** The stored form of a rental that has not been answered. */
-const encodeRental = ({ type, zone, spot, count }: RentWish) => ({ type, zone, spot, count });
-
 /** Records rentals, asks the cloud for what is recorded, and settles the records by its answers. */
 export class RentalRequests {
   #sequence = 0;
--- a/src/shards/task-migration.ts
+++ b/src/shards/task-migration.ts
@@ -5,17 +5,19 @@
  * has ranges in most shards.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
-import { fencedCompareAndSwap } from '@sumacstep/leader-election';
+import { fencedCompareAndSwap, type Guard, type Write } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import type { PlatformConfig } from '../config/platform.js';
 import { hasGuarantee, hasLimit } from '../core/jobs/jobs.js';
 import type { JobRecord, TaskRange } from '../core/model.js';
 import type { JobState } from '../core/shard/shard.js';
 import { STORE_RETRY_MS } from '../store/constants.js';
-import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
-import { decodeJob, encodeJob, key } from '../store/keys.js';
+import { CALL_PRIORITY } from '../store/call-priority.js';
+import { StoreRequestError } from '../store/errors.js';
+import { type StoreClient } from '../store/store-client.js';
+import { decodeJob, encodeJob } from '../store/codecs/job.js';
+import { key } from '../store/keys.js';
 import type { Cached, WatchCache } from '../store/watch-cache.js';
-import type { Guard, Write } from '../wire/schemas.js';
 import {
   BALANCING_DELAY_MS,
   BALANCING_INTERVAL_MS,
--- a/src/shards/transaction.ts
+++ b/src/shards/transaction.ts
@@ -1,9 +1,10 @@
 /** Store transactions of an owned shard, fenced by its term. */
 import { fencedCompareAndSwap, type Authorization } from '@sumacstep/leader-election';
 import type { PlatformConfig } from '../config/platform.js';
-import type { CallPriority, StoreClient } from '../store/store-client.js';
+import type { CallPriority } from '../store/call-priority.js';
+import type { StoreClient } from '../store/store-client.js';
 import type { WatchCache } from '../store/watch-cache.js';
-import type { Guard, Write } from '../wire/schemas.js';
+import type { Guard, Write } from '@sumacstep/leader-election';
 
 /** Writes that are carried out together if all guards hold, or not at all. */
 export interface Transaction {
--- a/src/singletons/garbage-collector.ts
+++ b/src/singletons/garbage-collector.ts
@@ -15,14 +15,12 @@
 import { CLOCK_DRIFT } from '../constants.js';
 import { GARBAGE_COLLECTION_INTERVAL_MS, RETENTION_WRITE_INTERVAL_MS } from './constants.js';
 import { LIST_PAGE_SIZE } from '../store/constants.js';
-import {
-  CALL_PRIORITY,
-  StoreRequestError,
-  type Entry,
-  type StoreClient,
-} from '../store/store-client.js';
-import { electionEntryKey } from '../store/election-entries.js';
-import { FINAL_STATE_PREFIX, key } from '../store/keys.js';
+import { CALL_PRIORITY } from '../store/call-priority.js';
+import { StoreRequestError } from '../store/errors.js';
+import type { Entry } from '../store/types.js';
+import type { StoreClient } from '../store/store-client.js';
+import { encodeAcceptanceMarker } from '../store/codecs/election-entry.js';
+import { electionEntryKey, FINAL_STATE_PREFIX, key } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import { GARBAGE_COLLECTOR_ROLE, type SingletonElection } from './singleton-election.js';
 
@@ -192,7 +190,7 @@
     const drops: Write[] = batch.map(({ key: name }) => ({ drop: name }));
     const acceptance = {
       put: electionEntryKey.acceptance,
-      value: { token: authorization.fencingToken },
+      value: encodeAcceptanceMarker(authorization.fencingToken),
     };
     return this.#compareAndSwap(authorization, guards, [...drops, acceptance]);
   }
--- a/src/singletons/singleton-controllers.ts
+++ b/src/singletons/singleton-controllers.ts
@@ -1,4 +1,4 @@
-import type { FencingRejections } from '@sumacstep/leader-election';
+import type { FencingRejections, Guard } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import type { CloudClient } from '../cloud/cloud-client.js';
 import type { SingletonsConfig } from '../config/singletons.js';
@@ -7,10 +7,8 @@
 import { MoveCoordinator } from '../rebalancing/move-coordinator.js';
 import type { Reclaimer } from '../shards/orphaned-instances.js';
 import type { StoreClient } from '../store/store-client.js';
-import { electionEntryKey } from '../store/election-entries.js';
-import { key } from '../store/keys.js';
+import { electionEntryKey, key } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
-import type { Guard } from '../wire/schemas.js';
 import { GarbageCollector } from './garbage-collector.js';
 import { SingletonElection } from './singleton-election.js';
 import { OrphanCollector } from './orphan-collector.js';
--- a/src/singletons/singleton-election.ts
+++ b/src/singletons/singleton-election.ts
@@ -15,8 +15,10 @@
 import type { Logger } from 'pino';
 import type { SingletonsConfig } from '../config/singletons.js';
 import { CANDIDATE_DELAY_MS } from './constants.js';
-import { CALL_PRIORITY, type CallPriority, type StoreClient } from '../store/store-client.js';
-import { key, type CachedValues } from '../store/keys.js';
+import { CALL_PRIORITY, type CallPriority } from '../store/call-priority.js';
+import type { StoreClient } from '../store/store-client.js';
+import { key } from '../store/keys.js';
+import type { CachedValues } from '../store/codecs/cached-values.js';
 import type { Cached, WatchCache } from '../store/watch-cache.js';
 
 /** Returning machines that no record knows. */
--- a/src/workers/direct-command-client.ts
+++ b/src/workers/direct-command-client.ts
@@ -1,7 +1,7 @@
 /** Commands sent to a worker over a connection of their own, without waiting for its next heartbeat. */
 import type { Command, Heartbeat } from '../core/model.js';
 import { CborClient, NoResponseError } from '../transport/http.js';
-import { commandsBody, heartbeatSchema } from '../wire/schemas.js';
+import { commandsBody, heartbeatSchema } from '../wire/workers.js';
 import { DIRECT_COMMAND_TIMEOUT_MS } from './constants.js';
 
 /** What is known of the commands afterwards. */
--- a/src/workers/heartbeat-routes.ts
+++ b/src/workers/heartbeat-routes.ts
@@ -3,7 +3,7 @@
 import type { Command, Heartbeat } from '../core/model.js';
 import { readBody, sendCbor } from '../transport/http.js';
 import { fromBytes, WireError } from '../wire/cbor.js';
-import { heartbeatResponseBody, heartbeatSchema, redirectBody } from '../wire/schemas.js';
+import { heartbeatResponseBody, heartbeatSchema, redirectBody } from '../wire/workers.js';
 
 /** What a worker is told: its commands, the node to turn to, or to try again. */
 export type HeartbeatResponse =
--- a/test/controller-scene.ts
+++ b/test/controller-scene.ts
@@ -5,10 +5,12 @@
 import type { Heartbeat, JobRecord, TaskRange } from '../src/core/model.js';
 import type { OwnedShard } from '../src/shards/owned-shard.js';
 import { ShardController } from '../src/shards/shard-controller.js';
-import { encodeJob, encodeMachineGroup } from '../src/store/keys.js';
-import { StoreRequestError, type CompareAndSwapResult } from '../src/store/store-client.js';
+import { encodeJob } from '../src/store/codecs/job.js';
+import { encodeMachineGroup } from '../src/store/codecs/machine-group.js';
+import { StoreRequestError } from '../src/store/errors.js';
+import { type CompareAndSwapResult } from '@sumacstep/leader-election';
 import { WatchCache } from '../src/store/watch-cache.js';
-import type { Write } from '../src/wire/schemas.js';
+import type { Write } from '@sumacstep/leader-election';
 import { job, machine, machineType, settings, silentRejections } from './helpers.js';
 
 /** Platform settings of node n0, with the peer n1. */
@@ -42,7 +44,7 @@
   changed(`active/${record.spec.uid}`, encodeJob(record), revision);
 
 /** A call without an answer. */
-export const noAnswer = () => new StoreRequestError('no_answer', 'lost');
+export const noAnswer = () => new StoreRequestError('no_response', 'lost');
 
 /** Lets calls to the store return. */
 export const settle = () => new Promise((resolve) => setImmediate(resolve));
--- a/test/measurements/duty-takeover.ts
+++ b/test/measurements/duty-takeover.ts
@@ -7,7 +7,7 @@
 import { leaderKey, type LeaderRecord } from '@sumacstep/leader-election';
 import { parseSingletonsConfig, type SingletonsConfig } from '../../src/config/singletons.js';
 import { ORPHAN_COLLECTOR_ROLE } from '../../src/singletons/singleton-election.js';
-import type { ShardRecord } from '../../src/store/keys.js';
+import type { ShardRecord } from '../../src/store/codecs/shard.js';
 import { Cluster } from '../standins/cluster.js';
 import type { Version } from '../standins/controllers.js';
 import { htmlReport, machineText, Series } from './report.js';
--- a/test/quotas.test.ts
+++ b/test/quotas.test.ts
@@ -11,19 +11,16 @@
 import { cutRanges, decodeDone, encodeDone, maxRangeTasks } from '../src/core/jobs/jobs.js';
 import type { JobRecord } from '../src/core/model.js';
 import type { Shard } from '../src/core/shard/shard.js';
-import {
-  CALL_PRIORITY,
-  StoreClient,
-  StoreRequestError,
-  type CompareAndSwapResult,
-} from '../src/store/store-client.js';
-import { encodeJob } from '../src/store/keys.js';
+import { CALL_PRIORITY } from '../src/store/call-priority.js';
+import { StoreClient } from '../src/store/store-client.js';
+import { StoreRequestError } from '../src/store/errors.js';
+import type { CompareAndSwapResult, Guard, Write } from '@sumacstep/leader-election';
+import { encodeJob } from '../src/store/codecs/job.js';
 import { WatchCache } from '../src/store/watch-cache.js';
-import type { Guard, Write } from '../src/wire/schemas.js';
 import { job, ownedShard, shardWith, PLATFORM, Store } from './helpers.js';
 import { Cluster } from './standins/cluster.js';
 import { MemoryStore } from './standins/memory-store.js';
-import { FakeStateService } from './standins/store.js';
+import { FakeStore } from './standins/store.js';
 
 /** Limits of the store that fall at a moment that nobody announces. */
 const LOG = pino({ level: 'silent' });
@@ -262,7 +259,7 @@
 });
 
 test('the state client: sizes at the edge, 400s that are not repeated, a 429 that lowers the rate', async () => {
-  const state = new FakeStateService();
+  const state = new FakeStore();
   await state.start();
   const errors: string[] = [];
   const log = pino({ level: 'error' }, { write: (line: string) => errors.push(line) });
--- a/test/rental-requests.test.ts
+++ b/test/rental-requests.test.ts
@@ -2,7 +2,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import pino from 'pino';
-import { CloudRequestError, type RentResult } from '../src/cloud/cloud-client.js';
+import { CloudRequestError } from '../src/cloud/errors.js';
+import { type RentResult } from '../src/cloud/cloud-client.js';
 import { MachineRecords } from '../src/shards/machine-records/machine-records.js';
 import { CapacityBackoff } from '../src/shards/scale-out/capacity-backoff.js';
 import {
@@ -12,7 +13,7 @@
 } from '../src/shards/scale-out/constants.js';
 import { RentalRequests } from '../src/shards/scale-out/rental-requests.js';
 import { WatchCache } from '../src/store/watch-cache.js';
-import type { Guard, Write } from '../src/wire/schemas.js';
+import type { Guard, Write } from '@sumacstep/leader-election';
 import { ownedShard, shardWith, Store } from './helpers.js';
 import { MemoryStore } from './standins/memory-store.js';
 
@@ -101,7 +102,7 @@
   await scene.start(1);
   await scene.requestAt(10 * RENTAL_RETRY_MS);
   assert.equal(scene.calls.length, 1, 'the first call is under way');
-  await scene.answer(new CloudRequestError('no answer'));
+  await scene.answer(new CloudRequestError('no_response', 'no answer'));
   await scene.requestAt(scene.now + RENTAL_RETRY_MS - 1);
   assert.equal(scene.calls.length, 1, 'not before the pause is over');
   await scene.requestAt(scene.now + 1);
--- a/test/shard-controller.test.ts
+++ b/test/shard-controller.test.ts
@@ -3,7 +3,7 @@
 import { renewableMs } from '../src/core/cancellation/lease-renewal.js';
 import { ATTEMPTS_PER_TERM } from '../src/core/shard/constants.js';
 import { TRANSFER_SETTLE_MS } from '../src/shards/constants.js';
-import { encodeJob } from '../src/store/keys.js';
+import { encodeJob } from '../src/store/codecs/job.js';
 import {
   changed,
   CONFIG,
--- a/test/single-holder.test.ts
+++ b/test/single-holder.test.ts
@@ -6,7 +6,7 @@
   GARBAGE_COLLECTOR_ROLE,
   ORPHAN_COLLECTOR_ROLE,
 } from '../src/singletons/singleton-election.js';
-import { electionEntryKey } from '../src/store/election-entries.js';
+import { electionEntryKey } from '../src/store/keys.js';
 import { Cluster, type ClusterOptions } from './standins/cluster.js';
 import type { Version } from './standins/controllers.js';
 import type { Request } from './standins/server.js';
--- a/test/standins/machine-moves.ts
+++ b/test/standins/machine-moves.ts
@@ -6,8 +6,8 @@
   moveKey,
   shardLockKey,
   newMove,
+  type Move,
 } from '@sumacstep/shard-rebalancing';
-import type { Move } from '@sumacstep/shard-rebalancing';
 import { parseSingletonsConfig } from '../../src/config/singletons.js';
 import { parseRebalancingConfig } from '../../src/config/rebalancing.js';
 import { randomFrom } from '../../src/random.js';
@@ -155,12 +155,12 @@
       door.lateMs = null;
     } else if (what === 5) {
       this.#counts.outages += 1;
-      this.cluster.state.out = true;
+      this.cluster.state.unavailable = true;
       await sleep(1000 + this.#below(7000));
       this.cluster.state.recover();
     } else if (what >= 6 && host !== undefined) {
       this.#counts.unheard += 1;
-      const lost = what === 6 ? 'losesAnswers' : 'losesReports';
+      const lost = what === 6 ? 'losesCommands' : 'losesHeartbeats';
       host[lost] = true;
       await sleep(1000 + this.#below(8000));
       host[lost] = false;
--- a/test/standins/memory-store.ts
+++ b/test/standins/memory-store.ts
@@ -1,7 +1,7 @@
 /** The store's values in memory, for tests of control loops that call nothing but compare-and-swap. */
-import type { CompareAndSwapResult } from '../../src/store/store-client.js';
+import type { CompareAndSwapResult } from '@sumacstep/leader-election';
 import type { WatchCache } from '../../src/store/watch-cache.js';
-import type { Guard, Write } from '../../src/wire/schemas.js';
+import type { Guard, Write } from '@sumacstep/leader-election';
 
 /** Carries out transactions as the store does, and shows its values to watch caches. */
 export class MemoryStore {
