--- a/packages/shard-rebalancing/src/move-state-machine.ts
+++ b/packages/shard-rebalancing/src/move-state-machine.ts
@@ -1,28 +1,38 @@
+/** The state machine of a move: which state follows, computed from the stored one without any input or output. */
 import type { Move } from './records.js';
 
-/** The shard that gives machines away now, and the one that gets them. */
-export const moveEndpoints = ({ direction, from, to }: Move): { source: number; target: number } =>
+/** Indexes of the shards that lose and gain machines now. */
+export interface MoveEndpoints {
+  readonly source: number;
+  readonly target: number;
+}
+
+/** The shard that loses machines now, and the one that gains them: on the way back they are swapped. */
+export const moveEndpoints = ({ direction, from, to }: Move): MoveEndpoints =>
   direction === 'forth' ? { source: from, target: to } : { source: to, target: from };
 
-/** Whether nothing is left to do. */
+/** Whether the move has finished or was aborted, so that nothing is left to do. */
 export const isTerminal = ({ state }: Move): boolean => state === 'finished' || state === 'aborted';
 
 /** How many machines still have to be chosen or moved. */
 export const remainingCount = ({ direction, count, moved }: Move): number =>
   direction === 'forth' ? count - moved.length : moved.length;
 
-/** What the holder of the duty of moving sees. */
+/** What the coordinator knows when it takes a step. */
 export interface MoveFacts {
   /** time of day, ms */
   readonly nowMs: number;
-  /** why no step may be taken now, or null: a node that does not know moves, a shard without a living owner */
+  /**
+   * why no step may be taken now, or null: a node whose version does not support moves, or a shard without a live
+   * owner
+   */
   readonly obstacle: string | null;
 }
 
-const waiting = (move: Move, waitsFor: string | null): Move | null =>
+const waitFor = (move: Move, waitsFor: string): Move | null =>
   move.waitsFor === waitsFor ? null : { ...move, waitsFor };
 
-/** Machines go back to where they were. */
+/** Machines go back to the shard that they came from. */
 const sendBack = (move: Move): Move => ({
   ...move,
   state: 'preparing',
@@ -31,37 +41,42 @@
   waitsFor: null,
 });
 
-const terminated = (move: Move, state: 'finished' | 'aborted'): Move => ({
+const end = (move: Move, state: 'finished' | 'aborted'): Move => ({
   ...move,
   state,
   chosen: [],
   waitsFor: null,
 });
 
-/** Given up: what has moved goes back, so that the shares are as before. */
-const abandon = (move: Move): Move =>
-  move.moved.length === 0 ? terminated(move, 'aborted') : { ...sendBack(move), abortAsked: true };
+/** What has moved goes back, so that the shards' machines are as before. */
+const abort = (move: Move): Move =>
+  move.moved.length === 0 ? end(move, 'aborted') : { ...sendBack(move), abortAsked: true };
 
-/**
- * The step of the holder of the duty, or null if there is none. Pure, and right however often and late it is
- * taken, since it is written only over the move that it was computed from.
- */
-export const advanceMove = (move: Move, { nowMs, obstacle }: MoveFacts): Move | null => {
-  if (isTerminal(move)) return null;
-  if (move.direction === 'back') {
-    if (move.moved.length === 0) return terminated(move, move.abortAsked ? 'aborted' : 'finished');
-    return obstacle === null ? null : waiting(move, obstacle);
-  }
-  if (move.abortAsked) return abandon(move);
+const advanceBack = (move: Move, obstacle: string | null): Move | null => {
+  if (move.moved.length === 0) return end(move, move.abortAsked ? 'aborted' : 'finished');
+  return obstacle === null ? null : waitFor(move, obstacle);
+};
+
+const advanceForth = (move: Move, { nowMs, obstacle }: MoveFacts): Move | null => {
+  if (move.abortAsked) return abort(move);
   if (move.state === 'lent') {
     return move.returnAtMs !== null && nowMs >= move.returnAtMs ? sendBack(move) : null;
   }
   if (move.moved.length >= move.count) {
-    if (move.returnAtMs === null) return terminated(move, 'finished');
+    if (move.returnAtMs === null) return end(move, 'finished');
     return { ...move, state: 'lent', chosen: [], waitsFor: null };
   }
-  if (nowMs >= move.deadlineMs) return abandon(move);
-  if (obstacle !== null) return waiting(move, obstacle);
+  if (nowMs >= move.deadlineMs) return abort(move);
+  if (obstacle !== null) return waitFor(move, obstacle);
   if (move.state === 'requested') return { ...move, state: 'preparing', waitsFor: null };
   return null;
 };
+
+/**
+ * The coordinator's next step, or null if there is none. Pure, and right however often and late it is taken, since
+ * the result is written only over the revision that it was computed from.
+ */
+export const advanceMove = (move: Move, facts: MoveFacts): Move | null => {
+  if (isTerminal(move)) return null;
+  return move.direction === 'back' ? advanceBack(move, facts.obstacle) : advanceForth(move, facts);
+};
--- a/packages/shard-rebalancing/src/records.ts
+++ b/packages/shard-rebalancing/src/records.ts
@@ -1,8 +1,10 @@
+/**
+ * What the store holds of moves of machines between shards. Property names, states and keys are the stored form,
+ * shared with other versions and with `sumacstep shares --json`: they never change.
+ */
 import * as z from 'zod';
 
-/** What the store holds of moves of machines between shards. */
-
-const name = z.string().regex(/^[\w.-]{1,40}$/, 'must be 1 to 40 letters, digits, dots, dashes');
+const moveId = z.string().regex(/^[\w.-]{1,40}$/, 'must be 1 to 40 letters, digits, dots, dashes');
 const shardIndex = z.number().int().nonnegative();
 const timeOfDayMs = z.number().nonnegative();
 
@@ -16,7 +18,7 @@
 
 const requestSchema = z
   .object({
-    id: name,
+    id: moveId,
     from: shardIndex,
     to: shardIndex,
     count: z.number().int().positive(),
@@ -25,10 +27,13 @@
     returnAtMs: timeOfDayMs.nullable().default(null),
   })
   .strict()
-  .refine((r) => r.from !== r.to, { path: ['to'], message: 'must be another part than `from`' })
-  .refine((r) => r.returnAtMs === null || r.returnAtMs > r.deadlineMs, {
+  .refine(({ from, to }) => from !== to, {
+    path: ['to'],
+    error: 'must be another part than `from`',
+  })
+  .refine(({ returnAtMs, deadlineMs }) => returnAtMs === null || returnAtMs > deadlineMs, {
     path: ['returnAtMs'],
-    message: 'must be after the deadline',
+    error: 'must be after the deadline',
   });
 
 const moveSchema = z.object({
@@ -41,26 +46,28 @@
   waitsFor: z.string().nullable(),
 });
 
-/** Which machines may move; null: any. */
+/** Which machines may move. A property that is null matches any machine. */
 export type MachineFilter = Readonly<z.infer<typeof filterSchema>>;
 
-/** What an operator asks for. Times are of the day, in ms. */
+/** An operator's request. Times are times of day in ms. */
 export type MoveRequest = Readonly<z.infer<typeof requestSchema>>;
 
 /**
- * - `requested`: written by an operator; `preparing`: machines are being chosen, and take no new work;
+ * - `requested`: written by an operator;
+ * - `preparing`: machines are being chosen, and get no new tasks;
  * - `moving`: chosen machines move one after another, as they become empty;
- * - `lent`: all are there, and go back at a stated time; `finished`, `aborted`: over.
+ * - `lent`: all machines have moved, and go back at a stated time;
+ * - `finished`, `aborted`: nothing is left to do.
  */
 export type MoveState = z.infer<typeof moveSchema>['state'];
 
-/** A move as it is stored. Each change depends on the revision that it was computed from. */
+/** A move as it is stored. Each change is guarded by the revision that it was computed from. */
 export type Move = Readonly<z.infer<typeof moveSchema>>;
 
-/** Reads a stored move; null if it is none, since people write these with tools of any version. */
+/** Reads a stored move; null if the value is none, since operators write these with tools of any version. */
 export const decodeMove = (value: unknown): Move | null => moveSchema.safeParse(value).data ?? null;
 
-/** What is wrong with a request, a line for each field; empty if nothing is. */
+/** What is wrong with a request, one line for each field; empty if it is valid. */
 export const moveRequestProblems = (value: unknown): string[] => {
   const result = requestSchema.safeParse(value);
   if (result.success) return [];
@@ -69,10 +76,10 @@
   );
 };
 
-/** Reads a request; throws if it is none. */
+/** Reads a request; throws a `ZodError` if it is not valid. */
 export const parseMoveRequest = (value: unknown): MoveRequest => requestSchema.parse(value);
 
-/** The move that a request begins with. */
+/** The first state of a requested move. */
 export const newMove = (request: MoveRequest): Move => ({
   ...request,
   state: 'requested',
@@ -85,12 +92,17 @@
 
 /** Keys of moves begin with this; the rest is the move's id. */
 export const MOVE_PREFIX = 'shares/moves/';
+/** The key of a move. */
 export const moveKey = (id: string): string => `${MOVE_PREFIX}${id}`;
 
-/** Names the move that holds a shard: one move at a time touches it. */
-export const shardLockKey = (part: number): string => `shares/parts/${part}`;
+/** The key of a shard's lock, which names the one move that may change the shard's machines. */
+export const shardLockKey = (shard: number): string => `shares/parts/${shard}`;
+
 const lockSchema = z.object({ move: z.string() });
+
 /** The id of the move that a lock names; null if the value is no lock. */
 export const decodeShardLock = (value: unknown): string | null =>
   lockSchema.safeParse(value).data?.move ?? null;
+
+/** The stored form of a lock. */
 export const encodeShardLock = (id: string): unknown => ({ move: id });
