--- a/src/commands/duties.ts
+++ b/src/commands/duties.ts
@@ -7,7 +7,8 @@
   type LeadershipTransferRequest,
 } from '@sumacstep/leader-election';
 import type { PlatformConfig } from '../config/platform.js';
-import { SINGLETON_ROLES, electionView } from '../singletons/singleton-election.js';
+import { SINGLETON_ROLES } from '../singletons/roles.js';
+import { electionView } from '../singletons/singleton-election.js';
 import { CALL_PRIORITY } from '../store/store-client.js';
 import { key } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
--- a/src/rebalancing/constants.ts
+++ b/src/rebalancing/constants.ts
@@ -1,4 +1,4 @@
 /** Timing of machine moves between shards. */
 
-/** ms; what a move waits for is written this often: it changes with every task, and people read it. */
+/** ms between two writes of a move that change nothing but what it waits for, which changes with every task. */
 export const WAIT_REASON_WRITE_INTERVAL_MS = 5000;
--- /dev/null
+++ b/src/rebalancing/move-candidates.ts
@@ -0,0 +1,40 @@
+/** Machines of a shard as the selection of machines for a move sees them. */
+import type { Candidate } from '@sumacstep/shard-rebalancing';
+import { serves, type MachineState, type Shard } from '../core/shard/shard.js';
+
+/** Why a machine can't move now whatever it runs, or null. The text is stored and printed. */
+const ineligibility = (shard: Shard, machine: MachineState, now: number): string | null => {
+  if (machine.terminating || machine.draining || machine.quarantined || machine.orphaned) {
+    return 'is to be returned';
+  }
+  if (machine.preemptionNoticeAt !== null) return 'has a notice';
+  if (!machine.record.up) return 'is not up yet';
+  if (!shard.isFresh(machine, now) || machine.commandsLostSince !== null) {
+    return 'cannot be reached';
+  }
+  return null;
+};
+
+/**
+ * A machine as a candidate at `now` (steady ms). It is ready to move only when nothing is on it and nothing may
+ * still arrive there.
+ */
+export const candidateOf = (shard: Shard, machine: MachineState, now: number): Candidate => {
+  const { name, type, zone, spot } = machine.record;
+  const ineligibleBecause = ineligibility(shard, machine, now);
+  const empty =
+    machine.tasks.size === 0 &&
+    machine.unknownTasks === 0 &&
+    machine.doubtful.size === 0 &&
+    machine.listed === 0;
+  return {
+    name,
+    type,
+    zone,
+    spot,
+    tasks: machine.tasks.size,
+    runsService: serves(machine),
+    ineligibleBecause,
+    readyToMove: ineligibleBecause === null && empty && machine.cordoned,
+  };
+};
--- a/src/rebalancing/move-coordinator.ts
+++ b/src/rebalancing/move-coordinator.ts
@@ -1,3 +1,4 @@
+/** The singleton controller of machine moves, and what the cache shows of moves. */
 import {
   fencedCompareAndSwap,
   type Authorization,
@@ -9,18 +10,20 @@
   moveKey,
   shardLockKey,
   type Move,
-  type MoveFacts,
 } from '@sumacstep/shard-rebalancing';
 import type { Logger } from 'pino';
-import { MOVE_COORDINATOR_ROLE, type SingletonElection } from '../singletons/singleton-election.js';
+import { MOVE_COORDINATOR_ROLE } from '../singletons/roles.js';
+import type { SingletonElection } from '../singletons/singleton-election.js';
 import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { Write } from '../wire/schemas.js';
 
 type Tables = Pick<WatchCache['tables'], 'nodes' | 'shards' | 'moves'>;
 
-/** All moves that the state service holds, by id. */
-export const movesById = ({ moves: table }: Pick<Tables, 'moves'>) => {
+/** All stored moves, by id. */
+export const movesById = ({
+  moves: table,
+}: Pick<Tables, 'moves'>): Map<string, Versioned<Move>> => {
   const moves = new Map<string, Versioned<Move>>();
   for (const { value: entry, revision } of table.values()) {
     if (entry.kind === 'move') moves.set(entry.move.id, { value: entry.move, revision });
@@ -28,56 +31,57 @@
   return moves;
 };
 
-/** Whether every living node takes part in moves. */
+/** Whether every live node takes part in moves: before that no move begins. */
 export const allSupportRebalancing = ({ nodes }: Pick<Tables, 'nodes'>): boolean => {
   for (const { value } of nodes.values()) if (!value.supportsRebalancing) return false;
   return nodes.size > 0;
 };
 
-/** Why no step of a move may be taken now; null if nothing stands in the way. */
+/** Why no step of a move may be taken now; null if nothing prevents it. The text is stored and printed. */
 export const obstacleTo = (tables: Tables, move: Move): string | null => {
   if (!allSupportRebalancing(tables)) return 'a node that does not know moves';
   for (const shard of [move.from, move.to]) {
     const owner = tables.shards.get(String(shard))?.value;
-    const lives = owner !== undefined && tables.nodes.has(`${owner.owner}/${owner.incarnation}`);
-    if (!lives) return `an owner of part ${shard}`;
+    const live = owner !== undefined && tables.nodes.has(`${owner.owner}/${owner.incarnation}`);
+    if (!live) return `an owner of part ${shard}`;
   }
   return null;
 };
 
-/** What the duty of moving needs of the process. */
+/** What the coordinator needs of the process. */
 export interface MoveCoordinatorDependencies {
-  readonly duties: Pick<SingletonElection, 'authorize'>;
+  readonly election: Pick<SingletonElection, 'authorize'>;
   readonly client: Pick<StoreClient, 'compareAndSwap'>;
   readonly cache: WatchCache;
+  /** time of day, ms */
   readonly timeOfDay: () => number;
   readonly log: Logger;
 }
 
-/** The duty of moving: begins moves, ends them, turns them back at their deadline or at a stated time. */
+/** Begins and ends moves, and sends machines back at a move's deadline or at the stated time. */
 export class MoveCoordinator {
+  /** moves with a write under way */
   readonly #busy = new Set<string>();
 
-  constructor(private readonly ports: MoveCoordinatorDependencies) {}
+  constructor(private readonly dependencies: MoveCoordinatorDependencies) {}
 
-  /** One round, if this node holds the duty. */
+  /** One round over all moves, if this node is the leader. */
   tick(): void {
-    const { cache, duties, timeOfDay } = this.ports;
+    const { cache, election, timeOfDay } = this.dependencies;
     const moves = movesById(cache.tables);
     if (moves.size === 0) return;
-    const authorization = duties.authorize(MOVE_COORDINATOR_ROLE);
+    const authorization = election.authorize(MOVE_COORDINATOR_ROLE);
     if (authorization === null) return;
     for (const [id, { value: move, revision }] of moves) {
       if (isTerminal(move) || this.#busy.has(id)) continue;
       const obstacle = obstacleTo(cache.tables, move);
-      const facts: MoveFacts = { nowMs: timeOfDay(), obstacle };
-      const next = advanceMove(move, facts);
+      const next = advanceMove(move, { nowMs: timeOfDay(), obstacle });
       if (next !== null) void this.#write(authorization, next, revision);
     }
   }
 
   async #write(authorization: Authorization, move: Move, revision: number): Promise<void> {
-    const { client, cache, log } = this.ports;
+    const { client, cache, log } = this.dependencies;
     const key = moveKey(move.id);
     const writes: Write[] = [{ put: key, value: move }];
     if (isTerminal(move)) {
@@ -96,7 +100,7 @@
       if (!outcome.ok) return;
       cache.applyOwn(writes, outcome.epoch);
       const { id, state, direction, waitsFor } = move;
-      log.info({ move: id, state, direction, waitsFor }, 'move of machines');
+      log.info({ move: id, state, direction, waitsFor }, 'move updated');
     } catch (error) {
       if (!(error instanceof StoreRequestError)) throw error;
       log.debug({ move: move.id, error: error.message }, 'move not written');
--- a/src/rebalancing/shard-mover.ts
+++ b/src/rebalancing/shard-mover.ts
@@ -1,83 +1,75 @@
+/** The shard owners' side of machine moves. */
 import { fencedCompareAndSwap, type Versioned } from '@sumacstep/leader-election';
 import {
-  moveEndpoints,
   isTerminal,
+  moveEndpoints,
   moveKey,
   selectMachines,
-  type Candidate,
   type Move,
 } from '@sumacstep/shard-rebalancing';
 import type { Logger } from 'pino';
 import type { SharesConfig } from '../config/shares.js';
-import { WAIT_REASON_WRITE_INTERVAL_MS } from './constants.js';
-import { serves, type MachineState, type Shard } from '../core/shard/shard.js';
 import type { Owned, ShardController } from '../shards/shard-controller.js';
 import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
 import type { WatchCache } from '../store/watch-cache.js';
+import { WAIT_REASON_WRITE_INTERVAL_MS } from './constants.js';
+import { candidateOf } from './move-candidates.js';
 import { movesById, obstacleTo } from './move-coordinator.js';
 
-const unfitness = (shard: Shard, m: MachineState, now: number): string | null => {
-  if (m.terminating || m.draining || m.quarantined || m.orphaned) return 'is to be returned';
-  if (m.preemptionNoticeAt !== null) return 'has a notice';
-  if (!m.record.up) return 'is not up yet';
-  if (!shard.isFresh(m, now) || m.commandsLostSince !== null) return 'cannot be reached';
-  return null;
-};
-
-/** A machine as the choice of machines sees it. */
-export const candidateOf = (shard: Shard, m: MachineState, now: number): Candidate => {
-  const { name, type, zone, spot } = m.record;
-  const unfit = unfitness(shard, m, now);
-  const empty =
-    m.tasks.size === 0 && m.unknownTasks === 0 && m.doubtful.size === 0 && m.listed === 0;
-  return {
-    name,
-    type,
-    zone,
-    spot,
-    tasks: m.tasks.size,
-    runsService: serves(m),
-    ineligibleBecause: unfit,
-    readyToMove: unfit === null && empty && m.cordoned,
-  };
-};
-
-const same = (a: readonly string[], b: readonly string[]): boolean =>
+const sameNames = (a: readonly string[], b: readonly string[]): boolean =>
   a.length === b.length && a.every((name, i) => name === b[i]);
 
+/** The move once the machines belong to the target shard. */
+const withMoved = (move: Move, names: readonly string[]): Move => ({
+  ...move,
+  chosen: move.chosen.filter((name) => !names.includes(name)),
+  moved:
+    move.direction === 'forth'
+      ? [...move.moved, ...names]
+      : move.moved.filter((name) => !names.includes(name)),
+});
+
 /** What the owners' side of moves needs of the process. */
 export interface ShardMoverDependencies {
   readonly client: Pick<StoreClient, 'compareAndSwap'>;
   readonly cache: WatchCache;
   readonly shardController: ShardController;
-  /** steady ms */
+  /** the steady clock, ms */
   readonly now: () => number;
   readonly log: Logger;
 }
 
+/** Machines that are ready to move in one transaction. */
+interface ReadyMachines {
+  readonly owned: Owned;
+  readonly target: number;
+  readonly names: readonly string[];
+}
+
 /**
- * The owners' side of moves. The source's owner chooses machines, starts nothing more on them, and moves each in one
- * transaction when nothing is there and nothing may arrive any more; the target's owner sees to it that its term is
- * the higher one, so that workers take its commands.
+ * The source shard's owner selects machines, cordons them, and moves each in one transaction when nothing is on it
+ * and nothing may still arrive there. The target shard's owner keeps its term the higher one, so that workers accept
+ * its commands after those of the source.
  */
 export class ShardMover {
+  /** moves with a write under way */
   readonly #busy = new Set<string>();
-  /** whether machines may be marked as chosen since an earlier round */
-  #marked = false;
-  /** when the reason of a move was last written, steady ms */
-  readonly #reasonAt = new Map<string, number>();
+  /** whether machines may be cordoned since an earlier round */
+  #cordoned = false;
+  /** when what a move waits for was last written, steady ms */
+  readonly #writtenAt = new Map<string, number>();
 
   constructor(
     private readonly config: SharesConfig,
-    private readonly ports: ShardMoverDependencies,
+    private readonly dependencies: ShardMoverDependencies,
   ) {}
 
   /** One round over the moves that concern shards of this node. */
   tick(): void {
-    const { cache, shardController } = this.ports;
+    const { cache, shardController } = this.dependencies;
     const moves = [...movesById(cache.tables).values()].filter(({ value }) => !isTerminal(value));
-    if (moves.length > 0 || this.#marked) this.#mark(moves);
-    this.#marked = moves.length > 0;
+    if (moves.length > 0 || this.#cordoned) this.#cordonChosen(moves);
+    this.#cordoned = moves.length > 0;
     for (const move of moves) {
       const { state } = move.value;
       if (state !== 'preparing' && state !== 'moving') continue;
@@ -85,94 +77,105 @@
       const { source, target } = moveEndpoints(move.value);
       if (!this.#targetIsNewer(source, target)) shardController.renewTerm(target);
       const owned = shardController.owned.get(source);
-      if (owned !== undefined && shardController.actsFor(owned))
-        this.#asSource(move, owned, target);
+      if (owned !== undefined && shardController.actsFor(owned)) {
+        this.#advanceAsSource(move, owned, target);
+      }
     }
   }
 
   /**
-   * Machines that are chosen take no new work; others do again. A machine may be let go as soon as the stored
-   * move does not name it: a transaction that would move it depends on the move as it was before.
+   * Cordons the chosen machines, and uncordons all others. A machine may be uncordoned as soon as the stored move
+   * does not name it: a transaction that would move it is guarded by the move as it was before.
    */
-  #mark(moves: readonly Versioned<Move>[]): void {
-    const chosen = new Map<number, Set<string>>();
+  #cordonChosen(moves: readonly Versioned<Move>[]): void {
+    const chosenBySource = new Map<number, Set<string>>();
     for (const { value: move } of moves) {
       const { source } = moveEndpoints(move);
-      const names = chosen.get(source) ?? new Set();
+      const names = chosenBySource.get(source) ?? new Set();
       for (const name of move.chosen) names.add(name);
-      chosen.set(source, names);
+      chosenBySource.set(source, names);
     }
-    for (const [index, { shard }] of this.ports.shardController.owned) {
-      const names = chosen.get(index);
-      for (const m of shard.machines.values()) m.cordoned = names?.has(m.record.name) ?? false;
+    for (const [index, { shard }] of this.dependencies.shardController.owned) {
+      const names = chosenBySource.get(index);
+      for (const machine of shard.machines.values()) {
+        machine.cordoned = names?.has(machine.record.name) ?? false;
+      }
     }
   }
 
   #targetIsNewer(source: number, target: number): boolean {
-    const { shardController } = this.ports;
+    const { shardController } = this.dependencies;
     return (shardController.termOf(target) ?? 0) > (shardController.termOf(source) ?? Infinity);
   }
 
-  #asSource({ value: move, revision }: Versioned<Move>, owned: Owned, target: number): void {
-    if (this.#busy.has(move.id)) return;
+  #advanceAsSource(
+    { value: stored, revision }: Versioned<Move>,
+    owned: Owned,
+    target: number,
+  ): void {
+    if (this.#busy.has(stored.id)) return;
     const { shard } = owned;
-    const now = this.ports.now();
-    const present = this.#withoutGone(move, shard.index);
-    const machines = [...shard.machines.values()].map((m) => candidateOf(shard, m, now));
-    const selection = selectMachines(present, machines, this.config.emptyingMost);
+    const now = this.dependencies.now();
+    const move = this.#withoutReturned(stored, shard.index);
+    const candidates = [...shard.machines.values()].map((machine) =>
+      candidateOf(shard, machine, now),
+    );
+    const { chosen, ready, waitsFor } = selectMachines(move, candidates, this.config.emptyingMost);
     const newer = this.#targetIsNewer(shard.index, target);
-    if (newer && selection.ready.length > 0 && move.state === 'moving') {
-      void this.#once(move.id, () =>
-        this.#moveReady(present, revision, owned, target, selection.ready),
+    if (newer && ready.length > 0 && stored.state === 'moving') {
+      void this.#exclusively(stored.id, () =>
+        this.#moveReady(move, revision, { owned, target, names: ready }),
       );
       return;
     }
     const next: Move = {
-      ...present,
-      state: newer && selection.chosen.length > 0 ? 'moving' : 'preparing',
-      chosen: [...selection.chosen],
-      waitsFor: newer ? selection.waitsFor : `a newer term of part ${target}`,
+      ...move,
+      state: newer && chosen.length > 0 ? 'moving' : 'preparing',
+      chosen: [...chosen],
+      waitsFor: newer ? waitsFor : `a newer term of part ${target}`,
     };
-    if (this.#worthWriting(move, next, now)) {
-      void this.#once(move.id, () => this.#write(owned, next, revision));
+    if (this.#isWriteDue(stored, next, now)) {
+      void this.#exclusively(stored.id, () => this.#write(owned, next, revision));
     }
   }
 
   /** On the way back, machines that are gone, or back already, need nothing more. */
-  #withoutGone(move: Move, source: number): Move {
+  #withoutReturned(move: Move, source: number): Move {
     if (move.direction === 'forth') return move;
-    const { machines } = this.ports.cache;
+    const { machines } = this.dependencies.cache;
     const moved = move.moved.filter((name) => machines.get(name)?.value.shard === source);
     return { ...move, moved };
   }
 
-  /** Reasons change with every task: they are written now and then, all else at once. */
-  #worthWriting(old: Move, next: Move, now: number): boolean {
+  /** What a move waits for changes with every task, and is written at intervals; everything else at once. */
+  #isWriteDue(stored: Move, next: Move, now: number): boolean {
     const changed =
-      old.state !== next.state || !same(old.chosen, next.chosen) || !same(old.moved, next.moved);
+      stored.state !== next.state ||
+      !sameNames(stored.chosen, next.chosen) ||
+      !sameNames(stored.moved, next.moved);
     if (changed) return true;
-    if (old.waitsFor === next.waitsFor) return false;
-    return now - (this.#reasonAt.get(next.id) ?? -Infinity) >= WAIT_REASON_WRITE_INTERVAL_MS;
+    if (stored.waitsFor === next.waitsFor) return false;
+    return now - (this.#writtenAt.get(next.id) ?? -Infinity) >= WAIT_REASON_WRITE_INTERVAL_MS;
   }
 
-  async #once(id: string, work: () => Promise<void>): Promise<void> {
+  /** One write at a time for each move; while the store is unavailable, a later round tries again. */
+  async #exclusively(id: string, work: () => Promise<void>): Promise<void> {
     this.#busy.add(id);
     try {
       await work();
     } catch (error) {
       if (!(error instanceof StoreRequestError)) throw error;
-      this.ports.log.debug({ move: id, error: error.message }, 'move not written');
+      this.dependencies.log.debug({ move: id, error: error.message }, 'move not written');
     } finally {
       this.#busy.delete(id);
     }
   }
 
-  async #write(owned: Owned, move: Move, revision: number): Promise<void> {
-    const { client, cache } = this.ports;
+  async #write({ authorization }: Owned, move: Move, revision: number): Promise<void> {
+    const { client, cache, now } = this.dependencies;
     const key = moveKey(move.id);
     const writes = [{ put: key, value: move }];
     const guards = [{ key, revision }];
-    const { authorization } = owned;
     const outcome = await fencedCompareAndSwap(
       client,
       authorization,
@@ -182,35 +185,25 @@
     );
     if (!outcome.ok) return;
     cache.applyOwn(writes, outcome.epoch);
-    this.#reasonAt.set(move.id, this.ports.now());
+    this.#writtenAt.set(move.id, now());
   }
 
   async #moveReady(
     move: Move,
     revision: number,
-    owned: Owned,
-    target: number,
-    ready: readonly string[],
+    { owned, target, names: ready }: ReadyMachines,
   ): Promise<void> {
-    const { shardController, cache, log } = this.ports;
-    const to = cache.tables.shards.get(String(target));
-    if (to === undefined) return;
+    const { shardController, cache, log } = this.dependencies;
+    const targetRecord = cache.tables.shards.get(String(target));
+    if (targetRecord === undefined) return;
     const key = moveKey(move.id);
-    const after = (names: readonly string[]): Move => ({
-      ...move,
-      chosen: move.chosen.filter((name) => !names.includes(name)),
-      moved:
-        move.direction === 'forth'
-          ? [...move.moved, ...names]
-          : move.moved.filter((name) => !names.includes(name)),
-    });
     const moved = await shardController.machines.move(owned, ready, {
       shard: target,
-      term: to.value.term,
-      condition: { key: `parts/${target}`, revision: to.revision },
+      term: targetRecord.value.term,
+      condition: { key: `parts/${target}`, revision: targetRecord.revision },
       group: `moved-${move.id}-${revision}`,
       guards: [{ key, revision }],
-      writes: (names) => [{ put: key, value: after(names) }],
+      writes: (names) => [{ put: key, value: withMoved(move, names) }],
     });
     if (moved.length === 0) return;
     log.info(
--- a/src/service/service.ts
+++ b/src/service/service.ts
@@ -182,7 +182,7 @@
     this.#returns = new ScaleIn(
       this.#cloud,
       this.#shardController,
-      this.#duties?.shardReturns ?? null,
+      this.#duties?.shardReturnIntents ?? null,
       this.#now,
       log,
     );
@@ -191,7 +191,7 @@
       this.#cloud,
       this.#cache,
       this.#shardController,
-      this.#duties?.reclaimer ?? null,
+      this.#duties?.orphanCollection ?? null,
       this.#now,
       log,
     );
@@ -229,7 +229,7 @@
         valueBytes: config.storeLimits.valueBytes,
         loadThreshold: operator.loadThreshold,
       },
-      () => this.#duties?.acceptanceCondition() ?? null,
+      () => this.#duties?.acceptanceGuard() ?? null,
       this.#now,
     );
     this.#cache.on('change', () => this.#reconcileDebounced());
@@ -429,7 +429,7 @@
     await this.#linearizable.wait();
     const shard = SHARD_DUTY.exec(duty)?.[1];
     if (shard !== undefined) return this.#shardController.termOf(Number(shard));
-    return this.#duties?.tokenOf(duty) ?? null;
+    return this.#duties?.fencingTokenOf(duty) ?? null;
   }
 
   #summarize(): void {
--- a/src/shards/orphaned-instances.ts
+++ b/src/shards/orphaned-instances.ts
@@ -4,19 +4,12 @@
 import { ADOPT_MS, LIST_MS } from './constants.js';
 import { shardOfMachine } from '../core/jobs/jobs.js';
 import type { Heartbeat } from '../core/model.js';
-import type { OrphanCollector } from '../singletons/orphan-collector.js';
-import type { ReturnIntents } from '../singletons/return-intents.js';
+import type { OrphanCollection } from '../singletons/orphan-collector.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { ListedMachine } from '../wire/schemas.js';
 import type { ShardController } from './shard-controller.js';
 import { isRetryable } from './retryable-error.js';
 
-/** The duty of returning machines that no record knows, where it is switched on. */
-export interface Reclaimer {
-  readonly reclaiming: OrphanCollector;
-  readonly intents: ReturnIntents;
-}
-
 /**
  * Reads the cloud's list: addresses of machines, machines that failed, and machines that no record knows. Those
  * are adopted by the shard that their name belongs to, or returned by the holder of the duty of reclaiming.
@@ -34,7 +27,7 @@
     private readonly cloud: Pick<CloudClient, 'list' | 'listEveryMs'>,
     private readonly cache: WatchCache,
     private readonly shardController: ShardController,
-    private readonly reclaimer: Reclaimer | null,
+    private readonly orphanCollection: OrphanCollection | null,
     private readonly now: () => number,
     private readonly log: Logger,
   ) {}
@@ -54,7 +47,9 @@
   }
 
   #needsList(): boolean {
-    return this.shardController.owned.size > 0 || (this.reclaimer?.reclaiming.held ?? false);
+    return (
+      this.shardController.owned.size > 0 || (this.orphanCollection?.collector.isLeader ?? false)
+    );
   }
 
   async #list(): Promise<void> {
@@ -83,7 +78,7 @@
     for (const { name, address } of list) if (address !== null) this.#addresses.set(name, address);
     const unrecorded = list.filter((machine) => !this.#recorded(machine));
     const settled = unrecorded.filter((machine) => this.#settled(machine));
-    if (this.reclaimer?.reclaiming.begun ?? false) await this.#reclaim(settled);
+    if (this.orphanCollection?.collector.electionActive ?? false) await this.#reclaim(settled);
     else for (const machine of settled) void this.#adopt(machine);
   }
 
@@ -120,8 +115,8 @@
   }
 
   async #reclaim(machines: readonly ListedMachine[]): Promise<void> {
-    if (machines.length === 0 || this.reclaimer === null) return;
-    const gone = await this.reclaimer.reclaiming.reclaim(machines);
+    if (machines.length === 0 || this.orphanCollection === null) return;
+    const gone = await this.orphanCollection.collector.collect(machines);
     this.shardController.machines.returned(gone);
   }
 
@@ -130,9 +125,9 @@
     const owned = this.shardController.owned.get(shard);
     if (owned === undefined || this.#adopting.has(name)) return;
     // Whoever held the duty before it was paused may have sent the machine's return.
-    const intents = this.reclaimer?.intents ?? null;
+    const intents = this.orphanCollection?.intents ?? null;
     if (intents?.recorded('unrecorded').has(name) ?? false) return;
-    const guards = intents === null ? [] : [intents.condition('unrecorded')];
+    const guards = intents === null ? [] : [intents.guard('unrecorded')];
     this.#adopting.add(name);
     await this.#guarded('machine not adopted', () =>
       this.shardController.machines.adopt(owned, { shard, type, zone, spot }, name, guards),
--- a/src/shards/scale-in.ts
+++ b/src/shards/scale-in.ts
@@ -74,7 +74,11 @@
   async #record(index: number, owned: Owned, names: readonly string[]) {
     if (this.intents === null) return names;
     const needed = (name: string) => owned.shard.machines.has(name);
-    return this.intents.record(index, owned.authorization, names, needed);
+    return this.intents.record(owned.authorization, {
+      list: index,
+      names,
+      isNeeded: needed,
+    });
   }
 
   async #giveBack(owned: Owned, names: readonly string[]): Promise<void> {
--- a/src/singletons/constants.ts
+++ b/src/singletons/constants.ts
@@ -1,10 +1,13 @@
 /** Timing of the singleton controllers. */
 
-/** ms; a duty without a holder is left this long to each candidate before the next one tries. */
+/** ms that each candidate for a vacant role waits for the one before it. */
 export const CANDIDATE_DELAY_MS = 1500;
 
-/** ms; between two looks at what may be cleared: nobody waits for it. */
+/** ms between two rounds of garbage collection. */
 export const GARBAGE_COLLECTION_INTERVAL_MS = 10_000;
 
-/** ms; observed time is written this often. A holder that ends sooner has observed nothing, so not rarely. */
+/** ms between two writes of the retention clock. A leadership that ends sooner adds nothing to it. */
 export const RETENTION_WRITE_INTERVAL_MS = 600_000;
+
+/** Intervals shrink to this share of the retention time if that is shorter. */
+export const RETENTION_INTERVAL_SHARE = 1 / 16;
--- a/src/singletons/garbage-collector.ts
+++ b/src/singletons/garbage-collector.ts
@@ -1,225 +1,184 @@
+/**
+ * Garbage collection of stored state: final states of jobs and ended moves that are older than their retention time,
+ * rentals of shards that do not exist any more, and node records without a lease.
+ */
 import {
   expiredRevision,
   fencedCompareAndSwap,
-  EMPTY_RETENTION,
-  observeElapsed,
   type Authorization,
   type Guard,
-  type RetentionRecord,
   type Write,
 } from '@sumacstep/leader-election';
 import { isTerminal, moveKey } from '@sumacstep/shard-rebalancing';
 import type { Logger } from 'pino';
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { DutiesConfig } from '../config/duties.js';
-import { CLOCK_DRIFT } from '../constants.js';
-import { GARBAGE_COLLECTION_INTERVAL_MS, RETENTION_WRITE_INTERVAL_MS } from './constants.js';
 import { LIST_PAGE } from '../store/constants.js';
+import { dutyEntryKey } from '../store/election-entries.js';
+import { FINAL, key } from '../store/keys.js';
 import {
   CALL_PRIORITY,
   StoreRequestError,
   type Entry,
   type StoreClient,
 } from '../store/store-client.js';
-import { dutyEntryKey } from '../store/election-entries.js';
-import { FINAL, key } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
-import { GARBAGE_COLLECTOR_ROLE, type SingletonElection } from './singleton-election.js';
+import { GARBAGE_COLLECTION_INTERVAL_MS, RETENTION_INTERVAL_SHARE } from './constants.js';
+import { RetentionClock } from './retention-clock.js';
+import { GARBAGE_COLLECTOR_ROLE } from './roles.js';
+import type { SingletonElection } from './singleton-election.js';
 
-/** What clearing needs of the process. */
+/** What garbage collection needs of the process. */
 export interface GarbageCollectorDependencies {
-  readonly duties: Pick<SingletonElection, 'authorize'>;
+  readonly election: Pick<SingletonElection, 'authorize'>;
   readonly client: Pick<StoreClient, 'compareAndSwap' | 'list' | 'get'>;
   readonly cache: WatchCache;
-  /** the key of this node's own life, which a lease holds for sure */
+  /** the key of this node's own incarnation, which is attached to a lease for sure */
   readonly ownNodeKey: string;
   /** number of shards */
   readonly shards: number;
   /** puts and deletes of a transaction */
   readonly transactionOps: number;
-  /** steady ms */
+  /** the steady clock, ms */
   readonly now: () => number;
   readonly log: Logger;
 }
 
-/** share of the retention time after which there is something new to clear */
-const ROUNDS_SHARE = 1 / 16;
-
-/** An entry whose absence nobody needs to notice at once. */
-type Clearable = Pick<Entry, 'key' | 'revision'>;
+/** A key and the revision at which it may be deleted. */
+type Garbage = Pick<Entry, 'key' | 'revision'>;
 
 /**
- * The duty of clearing old state: final states and ended moves that are older than their retention time, rentals of shards that
- * do not exist any more, and node records that no lease holds.
+ * The singleton controller that deletes old state.
  *
- * How old a final state is follows from its revision: the holder notes which revisions were reached how much
- * observed time ago. Each transaction that clears final states also changes the acceptance key, which every
- * acceptance names as a condition. So an acceptance from before fails, however late it is carried out.
+ * The age of a final state follows from its revision: the retention clock records which revisions were reached how
+ * much observed time ago. Each transaction that deletes final states also changes the acceptance key, which guards
+ * every acceptance of a job. So an acceptance from before fails, however late it is carried out.
  */
 export class GarbageCollector {
+  readonly #retentionClock: RetentionClock;
   #busy = false;
-  #lastRound = -Infinity;
-  /** the tenure whose time is observed, and up to when (steady ms) */
-  #observed: { token: number; at: number } | null = null;
-  /** final states up to this revision were looked through */
-  #sweptTo = -1;
+  #lastRoundAt = -Infinity;
+  /** the leadership that has collected final states up to a revision */
+  #swept: { readonly fencingToken: number; readonly revision: number } | null = null;
 
   constructor(
     private readonly config: Pick<DutiesConfig, 'finalKeepMs' | 'clearWritesPerS'>,
-    private readonly ports: GarbageCollectorDependencies,
-  ) {}
+    private readonly dependencies: GarbageCollectorDependencies,
+  ) {
+    this.#retentionClock = new RetentionClock(config.finalKeepMs, dependencies);
+  }
 
-  /** Runs a round if one is due and this node holds the duty. */
+  /** Starts a round if one is due and this node is the leader. */
   tick(): void {
-    const now = this.ports.now();
-    const authorization = this.ports.duties.authorize(GARBAGE_COLLECTOR_ROLE);
-    if (
-      authorization === null ||
-      this.#busy ||
-      now - this.#lastRound < this.#every(GARBAGE_COLLECTION_INTERVAL_MS)
-    ) {
+    const now = this.dependencies.now();
+    const authorization = this.dependencies.election.authorize(GARBAGE_COLLECTOR_ROLE);
+    if (authorization === null || this.#busy || now - this.#lastRoundAt < this.#intervalMs()) {
       return;
     }
-    this.#lastRound = now;
-    void this.#guarded(() => this.round(authorization));
+    this.#lastRoundAt = now;
+    void this.#runRound(authorization);
   }
 
-  /** ms; what is kept for a short time only is looked after more often. */
-  #every(usualMs: number): number {
-    return Math.min(usualMs, this.config.finalKeepMs * ROUNDS_SHARE);
+  /** Shorter than usual if the retention time is short. */
+  #intervalMs(): number {
+    const { finalKeepMs } = this.config;
+    return Math.min(GARBAGE_COLLECTION_INTERVAL_MS, finalKeepMs * RETENTION_INTERVAL_SHARE);
   }
 
-  async #guarded(work: () => Promise<void>): Promise<void> {
+  async #runRound(authorization: Authorization): Promise<void> {
     this.#busy = true;
     try {
-      await work();
+      await this.round(authorization);
     } catch (error) {
       if (!(error instanceof StoreRequestError)) throw error;
-      this.ports.log.debug({ error: error.message }, 'old state not cleared');
+      this.dependencies.log.debug({ error: error.message }, 'garbage not collected');
     } finally {
       this.#busy = false;
     }
   }
 
-  /** Notes the time that has passed, and clears what is due. */
+  /** Advances the retention clock, and deletes what has expired. Rejects with `StoreRequestError`. */
   async round(authorization: Authorization): Promise<void> {
-    const retention = await this.#observeTime(authorization);
+    const retention = await this.#retentionClock.advance(authorization);
     if (retention === null) return;
     const expired = expiredRevision(retention, this.config.finalKeepMs);
-    if (expired !== null && expired > this.#sweptTo) {
-      const cleared = await this.#clearFinals(authorization, expired);
+    if (expired !== null && expired > this.#sweptRevision(authorization)) {
+      const finalStates = await this.#collectFinalStates(authorization, expired);
       if (!authorization.isValid()) return;
-      await this.#clearMoves(authorization, expired);
-      this.#sweptTo = expired;
-      if (cleared > 0) this.ports.log.info({ cleared, expired }, 'final states cleared');
-    }
-    await this.#clearRentals(authorization);
-    await this.#clearNodes(authorization);
-  }
-
-  // --- time --------------------------------------------------------------------------------------
-
-  /** Writes the observed time now and then; null while that is not due, or if the tenure is over. */
-  async #observeTime(authorization: Authorization): Promise<RetentionRecord | null> {
-    const now = this.ports.now();
-    const { fencingToken: token } = authorization;
-    if (this.#observed?.token !== token) {
-      this.#observed = { token, at: now };
-      this.#sweptTo = -1;
+      await this.#collectMoves(authorization, expired);
+      this.#swept = { fencingToken: authorization.fencingToken, revision: expired };
+      if (finalStates > 0) {
+        const fields = { finalStates, expiredRevision: expired };
+        this.dependencies.log.info(fields, 'final states deleted');
+      }
     }
-    const passedMs = now - this.#observed.at;
-    const stored = this.ports.cache.tables.elections.get('retention');
-    const old = stored?.value.kind === 'retention' ? stored.value.retention : EMPTY_RETENTION;
-    if (stored !== undefined && passedMs < this.#every(RETENTION_WRITE_INTERVAL_MS)) return null;
-    const options = { keepMs: this.config.finalKeepMs, clockDrift: CLOCK_DRIFT };
-    const value = observeElapsed(old, passedMs, this.ports.cache.epoch, options);
-    const writes = [{ put: dutyEntryKey.retention, value }];
-    const guards = [{ key: dutyEntryKey.retention, revision: stored?.revision ?? 0 }];
-    if (!(await this.#compareAndSwap(authorization, guards, writes))) return null;
-    this.#observed = { token, at: now };
-    return value;
+    await this.#collectRentals(authorization);
+    await this.#collectNodes(authorization);
   }
 
-  async #compareAndSwap(
-    authorization: Authorization,
-    guards: readonly Guard[],
-    writes: readonly Write[],
-  ): Promise<boolean> {
-    const { client, cache } = this.ports;
-    const outcome = await fencedCompareAndSwap(
-      client,
-      authorization,
-      CALL_PRIORITY.rest,
-      guards,
-      writes,
-    );
-    if (outcome.ok) cache.applyOwn(writes, outcome.epoch);
-    return outcome.ok;
+  #sweptRevision({ fencingToken }: Authorization): number {
+    return this.#swept?.fencingToken === fencingToken ? this.#swept.revision : -1;
   }
 
-  // --- what is cleared ---------------------------------------------------------------------------
-
-  /** Returns how many final states went. */
-  async #clearFinals(authorization: Authorization, expired: number): Promise<number> {
+  /** Resolves with the number of final states that were deleted. */
+  async #collectFinalStates(authorization: Authorization, expired: number): Promise<number> {
     // One write of each transaction goes to the acceptance key.
-    const most = Math.max(1, this.ports.transactionOps - 1);
-    let cleared = 0;
+    const batchLimit = Math.max(1, this.dependencies.transactionOps - 1);
+    let deleted = 0;
     for (let since: string | null = null; ;) {
-      const page = await this.ports.client.list(FINAL, since, LIST_PAGE, CALL_PRIORITY.rest);
+      const page = await this.dependencies.client.list(FINAL, since, LIST_PAGE, CALL_PRIORITY.rest);
       const old = page.entries.filter((entry) => entry.revision <= expired);
-      for (let at = 0; at < old.length; at += most) {
-        if (!authorization.isValid()) return cleared;
-        const batch = old.slice(at, at + most);
-        if (await this.#dropFinals(authorization, batch)) cleared += batch.length;
+      for (let start = 0; start < old.length; start += batchLimit) {
+        if (!authorization.isValid()) return deleted;
+        const batch = old.slice(start, start + batchLimit);
+        if (await this.#deleteFinalStates(authorization, batch)) deleted += batch.length;
         await sleep(((batch.length + 1) * 1000) / this.config.clearWritesPerS);
       }
       const last = page.entries.at(-1);
-      if (!page.more || last === undefined) return cleared;
+      if (!page.more || last === undefined) return deleted;
       since = last.key;
     }
   }
 
-  #dropFinals(authorization: Authorization, batch: readonly Clearable[]): Promise<boolean> {
+  #deleteFinalStates(authorization: Authorization, batch: readonly Garbage[]): Promise<boolean> {
     const guards = batch.map(({ key: name, revision }) => ({ key: name, revision }));
     const drops: Write[] = batch.map(({ key: name }) => ({ drop: name }));
-    const acceptance = {
-      put: dutyEntryKey.acceptance,
-      value: { token: authorization.fencingToken },
-    };
+    const value = { token: authorization.fencingToken };
+    const acceptance = { put: dutyEntryKey.acceptance, value };
     return this.#compareAndSwap(authorization, guards, [...drops, acceptance]);
   }
 
-  /** Moves of machines that were over before: they are kept for people alone. */
-  async #clearMoves(authorization: Authorization, expired: number): Promise<void> {
-    for (const { value: entry, revision } of this.ports.cache.tables.moves.values()) {
+  /** Moves of machines that have ended: they are kept for people alone. */
+  async #collectMoves(authorization: Authorization, expired: number): Promise<void> {
+    for (const { value: entry, revision } of this.dependencies.cache.tables.moves.values()) {
       if (entry.kind !== 'move' || !isTerminal(entry.move) || revision > expired) continue;
-      if (!(await this.#drop(authorization, { key: moveKey(entry.move.id), revision }))) return;
+      if (!(await this.#delete(authorization, { key: moveKey(entry.move.id), revision }))) return;
     }
   }
 
-  /** Rentals of shards that no setting names and nobody owns. Machines that they got are reclaimed. */
-  async #clearRentals(authorization: Authorization): Promise<void> {
-    const { tables } = this.ports.cache;
-    for (const { value: rental, revision } of tables.rentals.values()) {
-      if (rental.shard < this.ports.shards || this.#ownerLives(rental.shard)) continue;
+  /** Rentals of shards that are not configured and have no live owner. Orphan collection returns their machines. */
+  async #collectRentals(authorization: Authorization): Promise<void> {
+    const { cache, shards, log } = this.dependencies;
+    for (const { value: rental, revision } of cache.tables.rentals.values()) {
+      if (rental.shard < shards || this.#hasLiveOwner(rental.shard)) continue;
       const name = key.rental(rental.shard, rental.name);
-      if (!(await this.#drop(authorization, { key: name, revision }))) return;
-      this.ports.log.info({ shard: rental.shard, hire: rental.name }, 'rental of no shard cleared');
+      if (!(await this.#delete(authorization, { key: name, revision }))) return;
+      log.info({ shard: rental.shard, rental: rental.name }, 'rental of removed shard deleted');
     }
   }
 
-  #ownerLives(shard: number): boolean {
-    const { tables } = this.ports.cache;
+  #hasLiveOwner(shard: number): boolean {
+    const { tables } = this.dependencies.cache;
     const owner = tables.shards.get(String(shard))?.value;
     return owner !== undefined && tables.nodes.has(`${owner.owner}/${owner.incarnation}`);
   }
 
   /**
-   * Records of nodes that no lease holds, and that would keep their shards from everybody. Only if the state service
-   * tells leases at all: our own record is held by one for sure.
+   * Records of nodes that are attached to no lease, and that would block the takeover of their shards. Only if the
+   * store reports leases at all: the own record is attached to one for sure.
    */
-  async #clearNodes(authorization: Authorization): Promise<void> {
-    const { client, cache, ownNodeKey, log } = this.ports;
+  async #collectNodes(authorization: Authorization): Promise<void> {
+    const { client, cache, ownNodeKey, log } = this.dependencies;
     const own = await client.get(ownNodeKey, CALL_PRIORITY.rest);
     if ('missing' in own || (own.lease ?? null) === null) return;
     for (const { value } of cache.tables.nodes.values()) {
@@ -227,12 +186,29 @@
       if (name === ownNodeKey) continue;
       const found = await client.get(name, CALL_PRIORITY.rest);
       if ('missing' in found || (found.lease ?? null) !== null) continue;
-      if (!(await this.#drop(authorization, found))) return;
-      log.info({ node: value.node, incarnation: value.incarnation }, 'node record cleared');
+      if (!(await this.#delete(authorization, found))) return;
+      log.info({ node: value.node, incarnation: value.incarnation }, 'node record deleted');
     }
   }
 
-  #drop(authorization: Authorization, { key: name, revision }: Clearable): Promise<boolean> {
+  #delete(authorization: Authorization, { key: name, revision }: Garbage): Promise<boolean> {
     return this.#compareAndSwap(authorization, [{ key: name, revision }], [{ drop: name }]);
   }
+
+  async #compareAndSwap(
+    authorization: Authorization,
+    guards: readonly Guard[],
+    writes: readonly Write[],
+  ): Promise<boolean> {
+    const { client, cache } = this.dependencies;
+    const outcome = await fencedCompareAndSwap(
+      client,
+      authorization,
+      CALL_PRIORITY.rest,
+      guards,
+      writes,
+    );
+    if (outcome.ok) cache.applyOwn(writes, outcome.epoch);
+    return outcome.ok;
+  }
 }
--- a/src/singletons/orphan-collector.ts
+++ b/src/singletons/orphan-collector.ts
@@ -1,4 +1,5 @@
-import { type Authorization } from '@sumacstep/leader-election';
+/** Orphan collection: returns machines that no record knows, for instance from rentals that were carried out late. */
+import type { Authorization } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import type { CloudClient } from '../cloud/client.js';
 import { MAX_RETURN_BATCH } from '../constants.js';
@@ -6,15 +7,22 @@
 import { key } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { ListedMachine } from '../wire/schemas.js';
-import { ORPHAN_COLLECTOR_ROLE, type SingletonElection } from './singleton-election.js';
 import type { ReturnIntents } from './return-intents.js';
+import { ORPHAN_COLLECTOR_ROLE } from './roles.js';
+import type { SingletonElection } from './singleton-election.js';
 
-/** conditions of the transaction that records returns besides those of the machines: duty and list */
-const OTHER_CONDITIONS = 2;
+/** guards of the transaction that records intents besides those of the machines: the leader record and the list */
+const OTHER_GUARDS = 2;
 
-/** What reclaiming needs of the process. */
+/** Orphan collection, where it is switched on, and the write-ahead intents that it reads and writes. */
+export interface OrphanCollection {
+  readonly collector: OrphanCollector;
+  readonly intents: ReturnIntents;
+}
+
+/** What orphan collection needs of the process. */
 export interface OrphanCollectorDependencies {
-  readonly duties: Pick<SingletonElection, 'authorize' | 'begun'>;
+  readonly election: Pick<SingletonElection, 'authorize' | 'electionActive'>;
   readonly intents: ReturnIntents;
   readonly cloud: Pick<CloudClient, 'returnMachines'>;
   readonly cache: WatchCache;
@@ -23,70 +31,76 @@
   readonly log: Logger;
 }
 
-/** The duty of returning machines that no record knows: rentals that were carried out late, for instance. */
+/** The singleton controller that returns orphaned machines. */
 export class OrphanCollector {
   #busy = false;
 
   constructor(
+    /** puts and deletes of a transaction */
     private readonly transactionOps: number,
-    private readonly ports: OrphanCollectorDependencies,
+    private readonly dependencies: OrphanCollectorDependencies,
   ) {}
 
-  /** Whether such machines are returned by the duty's holder, and not adopted by a shard. */
-  get begun(): boolean {
-    return this.ports.duties.begun;
+  /** Whether the leader returns orphaned machines; if not, shards adopt them. */
+  get electionActive(): boolean {
+    return this.dependencies.election.electionActive;
   }
 
-  /** Whether this node is the one that returns them. */
-  get held(): boolean {
-    return this.ports.duties.authorize(ORPHAN_COLLECTOR_ROLE) !== null;
+  /** Whether this node is the leader. */
+  get isLeader(): boolean {
+    return this.dependencies.election.authorize(ORPHAN_COLLECTOR_ROLE) !== null;
   }
 
   /**
-   * Returns machines that the cloud has listed for long without any record. Resolves with those that are gone.
-   * Rejects like the state service and the cloud do, and with `NotLeaderError`.
+   * Returns machines that the cloud has listed for long without any record. Resolves with the names of those that
+   * are gone; none if this node is not the leader or a call is under way. Rejects like the store and the cloud do,
+   * and with `NotLeaderError`.
    */
-  async reclaim(listed: readonly ListedMachine[]): Promise<readonly string[]> {
-    const authorization = this.ports.duties.authorize(ORPHAN_COLLECTOR_ROLE);
+  async collect(listed: readonly ListedMachine[]): Promise<readonly string[]> {
+    const authorization = this.dependencies.election.authorize(ORPHAN_COLLECTOR_ROLE);
     if (authorization === null || this.#busy) return [];
     this.#busy = true;
     try {
-      return await this.#reclaim(authorization, listed);
+      return await this.#collect(authorization, listed);
     } finally {
       this.#busy = false;
     }
   }
 
-  async #reclaim(
+  async #collect(
     authorization: Authorization,
     listed: readonly ListedMachine[],
   ): Promise<readonly string[]> {
-    const { intents, cloud, current, log } = this.ports;
+    const { intents, cloud, current, log } = this.dependencies;
     // Every rental is recorded before its call. So once a current cache shows neither a rental of the machine's
     // kind nor the machine, none can record it any more.
     await current();
-    const most = Math.min(
+    const limit = Math.min(
       MAX_RETURN_BATCH,
-      this.transactionOps * CONDITIONS_PER_OP - OTHER_CONDITIONS,
+      this.transactionOps * CONDITIONS_PER_OP - OTHER_GUARDS,
     );
     const names = listed
-      .filter((machine) => this.#nobodys(machine))
+      .filter((machine) => this.#isOrphaned(machine))
       .map((machine) => machine.name)
-      .slice(0, most);
+      .slice(0, limit);
     if (names.length === 0) return [];
-    const unadopted = names.map((name) => ({ key: key.adoptedMachineGroup(name), revision: 0 }));
+    const notAdopted = names.map((name) => ({ key: key.adoptedMachineGroup(name), revision: 0 }));
     const present = new Set(listed.map((machine) => machine.name));
-    const needed = (name: string) => present.has(name);
-    const list = 'unrecorded';
-    const recorded = await intents.record(list, authorization, names, needed, unadopted);
+    const recorded = await intents.record(authorization, {
+      list: 'unrecorded',
+      names,
+      isNeeded: (name) => present.has(name),
+      guards: notAdopted,
+    });
     if (recorded.length === 0) return [];
     await cloud.returnMachines(recorded, authorization);
-    log.info({ machines: recorded, token: authorization.fencingToken }, 'machines reclaimed');
+    const { fencingToken } = authorization;
+    log.info({ machines: recorded, fencingToken }, 'orphaned machines returned');
     return recorded;
   }
 
-  #nobodys({ name, type, zone, spot }: ListedMachine): boolean {
-    const { cache } = this.ports;
+  #isOrphaned({ name, type, zone, spot }: ListedMachine): boolean {
+    const { cache } = this.dependencies;
     if (cache.machines.has(name)) return false;
     for (const { value: rental } of cache.tables.rentals.values()) {
       if (rental.type === type && rental.zone === zone && rental.spot === spot) return false;
--- a/src/singletons/return-intents.ts
+++ b/src/singletons/return-intents.ts
@@ -1,64 +1,79 @@
+/** Write-ahead intents of returning machines: lists of machines whose return was decided, stored before it is sent. */
 import {
   fencedCompareAndSwap,
   type Authorization,
   type Guard,
   type Write,
 } from '@sumacstep/leader-election';
+import {
+  dutyEntryKey,
+  encodeReturns,
+  type DutyEntry,
+  type ReturnList,
+} from '../store/election-entries.js';
 import { CALL_PRIORITY, type StoreClient } from '../store/store-client.js';
-import { dutyEntryKey, encodeReturns, type ReturnList } from '../store/election-entries.js';
-import type { WatchCache } from '../store/watch-cache.js';
+import type { Cached, WatchCache } from '../store/watch-cache.js';
+
+const NO_MACHINES: ReadonlySet<string> = new Set();
 
-const NONE: ReadonlySet<string> = new Set();
+/** bytes of a stored list besides its names */
+const LIST_OVERHEAD_BYTES = 32;
+/** bytes of a stored name besides its characters */
+const NAME_OVERHEAD_BYTES = 3;
 
-/** bytes of a list around and between its names */
-const LIST_BYTES = 32;
-const SEPARATOR_BYTES = 3;
+/** Machines to add to a list of intents. */
+export interface ReturnIntent {
+  readonly list: ReturnList;
+  /** machines to return */
+  readonly names: readonly string[];
+  /** whether a machine that is on the list already must stay there */
+  readonly isNeeded: (name: string) => boolean;
+  /** further guards of the transaction */
+  readonly guards?: readonly Guard[];
+}
 
 /**
- * Machines whose return was decided. The cloud knows no fencing tokens: a call that an earlier holder sent may be
- * carried out at any later time. So the names are written first, under the holder's authorization, and nobody
- * who holds the list later counts on these machines.
+ * Machines whose return was decided. The cloud knows no fencing tokens: a call that an earlier leader or owner sent
+ * may be carried out at any later time. So the names are written first, under its authorization, and none of its
+ * successors relies on these machines.
  */
 export class ReturnIntents {
   constructor(
     private readonly client: Pick<StoreClient, 'compareAndSwap'>,
     private readonly cache: WatchCache,
+    /** largest stored value, bytes */
     private readonly valueBytes: number,
   ) {}
 
-  /** The machines of a list, as far as this node knows it. */
+  /** The machines on a list, as far as this node knows it. */
   recorded(list: ReturnList): ReadonlySet<string> {
     const entry = this.#entry(list)?.value;
-    return entry?.kind === 'returns' ? entry.machines : NONE;
+    return entry?.kind === 'returns' ? entry.machines : NO_MACHINES;
   }
 
-  /** The list as it is known here, as a condition of writes that depend on what is not in it. */
-  condition(list: ReturnList): Guard {
+  /** The list's revision as it is known here, to guard writes that rely on what is not on the list. */
+  guard(list: ReturnList): Guard {
     return { key: dutyEntryKey.returns(list), revision: this.#entry(list)?.revision ?? 0 };
   }
 
   /**
-   * Adds machines to a list and takes those off it that `needed` denies. Resolves with those of `names` that
-   * stand in the state service and may be returned now; what has no room waits for another round.
+   * Adds machines to a list, and removes those that are not needed there any more. Resolves with those of the names
+   * that are stored and may be returned now; those that don't fit into the value have to wait for a later call.
    */
   async record(
-    list: ReturnList,
     authorization: Authorization,
-    names: readonly string[],
-    needed: (name: string) => boolean,
-    conditions: readonly Guard[] = [],
+    { list, names, isNeeded, guards = [] }: ReturnIntent,
   ): Promise<readonly string[]> {
     const known = this.recorded(list);
     if (names.every((name) => known.has(name))) return names;
-    const kept = [...known].filter(needed);
+    const kept = [...known].filter(isNeeded);
     const machines = this.#thatFit([...new Set([...kept, ...names])]);
     const put: Write = { put: dutyEntryKey.returns(list), value: encodeReturns(machines) };
-    const guards = [this.condition(list), ...conditions];
     const outcome = await fencedCompareAndSwap(
       this.client,
       authorization,
       CALL_PRIORITY.completion,
-      guards,
+      [this.guard(list), ...guards],
       [put],
     );
     if (!outcome.ok) return [];
@@ -67,14 +82,14 @@
     return names.filter((name) => written.has(name));
   }
 
-  #entry(list: ReturnList) {
+  #entry(list: ReturnList): Cached<DutyEntry> | undefined {
     return this.cache.tables.elections.get(dutyEntryKey.returns(list).slice('duties/'.length));
   }
 
   #thatFit(names: readonly string[]): string[] {
-    let bytes = LIST_BYTES;
+    let bytes = LIST_OVERHEAD_BYTES;
     return names.filter((name) => {
-      const size = name.length + SEPARATOR_BYTES;
+      const size = name.length + NAME_OVERHEAD_BYTES;
       if (bytes + size > this.valueBytes) return false;
       bytes += size;
       return true;
--- a/src/singletons/singleton-controllers.ts
+++ b/src/singletons/singleton-controllers.ts
@@ -1,3 +1,7 @@
+/**
+ * The singleton controllers of a node, which run on one node of the cluster at a time: orphan collection, garbage
+ * collection and the coordination of machine moves.
+ */
 import type { FencingRejections } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import type { CloudClient } from '../cloud/client.js';
@@ -5,18 +9,17 @@
 import type { PlatformConfig } from '../config/platform.js';
 import type { SharesConfig } from '../config/shares.js';
 import { MoveCoordinator } from '../rebalancing/move-coordinator.js';
-import type { Reclaimer } from '../shards/orphaned-instances.js';
-import type { StoreClient } from '../store/store-client.js';
 import { dutyEntryKey } from '../store/election-entries.js';
 import { key } from '../store/keys.js';
+import type { StoreClient } from '../store/store-client.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { Guard } from '../wire/schemas.js';
 import { GarbageCollector } from './garbage-collector.js';
-import { SingletonElection } from './singleton-election.js';
-import { OrphanCollector } from './orphan-collector.js';
+import { OrphanCollector, type OrphanCollection } from './orphan-collector.js';
 import { ReturnIntents } from './return-intents.js';
+import { SingletonElection } from './singleton-election.js';
 
-/** What the duties need of the process. */
+/** What the singleton controllers need of the process. */
 export interface SingletonControllersDependencies {
   readonly client: StoreClient;
   readonly cloud: CloudClient;
@@ -26,66 +29,72 @@
   /** resolves once the cache shows everything that was committed before the call */
   readonly current: () => Promise<unknown>;
   readonly fencingRejections: FencingRejections;
-  /** steady ms */
+  /** the steady clock, ms */
   readonly now: () => number;
+  /** time of day, ms */
   readonly timeOfDay: () => number;
   readonly log: Logger;
 }
 
 type Platform = Pick<PlatformConfig, 'node' | 'nodes' | 'storeLimits'>;
 
-/** The exclusive duties as they are switched on, put together. */
+/** The singleton controllers that are switched on, and the election of their leaders. */
 export class SingletonControllers {
-  readonly #controller: SingletonElection;
-  readonly #clearing: GarbageCollector;
-  readonly #mover: MoveCoordinator | null;
+  readonly #election: SingletonElection;
+  readonly #garbageCollector: GarbageCollector;
+  readonly #moveCoordinator: MoveCoordinator | null;
   readonly #cache: WatchCache;
-  /** records returns of shards; null if that is switched off */
-  readonly shardReturns: ReturnIntents | null;
-  /** returns machines that no record knows; null if that is switched off */
-  readonly reclaimer: Reclaimer | null;
+  /** intents of the shards' own returns; null if they are switched off */
+  readonly shardReturnIntents: ReturnIntents | null;
+  /** null if it is switched off */
+  readonly orphanCollection: OrphanCollection | null;
 
   constructor(
     platform: Platform,
     config: DutiesConfig,
     shares: SharesConfig | null,
     incarnation: string,
-    ports: SingletonControllersDependencies,
+    dependencies: SingletonControllersDependencies,
   ) {
-    const { client, cache } = ports;
+    const { client, cache } = dependencies;
     const { valueBytes, transactionOps } = platform.storeLimits;
     this.#cache = cache;
-    const switched = { ...config, move: shares !== null };
-    this.#controller = new SingletonElection({ node: platform.node, incarnation }, switched, ports);
-    const duties = this.#controller;
+    const self = { node: platform.node, incarnation };
+    const election = new SingletonElection(
+      self,
+      { ...config, move: shares !== null },
+      dependencies,
+    );
+    this.#election = election;
     const intents = new ReturnIntents(client, cache, valueBytes);
-    this.shardReturns = config.recordReturns ? intents : null;
-    const reclaiming = new OrphanCollector(transactionOps, { ...ports, duties, intents });
-    this.reclaimer = config.reclaim ? { reclaiming, intents } : null;
-    this.#mover = shares === null ? null : new MoveCoordinator({ ...ports, duties });
-    this.#clearing = new GarbageCollector(config, {
-      ...ports,
-      duties,
+    this.shardReturnIntents = config.recordReturns ? intents : null;
+    const collector = new OrphanCollector(transactionOps, { ...dependencies, election, intents });
+    this.orphanCollection = config.reclaim ? { collector, intents } : null;
+    this.#moveCoordinator =
+      shares === null ? null : new MoveCoordinator({ ...dependencies, election });
+    this.#garbageCollector = new GarbageCollector(config, {
+      ...dependencies,
+      election,
       ownNodeKey: key.node(platform.node, incarnation),
       shards: platform.nodes,
       transactionOps,
     });
   }
 
-  /** One round of the duties' loops. */
+  /** One round of the election and of the controllers that run by themselves; orphan collection follows the cloud's list. */
   tick(): void {
-    this.#controller.tick();
-    this.#clearing.tick();
-    this.#mover?.tick();
+    this.#election.tick();
+    this.#garbageCollector.tick();
+    this.#moveCoordinator?.tick();
   }
 
-  /** The token of a duty's present tenure as it is known here; null if it never had one. */
-  tokenOf(duty: string): number | null {
-    return this.#controller.view().records.get(duty)?.value.token ?? null;
+  /** The fencing token of a role's present leadership as it is known here; null if it never had a leader. */
+  fencingTokenOf(role: string): number | null {
+    return this.#election.view().records.get(role)?.value.token ?? null;
   }
 
-  /** What acceptances depend on: it changes whenever final states are cleared. */
-  acceptanceCondition(): Guard {
+  /** What acceptances of jobs are guarded by: it changes whenever final states are deleted. */
+  acceptanceGuard(): Guard {
     const name = dutyEntryKey.acceptance;
     const known = this.#cache.tables.elections.get(name.slice('duties/'.length));
     return { key: name, revision: known?.revision ?? 0 };
--- a/src/singletons/singleton-election.ts
+++ b/src/singletons/singleton-election.ts
@@ -1,38 +1,32 @@
+/** Leader election of the singleton controllers: the package on this node's store client and watch cache. */
 import {
   allSupportElection,
   LeaderElection,
   type Authorization,
-  type LeaderRecord,
+  type CompareAndSwapStore,
   type ElectionView,
+  type FencingRejections,
+  type LeaderRecord,
   type LeadershipTransferRequest,
   type LiveMember,
   type Member,
-  type FencingRejections,
-  type CompareAndSwapStore,
   type Urgency,
   type Versioned,
 } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import type { DutiesConfig } from '../config/duties.js';
-import { CANDIDATE_DELAY_MS } from './constants.js';
-import { CALL_PRIORITY, type CallPriority, type StoreClient } from '../store/store-client.js';
 import { key, type Entries } from '../store/keys.js';
+import { CALL_PRIORITY, type CallPriority, type StoreClient } from '../store/store-client.js';
 import type { Cached, WatchCache } from '../store/watch-cache.js';
-
-/** Returning machines that no record knows. */
-export const ORPHAN_COLLECTOR_ROLE = 'reclaim';
-/** Clearing old state. */
-export const GARBAGE_COLLECTOR_ROLE = 'clear';
-/** Moving machines between shards. */
-export const MOVE_COORDINATOR_ROLE = 'move';
-/** All duties that exist, whether switched on or not. */
-export const SINGLETON_ROLES = [
-  ORPHAN_COLLECTOR_ROLE,
+import { CANDIDATE_DELAY_MS } from './constants.js';
+import {
   GARBAGE_COLLECTOR_ROLE,
   MOVE_COORDINATOR_ROLE,
-] as const;
+  ORPHAN_COLLECTOR_ROLE,
+  SINGLETON_ROLES,
+} from './roles.js';
 
-const CALL_OF: Readonly<Record<Urgency, CallPriority>> = {
+const CALL_PRIORITY_OF: Readonly<Record<Urgency, CallPriority>> = {
   lease: CALL_PRIORITY.renew,
   normal: CALL_PRIORITY.completion,
   background: CALL_PRIORITY.rest,
@@ -40,61 +34,72 @@
 
 type Tables = Pick<WatchCache['tables'], 'nodes' | 'elections'>;
 
-const livingMembers = (nodes: ReadonlyMap<string, Cached<Entries['nodes/']>>): LiveMember[] =>
+const liveMembers = (nodes: ReadonlyMap<string, Cached<Entries['nodes/']>>): LiveMember[] =>
   [...nodes.values()].map(({ value, revision }) => ({ ...value, revision }));
 
-/** Members, duties and requests as the tables show them. */
+/** Members, leader records and transfer requests as the tables show them. */
 export const electionView = (tables: Tables): ElectionView => {
   const records = new Map<string, Versioned<LeaderRecord>>();
-  const requests = new Map<string, Versioned<LeadershipTransferRequest>>();
+  const transferRequests = new Map<string, Versioned<LeadershipTransferRequest>>();
   for (const { value: entry, revision } of tables.elections.values()) {
     if (entry.kind === 'record') records.set(entry.duty, { value: entry.record, revision });
-    else if (entry.kind === 'request') requests.set(entry.duty, { value: entry.request, revision });
+    else if (entry.kind === 'request') {
+      transferRequests.set(entry.duty, { value: entry.request, revision });
+    }
   }
-  return { members: livingMembers(tables.nodes), records, transferRequests: requests };
+  return { members: liveMembers(tables.nodes), records, transferRequests };
 };
 
-/** What the duty controller needs of the process. */
+/** Which singleton controllers this node is a candidate for. */
+export type EnabledControllers = Pick<DutiesConfig, 'reclaim' | 'clear'> & {
+  readonly move: boolean;
+};
+
+/** What the election needs of the process. */
 export interface SingletonElectionDependencies {
   readonly client: Pick<StoreClient, 'compareAndSwap'>;
   readonly cache: WatchCache;
   /** whether this node provably owns what the cache shows as its own */
   readonly authority: () => boolean;
   readonly fencingRejections: FencingRejections;
-  /** steady ms */
+  /** the steady clock, ms */
   readonly now: () => number;
+  /** time of day, ms */
   readonly timeOfDay: () => number;
   readonly log: Logger;
 }
 
-/** The exclusive duties of this node: the package's manager on the state service and the watch cache. */
+const enabledRoles = (enabled: EnabledControllers): readonly string[] => {
+  const byRole = {
+    [ORPHAN_COLLECTOR_ROLE]: enabled.reclaim,
+    [GARBAGE_COLLECTOR_ROLE]: enabled.clear,
+    [MOVE_COORDINATOR_ROLE]: enabled.move,
+  };
+  return SINGLETON_ROLES.filter((role) => byRole[role]);
+};
+
+/** This node's part in the election of leaders for the singleton controllers. */
 export class SingletonElection {
-  readonly #manager: LeaderElection;
+  readonly #election: LeaderElection;
   readonly #cache: WatchCache;
   #view: ElectionView | null = null;
   #viewVersion = -1;
 
   constructor(
     self: Member,
-    config: Pick<DutiesConfig, 'reclaim' | 'clear'> & { readonly move: boolean },
-    ports: SingletonElectionDependencies,
+    enabled: EnabledControllers,
+    dependencies: SingletonElectionDependencies,
   ) {
-    const { client, cache, authority, fencingRejections, now, timeOfDay, log } = ports;
+    const { client, cache, authority, fencingRejections, now, timeOfDay, log } = dependencies;
     this.#cache = cache;
-    const switched = {
-      [ORPHAN_COLLECTOR_ROLE]: config.reclaim,
-      [GARBAGE_COLLECTOR_ROLE]: config.clear,
-      [MOVE_COORDINATOR_ROLE]: config.move,
-    };
-    const duties = SINGLETON_ROLES.filter((name) => switched[name]);
     const store: CompareAndSwapStore = {
       compareAndSwap: (urgency, guards, writes) =>
-        client.compareAndSwap(CALL_OF[urgency], guards, writes),
+        client.compareAndSwap(CALL_PRIORITY_OF[urgency], guards, writes),
     };
-    this.#manager = new LeaderElection(
+    this.#election = new LeaderElection(
       {
         self,
-        roles: duties,
+        roles: enabledRoles(enabled),
         candidateDelayMs: CANDIDATE_DELAY_MS,
         memberKey: ({ node, incarnation }) => key.node(node, incarnation),
       },
@@ -102,7 +107,9 @@
         store,
         view: () => this.view(),
         hasAuthority: authority,
-        onCommitted: (writes, epoch) => cache.applyOwn(writes, epoch),
+        onCommitted: (writes, epoch) => {
+          cache.applyOwn(writes, epoch);
+        },
         steadyMs: now,
         wallClockMs: timeOfDay,
         rejections: fencingRejections,
@@ -111,7 +118,7 @@
     );
   }
 
-  /** Members, duties and requests as they are known here. */
+  /** Members, leader records and transfer requests as they are known here; computed once for each state of the cache. */
   view(): ElectionView {
     const { version, tables } = this.#cache;
     if (this.#view === null || version !== this.#viewVersion) {
@@ -121,18 +128,18 @@
     return this.#view;
   }
 
-  /** Whether all living nodes have the duties, so that they are carried out. */
-  get begun(): boolean {
+  /** Whether all live nodes take part in the election, so that singleton controllers may run. */
+  get electionActive(): boolean {
     return allSupportElection(this.view());
   }
 
-  /** One round of acquiring, handing over and releasing. */
+  /** One round: acquires vacant roles and carries out transfer requests. */
   tick(): void {
-    this.#manager.tick();
+    this.#election.tick();
   }
 
-  /** The right to act for a duty; null while this node does not provably hold it. */
-  authorize(duty: string): Authorization | null {
-    return this.#manager.authorize(duty);
+  /** The right to act as the leader of a role; null while this node does not provably lead it. */
+  authorize(role: string): Authorization | null {
+    return this.#election.authorize(role);
   }
 }
--- a/test/duty-commands.test.ts
+++ b/test/duty-commands.test.ts
@@ -4,7 +4,7 @@
 import type { DutiesOutput } from '../src/commands/duties.js';
 import { parseDuties } from '../src/config/duties.js';
 import { ConfigError } from '../src/config/platform.js';
-import { ORPHAN_COLLECTOR_ROLE } from '../src/singletons/singleton-election.js';
+import { ORPHAN_COLLECTOR_ROLE } from '../src/singletons/roles.js';
 import { Cluster } from './standins/cluster.js';
 import { withCommands } from './standins/commands.js';
 
--- a/test/measurements/duty-takeover.ts
+++ b/test/measurements/duty-takeover.ts
@@ -6,7 +6,7 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { leaderKey, type LeaderRecord } from '@sumacstep/leader-election';
 import { parseDuties, type DutiesConfig } from '../../src/config/duties.js';
-import { ORPHAN_COLLECTOR_ROLE } from '../../src/singletons/singleton-election.js';
+import { ORPHAN_COLLECTOR_ROLE } from '../../src/singletons/roles.js';
 import type { ShardRecord } from '../../src/store/keys.js';
 import { Cluster } from '../standins/cluster.js';
 import type { Version } from '../standins/controllers.js';
--- a/test/move-candidates.test.ts
+++ b/test/move-candidates.test.ts
@@ -3,7 +3,7 @@
 import pino from 'pino';
 import type { PlatformConfig } from '../src/config/platform.js';
 import { MachineRecords } from '../src/shards/machine-records.js';
-import { candidateOf } from '../src/rebalancing/shard-mover.js';
+import { candidateOf } from '../src/rebalancing/move-candidates.js';
 import type { MachineState } from '../src/core/shard/shard.js';
 import { encodeMachineGroup } from '../src/store/keys.js';
 import { WatchCache } from '../src/store/watch-cache.js';
--- a/test/single-holder.test.ts
+++ b/test/single-holder.test.ts
@@ -2,10 +2,7 @@
 import { describe, test } from 'node:test';
 import { leaderKey, transferRequestKey, type LeaderRecord } from '@sumacstep/leader-election';
 import type { DutiesConfig } from '../src/config/duties.js';
-import {
-  GARBAGE_COLLECTOR_ROLE,
-  ORPHAN_COLLECTOR_ROLE,
-} from '../src/singletons/singleton-election.js';
+import { GARBAGE_COLLECTOR_ROLE, ORPHAN_COLLECTOR_ROLE } from '../src/singletons/roles.js';
 import { dutyEntryKey } from '../src/store/election-entries.js';
 import { Cluster, type ClusterOptions } from './standins/cluster.js';
 import type { Version } from './standins/controllers.js';
