--- a/src/commands/duties.ts
+++ b/src/commands/duties.ts
@@ -1,3 +1,4 @@
+/** `sumacstep duties`: who leads which singleton controller, and requests to transfer a leadership. */
 import {
   decodeTransferRequest,
   describeLeadership,
@@ -16,10 +17,10 @@
 import { StoreAccess } from './store-access.js';
 import { table } from './table.js';
 
-/** tries of a request that meets another one at the same moment */
-const TRIES = 3;
+/** attempts of a request that meets another one at the same moment */
+const MAX_ATTEMPTS = 3;
 
-/** A shard's ownership, which carries the duty of renting and returning its machines. */
+/** A shard's owner, which leads the shard under its term. A part of the `--json` output. */
 export interface ShardOwnerStatus {
   readonly duty: string;
   readonly holder: string;
@@ -28,52 +29,52 @@
   readonly until: LeadershipStatus['until'];
 }
 
-/** What `sumacstep duties --json` prints. */
-export interface DutiesOutput extends LeadershipReport {
+/** What `sumacstep duties --json` prints, name by name. */
+export interface LeadershipOutput extends LeadershipReport {
   readonly parts: readonly ShardOwnerStatus[];
 }
 
-const describeParts = ({ tables }: WatchCache): ShardOwnerStatus[] =>
+const describeShardOwners = ({ tables }: WatchCache): ShardOwnerStatus[] =>
   [...tables.shards].map(([index, { value }]) => {
-    const living = tables.nodes.has(`${value.owner}/${value.incarnation}`);
+    const live = tables.nodes.has(`${value.owner}/${value.incarnation}`);
     return {
       duty: key.shard(Number(index)),
       holder: value.owner,
       incarnation: value.incarnation,
       token: value.term,
-      until: { kind: living ? 'lease_renewed' : 'lease_ended' },
+      until: { kind: live ? 'lease_renewed' : 'lease_ended' },
     };
   });
 
-const UNTIL: Readonly<Record<LeadershipStatus['until']['kind'], string>> = {
+const VALIDITY_TEXT: Readonly<Record<LeadershipStatus['until']['kind'], string>> = {
   lease_renewed: 'as long as its node renews its lease',
   lease_ended: 'over: the lease has ended',
   vacant: '-',
 };
 
-const time = (ms: number | null): string =>
+const timeText = (ms: number | null): string =>
   ms === null ? '-' : new Date(ms).toISOString().replace(/\.\d+Z$/, 'Z');
 
-const handOver = (request: LeadershipStatus['handOver']): string =>
+const transferText = (request: LeadershipStatus['handOver']): string =>
   request === null
     ? '-'
     : `to ${request.to ?? 'any'} (${request.id}), waits for ${request.waitsFor}`;
 
-const render = ({ duties, pausedBy, parts }: DutiesOutput): string => {
-  const rows = duties.map((duty) => [
-    duty.duty,
-    duty.holder ?? '-',
-    String(duty.token ?? '-'),
-    time(duty.sinceMs),
-    UNTIL[duty.until.kind],
-    handOver(duty.handOver),
+const render = ({ duties, pausedBy, parts }: LeadershipOutput): string => {
+  const rows = duties.map((status) => [
+    status.duty,
+    status.holder ?? '-',
+    String(status.token ?? '-'),
+    timeText(status.sinceMs),
+    VALIDITY_TEXT[status.until.kind],
+    transferText(status.handOver),
   ]);
-  const owners = parts.map((part) => [
-    part.duty,
-    part.holder,
-    String(part.token),
+  const owners = parts.map((owner) => [
+    owner.duty,
+    owner.holder,
+    String(owner.token),
     '-',
-    UNTIL[part.until.kind],
+    VALIDITY_TEXT[owner.until.kind],
     '-',
   ]);
   const titles = ['DUTY', 'HOLDER', 'TOKEN', 'SINCE', 'UNTIL', 'HAND-OVER'];
@@ -82,22 +83,22 @@
   return `${text}paused: duties are not known to ${pausedBy.join(', ')}\n`;
 };
 
-/** Who holds each duty, since and until when. */
+/** Who leads each role, since and until when, as JSON or as a table. Rejects with `CommandError`. */
 export const showLeadership = async (config: PlatformConfig, json: boolean): Promise<string> => {
   const store = new StoreAccess(config);
   try {
     const cache = await store.read(['parts/', 'nodes/', 'duties/']);
     const report = describeLeadership(electionView(cache.tables), SINGLETON_ROLES);
-    const output: DutiesOutput = { ...report, parts: describeParts(cache) };
+    const output: LeadershipOutput = { ...report, parts: describeShardOwners(cache) };
     return json ? `${JSON.stringify(output, null, 2)}\n` : render(output);
   } finally {
     store.close();
   }
 };
 
-const checkDuty = (duty: string): void => {
-  if ((SINGLETON_ROLES as readonly string[]).includes(duty)) return;
-  throw new CommandError(EXIT.badInput, `no such duty: ${duty} (${SINGLETON_ROLES.join(', ')})`);
+const checkRole = (role: string): void => {
+  if ((SINGLETON_ROLES as readonly string[]).includes(role)) return;
+  throw new CommandError(EXIT.badInput, `no such duty: ${role} (${SINGLETON_ROLES.join(', ')})`);
 };
 
 const checkNode = (config: PlatformConfig, node: string): void => {
@@ -106,56 +107,59 @@
   throw new CommandError(EXIT.badInput, `no such node: ${node} (${nodes.join(', ')})`);
 };
 
-/** What became of a request. */
+/** The outcome of a transfer request, as `--json` prints it. */
 export interface TransferRequestOutput {
   readonly duty: string;
   readonly request: LeadershipTransferRequest;
-  /** false: the same request stood there already */
+  /** false: the same request was stored already */
   readonly written: boolean;
 }
 
-/** Asks that a duty goes to another node. The same id is the same request; another one's is a conflict. */
+/**
+ * Stores a request that another node leads the role. The same id is the same request; a request with another id is
+ * a conflict. Rejects with `CommandError`.
+ */
 export const requestTransfer = async (
   config: PlatformConfig,
-  duty: string,
+  role: string,
   request: LeadershipTransferRequest,
 ): Promise<TransferRequestOutput> => {
-  checkDuty(duty);
+  checkRole(role);
   if (request.to !== null) checkNode(config, request.to);
   const store = new StoreAccess(config);
-  const name = transferRequestKey(duty);
+  const requestKey = transferRequestKey(role);
   try {
-    for (let tries = 0; tries < TRIES; tries++) {
-      const found = await store.attempt(() => store.client.get(name, CALL_PRIORITY.read));
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
+      const found = await store.attempt(() => store.client.get(requestKey, CALL_PRIORITY.read));
       if (!('missing' in found)) {
-        const standing = decodeTransferRequest(found.value);
-        if (standing?.id === request.id) return { duty, request: standing, written: false };
-        const id = standing?.id ?? 'one of another version';
-        throw new CommandError(EXIT.conflict, `${duty}: another request waits (${id})`);
+        const stored = decodeTransferRequest(found.value);
+        if (stored?.id === request.id) return { duty: role, request: stored, written: false };
+        const id = stored?.id ?? 'one of another version';
+        throw new CommandError(EXIT.conflict, `${role}: another request waits (${id})`);
       }
-      const guards = [{ key: name, revision: 0 }];
-      const writes = [{ put: name, value: request }];
+      const guards = [{ key: requestKey, revision: 0 }];
+      const writes = [{ put: requestKey, value: request }];
       const result = await store.attempt(() =>
         store.client.compareAndSwap(CALL_PRIORITY.rest, guards, writes),
       );
-      if (result.ok) return { duty, request, written: true };
+      if (result.ok) return { duty: role, request, written: true };
     }
-    throw new CommandError(EXIT.conflict, `${duty}: others write requests at the same moment`);
+    throw new CommandError(EXIT.conflict, `${role}: others write requests at the same moment`);
   } finally {
     store.close();
   }
 };
 
-/** Takes a request back that is not carried out yet. False if there was none. */
-export const withdrawTransfer = async (config: PlatformConfig, duty: string): Promise<boolean> => {
-  checkDuty(duty);
+/** Deletes a request that is not carried out yet; resolves with false if there was none. Rejects with `CommandError`. */
+export const withdrawTransfer = async (config: PlatformConfig, role: string): Promise<boolean> => {
+  checkRole(role);
   const store = new StoreAccess(config);
-  const name = transferRequestKey(duty);
+  const requestKey = transferRequestKey(role);
   try {
-    const found = await store.attempt(() => store.client.get(name, CALL_PRIORITY.read));
+    const found = await store.attempt(() => store.client.get(requestKey, CALL_PRIORITY.read));
     if ('missing' in found) return false;
-    const guards = [{ key: name, revision: found.revision }];
-    const writes = [{ drop: name }];
+    const guards = [{ key: requestKey, revision: found.revision }];
+    const writes = [{ drop: requestKey }];
     const result = await store.attempt(() =>
       store.client.compareAndSwap(CALL_PRIORITY.rest, guards, writes),
     );
--- a/src/commands/exit-codes.ts
+++ b/src/commands/exit-codes.ts
@@ -1,21 +1,25 @@
-/** What the process's exit code tells a script. */
+/** Exit codes of the operator's commands, and the error that carries one. */
+
+/** The process's exit codes; scripts depend on their numbers. */
 export const EXIT = {
   ok: 0,
-  /** the state service can't be reached: nothing is known, and nothing was changed */
+  /** the store can't be reached: nothing is known, and nothing was changed */
   unavailable: 1,
-  /** the call or the settings are wrong: nothing was changed */
+  /** the arguments or the settings are invalid: nothing was changed */
   badInput: 2,
-  /** somebody else's request stands in the way: nothing was changed */
+  /** another request or move conflicts: nothing was changed */
   conflict: 3,
 } as const;
+/** One of the exit codes. */
 export type ExitCode = (typeof EXIT)[keyof typeof EXIT];
 
-/** A command can't go on; the message tells why, for people. */
+/** A command failed, with the exit code for scripts; the message says why and is printed as it is. */
 export class CommandError extends Error {
   constructor(
     readonly code: ExitCode,
     message: string,
+    options?: ErrorOptions,
   ) {
-    super(message);
+    super(message, options);
   }
 }
--- a/src/commands/program.ts
+++ b/src/commands/program.ts
@@ -1,7 +1,9 @@
+/** The operator's commands on the command line: arguments, options, output and exit codes. */
 import { readFileSync } from 'node:fs';
 import type { Command } from 'commander';
 import { parse } from 'smol-toml';
-import { ConfigError, loadPlatform } from '../config/platform.js';
+import type { MoveRequest } from '@sumacstep/shard-rebalancing';
+import { ConfigError, loadPlatform, type PlatformConfig } from '../config/platform.js';
 import { requestTransfer, showLeadership, withdrawTransfer } from './duties.js';
 import { CommandError, EXIT } from './exit-codes.js';
 import {
@@ -14,71 +16,72 @@
   type PlanOutput,
 } from './shares.js';
 
-/** The operator's commands, as the command line names them. */
-
+/** Options of every command. */
 interface CommandOptions {
   readonly config: string;
   readonly json?: boolean;
 }
 
-/** Runs a command's work, and turns its failure into lines on standard error and an exit code. */
-const run = async (work: () => Promise<string>): Promise<void> => {
+/** Prints what a command resolves with; turns its failure into lines on standard error and an exit code. */
+const runCommand = async (work: () => Promise<string>): Promise<void> => {
   try {
     process.stdout.write(await work());
   } catch (error) {
-    const settings = error instanceof ConfigError;
-    if (!settings && !(error instanceof CommandError)) throw error;
-    const lines = settings
+    const isConfigError = error instanceof ConfigError;
+    if (!isConfigError && !(error instanceof CommandError)) throw error;
+    const lines = isConfigError
       ? error.problems.map((problem) => `${error.file}: ${problem}`)
       : error.message.split('\n');
     for (const line of lines) process.stderr.write(`sumacstep: ${line}\n`);
-    process.exitCode = settings ? EXIT.badInput : error.code;
+    process.exitCode = isConfigError ? EXIT.badInput : error.code;
   }
 };
 
-const withCommandOptions = (command: Command): Command =>
+const withCommonOptions = (command: Command): Command =>
   command
     .requiredOption('--config <file>', 'settings of the platform (TOML)')
     .option('--json', 'print JSON');
 
-const print = (value: unknown, text: string, json: boolean | undefined): string =>
+/** JSON or plain text, as the options ask for. */
+const formatOutput = (value: unknown, text: string, json: boolean | undefined): string =>
   json === true ? `${JSON.stringify(value, null, 2)}\n` : `${text}\n`;
 
-/** `sumacstep duties`: show, hand-over, withdraw. */
-export const addDutyCommands = (program: Command): void => {
+/** Adds `sumacstep duties`: show, hand-over, withdraw. */
+export const addLeadershipCommands = (program: Command): void => {
   const duties = program.command('duties').description('exclusive duties: who holds them');
 
-  withCommandOptions(
+  withCommonOptions(
     duties.command('show', { isDefault: true }).description('who holds which duty, until when'),
   ).action((options: CommandOptions) =>
-    run(() => showLeadership(loadPlatform(options.config), options.json === true)),
+    runCommand(() => showLeadership(loadPlatform(options.config), options.json === true)),
   );
 
-  withCommandOptions(duties.command('hand-over <duty>'))
+  withCommonOptions(duties.command('hand-over <duty>'))
     .description('ask that a duty goes to another node')
     .option('--to <node>', 'the node; any other one if not given')
     .option('--id <id>', 'name of the request: asking twice with the same one is one request')
     .action((duty: string, options: CommandOptions & { to?: string; id?: string }) =>
-      run(async () => {
+      runCommand(async () => {
         const id = options.id ?? `request-${Date.now().toString(36)}`;
         const config = loadPlatform(options.config);
         const output = await requestTransfer(config, duty, { to: options.to ?? null, id });
         const text = output.written ? `asked: ${id}` : `asked before: ${id}`;
-        return print(output, text, options.json);
+        return formatOutput(output, text, options.json);
       }),
     );
 
-  withCommandOptions(duties.command('withdraw <duty>'))
+  withCommonOptions(duties.command('withdraw <duty>'))
     .description('take back a request that is not carried out yet')
     .action((duty: string, options: CommandOptions) =>
-      run(async () => {
+      runCommand(async () => {
         const withdrawn = await withdrawTransfer(loadPlatform(options.config), duty);
         const text = withdrawn ? 'withdrawn' : 'there is no request, or it was just carried out';
-        return print({ duty, withdrawn }, text, options.json);
+        return formatOutput({ duty, withdrawn }, text, options.json);
       }),
     );
 };
 
+/** Options that describe a move. A plan file names them in the same way. */
 interface MoveOptions extends CommandOptions {
   readonly plan?: string;
   readonly id?: string;
@@ -92,11 +95,11 @@
   readonly returnAt?: string;
 }
 
-/** s that a move may take if nothing else is asked for */
-const WITHIN_S = 600;
+/** s until a move is aborted, unless an option says otherwise */
+const DEFAULT_DEADLINE_S = 600;
 
 const withMoveOptions = (command: Command): Command =>
-  withCommandOptions(command)
+  withCommonOptions(command)
     .option('--plan <file>', 'requests from a file (TOML): [[move]] with the same names')
     .option('--id <id>', 'name of the move: asking twice with the same one is one move')
     .option('--from <part>', 'the part that gives machines away')
@@ -105,54 +108,54 @@
     .option('--type <type>', 'only machines of this type')
     .option('--zone <zone>', 'only machines in this zone')
     .option('--kind <kind>', 'only `spot` or `ordinary` machines')
-    .option('--within-s <s>', `seconds until the move is given up (${WITHIN_S})`)
+    .option('--within-s <s>', `seconds until the move is given up (${DEFAULT_DEADLINE_S})`)
     .option('--return-at <time>', 'time at which the machines go back, as 2026-12-03T06:00:00Z');
 
-const KINDS: Readonly<Record<string, boolean>> = { spot: true, ordinary: false };
+const IS_SPOT_BY_KIND: Readonly<Record<string, boolean>> = { spot: true, ordinary: false };
 
-/** The fields of a request as the command line or a plan gives them; what is no number stays visible as it is. */
-const requestOf = (options: Omit<MoveOptions, 'config'>, nowMs: number): unknown => {
-  const number = (text: string | undefined) => (text === undefined ? undefined : Number(text));
-  const spot = options.kind === undefined ? null : (KINDS[options.kind] ?? options.kind);
+/** A request from options, not checked yet: invalid values are kept, so that the check can name them. */
+const requestFrom = (options: Omit<MoveOptions, 'config'>, nowMs: number): unknown => {
+  const toNumber = (text: string | undefined) => (text === undefined ? undefined : Number(text));
+  const spot = options.kind === undefined ? null : (IS_SPOT_BY_KIND[options.kind] ?? options.kind);
   const returnAtMs = options.returnAt === undefined ? null : Date.parse(options.returnAt);
   return {
     id: options.id ?? `move-${nowMs.toString(36)}`,
-    from: number(options.from),
-    to: number(options.to),
-    count: number(options.count),
+    from: toNumber(options.from),
+    to: toNumber(options.to),
+    count: toNumber(options.count),
     filter: { type: options.type ?? null, zone: options.zone ?? null, spot },
-    deadlineMs: nowMs + (number(options.withinS) ?? WITHIN_S) * 1000,
+    deadlineMs: nowMs + (toNumber(options.withinS) ?? DEFAULT_DEADLINE_S) * 1000,
     returnAtMs,
   };
 };
 
-const requestsOf = (options: MoveOptions, nowMs: number): unknown[] => {
-  if (options.plan === undefined) return [requestOf(options, nowMs)];
+/** The requests of a plan file, or the one that the options describe. */
+const requestsFrom = (options: MoveOptions, nowMs: number): unknown[] => {
+  if (options.plan === undefined) return [requestFrom(options, nowMs)];
   let raw: unknown;
   try {
     raw = parse(readFileSync(options.plan, 'utf8'));
   } catch (error) {
     const [line] = (error as Error).message.split('\n');
-    throw new CommandError(EXIT.badInput, `${options.plan}: ${line}`);
+    throw new CommandError(EXIT.badInput, `${options.plan}: ${line}`, { cause: error });
   }
   const moves = (raw as { move?: unknown }).move;
   if (!Array.isArray(moves) || moves.length === 0) {
     throw new CommandError(EXIT.badInput, `${options.plan}: no [[move]]`);
   }
-  return moves.map((move) => requestOf(move as MoveOptions, nowMs));
+  return moves.map((move) => requestFrom(move as MoveOptions, nowMs));
 };
 
-/** Every request is checked before the first one is acted on. */
+/** Acts on the requests one after another, once all of them are checked. */
 const forEachRequest = async <T>(
   options: MoveOptions,
-  act: (
-    config: ReturnType<typeof loadPlatform>,
-    request: ReturnType<typeof checkRequest>,
-  ) => Promise<T>,
+  act: (config: PlatformConfig, request: MoveRequest) => Promise<T>,
 ): Promise<T[]> => {
   const config = loadPlatform(options.config);
   const nowMs = Date.now();
-  const requests = requestsOf(options, nowMs).map((r) => checkRequest(config, r, nowMs));
+  const requests = requestsFrom(options, nowMs).map((request) =>
+    checkRequest(config, request, nowMs),
+  );
   const results: T[] = [];
   for (const request of requests) results.push(await act(config, request));
   return results;
@@ -175,38 +178,38 @@
 const moveText = ({ move, written }: MoveOutput): string =>
   `${move.id}: ${written ? 'asked' : 'known'}, ${move.state}${move.abortAsked ? ', given up' : ''}`;
 
-/** `sumacstep shares`: show, plan, move, abort. */
-export const addShareCommands = (program: Command): void => {
+/** Adds `sumacstep shares`: show, plan, move, abort. */
+export const addRebalancingCommands = (program: Command): void => {
   const shares = program.command('shares').description('machines of the parts, and their moves');
 
-  withCommandOptions(
+  withCommonOptions(
     shares.command('show', { isDefault: true }).description('machines by part, and moves'),
   ).action((options: CommandOptions) =>
-    run(() => showShards(loadPlatform(options.config), options.json === true)),
+    runCommand(() => showShards(loadPlatform(options.config), options.json === true)),
   );
 
   withMoveOptions(
     shares.command('plan').description('what a move would do; nothing is changed'),
   ).action((options: MoveOptions) =>
-    run(async () => {
+    runCommand(async () => {
       const plans = await forEachRequest(options, planMove);
-      return print(plans, plans.map(planText).join('\n\n'), options.json);
+      return formatOutput(plans, plans.map(planText).join('\n\n'), options.json);
     }),
   );
 
   withMoveOptions(shares.command('move').description('ask for a move')).action(
     (options: MoveOptions) =>
-      run(async () => {
+      runCommand(async () => {
         const moves = await forEachRequest(options, requestMove);
-        return print(moves, moves.map(moveText).join('\n'), options.json);
+        return formatOutput(moves, moves.map(moveText).join('\n'), options.json);
       }),
   );
 
-  withCommandOptions(shares.command('abort <id>').description('give a move up')).action(
+  withCommonOptions(shares.command('abort <id>').description('give a move up')).action(
     (id: string, options: CommandOptions) =>
-      run(async () => {
+      runCommand(async () => {
         const output = await abortMove(loadPlatform(options.config), id);
-        return print(output, moveText(output), options.json);
+        return formatOutput(output, moveText(output), options.json);
       }),
   );
 };
--- a/src/commands/shares.ts
+++ b/src/commands/shares.ts
@@ -1,3 +1,4 @@
+/** `sumacstep shares`: machines by shard, and moves of machines between shards. */
 import {
   decodeShardLock,
   decodeMove,
@@ -22,14 +23,14 @@
 import { StoreAccess } from './store-access.js';
 import { table } from './table.js';
 
-/** tries of a request that meets another one at the same moment */
-const TRIES = 3;
+/** attempts of a request that meets another one at the same moment */
+const MAX_ATTEMPTS = 3;
 /** bytes of a stored move besides the names of its machines */
-const MOVE_BYTES = 700;
-/** bytes of a machine's name in a move, which may stand among the chosen and among the moved ones */
-const NAME_BYTES = 40;
+const MOVE_OVERHEAD_BYTES = 700;
+/** bytes of a machine's name in a stored move: it may be among the chosen and among the moved machines */
+const MACHINE_NAME_BYTES = 40;
 
-/** Machines of one kind in a shard. */
+/** Machines of one kind in a shard. A part of the `--json` output. */
 interface KindCount {
   readonly type: string;
   readonly zone: string;
@@ -37,7 +38,7 @@
   readonly machines: number;
 }
 
-/** One shard's share of the machines. */
+/** The machines of one shard. A part of the `--json` output. */
 export interface ShardMachines {
   readonly part: number;
   readonly owner: string | null;
@@ -46,13 +47,13 @@
   readonly kinds: readonly KindCount[];
 }
 
-/** What `sumacstep shares show --json` prints. */
-export interface SharesOutput {
+/** What `sumacstep shares show --json` prints, name by name. */
+export interface ShardsOutput {
   readonly shares: readonly ShardMachines[];
   readonly moves: readonly Move[];
 }
 
-/** What a move would do, told before anything happens. */
+/** What a move would do. `sumacstep shares plan --json` prints it, name by name. */
 export interface PlanOutput {
   readonly request: MoveRequest;
   /** machines of the shard that match, by their records; as many as `count` of them move */
@@ -61,13 +62,13 @@
   readonly lacking: number;
   /** the target's shard would get a newer term: what waits there starts again once its machines have answered */
   readonly renewsTerm: boolean;
-  /** teams that live whole in the source's shard, since they have a limit or a guarantee */
+  /** teams that are confined to the source shard, since they have a limit or a guarantee */
   readonly teamsOfSource: readonly string[];
   /** jobs with tasks in the source's shard; no task is stopped for the move */
   readonly jobsInSource: number;
-  /** a move that holds one of the shards now */
+  /** the move that has locked one of the shards, or null */
   readonly heldBy: string | null;
-  /** what would have to be waited for first */
+  /** what the move would have to wait for first, or null */
   readonly obstacle: string | null;
 }
 
@@ -84,7 +85,7 @@
 };
 
 const machinesOf = (cache: WatchCache, shard: number): MachineRecord[] =>
-  [...cache.machines.values()].map((m) => m.value).filter((record) => record.shard === shard);
+  [...cache.machines.values()].map(({ value }) => value).filter((record) => record.shard === shard);
 
 const kindsOf = (machines: readonly MachineRecord[]): KindCount[] => {
   const kinds = new Map<string, KindCount>();
@@ -96,7 +97,7 @@
   return [...kinds.values()];
 };
 
-const shareOf = (cache: WatchCache, shard: number): ShardMachines => {
+const describeShard = (cache: WatchCache, shard: number): ShardMachines => {
   const owner = cache.tables.shards.get(String(shard))?.value;
   const machines = machinesOf(cache, shard);
   return {
@@ -108,22 +109,25 @@
   };
 };
 
-const time = (ms: number | null): string => (ms === null ? '-' : new Date(ms).toISOString());
+const timeText = (ms: number | null): string => (ms === null ? '-' : new Date(ms).toISOString());
 
-const render = ({ shares, moves }: SharesOutput): string => {
+const kindText = ({ machines, type, zone, spot }: KindCount): string =>
+  `${machines} ${type} ${zone}${spot ? ' spot' : ''}`;
+
+const render = ({ shares, moves }: ShardsOutput): string => {
   const parts = shares.map((share) => [
     String(share.part),
     share.owner ?? '-',
     String(share.machines),
-    share.kinds.map((k) => `${k.machines} ${k.type} ${k.zone}${k.spot ? ' spot' : ''}`).join(', '),
+    share.kinds.map(kindText).join(', '),
   ]);
   const rows = moves.map((move) => [
     move.id,
     `${move.from} -> ${move.to}`,
     `${move.moved.length} of ${move.count}`,
     move.direction === 'back' ? `${move.state}, back` : move.state,
-    time(move.deadlineMs),
-    time(move.returnAtMs),
+    timeText(move.deadlineMs),
+    timeText(move.returnAtMs),
     move.waitsFor ?? '-',
   ]);
   const text = table(['PART', 'OWNER', 'MACHINES', 'KINDS'], parts);
@@ -132,17 +136,17 @@
   return `${text}\n${table(titles, rows)}`;
 };
 
-/** Who has which machines, and what moves. */
+/** The machines of each shard, and all moves, as JSON or as tables. Rejects with `CommandError`. */
 export const showShards = (config: PlatformConfig, json: boolean): Promise<string> =>
   withStore(config, async (store) => {
     const cache = await store.read(['parts/', 'machines/', 'shares/']);
-    const shares = Array.from({ length: config.nodes }, (_, part) => shareOf(cache, part));
+    const shares = Array.from({ length: config.nodes }, (_, part) => describeShard(cache, part));
     const moves = [...movesById(cache.tables).values()].map(({ value }) => value);
-    const output: SharesOutput = { shares, moves };
+    const output: ShardsOutput = { shares, moves };
     return json ? `${JSON.stringify(output, null, 2)}\n` : render(output);
   });
 
-/** Reads a request as an operator wrote it; throws a `CommandError` that names each bad field. */
+/** Reads a request as an operator wrote it; throws a `CommandError` that names each invalid field. */
 export const checkRequest = (
   config: PlatformConfig,
   value: unknown,
@@ -156,61 +160,66 @@
       if (part >= config.nodes) problems.push(`${field}: no such part: ${part}`);
     }
     if (request.deadlineMs <= nowMs) problems.push('deadlineMs: is past');
-    const most = Math.floor((config.storeLimits.valueBytes - MOVE_BYTES) / NAME_BYTES);
-    if (request.count > most) problems.push(`count: one move holds ${most} machines at most`);
+    const maxCount = Math.floor(
+      (config.storeLimits.valueBytes - MOVE_OVERHEAD_BYTES) / MACHINE_NAME_BYTES,
+    );
+    if (request.count > maxCount)
+      problems.push(`count: one move holds ${maxCount} machines at most`);
   }
   if (problems.length > 0) throw new CommandError(EXIT.badInput, problems.join('\n'));
   return parseMoveRequest(value);
 };
 
-/** The move that holds one of the shards; null if none does. */
-const holderOf = (cache: WatchCache, { from, to }: MoveRequest): string | null => {
+/** The move that has locked one of the shards; null if none has. */
+const lockingMove = (cache: WatchCache, { from, to }: MoveRequest): string | null => {
   for (const { value } of cache.tables.moves.values()) {
     if (value.kind === 'lock' && (value.shard === from || value.shard === to)) return value.move;
   }
   return null;
 };
 
-/** What a move would do and disrupt. Nothing is written. */
+/** What a move would do and disrupt. Nothing is written. Rejects with `CommandError`. */
 export const planMove = (config: PlatformConfig, request: MoveRequest): Promise<PlanOutput> =>
   withStore(config, async (store) => {
     const cache = await store.read(['parts/', 'nodes/', 'machines/', 'shares/', 'active/']);
-    const matching = machinesOf(cache, request.from).filter((m) =>
-      matchesFilter(request.filter, m),
+    const matching = machinesOf(cache, request.from).filter((machine) =>
+      matchesFilter(request.filter, machine),
     );
     const term = (shard: number) => cache.tables.shards.get(String(shard))?.value.term ?? 0;
     const jobs = [...cache.tables.activeJobs.values()];
     return {
       request,
-      matching: matching.map((m) => m.name),
+      matching: matching.map(({ name }) => name),
       lacking: Math.max(0, request.count - matching.length),
       renewsTerm: term(request.to) <= term(request.from),
       teamsOfSource: [...config.teams.values()]
         .filter((team) => hasLimit(team) || hasGuarantee(team))
         .filter((team) => shardOfTeam(team.name, config.nodes) === request.from)
         .map((team) => team.name),
-      jobsInSource: jobs.filter((j) => j.value.ranges.some((r) => r.shard === request.from)).length,
-      heldBy: holderOf(cache, request),
+      jobsInSource: jobs.filter(({ value: job }) =>
+        job.ranges.some(({ shard }) => shard === request.from),
+      ).length,
+      heldBy: lockingMove(cache, request),
       obstacle: obstacleTo(cache.tables, newMove(request)),
     };
   });
 
-/** What became of a request. */
+/** The outcome of a request. `--json` prints it, name by name. */
 export interface MoveOutput {
   readonly move: Move;
-  /** false: the same request stood there already */
+  /** false: the same request was stored already */
   readonly written: boolean;
 }
 
 /**
- * Asks for a move. The same id is the same move. It takes both shards at once, or nothing: a move that holds one of
- * them is a conflict, named.
+ * Stores a move in its first state, with locks on both shards, or nothing. The same id is the same move; another
+ * move that has locked one of the shards is a conflict, and named. Rejects with `CommandError`.
  */
 export const requestMove = (config: PlatformConfig, request: MoveRequest): Promise<MoveOutput> =>
   withStore(config, async (store) => {
     const key = moveKey(request.id);
     const locks = [shardLockKey(request.from), shardLockKey(request.to)];
-    for (let tries = 0; tries < TRIES; tries++) {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       const found = await store.attempt(() => store.client.get(key, CALL_PRIORITY.read));
       if (!('missing' in found)) {
         const move = decodeMove(found.value);
@@ -237,11 +246,11 @@
     throw new CommandError(EXIT.conflict, `${request.id}: others write at the same moment`);
   });
 
-/** Asks that a move is given up: what has moved goes back. */
+/** Requests the abort of a move: what has moved goes back. Rejects with `CommandError`. */
 export const abortMove = (config: PlatformConfig, id: string): Promise<MoveOutput> =>
   withStore(config, async (store) => {
     const key = moveKey(id);
-    for (let tries = 0; tries < TRIES; tries++) {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       const found = await store.attempt(() => store.client.get(key, CALL_PRIORITY.read));
       const move = 'missing' in found ? null : decodeMove(found.value);
       if (move === null || 'missing' in found) {
--- a/src/commands/store-access.ts
+++ b/src/commands/store-access.ts
@@ -1,3 +1,4 @@
+/** The store as the operator's commands reach it. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import pino from 'pino';
 import { steadyMs } from '../clock.js';
@@ -9,42 +10,44 @@
 import { WatchCache } from '../store/watch-cache.js';
 import { CommandError, EXIT } from './exit-codes.js';
 
-/** share of the state service's limits for a command: controllers may leave that much (`request_share`) */
-const COMMAND_SHARE = 0.1;
-/** tries of a call; a controller's burst may have used up the limit of the moment */
-const TRIES = 3;
+/** share of the store's rate limits that a command may use: controllers leave that much (`request_share`) */
+const COMMAND_RATE_SHARE = 0.1;
+/** attempts of a call; a controller's burst may have used up the rate limit */
+const MAX_ATTEMPTS = 3;
 
-/** The state service as a command reaches it. */
+/** A store client for one command. */
 export class StoreAccess {
   readonly client: StoreClient;
 
   constructor(config: PlatformConfig) {
     const { rps, writeRps, next } = config.storeLimits;
     const share = (limits: { rps: number; writeRps: number }) => ({
-      rps: Math.max(1, limits.rps * COMMAND_SHARE),
-      writeRps: Math.max(1, limits.writeRps * COMMAND_SHARE),
+      rps: Math.max(1, limits.rps * COMMAND_RATE_SHARE),
+      writeRps: Math.max(1, limits.writeRps * COMMAND_RATE_SHARE),
     });
     const limits = { ...share({ rps, writeRps }), next: share(next) };
     const log = pino({ level: 'silent' });
     this.client = new StoreClient(config.store, limits, config.storeLimits, steadyMs, log);
   }
 
-  /** Repeats a call that was refused; a `CommandError` says that the state service can't be reached. */
+  /** Repeats a call that failed; rejects with a `CommandError` (unavailable) once the attempts are used up. */
   async attempt<T>(call: () => Promise<T>): Promise<T> {
-    for (let tries = 1; ; tries++) {
+    for (let attempt = 1; ; attempt++) {
       try {
         return await call();
       } catch (error) {
         if (!(error instanceof StoreRequestError)) throw error;
-        if (tries >= TRIES || error.kind === 'invalid') {
-          throw new CommandError(EXIT.unavailable, `the state service: ${error.message}`);
+        if (attempt >= MAX_ATTEMPTS || error.kind === 'invalid') {
+          throw new CommandError(EXIT.unavailable, `the state service: ${error.message}`, {
+            cause: error,
+          });
         }
         await sleep(STORE_RETRY_MS);
       }
     }
   }
 
-  /** What stands under some prefixes now, read for this call alone. */
+  /** What the store holds under the prefixes now. */
   async read(prefixes: readonly Prefix[]): Promise<WatchCache> {
     const listing = await this.attempt(() => listPrefixes(this.client, prefixes));
     const cache = new WatchCache();
@@ -52,6 +55,7 @@
     return cache;
   }
 
+  /** Closes the client's sockets. */
   close(): void {
     this.client.close();
   }
--- a/src/commands/table.ts
+++ b/src/commands/table.ts
@@ -1,15 +1,17 @@
-const GAP = '  ';
+/** Plain text tables for the terminal. */
 
-/** Text in columns, as wide as their widest cell, below their titles. */
+const COLUMN_GAP = '  ';
+
+/** Rows below their titles, in columns as wide as their widest cell. */
 export const table = (titles: readonly string[], rows: readonly (readonly string[])[]): string => {
   const lines = [titles, ...rows];
   const widths = titles.map((_, column) =>
     Math.max(...lines.map((line) => line[column]?.length ?? 0)),
   );
-  const write = (line: readonly string[]) =>
+  const formatLine = (line: readonly string[]) =>
     line
       .map((cell, column) => cell.padEnd(widths[column]!))
-      .join(GAP)
+      .join(COLUMN_GAP)
       .trimEnd();
-  return `${lines.map(write).join('\n')}\n`;
+  return `${lines.map(formatLine).join('\n')}\n`;
 };
--- a/src/main.ts
+++ b/src/main.ts
@@ -2,7 +2,7 @@
 import { readFileSync } from 'node:fs';
 import { Command } from 'commander';
 import { EXIT } from './commands/exit-codes.js';
-import { addDutyCommands, addShareCommands } from './commands/program.js';
+import { addLeadershipCommands, addRebalancingCommands } from './commands/program.js';
 import { loadDuties } from './config/duties.js';
 import { loadShares } from './config/shares.js';
 import { loadOperator } from './config/operator.js';
@@ -88,7 +88,7 @@
   check,
 );
 
-addDutyCommands(program);
-addShareCommands(program);
+addLeadershipCommands(program);
+addRebalancingCommands(program);
 
 await program.parseAsync();
--- a/test/duty-commands.test.ts
+++ b/test/duty-commands.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { leaderKey, transferRequestKey, type LeaderRecord } from '@sumacstep/leader-election';
-import type { DutiesOutput } from '../src/commands/duties.js';
+import type { LeadershipOutput } from '../src/commands/duties.js';
 import { parseDuties } from '../src/config/duties.js';
 import { ConfigError } from '../src/config/platform.js';
 import { ORPHAN_COLLECTOR_ROLE } from '../src/singletons/roles.js';
@@ -21,7 +21,7 @@
       await c.until('all shards are owned', 20, shardsOwned);
       await withCommands(c.state.address, 'duties', async (run) => {
         const first = record()!;
-        const shown = JSON.parse((await run('--json')).out) as DutiesOutput;
+        const shown = JSON.parse((await run('--json')).out) as LeadershipOutput;
         const reclaim = shown.duties.find((d) => d.duty === ORPHAN_COLLECTOR_ROLE)!;
         assert.equal(reclaim.holder, first.holder!.node);
         assert.equal(reclaim.token, first.token);
@@ -31,7 +31,7 @@
         c.kill(first.holder!.node);
         const seen = new Set<string>();
         await c.until('another holder is shown', 20, async () => {
-          const now = JSON.parse((await run('--json')).out) as DutiesOutput;
+          const now = JSON.parse((await run('--json')).out) as LeadershipOutput;
           const status = now.duties.find((d) => d.duty === ORPHAN_COLLECTOR_ROLE)!;
           seen.add(`${status.until.kind} ${status.token}`);
           return status.token === first.token + 1 && status.until.kind === 'lease_renewed';
--- a/test/share-commands.test.ts
+++ b/test/share-commands.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { decodeMove, moveKey, shardLockKey, type Move } from '@sumacstep/shard-rebalancing';
-import type { PlanOutput, SharesOutput } from '../src/commands/shares.js';
+import type { PlanOutput, ShardsOutput } from '../src/commands/shares.js';
 import { parseDuties } from '../src/config/duties.js';
 import { parseShares } from '../src/config/shares.js';
 import { Cluster, type ClusterOptions } from './standins/cluster.js';
@@ -43,8 +43,9 @@
 const machinesOf = (c: Cluster, shard: number): string[] =>
   [...c.state.items].flatMap(([key, { value }]) => {
     if (!key.startsWith('machines/')) return [];
-    const group = value as { shard: number; hosts: Record<string, number> };
-    return group.shard === shard ? Object.keys(group.hosts) : [];
+    // The stored form of a machine group.
+    const { part, hosts } = value as { part: number; hosts: Record<string, number> };
+    return part === shard ? Object.keys(hosts) : [];
   });
 
 /** Submits until some shard has machines; returns that shard. */
@@ -93,7 +94,7 @@
         assert.match(other.err, /another move holds it \(first\)/);
       }
       await state(c, 'first', 'finished');
-      const shown = JSON.parse((await run('--json')).out) as SharesOutput;
+      const shown = JSON.parse((await run('--json')).out) as ShardsOutput;
       assert.equal(shown.moves.find((m) => m.id === 'first')?.moved.length, 1);
       assert.equal(c.stored(shardLockKey(from)), undefined, 'the shards are free again');
       await done(c, uid);
--- a/test/standins/machine-moves.ts
+++ b/test/standins/machine-moves.ts
@@ -187,7 +187,8 @@
   #watchMachines(owners: Map<string, { group: string; token: number; at: number }>): void {
     for (const [key, { value }] of this.cluster.state.items) {
       if (!key.startsWith('machines/moved-')) continue;
-      const { hosts, term } = value as { hosts: Record<string, number>; term: number };
+      // The stored form of a machine group.
+      const { hosts, era: term } = value as { hosts: Record<string, number>; era: number };
       for (const name of Object.keys(hosts)) {
         const known = owners.get(name);
         if (known?.group !== key) owners.set(name, { group: key, token: term, at: Date.now() });
