--- a/test/machine-moves.test.ts
+++ b/test/machine-moves.test.ts
@@ -1,12 +1,12 @@
-import assert from 'node:assert/strict';
-import { test } from 'node:test';
-import { ShareMoves } from './standins/machine-moves.js';
-
 /**
  * Machines move between the shards of three controllers every few seconds while jobs run. However controllers and
- * machines fail meanwhile, every job is done in the end and no rule is broken at any moment. The ten minutes
- * are played by scripts/share-moves.sh.
+ * machines fail meanwhile, every job is done in the end and no rule is broken at any moment. Runs of ten minutes:
+ * scripts/share-moves.sh.
  */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { MachineMovesRun } from './standins/machine-moves.js';
+
 const RUNS = [
   { name: 'nothing fails', seed: 1, faults: false },
   { name: 'controllers and machines fail', seed: 2, faults: true },
@@ -14,8 +14,8 @@
 ];
 
 for (const { name, seed, faults } of RUNS) {
-  test(`shares move while jobs run: ${name}, seed ${seed}`, async (t) => {
-    const run = new ShareMoves({ seed, seconds: 25, everyS: 2, faults });
+  test(`machines move while jobs run: ${name}, seed ${seed}`, async (t) => {
+    const run = new MachineMovesRun({ seed, seconds: 25, everyS: 2, faults });
     const { broken, unfinished, counts } = await run.run();
     t.diagnostic(JSON.stringify(counts));
     assert.deepEqual(broken, []);
--- a/test/measurements/duty-takeover.ts
+++ b/test/measurements/duty-takeover.ts
@@ -1,6 +1,6 @@
 /**
- * Measures how long duties are without a holder after its end, and what they cost the state service. Three
- * controllers on loopback; the holder ends again and again. Usage: duty-takeover ROUNDS REPORT.html
+ * Measures how long singleton controllers are without a leader after its end, and what their election costs the store.
+ * Three controllers on loopback; the leader ends again and again. Usage: duty-takeover ROUNDS REPORT.html
  */
 import { writeFileSync } from 'node:fs';
 import { setTimeout as sleep } from 'node:timers/promises';
@@ -19,21 +19,21 @@
 const [roundsText = '20', file = 'target/duty-takeover.html'] = process.argv.slice(2);
 const rounds = Number(roundsText);
 
-const ownerOf = (c: Cluster, key: string): string | null => {
-  const value = c.stored(key) as ShardRecord | LeaderRecord | undefined;
+const ownerOf = (cluster: Cluster, key: string): string | null => {
+  const value = cluster.stored(key) as ShardRecord | LeaderRecord | undefined;
   if (value === undefined) return null;
   return 'owner' in value ? value.owner : (value.holder?.node ?? null);
 };
 
 /** ms from the end of a key's holder until the store names another one. */
-const takeover = async (c: Cluster, key: string, version: Version): Promise<number> => {
-  const holder = ownerOf(c, key)!;
-  c.kill(holder);
+const takeover = async (cluster: Cluster, key: string, version: Version): Promise<number> => {
+  const holder = ownerOf(cluster, key)!;
+  cluster.kill(holder);
   const ended = performance.now();
-  while (ownerOf(c, key) === holder) await sleep(POLL_MS);
+  while (ownerOf(cluster, key) === holder) await sleep(POLL_MS);
   const passed = performance.now() - ended;
-  await c.start(holder, version);
-  await c.until(`${holder} is ready`, 40, () => c.ready(holder));
+  await cluster.start(holder, version);
+  await cluster.until(`${holder} is ready`, 40, () => cluster.ready(holder));
   await sleep(SETTLE_MS);
   return passed;
 };
@@ -51,25 +51,32 @@
 ): Promise<Measured> => {
   const versions = { n0: version, n1: version, n2: version };
   const options = { runMs: 1000, leaseS: 18, cancelS: 38, versions };
-  const c = new Cluster(duties === undefined ? options : { ...options, features: { duties } });
+  const cluster = new Cluster(
+    duties === undefined ? options : { ...options, features: { duties } },
+  );
   const shards = new Series(`owner of a part, ${name}`);
   const duty = duties === undefined ? null : new Series(`holder of a duty, ${name}`);
   try {
-    await c.open();
-    await c.until('parts are owned', 30, () => ownerOf(c, 'parts/0') !== null);
+    await cluster.open();
+    await cluster.until('parts are owned', 30, () => ownerOf(cluster, 'parts/0') !== null);
     if (duty !== null)
-      await c.until('held', 30, () => ownerOf(c, leaderKey(ORPHAN_COLLECTOR_ROLE)) !== null);
+      await cluster.until(
+        'held',
+        30,
+        () => ownerOf(cluster, leaderKey(ORPHAN_COLLECTOR_ROLE)) !== null,
+      );
     await sleep(SETTLE_MS);
-    const before = c.state.requests;
+    const before = cluster.state.requests;
     await sleep(IDLE_MS);
-    const requestsPerS = ((c.state.requests - before) * 1000) / IDLE_MS;
+    const requestsPerS = ((cluster.state.requests - before) * 1000) / IDLE_MS;
     for (let round = 0; round < rounds; round++) {
-      shards.add(await takeover(c, 'parts/0', version));
-      if (duty !== null) duty.add(await takeover(c, leaderKey(ORPHAN_COLLECTOR_ROLE), version));
+      shards.add(await takeover(cluster, 'parts/0', version));
+      if (duty !== null)
+        duty.add(await takeover(cluster, leaderKey(ORPHAN_COLLECTOR_ROLE), version));
     }
     return { shards, duty, requestsPerS };
   } finally {
-    c.close();
+    cluster.close();
   }
 };
 
--- a/test/measurements/report.ts
+++ b/test/measurements/report.ts
@@ -1,10 +1,9 @@
+/** Reports of measurements: histograms, and a static HTML page with plots. */
 import { cpus, totalmem } from 'node:os';
 import hdr, { type Histogram } from 'hdr-histogram-js';
 import * as vega from 'vega';
 import * as vegaLite from 'vega-lite';
 
-/** Reports of measurements: histograms, and a static HTML page with plots. */
-
 const GIBIBYTE = 2 ** 30;
 const PERCENTILES = [50, 95, 99, 100] as const;
 
@@ -31,7 +30,7 @@
   }
 }
 
-/** One plot: the shares of each series' values up to a value. */
+/** One plot: the cumulative distribution of each series. */
 export interface Plot {
   readonly title: string;
   readonly unit: string;
@@ -78,14 +77,14 @@
 export const machineText = (): string =>
   `${cpus().length} cores, ${Math.round(totalmem() / GIBIBYTE)} GiB, Node.js ${process.version}`;
 
-/** A page that needs nothing but itself. */
+/** A page without any external resource. */
 export const htmlReport = async (
   title: string,
   settings: Readonly<Record<string, unknown>>,
   plots: readonly Plot[],
   counts: Readonly<Record<string, unknown>> = {},
 ): Promise<string> => {
-  const shards = [
+  const sections = [
     '<!doctype html><meta charset="utf-8">',
     `<title>${escape(title)}</title>`,
     '<style>body{font:15px sans-serif;margin:2em}td,th{padding:2px 10px;text-align:right}</style>',
@@ -94,7 +93,7 @@
     Object.keys(counts).length > 0 ? rows([counts]) : '',
   ];
   for (const plot of plots) {
-    shards.push(rows(plot.series.map((series) => series.summary())), await svg(plot));
+    sections.push(rows(plot.series.map((series) => series.summary())), await svg(plot));
   }
-  return `${shards.join('\n')}\n`;
+  return `${sections.join('\n')}\n`;
 };
--- a/test/measurements/share-moves.ts
+++ b/test/measurements/share-moves.ts
@@ -1,9 +1,10 @@
 /**
- * Moves shares every few seconds with faults mixed in, and checks that every job is done and no rule broken. Usage:
+ * Moves machines between shards every few seconds under faults, and checks that every job is done and no rule is
+ * broken. Usage:
  * share-moves SECONDS REPORT.html SEED [SEED ...]
  */
 import { writeFileSync } from 'node:fs';
-import { ShareMoves } from '../standins/machine-moves.js';
+import { MachineMovesRun } from '../standins/machine-moves.js';
 import { htmlReport, machineText, Series } from './report.js';
 
 const EVERY_S = 3;
@@ -17,10 +18,12 @@
 const totals: Record<string, number> = {};
 const wrong: string[] = [];
 for (const seed of seeds) {
-  const run = await new ShareMoves({ seed, seconds, everyS: EVERY_S, faults: true }).run();
+  const run = await new MachineMovesRun({ seed, seconds, everyS: EVERY_S, faults: true }).run();
   for (const ms of run.moveMs) durations.add(ms);
   for (const ms of run.pauseMs) pauses.add(ms);
-  for (const [name, n] of Object.entries(run.counts)) totals[name] = (totals[name] ?? 0) + n;
+  for (const [name, count] of Object.entries(run.counts)) {
+    totals[name] = (totals[name] ?? 0) + count;
+  }
   wrong.push(...run.broken, ...run.unfinished);
 }
 const plots = [
--- a/test/move-candidates.test.ts
+++ b/test/move-candidates.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Which machines are ready to move, and how they move: only when nothing is on a machine and nothing may still arrive
+ * there. Each row removes one of the conditions that together prove that.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import pino from 'pino';
@@ -10,56 +14,57 @@
 import type { Guard, Write } from '../src/wire/schemas.js';
 import { job, machine, ownedShard, shardWith, Store } from './helpers.js';
 
-/**
- * A machine may move only when nothing is on it and nothing may still arrive there. Each row spoils one of the
- * things that together prove that.
- */
 const NOW = 1000;
-const settledMachine = () => {
+const readyMachine = () => {
   const store = new Store().add(machine('x'), job({ tasks: 1 }));
   const shard = shardWith(store);
-  const m = shard.machines.get('x')!;
-  Object.assign(m, { known: true, lastStatusAt: NOW, lastHeartbeatAt: NOW, cordoned: true });
-  Object.assign(m, { record: { ...m.record, up: true } });
-  return { shard, m };
+  const state = shard.machines.get('x')!;
+  Object.assign(state, { known: true, lastStatusAt: NOW, lastHeartbeatAt: NOW, cordoned: true });
+  Object.assign(state, { record: { ...state.record, up: true } });
+  return { shard, m: state };
 };
 
-const rows: [string, (m: MachineState) => void, boolean][] = [
+const rows: [string, (state: MachineState) => void, boolean][] = [
   ['nothing is there', () => undefined, true],
-  ['it may still get work', (m) => (m.cordoned = false), false],
+  ['it is not cordoned', (state) => (state.cordoned = false), false],
   [
     'the worker lists an ended task, which a late start could begin again',
-    (m) => (m.listed = 1),
+    (state) => (state.listed = 1),
+    false,
+  ],
+  ['a direct start has no answer yet', (state) => void state.doubtful.add('j/0@1'), false],
+  ['a task is there that is being stopped', (state) => (state.unknownTasks = 1), false],
+  ['it has not answered under this term', (state) => (state.known = false), false],
+  ['it is unreachable', (state) => (state.lastStatusAt = state.lastHeartbeatAt = -1e6), false],
+  ['commands to it are lost', (state) => (state.commandsLostSince = NOW), false],
+  ['it has a preemption notice', (state) => (state.preemptionNoticeAt = NOW), false],
+  ['it is to be returned', (state) => (state.terminating = true), false],
+  [
+    'its record does not say that it is up',
+    (state) => (state.record = { ...state.record, up: false }),
     false,
   ],
-  ['a direct start has no answer yet', (m) => void m.doubtful.add('j/0@1'), false],
-  ['a task is there that is being stopped', (m) => (m.unknownTasks = 1), false],
-  ['it has not answered under this term', (m) => (m.known = false), false],
-  ['it is silent', (m) => (m.lastStatusAt = m.lastHeartbeatAt = -1e6), false],
-  ['it seems to hear nothing', (m) => (m.commandsLostSince = NOW), false],
-  ['it has a notice', (m) => (m.preemptionNoticeAt = NOW), false],
-  ['it is to be returned', (m) => (m.terminating = true), false],
-  ['its record does not say that it is up', (m) => (m.record = { ...m.record, up: false }), false],
 ];
 
-for (const [name, spoil, settled] of rows) {
+for (const [name, spoil, ready] of rows) {
   test(`may a machine move: ${name}`, () => {
-    const { shard, m } = settledMachine();
-    spoil(m);
-    assert.equal(candidateOf(shard, m, NOW).readyToMove, settled);
+    const { shard, m: state } = readyMachine();
+    spoil(state);
+    assert.equal(candidateOf(shard, state, NOW).readyToMove, ready);
   });
 }
 
-test('a chosen machine gets no work, and gets it again when it is let go', () => {
-  const { shard, m } = settledMachine();
+test('a cordoned machine gets no tasks, and gets them again when it is uncordoned', () => {
+  const { shard, m: state } = readyMachine();
   shard.placeAll(NOW);
-  assert.equal(m.tasks.size, 0);
-  m.cordoned = false;
+  assert.equal(state.tasks.size, 0);
+  state.cordoned = false;
   shard.placeAll(NOW);
-  assert.equal(m.tasks.size, 1);
+  assert.equal(state.tasks.size, 1);
 });
 
-test('machines move in one transaction that depends on both shards, their groups and the move', async () => {
+/** Shard 0 has two groups of machines: `x` and `y`, and `z`. */
+const cacheWithGroups = (): WatchCache => {
   const cache = new WatchCache();
   const group = (hosts: string[]) =>
     encodeMachineGroup({
@@ -74,6 +79,11 @@
   });
   const changes = [put('machines/g', group(['x', 'y']), 5), put('machines/h', group(['z']), 6)];
   cache.apply({ fresh: true, epoch: 9, whole: 9, changes });
+  return cache;
+};
+
+test('machines move in one transaction that depends on both shards, their groups and the move', async () => {
+  const cache = cacheWithGroups();
   const sent: { guards: readonly Guard[]; writes: readonly Write[] }[] = [];
   const client = {
     compareAndSwap: (_cls: unknown, guards: readonly Guard[], writes: readonly Write[]) => {
@@ -89,7 +99,7 @@
     () => 0,
     pino({ level: 'silent' }),
   );
-  const { shard } = settledMachine();
+  const { shard } = readyMachine();
   const moved = await records.move(ownedShard(shard), ['x', 'z'], {
     shard: 1,
     term: 8,
--- a/test/standins/commands.ts
+++ b/test/standins/commands.ts
@@ -1,3 +1,4 @@
+/** Runs the operator's commands as an operator does: the built program, with settings of its own. */
 import { execFile } from 'node:child_process';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -7,7 +8,7 @@
 /** The program as an operator starts it. */
 const MAIN = join(import.meta.dirname, '../../../main.js');
 
-const platformFile = (state: string): unknown => ({
+const platformSettings = (state: string): unknown => ({
   node: 'n0',
   site: 'z',
   serve_on: '127.0.0.1:1',
@@ -31,15 +32,15 @@
   readonly err: string;
 }
 
-/** Runs the program with settings whose state service is at the address. */
+/** Runs the program with settings whose store is at the address. */
 export const withCommands = async (
   state: string,
   command: 'duties' | 'shares',
-  play: (run: (...args: string[]) => Promise<Run>) => Promise<void>,
+  use: (run: (...args: string[]) => Promise<Run>) => Promise<void>,
 ): Promise<void> => {
   const folder = mkdtempSync(join(tmpdir(), 'duties-'));
   const config = join(folder, 'platform.toml');
-  writeFileSync(config, stringify(platformFile(state)));
+  writeFileSync(config, stringify(platformSettings(state)));
   const run = (...args: string[]): Promise<Run> =>
     new Promise((resolve) => {
       const all = [MAIN, command, ...args, '--config', config];
@@ -48,7 +49,7 @@
       });
     });
   try {
-    await play(run);
+    await use(run);
   } finally {
     rmSync(folder, { recursive: true });
   }
--- a/test/standins/machine-moves.ts
+++ b/test/standins/machine-moves.ts
@@ -1,3 +1,4 @@
+/** Jobs on three controllers while machines move between their shards, with or without faults. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import {
   decodeMove,
@@ -15,7 +16,7 @@
 import type { Request } from './server.js';
 
 /** Sizes of a run. */
-export interface ShareMovesOptions {
+export interface MachineMovesOptions {
   readonly seed: number;
   readonly seconds: number;
   /** s between two requests of moves */
@@ -24,7 +25,7 @@
 }
 
 /** What a run met and measured. */
-export interface ShareMovesResult {
+export interface MachineMovesResult {
   readonly broken: readonly string[];
   readonly unfinished: readonly string[];
   readonly counts: Record<string, number>;
@@ -34,14 +35,16 @@
   readonly pauseMs: readonly number[];
 }
 
+type Host = ReturnType<Cluster['hosts']>[number];
+
 const FEATURES = { duties: parseDuties('', ''), shares: parseShares('', '') };
 const LIMITED = { name: 'limited', cpus: 0, gpus: 0, cpusMax: 16, gpusMax: 0 };
 const TASK_MS = 700;
 /** s after the last fault within which everything must be over */
 const SETTLE_S = 60;
 
-/** Jobs keep coming while machines move between the shards of three controllers, and controllers and machines fail. */
-export class ShareMoves {
+/** A run: jobs keep coming while machines move between the shards, and controllers and machines fail. */
+export class MachineMovesRun {
   readonly cluster = new Cluster({
     runMs: (index) => TASK_MS + (index % 5) * 300,
     leaseS: 10,
@@ -70,7 +73,7 @@
   readonly #moveMs: number[] = [];
   readonly #pauseMs: number[] = [];
 
-  constructor(private readonly options: ShareMovesOptions) {
+  constructor(private readonly options: MachineMovesOptions) {
     this.#below = randomFrom(options.seed);
   }
 
@@ -121,46 +124,62 @@
     this.#cancelling.add(this.cluster.cancel(node, uid));
   }
 
-  /** One thing goes wrong, and is mended after a while. */
+  /** One fault at random, which is repaired after a while. */
   async #fault(): Promise<void> {
     const node = this.cluster.names[this.#below(3)]!;
     const hosts = this.cluster.hosts();
     const host = hosts[this.#below(Math.max(1, hosts.length))];
-    const what = this.#below(8);
-    if (what === 0) {
-      this.#counts.kills += 1;
-      this.cluster.kill(node);
-      await sleep(this.#below(2) === 0 ? 100 : 3000);
-      await this.cluster.start(node);
-    } else if (what === 1) {
-      this.#counts.cuts += 1;
-      this.cluster.doors.get(node)!.refusing = true;
-      await sleep(1000 + this.#below(8000));
-      this.cluster.doors.get(node)!.refusing = false;
-    } else if (what === 2 && host !== undefined) {
+    const fault = this.#below(8);
+    if (fault === 0) await this.#restart(node);
+    else if (fault === 1) await this.#cutOff(node);
+    else if (fault === 4) await this.#delayWrites(node);
+    else if (fault === 5) await this.#storeOutage();
+    else if (host !== undefined) await this.#hostFault(fault, host);
+  }
+
+  async #restart(node: string): Promise<void> {
+    this.#counts.kills += 1;
+    this.cluster.kill(node);
+    await sleep(this.#below(2) === 0 ? 100 : 3000);
+    await this.cluster.start(node);
+  }
+
+  async #cutOff(node: string): Promise<void> {
+    this.#counts.cuts += 1;
+    this.cluster.doors.get(node)!.refusing = true;
+    await sleep(1000 + this.#below(8000));
+    this.cluster.doors.get(node)!.refusing = false;
+  }
+
+  async #delayWrites(node: string): Promise<void> {
+    this.#counts.lateWrites += 1;
+    const door = this.cluster.doors.get(node)!;
+    door.lateMs = 3000;
+    await sleep(4000);
+    door.lateMs = null;
+  }
+
+  async #storeOutage(): Promise<void> {
+    this.#counts.outages += 1;
+    this.cluster.state.out = true;
+    await sleep(1000 + this.#below(7000));
+    this.cluster.state.recover();
+  }
+
+  async #hostFault(fault: number, host: Host): Promise<void> {
+    if (fault === 2) {
       this.#counts.hangs += 1;
       host.worker.hung = true;
       await sleep(1000 + this.#below(4000));
       host.worker.hung = false;
-    } else if (what === 3 && host !== undefined) {
+    } else if (fault === 3) {
       this.#counts.notices += 1;
       host.worker.noticeS = 3;
       await sleep(3000);
       this.cluster.cloud.kill(host.worker.name);
-    } else if (what === 4) {
-      this.#counts.lateWrites += 1;
-      const door = this.cluster.doors.get(node)!;
-      door.lateMs = 3000;
-      await sleep(4000);
-      door.lateMs = null;
-    } else if (what === 5) {
-      this.#counts.outages += 1;
-      this.cluster.state.out = true;
-      await sleep(1000 + this.#below(7000));
-      this.cluster.state.recover();
-    } else if (what >= 6 && host !== undefined) {
+    } else {
       this.#counts.unheard += 1;
-      const lost = what === 6 ? 'losesAnswers' : 'losesReports';
+      const lost = fault === 6 ? 'losesAnswers' : 'losesReports';
       host[lost] = true;
       await sleep(1000 + this.#below(8000));
       host[lost] = false;
@@ -202,10 +221,13 @@
     }
   }
 
-  async run(): Promise<ShareMovesResult> {
+  async run(): Promise<MachineMovesResult> {
     const { cluster, options } = this;
     await cluster.open();
-    for (const door of cluster.doors.values()) door.seen = (request) => this.#countWrites(request);
+    for (const door of cluster.doors.values())
+      door.seen = (request) => {
+        this.#countWrites(request);
+      };
     const end = Date.now() + options.seconds * 1000;
     const owners = new Map<string, { group: string; token: number; at: number }>();
     let nextMove = Date.now() + 3000;
@@ -253,13 +275,13 @@
       await this.cluster.pass(0.3);
     }
     const moves = this.#moves().filter((m) => !isTerminal(m));
-    const stuck = moves.map(
+    const unfinishedMoves = moves.map(
       (m) => `move ${m.id}: ${m.state} ${m.direction}, waits for ${m.waitsFor}`,
     );
-    return [...open, ...stuck];
+    return [...open, ...unfinishedMoves];
   }
 
-  #result(unfinished: readonly string[]): ShareMovesResult {
+  #result(unfinished: readonly string[]): MachineMovesResult {
     const moves = this.#moves();
     const counts = {
       ...this.#counts,
