--- a/src/commands/duties.ts
+++ b/src/commands/duties.ts
@@ -140,7 +140,7 @@
       const guards = [{ key: requestKey, revision: 0 }];
       const writes = [{ put: requestKey, value: request }];
       const result = await store.attempt(() =>
-        store.client.compareAndSwap(CALL_PRIORITY.rest, guards, writes),
+        store.client.compareAndSwap(CALL_PRIORITY.background, guards, writes),
       );
       if (result.ok) return { duty: role, request, written: true };
     }
@@ -161,7 +161,7 @@
     const guards = [{ key: requestKey, revision: found.revision }];
     const writes = [{ drop: requestKey }];
     const result = await store.attempt(() =>
-      store.client.compareAndSwap(CALL_PRIORITY.rest, guards, writes),
+      store.client.compareAndSwap(CALL_PRIORITY.background, guards, writes),
     );
     return result.ok;
   } finally {
--- a/src/commands/program.ts
+++ b/src/commands/program.ts
@@ -3,7 +3,7 @@
 import type { Command } from 'commander';
 import { parse } from 'smol-toml';
 import type { MoveRequest } from '@sumacstep/shard-rebalancing';
-import { ConfigError, loadPlatform, type PlatformConfig } from '../config/platform.js';
+import { ConfigError, loadPlatformConfig, type PlatformConfig } from '../config/platform.js';
 import { requestTransfer, showLeadership, withdrawTransfer } from './duties.js';
 import { CommandError, EXIT } from './exit-codes.js';
 import {
@@ -53,7 +53,7 @@
   withCommonOptions(
     duties.command('show', { isDefault: true }).description('who holds which duty, until when'),
   ).action((options: CommandOptions) =>
-    runCommand(() => showLeadership(loadPlatform(options.config), options.json === true)),
+    runCommand(() => showLeadership(loadPlatformConfig(options.config), options.json === true)),
   );
 
   withCommonOptions(duties.command('hand-over <duty>'))
@@ -63,7 +63,7 @@
     .action((duty: string, options: CommandOptions & { to?: string; id?: string }) =>
       runCommand(async () => {
         const id = options.id ?? `request-${Date.now().toString(36)}`;
-        const config = loadPlatform(options.config);
+        const config = loadPlatformConfig(options.config);
         const output = await requestTransfer(config, duty, { to: options.to ?? null, id });
         const text = output.written ? `asked: ${id}` : `asked before: ${id}`;
         return formatOutput(output, text, options.json);
@@ -74,7 +74,7 @@
     .description('take back a request that is not carried out yet')
     .action((duty: string, options: CommandOptions) =>
       runCommand(async () => {
-        const withdrawn = await withdrawTransfer(loadPlatform(options.config), duty);
+        const withdrawn = await withdrawTransfer(loadPlatformConfig(options.config), duty);
         const text = withdrawn ? 'withdrawn' : 'there is no request, or it was just carried out';
         return formatOutput({ duty, withdrawn }, text, options.json);
       }),
@@ -151,7 +151,7 @@
   options: MoveOptions,
   act: (config: PlatformConfig, request: MoveRequest) => Promise<T>,
 ): Promise<T[]> => {
-  const config = loadPlatform(options.config);
+  const config = loadPlatformConfig(options.config);
   const nowMs = Date.now();
   const requests = requestsFrom(options, nowMs).map((request) =>
     checkRequest(config, request, nowMs),
@@ -185,7 +185,7 @@
   withCommonOptions(
     shares.command('show', { isDefault: true }).description('machines by part, and moves'),
   ).action((options: CommandOptions) =>
-    runCommand(() => showShards(loadPlatform(options.config), options.json === true)),
+    runCommand(() => showShards(loadPlatformConfig(options.config), options.json === true)),
   );
 
   withMoveOptions(
@@ -208,7 +208,7 @@
   withCommonOptions(shares.command('abort <id>').description('give a move up')).action(
     (id: string, options: CommandOptions) =>
       runCommand(async () => {
-        const output = await abortMove(loadPlatform(options.config), id);
+        const output = await abortMove(loadPlatformConfig(options.config), id);
         return formatOutput(output, moveText(output), options.json);
       }),
   );
--- a/src/rebalancing/move-coordinator.ts
+++ b/src/rebalancing/move-coordinator.ts
@@ -93,7 +93,7 @@
       const outcome = await fencedCompareAndSwap(
         client,
         authorization,
-        CALL_PRIORITY.rest,
+        CALL_PRIORITY.background,
         guards,
         writes,
       );
--- a/src/rebalancing/shard-mover.ts
+++ b/src/rebalancing/shard-mover.ts
@@ -8,8 +8,9 @@
   type Move,
 } from '@sumacstep/shard-rebalancing';
 import type { Logger } from 'pino';
-import type { SharesConfig } from '../config/shares.js';
-import type { Owned, ShardController } from '../shards/shard-controller.js';
+import type { RebalancingConfig } from '../config/rebalancing.js';
+import type { OwnedShard } from '../shards/owned-shard.js';
+import type { ShardController } from '../shards/shard-controller.js';
 import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import { WAIT_REASON_WRITE_INTERVAL_MS } from './constants.js';
@@ -41,7 +42,7 @@
 
 /** Machines that are ready to move in one transaction. */
 interface ReadyMachines {
-  readonly owned: Owned;
+  readonly owned: OwnedShard;
   readonly target: number;
   readonly names: readonly string[];
 }
@@ -60,7 +61,7 @@
   readonly #writtenAt = new Map<string, number>();
 
   constructor(
-    private readonly config: SharesConfig,
+    private readonly config: RebalancingConfig,
     private readonly dependencies: ShardMoverDependencies,
   ) {}
 
@@ -110,7 +111,7 @@
 
   #advanceAsSource(
     { value: stored, revision }: Versioned<Move>,
-    owned: Owned,
+    owned: OwnedShard,
     target: number,
   ): void {
     if (this.#busy.has(stored.id)) return;
@@ -120,7 +121,11 @@
     const candidates = [...shard.machines.values()].map((machine) =>
       candidateOf(shard, machine, now),
     );
-    const { chosen, ready, waitsFor } = selectMachines(move, candidates, this.config.emptyingMost);
+    const { chosen, ready, waitsFor } = selectMachines(
+      move,
+      candidates,
+      this.config.maxDrainingMachines,
+    );
     const newer = this.#targetIsNewer(shard.index, target);
     if (newer && ready.length > 0 && stored.state === 'moving') {
       void this.#exclusively(stored.id, () =>
@@ -171,7 +176,7 @@
     }
   }
 
-  async #write({ authorization }: Owned, move: Move, revision: number): Promise<void> {
+  async #write({ authorization }: OwnedShard, move: Move, revision: number): Promise<void> {
     const { client, cache, now } = this.dependencies;
     const key = moveKey(move.id);
     const writes = [{ put: key, value: move }];
@@ -179,7 +184,7 @@
     const outcome = await fencedCompareAndSwap(
       client,
       authorization,
-      CALL_PRIORITY.rest,
+      CALL_PRIORITY.background,
       guards,
       writes,
     );
--- a/src/service/limit-sharing.ts
+++ b/src/service/rate-limit-sharing.ts
@@ -1,4 +1,4 @@
-import type { CloudClient } from '../cloud/client.js';
+import type { CloudClient } from '../cloud/cloud-client.js';
 import type { OperatorConfig } from '../config/operator.js';
 import type { PlatformConfig } from '../config/platform.js';
 import type { StoreClient, StoreLimits } from '../store/store-client.js';
@@ -21,7 +21,7 @@
   (config.cloudLimits.rps * shares.cloudRequestShare) / nodes;
 
 /** The limits of state service and cloud are for all nodes together: those that live share them. */
-export class LimitSharing {
+export class RateLimitSharing {
   #nodes: number;
 
   constructor(
--- a/src/service/service.ts
+++ b/src/service/service.ts
@@ -1,21 +1,19 @@
 import { FencingRejections, type SessionLease } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import { steadyMs, timeOfDayMs } from '../clock.js';
-import { CloudClient } from '../cloud/client.js';
+import { CloudClient } from '../cloud/cloud-client.js';
 import { MachineTypes } from '../cloud/machine-types.js';
-import type { DutiesConfig } from '../config/duties.js';
+import type { SingletonsConfig } from '../config/singletons.js';
 import type { OperatorConfig } from '../config/operator.js';
 import type { PlatformConfig } from '../config/platform.js';
-import type { SharesConfig } from '../config/shares.js';
+import type { RebalancingConfig } from '../config/rebalancing.js';
 import { LOOP_MS, DEBOUNCE_MS, SUMMARY_MS } from '../constants.js';
-import { FEED_SHARE, FOLLOW_PAUSE_MS, IDLE_LEASES, STORE_FRESH_MS } from './constants.js';
-import {
-  CancellationReceiver,
-  CancellationBroadcast,
-  type Cancellation,
-} from '../core/cancellation/cancellations.js';
+import { WATCH_REQUEST_SHARE, FOLLOW_PAUSE_MS, IDLE_LEASES, STORE_FRESH_MS } from './constants.js';
+import type { Cancellation } from '../core/cancellation/cancellation.js';
+import { CancellationBroadcast } from '../core/cancellation/cancellation-broadcast.js';
+import { CancellationCoverage } from '../core/cancellation/cancellation-coverage.js';
 import { WorkloadStatistics } from '../core/capacity/workload-statistics.js';
-import { type Heartbeat } from '../core/model.js';
+import type { Heartbeat, JobSpec } from '../core/model.js';
 import { SingletonControllers } from '../singletons/singleton-controllers.js';
 import { ShardController, type PeerView } from '../shards/shard-controller.js';
 import { Gossip, type OwnStatus } from '../peers/gossip.js';
@@ -26,29 +24,33 @@
 import { ScaleIn } from '../shards/scale-in.js';
 import { OrphanedInstances } from '../shards/orphaned-instances.js';
 import { HttpServer } from './http-server.js';
-import { cloudRateLimitPerNode, LimitSharing, storeLimitsPerNode } from './limit-sharing.js';
+import {
+  cloudRateLimitPerNode,
+  RateLimitSharing,
+  storeLimitsPerNode,
+} from './rate-limit-sharing.js';
 import { describeShards } from './shard-status.js';
 import { Readiness } from './readiness.js';
-import { Summary } from './summary.js';
-import { shareSockets } from './socket-budget.js';
+import { PeriodicSummary } from './summary.js';
+import { socketBudget } from './socket-budget.js';
 import { ShardMover } from '../rebalancing/shard-mover.js';
 import { StoreClient } from '../store/store-client.js';
 import { LinearizableReads } from '../store/linearizable-reads.js';
-import { nodeSession } from '../store/node-session.js';
+import { createNodeSession } from '../store/node-session.js';
 import { watch, type WatchBatch } from '../store/watch.js';
 import { WatchCache } from '../store/watch-cache.js';
-import { userRoutes } from '../users/api.js';
+import { userRoutes } from '../users/user-routes.js';
 import { JobReader } from '../users/job-reader.js';
-import { Jobs } from '../users/jobs.js';
-import { workerRoutes, type HeartbeatReply } from '../workers/heartbeats.js';
+import { JobService } from '../users/job-service.js';
+import { heartbeatRoutes, type HeartbeatResponse } from '../workers/heartbeat-routes.js';
 
 /** The duty of renting and returning machines of a shard: its record is the shard's. */
 const SHARD_DUTY = /^parts\/(\d+)$/;
 
 /** What files under deploy/ switch on; null: off. */
-export interface Features {
-  readonly duties: DutiesConfig | null;
-  readonly shares: SharesConfig | null;
+export interface OptionalFeatures {
+  readonly duties: SingletonsConfig | null;
+  readonly shares: RebalancingConfig | null;
 }
 
 /** One controller: the core wired to state service, cloud, workers, users and the other nodes. */
@@ -71,17 +73,17 @@
   readonly #workload = new WorkloadStatistics();
   readonly #gossip: Gossip;
   readonly #broadcast: CancellationBroadcast;
-  readonly #receiver: CancellationReceiver;
+  readonly #coverage: CancellationCoverage;
   readonly #types: MachineTypes;
   readonly #directory: ShardDirectory;
   readonly #readiness = new Readiness();
-  readonly #limits: LimitSharing;
-  readonly #summary: Summary;
+  readonly #limits: RateLimitSharing;
+  readonly #summary: PeriodicSummary;
   readonly #server: HttpServer;
   readonly #shardController: ShardController;
   readonly #rentals: ScaleOut;
   readonly #jobReader: JobReader;
-  readonly #jobs: Jobs;
+  readonly #jobs: JobService;
   readonly #stop = new AbortController();
   readonly #timers: NodeJS.Timeout[] = [];
   #timer: NodeJS.Timeout | null = null;
@@ -94,7 +96,7 @@
     private readonly config: PlatformConfig,
     private readonly operator: OperatorConfig,
     private readonly log: Logger,
-    { duties: dutiesConfig, shares }: Features = { duties: null, shares: null },
+    { duties: dutiesConfig, shares }: OptionalFeatures = { duties: null, shares: null },
   ) {
     const seed = (timeOfDayMs() * 1000 + Math.floor(steadyMs() * 1000) + process.pid) | 0;
     this.#random = randomFrom(seed);
@@ -110,8 +112,8 @@
     const cloudRps = cloudRateLimitPerNode(config, operator, config.nodes);
     this.#cloud = new CloudClient(config.cloud, cloudRps, this.#now);
     this.#types = new MachineTypes(this.#cloud, log);
-    this.#limits = new LimitSharing(config, operator, this.#store, this.#cloud);
-    this.#summary = new Summary(log);
+    this.#limits = new RateLimitSharing(config, operator, this.#store, this.#cloud);
+    this.#summary = new PeriodicSummary(log);
     this.#server = new HttpServer(log);
     const life = {
       node: config.node,
@@ -119,20 +121,20 @@
       supportsElection: dutiesConfig !== null,
       supportsRebalancing: shares !== null,
     };
-    this.#lease = nodeSession(this.#store, life, this.#now, log);
+    this.#lease = createNodeSession(this.#store, life, this.#now, log);
     this.#fencingRejections = new FencingRejections((duty) => this.#currentToken(duty), log);
     const others = config.peers.map((p) => p.node);
     this.#broadcast = new CancellationBroadcast(others, config.workers.cancelS * 1000);
-    this.#receiver = new CancellationReceiver(others);
-    this.#gossip = new Gossip(
-      config.node,
-      this.#incarnation,
-      config.peers,
-      (detailed, sentAt) => this.#status(detailed, sentAt),
-      (status, echoed) => this.#heard(status, echoed),
-      this.#now,
+    this.#coverage = new CancellationCoverage(others);
+    this.#gossip = new Gossip({
+      node: config.node,
+      incarnation: this.#incarnation,
+      peers: config.peers,
+      ownStatus: (detailed, sentAt) => this.#status(detailed, sentAt),
+      onStatus: (status, acknowledgedAt) => this.#heard(status, acknowledgedAt),
+      now: this.#now,
       log,
-    );
+    });
     this.#directory = new ShardDirectory(
       config.nodes,
       () => this.#shardController.owned,
@@ -146,7 +148,7 @@
       this.#store,
       this.#cache,
       this.#lease,
-      () => this.#linearizable.wait(),
+      () => this.#linearizable.waitUntilCurrent(),
       this.#peerView(),
       this.#fencingRejections,
       () => this.#types.current,
@@ -163,7 +165,7 @@
             cloud: this.#cloud,
             cache: this.#cache,
             authority: () => this.#shardController.authority(this.#now()),
-            current: () => this.#linearizable.wait(),
+            current: () => this.#linearizable.waitUntilCurrent(),
             fencingRejections: this.#fencingRejections,
             now: this.#now,
             timeOfDay: timeOfDayMs,
@@ -205,23 +207,28 @@
       this.#shardController,
       this.#returns,
       this.#workload,
-      (shard) => this.#directory.busyElsewhere(shard),
-      () => this.#jobs.sentAway(),
+      (shard) => this.#directory.activeTasksElsewhere(shard),
+      () => this.#jobs.deferredJobs(),
       () => this.#types.current,
       this.#now,
       timeOfDayMs,
       log,
     );
     this.#jobReader = new JobReader(this.#store, this.#cache, this.#linearizable);
-    this.#jobs = new Jobs(
-      this.#store,
-      this.#cache,
-      this.#jobReader,
+    const routing = {
+      types: () => this.#types.current,
+      loads: (spec: JobSpec) => this.#directory.loads(spec),
+      termOf: (shard: number) => this.#shardController.termOf(shard),
+      random: this.#random,
+    };
+    this.#jobs = new JobService(
       {
-        types: () => this.#types.current,
-        loads: (spec) => this.#directory.loads(spec),
-        termOf: (shard) => this.#shardController.termOf(shard),
-        random: this.#random,
+        client: this.#store,
+        cache: this.#cache,
+        reader: this.#jobReader,
+        routing,
+        acceptanceGuard: () => this.#duties?.acceptanceGuard() ?? null,
+        now: this.#now,
       },
       {
         teams: config.teams,
@@ -229,11 +236,9 @@
         valueBytes: config.storeLimits.valueBytes,
         loadThreshold: operator.loadThreshold,
       },
-      () => this.#duties?.acceptanceGuard() ?? null,
-      this.#now,
     );
     this.#cache.on('change', () => this.#reconcileDebounced());
-    this.#cache.on('cancelled', (c: Cancellation) => this.#broadcast.learned(c, this.#now()));
+    this.#cache.on('cancelled', (c: Cancellation) => this.#broadcast.add(c, this.#now()));
   }
 
   async start(): Promise<void> {
@@ -256,7 +261,7 @@
   }
 
   #listen(): Promise<void> {
-    const workers = workerRoutes(
+    const workers = heartbeatRoutes(
       (heartbeat) => this.#handleHeartbeat(heartbeat),
       () => this.#cache.ready,
     );
@@ -265,22 +270,22 @@
       reader: this.#jobReader,
       progress: (uid) => this.#directory.progress(uid),
       // Whoever runs the job should stop it now, whether or not the state service tells it.
-      cancelled: (uid) => {
-        if (this.#broadcast.has(uid)) this.#gossip.flush();
+      onCancelled: (uid) => {
+        if (this.#broadcast.isPending(uid)) this.#gossip.flush();
       },
-      ready: () => this.#ready(),
+      isReady: () => this.#ready(),
       storeAvailable: () => this.#store.available,
       timeOfDay: timeOfDayMs,
-      steady: this.#now,
+      now: this.#now,
       random: this.#random,
-      malformed: (reason) => this.log.info({ reason }, 'malformed submission'),
-      accepted: (spec, ms) => {
+      onMalformed: (reason) => this.log.info({ reason }, 'malformed submission'),
+      onAccepted: (spec, ms) => {
         this.#summary.accepted(ms);
         const { uid, jobClass, tasks } = spec;
         this.log.debug({ job: uid, class: jobClass, tasks }, 'accepted');
       },
     });
-    const { inbound } = shareSockets(this.config.sockets, this.config.peers.length);
+    const { inbound } = socketBudget(this.config.sockets, this.config.peers.length);
     const idleMs = this.config.workers.leaseS * 1000 * IDLE_LEASES;
     return this.#server.listen([workers, users], this.config.listen, {
       connections: inbound,
@@ -292,9 +297,9 @@
   async #follow(): Promise<void> {
     const rps = (this.config.storeLimits.rps * this.operator.storeRequestShare) / this.config.nodes;
     const options = {
-      pauseMs: Math.max(FOLLOW_PAUSE_MS, 1000 / (rps * FEED_SHARE)),
+      pauseMs: Math.max(FOLLOW_PAUSE_MS, 1000 / (rps * WATCH_REQUEST_SHARE)),
       now: this.#now,
-      reading: (since: number | null) => this.#linearizable.reading(since),
+      reading: (since: number | null) => this.#linearizable.onReadState(since),
     };
     for await (const batch of watch(this.#store, this.#stop.signal, options)) {
       this.#cache.apply(batch as WatchBatch);
@@ -318,7 +323,7 @@
   #tick(): void {
     if (this.#stop.signal.aborted) return;
     this.#tickIn(LOOP_MS);
-    this.#observeSurroundings();
+    this.#observeReadiness();
     const { ready } = this.#cache;
     this.#limits.update(ready ? this.#shardController.aliveNodes() : this.config.nodes);
     this.#learn();
@@ -346,12 +351,12 @@
       this.#workload.arrived(value.spec, Math.min(nowS, value.at / 1000));
     }
     this.#workload.keepOnly(this.#cache.tables.activeJobs);
-    for (const status of this.#gossip.heard()) {
+    for (const status of this.#gossip.recent()) {
       for (const c of status.classes) this.#workload.adopt(c.jobClass, c.runS, c.finished);
     }
   }
 
-  #handleHeartbeat(heartbeat: Heartbeat): HeartbeatReply {
+  #handleHeartbeat(heartbeat: Heartbeat): HeartbeatResponse {
     const reply = this.#shardController.handleHeartbeat(heartbeat);
     if (reply.kind === 'unavailable') this.#unrecorded.observe(heartbeat);
     else if (reply.kind === 'answer') this.#reconcileDebounced();
@@ -363,13 +368,13 @@
     return this.#readiness.ready(this.#now());
   }
 
-  #observeSurroundings(): void {
-    const surroundings = {
+  #observeReadiness(): void {
+    const inputs = {
       storeAvailable: this.#store.available,
       peerHasStore: this.#peerWithStore() !== null,
-      noPeerInTouch: this.config.peers.length > 0 && this.#gossip.fresh().length === 0,
+      noPeerReachable: this.config.peers.length > 0 && this.#gossip.reachable().length === 0,
     };
-    this.#readiness.observe(surroundings, this.#now());
+    this.#readiness.observe(inputs, this.#now());
   }
 
   // --- aims --------------------------------------------------------------------------------------
@@ -386,39 +391,39 @@
   // --- other nodes -------------------------------------------------------------------------------
 
   #hasStore(): boolean {
-    return this.#store.available && this.#now() - this.#store.lastGood < STORE_FRESH_MS;
+    return this.#store.available && this.#now() - this.#store.lastSuccessAt < STORE_FRESH_MS;
   }
 
   #peerWithStore(): string | null {
-    return this.#gossip.fresh().find((s) => s.hasState)?.node ?? null;
+    return this.#gossip.reachable().find((s) => s.hasStore)?.node ?? null;
   }
 
   #peerView(): PeerView {
     return {
       withStore: () => this.#peerWithStore(),
       fit: (node) =>
-        this.#gossip.fresh().find((s) => s.node === node && s.hasState)?.incarnation ?? null,
+        this.#gossip.reachable().find((s) => s.node === node && s.hasStore)?.incarnation ?? null,
       capacityElsewhere: (spec, not) => this.#directory.capacityElsewhere(spec, not),
       lessAllocated: (spec, than) => this.#directory.lessAllocated(spec, than),
       imagesOf: (machine) => this.#directory.imagesOf(machine),
-      hears: (shard) => this.#directory.hearsMost(shard),
-      cancellationsKnownUntil: () => this.#receiver.knownUntil(this.#cache.currentAt),
+      hears: (shard) => this.#directory.nodeReachingMostWorkers(shard),
+      cancellationsKnownUntil: () => this.#coverage.knownUntil(this.#cache.currentAt),
     };
   }
 
   #heard(status: PeerStatus, echoed: number): void {
     const { node, incarnation, cancellations, cancellationsComplete: complete } = status;
     for (const c of cancellations) this.#cache.learnCancelled(c);
-    const from = { node, incarnation, complete, echoed };
-    this.#receiver.heard(from, this.#cache.currentAt, this.#now());
-    this.#broadcast.acknowledged(node, echoed);
+    const broadcast = { node, incarnation, complete, acknowledgedSentAt: echoed };
+    this.#coverage.receive(broadcast, this.#cache.currentAt, this.#now());
+    this.#broadcast.acknowledge(node, echoed);
   }
 
   #status(detailed: boolean, sentAt: number): OwnStatus {
     return {
-      cancellations: this.#broadcast.tell(sentAt),
-      cancellationsComplete: this.#broadcast.complete(sentAt),
-      hasState: this.#hasStore(),
+      cancellations: this.#broadcast.nextMessage(sentAt),
+      cancellationsComplete: this.#broadcast.isComplete(sentAt),
+      hasStore: this.#hasStore(),
       ...describeShards(this.#shardController, this.#directory, detailed, this.#now()),
       classes: this.#workload.runs(),
     };
@@ -426,7 +431,7 @@
 
   /** The token of the present tenure, by a current read. */
   async #currentToken(duty: string): Promise<number | null> {
-    await this.#linearizable.wait();
+    await this.#linearizable.waitUntilCurrent();
     const shard = SHARD_DUTY.exec(duty)?.[1];
     if (shard !== undefined) return this.#shardController.termOf(Number(shard));
     return this.#duties?.fencingTokenOf(duty) ?? null;
--- a/src/shards/completions.ts
+++ b/src/shards/completions.ts
@@ -2,13 +2,13 @@
 import type { Logger } from 'pino';
 import type { PlatformConfig } from '../config/platform.js';
 import { MAX_RANGE_TASKS, SLOT_FILL } from '../core/jobs/constants.js';
-import { BATCH_BYTES, PROGRESS_MS, SAVE_MS } from './constants.js';
+import { BATCH_BYTES } from './constants.js';
 import type { JobState } from '../core/shard/types.js';
 import { allDone, encodeDone, maxRangeTasks } from '../core/jobs/jobs.js';
 import type { JobRecord, TaskRange } from '../core/model.js';
-import type { Owned } from './shard-controller.js';
+import type { OwnedShard } from './owned-shard.js';
 import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
-import { encodeJob, encodeDoneSlot, key, type DoneSlot } from '../store/keys.js';
+import { encodeJob, encodeCompletions, key, type CompletionBitmaps } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { Guard, Write } from '../wire/schemas.js';
 
@@ -19,7 +19,7 @@
   readonly finished: string[];
 }
 
-const sizeOf = (slot: DoneSlot): number => JSON.stringify(encodeDoneSlot(slot)).length;
+const sizeOf = (slot: CompletionBitmaps): number => JSON.stringify(encodeCompletions(slot)).length;
 
 /** Names of a range within a slot. */
 const rangeKey = (uid: string, from: number): string => `${uid}/${from}`;
@@ -30,7 +30,7 @@
  * about one write in a while, however many arrays it runs.
  */
 export class Completions {
-  readonly #slotSizes = new WeakMap<DoneSlot, number>();
+  readonly #slotSizes = new WeakMap<CompletionBitmaps, number>();
 
   constructor(
     private readonly config: PlatformConfig,
@@ -40,12 +40,12 @@
     private readonly log: Logger,
   ) {}
 
-  async save(index: number, owned: Owned, now: number): Promise<void> {
-    if (owned.saving || now - owned.lastSave < SAVE_MS) return;
+  async save(index: number, owned: OwnedShard, now: number): Promise<void> {
+    if (!owned.saveDue(now)) return;
     const smaller = this.#recut(index, owned) ?? this.#split(index);
     const batch = smaller ?? this.#collect(index, owned, now);
     if (batch.writes.length === 0) return;
-    owned.saving = true;
+    owned.beginSave();
     try {
       const { guards, writes } = batch;
       const result = await fencedCompareAndSwap(
@@ -56,7 +56,7 @@
         writes,
       );
       if (result.ok) {
-        for (const { uid, indexes } of batch.saved) owned.shard.saved(uid, indexes);
+        for (const { uid, indexes } of batch.saved) owned.shard.completionsSaved(uid, indexes);
         for (const uid of batch.finished) this.log.info({ job: uid, shard: index }, 'job done');
         this.cache.applyOwn(batch.writes, result.epoch);
       }
@@ -65,18 +65,18 @@
       if (!(error instanceof StoreRequestError)) throw error;
       this.log.debug({ shard: index, error: error.message }, 'completions not saved');
     } finally {
-      owned.saving = false;
-      owned.lastSave = this.now();
+      owned.endSave(this.now());
     }
   }
 
-  #collect(index: number, owned: Owned, now: number): Batch {
+  #collect(index: number, owned: OwnedShard, now: number): Batch {
     const batch: Batch = { guards: [], writes: [], saved: [], finished: [] };
     const progress: { job: JobState; active: JobRecord; range: TaskRange; whole: boolean }[] = [];
     let bytes = 0;
     for (const job of owned.shard.jobs.values()) {
-      const open = job.waiting.length + job.placed.size + job.migrating.length > 0;
-      if (job.ended || job.spec.kind === 'service' || (job.unsaved.size === 0 && open)) continue;
+      const open = job.waitingTasks.length + job.placements.size + job.migratingTasks.length > 0;
+      if (job.ended || job.spec.kind === 'service' || (job.unsavedTasks.size === 0 && open))
+        continue;
       const { uid, tasks } = job.spec;
       const active = this.cache.tables.activeJobs.get(uid);
       if (active === undefined) continue;
@@ -84,10 +84,13 @@
       const bits = open ? null : this.#bits(job, mine);
       const complete =
         bits !== null &&
-        allDone(active.value, (r) => bits.get(r.from) ?? this.cache.done(r.shard, uid, r.from));
+        allDone(
+          active.value,
+          (r) => bits.get(r.from) ?? this.cache.completedTasks(r.shard, uid, r.from),
+        );
       if (!complete) {
         for (const range of mine) {
-          const fresh = [...job.unsaved].some((i) => i >= range.from && i < range.to);
+          const fresh = [...job.unsavedTasks].some((i) => i >= range.from && i < range.to);
           if (fresh) progress.push({ job, active: active.value, range, whole: !open });
         }
         continue;
@@ -103,19 +106,19 @@
       batch.writes.push(...add);
       batch.guards.push({ key: key.activeJob(uid), revision: active.revision });
       batch.finished.push(uid);
-      batch.saved.push({ uid, indexes: [...job.unsaved] });
+      batch.saved.push({ uid, indexes: [...job.unsavedTasks] });
     }
     // Somebody waits for the end of a range, if it is the last one of its job.
-    const due = now - owned.lastProgress >= PROGRESS_MS || progress.some((p) => p.whole);
+    const due = owned.progressDue(now) || progress.some((p) => p.whole);
     if (due && progress.length > 0) {
       this.#addProgress(index, progress, batch, bytes);
-      owned.lastProgress = now;
+      owned.noteProgress(now);
     }
     return batch;
   }
 
   #bits(job: JobState, ranges: readonly TaskRange[]): Map<number, string> {
-    const done = { has: (i: number) => job.saved.has(i) || job.unsaved.has(i) };
+    const done = { has: (i: number) => job.savedTasks.has(i) || job.unsavedTasks.has(i) };
     return new Map(ranges.map((r) => [r.from, encodeDone(r, done)]));
   }
 
@@ -139,7 +142,7 @@
         changed.add(slot);
       }
       slots.get(slot)!.set(name, bits);
-      const indexes = [...job.unsaved].filter((i) => i >= range.from && i < range.to);
+      const indexes = [...job.unsavedTasks].filter((i) => i >= range.from && i < range.to);
       batch.saved.push({ uid: job.spec.uid, indexes });
     }
     for (const slot of changed) {
@@ -151,7 +154,7 @@
    * A range from a time of larger values, whose bitmap fits none now: its end becomes a range of its
    * own, with its part of the bitmap, in one transaction. Whoever reads before or after sees all of it.
    */
-  #recut(index: number, owned: Owned): Batch | null {
+  #recut(index: number, owned: OwnedShard): Batch | null {
     const { valueBytes } = this.config.storeLimits;
     const most = maxRangeTasks(valueBytes);
     if (most >= MAX_RANGE_TASKS) return null;
@@ -175,7 +178,7 @@
       batch.guards.push({ key: key.activeJob(spec.uid), revision: active.revision });
       // The value may still hold the bitmap of an earlier, longer cut.
       const ends = [middle - long.from, long.to - long.from].map((i) => Math.ceil(i / 4));
-      const bits = this.cache.done(index, spec.uid, long.from)?.slice(...ends);
+      const bits = this.cache.completedTasks(index, spec.uid, long.from)?.slice(...ends);
       if (bits !== undefined && bits.length > 0) {
         const slots = this.#slots(index);
         const name = rangeKey(spec.uid, middle);
@@ -241,14 +244,14 @@
     return false;
   }
 
-  #putSlot(batch: Batch, index: number, slot: number, value: DoneSlot): void {
-    batch.writes.push({ put: key.completions(index, slot), value: encodeDoneSlot(value) });
+  #putSlot(batch: Batch, index: number, slot: number, value: CompletionBitmaps): void {
+    batch.writes.push({ put: key.completions(index, slot), value: encodeCompletions(value) });
     // A write without an answer may be carried out after newer ones, and would undo what those saved.
     const revision = this.cache.tables.completions.get(`${index}/${slot}`)?.revision ?? 0;
     batch.guards.push({ key: key.completions(index, slot), revision });
   }
 
-  #stored(index: number, slot: number): DoneSlot | undefined {
+  #stored(index: number, slot: number): CompletionBitmaps | undefined {
     return this.cache.tables.completions.get(`${index}/${slot}`)?.value;
   }
 
@@ -265,7 +268,7 @@
         const from = Number(name.slice(name.lastIndexOf('/') + 1));
         const job = this.cache.tables.activeJobs.get(uid);
         const range = job?.value.ranges.find((r) => r.shard === index && r.from === from);
-        const bits = this.cache.done(index, uid, from);
+        const bits = this.cache.completedTasks(index, uid, from);
         if (range === undefined || bits === undefined) return [];
         return [[name, bits.slice(0, Math.ceil((range.to - from) / 4))]];
       });
--- a/src/shards/machine-records.ts
+++ b/src/shards/machine-records.ts
@@ -3,7 +3,7 @@
 import type { PlatformConfig } from '../config/platform.js';
 import { GROUP_BYTES, HOST_BYTES, MACHINES_MS, RETURNED_KEPT } from './constants.js';
 import type { MachineState } from '../core/shard/types.js';
-import type { Owned } from './shard-controller.js';
+import type { OwnedShard } from './owned-shard.js';
 import { CALL_PRIORITY, StoreRequestError, type StoreClient } from '../store/store-client.js';
 import { encodeMachineGroup, key, type RentalRecord, type MachineGroup } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
@@ -64,21 +64,23 @@
   }
 
   /** Writes what differs: machines that are up and not recorded so, records of returned ones. */
-  async tick(index: number, owned: Owned, now: number): Promise<void> {
+  async tick(index: number, owned: OwnedShard, now: number): Promise<void> {
     if (this.#busy.has(index) || now - (this.#last.get(index) ?? -Infinity) < MACHINES_MS) return;
-    const up = owned.shard.justUp();
+    const up = owned.shard.newlyReadyMachines();
     const changed = this.#changes(index, up);
     if (changed.size === 0) return;
     const writes: Write[] = [];
     const guards: Guard[] = [];
     for (const [id, { revision, group }] of changed) {
       guards.push({ key: key.machineGroup(id), revision });
-      if (group.hosts.size === 0) writes.push({ drop: key.machineGroup(id) });
+      if (group.machines.size === 0) writes.push({ drop: key.machineGroup(id) });
       else writes.push({ put: key.machineGroup(id), value: encodeMachineGroup(group) });
     }
     const done = await this.#write(index, owned, up.length > 0, guards, writes);
     if (!done) return;
-    const written = new Set([...changed.values()].flatMap(({ group }) => [...group.hosts.keys()]));
+    const written = new Set(
+      [...changed.values()].flatMap(({ group }) => [...group.machines.keys()]),
+    );
     for (const m of up) {
       if (written.has(m.record.name)) {
         this.log.info({ machine: m.record.name, shard: index }, 'up');
@@ -102,8 +104,8 @@
       if (entry === undefined) {
         const record = this.cache.tables.machineGroups.get(at.group);
         if (record === undefined || changed.size >= most) return null;
-        const hosts = new Map(record.value.hosts);
-        entry = { revision: record.revision, hosts, group: { ...record.value, hosts } };
+        const hosts = new Map(record.value.machines);
+        entry = { revision: record.revision, hosts, group: { ...record.value, machines: hosts } };
         changed.set(at.group, entry);
       }
       return entry.hosts;
@@ -118,14 +120,14 @@
 
   async #write(
     index: number,
-    { authorization }: Owned,
+    { authorization }: OwnedShard,
     urgent: boolean,
     guards: readonly Guard[],
     writes: readonly Write[],
   ): Promise<boolean> {
     this.#busy.add(index);
     try {
-      const cls = urgent ? CALL_PRIORITY.completion : CALL_PRIORITY.rest;
+      const cls = urgent ? CALL_PRIORITY.completion : CALL_PRIORITY.background;
       const result = await fencedCompareAndSwap(this.client, authorization, cls, guards, writes);
       if (result.ok) this.cache.applyOwn(writes, result.epoch);
       return result.ok;
@@ -140,11 +142,18 @@
   }
 
   /** Records the machines of an answered hire and drops the hire, in one transaction. */
-  async hired(owned: Owned, rental: RentalRecord, names: readonly string[]): Promise<void> {
+  async hired(owned: OwnedShard, rental: RentalRecord, names: readonly string[]): Promise<void> {
     const { shard, type, zone, spot } = rental;
     const fresh = names.filter((n) => !this.cache.machines.has(n));
     const hosts = new Map(fresh.map((n) => [n, false]));
-    const group: MachineGroup = { shard, term: owned.shard.term, type, zone, spot, hosts };
+    const group: MachineGroup = {
+      shard,
+      term: owned.shard.term,
+      type,
+      zone,
+      spot,
+      machines: hosts,
+    };
     const writes: Write[] = [{ drop: key.rental(shard, rental.name) }];
     const guards: Guard[] = [];
     if (hosts.size > 0) {
@@ -184,15 +193,15 @@
    * cache shows neither a hire of the machine's kind nor the machine, none can record it any more.
    */
   async adopt(
-    owned: Owned,
-    machine: Omit<MachineGroup, 'term' | 'hosts'>,
+    owned: OwnedShard,
+    machine: Omit<MachineGroup, 'term' | 'machines'>,
     name: string,
     conditions: readonly Guard[] = [],
   ): Promise<void> {
     await this.current();
     if (this.cache.machines.has(name) || this.#rentalPending(machine)) return;
     const hosts = new Map([[name, false]]);
-    const group: MachineGroup = { ...machine, term: owned.shard.term, hosts };
+    const group: MachineGroup = { ...machine, term: owned.shard.term, machines: hosts };
     const adopted = key.adoptedMachineGroup(name);
     const writes: Write[] = [{ put: adopted, value: encodeMachineGroup(group) }];
     const guards = [{ key: adopted, revision: 0 }, ...conditions];
@@ -200,7 +209,7 @@
     const result = await fencedCompareAndSwap(
       this.client,
       authorization,
-      CALL_PRIORITY.rest,
+      CALL_PRIORITY.background,
       guards,
       writes,
     );
@@ -214,7 +223,7 @@
    * transaction. As many as it holds go; resolves with their names, none if the records have changed.
    */
   async move(
-    owned: Owned,
+    owned: OwnedShard,
     names: readonly string[],
     target: MoveTarget,
   ): Promise<readonly string[]> {
@@ -225,7 +234,14 @@
     if (first === undefined) return [];
     const { type, zone, spot } = this.cache.machines.get(first)!.value;
     const hosts = new Map(moved.map((name) => [name, true]));
-    const group: MachineGroup = { shard: target.shard, term: target.term, type, zone, spot, hosts };
+    const group: MachineGroup = {
+      shard: target.shard,
+      term: target.term,
+      type,
+      zone,
+      spot,
+      machines: hosts,
+    };
     const put: Write = { put: key.machineGroup(target.group), value: encodeMachineGroup(group) };
     const writes = [...groups.map((g) => g.write), put, ...target.writes(moved)];
     const guards = [
@@ -259,12 +275,12 @@
       moved.push(name);
     }
     const changes = [...groups].map(([id, { revision, value, leave }]) => {
-      const hosts = new Map([...value.hosts].filter(([name]) => !leave.includes(name)));
+      const hosts = new Map([...value.machines].filter(([name]) => !leave.includes(name)));
       const name = key.machineGroup(id);
       const write: Write =
         hosts.size === 0
           ? { drop: name }
-          : { put: name, value: encodeMachineGroup({ ...value, hosts }) };
+          : { put: name, value: encodeMachineGroup({ ...value, machines: hosts }) };
       return { condition: { key: name, revision }, write };
     });
     return { groups: changes, moved };
--- a/src/shards/orphaned-instances.ts
+++ b/src/shards/orphaned-instances.ts
@@ -1,5 +1,5 @@
 import type { Logger } from 'pino';
-import type { CloudClient } from '../cloud/client.js';
+import type { CloudClient } from '../cloud/cloud-client.js';
 import type { PlatformConfig } from '../config/platform.js';
 import { ADOPT_MS, LIST_MS } from './constants.js';
 import { shardOfMachine } from '../core/jobs/jobs.js';
@@ -24,7 +24,7 @@
 
   constructor(
     private readonly config: Pick<PlatformConfig, 'nodes' | 'cloudLimits'>,
-    private readonly cloud: Pick<CloudClient, 'list' | 'listEveryMs'>,
+    private readonly cloud: Pick<CloudClient, 'listMachines' | 'minListIntervalMs'>,
     private readonly cache: WatchCache,
     private readonly shardController: ShardController,
     private readonly orphanCollection: OrphanCollection | null,
@@ -36,13 +36,13 @@
   tick(): void {
     const now = this.now();
     if (!this.shardController.authority(now)) return;
-    for (const { shard, suspended } of this.shardController.owned.values()) {
-      if (suspended) continue;
+    for (const { shard, isActive } of this.shardController.owned.values()) {
+      if (!isActive) continue;
       for (const machine of shard.machines.values()) {
         machine.address ??= this.#addresses.get(machine.record.name) ?? null;
       }
     }
-    const listMs = Math.max(LIST_MS, this.cloud.listEveryMs());
+    const listMs = Math.max(LIST_MS, this.cloud.minListIntervalMs());
     if (now - this.#lastList > listMs && this.#needsList()) void this.#list();
   }
 
@@ -56,7 +56,7 @@
     if (this.#listing) return;
     this.#listing = true;
     await this.#guarded('machine list not answered', async () => {
-      await this.#listed(await this.cloud.list());
+      await this.#listed(await this.cloud.listMachines());
     });
     this.#listing = false;
     this.#lastList = this.now();
--- a/src/singletons/garbage-collector.ts
+++ b/src/singletons/garbage-collector.ts
@@ -12,10 +12,10 @@
 import { isTerminal, moveKey } from '@sumacstep/shard-rebalancing';
 import type { Logger } from 'pino';
 import { setTimeout as sleep } from 'node:timers/promises';
-import type { DutiesConfig } from '../config/duties.js';
-import { LIST_PAGE } from '../store/constants.js';
-import { dutyEntryKey } from '../store/election-entries.js';
-import { FINAL, key } from '../store/keys.js';
+import type { SingletonsConfig } from '../config/singletons.js';
+import { LIST_PAGE_SIZE } from '../store/constants.js';
+import { electionEntryKey } from '../store/election-entries.js';
+import { FINAL_STATE_PREFIX, key } from '../store/keys.js';
 import {
   CALL_PRIORITY,
   StoreRequestError,
@@ -62,10 +62,13 @@
   #swept: { readonly fencingToken: number; readonly revision: number } | null = null;
 
   constructor(
-    private readonly config: Pick<DutiesConfig, 'finalKeepMs' | 'clearWritesPerS'>,
+    private readonly config: Pick<
+      SingletonsConfig,
+      'finalStateRetentionMs' | 'garbageCollectionWritesPerS'
+    >,
     private readonly dependencies: GarbageCollectorDependencies,
   ) {
-    this.#retentionClock = new RetentionClock(config.finalKeepMs, dependencies);
+    this.#retentionClock = new RetentionClock(config.finalStateRetentionMs, dependencies);
   }
 
   /** Starts a round if one is due and this node is the leader. */
@@ -81,8 +84,11 @@
 
   /** Shorter than usual if the retention time is short. */
   #intervalMs(): number {
-    const { finalKeepMs } = this.config;
-    return Math.min(GARBAGE_COLLECTION_INTERVAL_MS, finalKeepMs * RETENTION_INTERVAL_SHARE);
+    const { finalStateRetentionMs } = this.config;
+    return Math.min(
+      GARBAGE_COLLECTION_INTERVAL_MS,
+      finalStateRetentionMs * RETENTION_INTERVAL_SHARE,
+    );
   }
 
   async #runRound(authorization: Authorization): Promise<void> {
@@ -101,7 +107,7 @@
   async round(authorization: Authorization): Promise<void> {
     const retention = await this.#retentionClock.advance(authorization);
     if (retention === null) return;
-    const expired = expiredRevision(retention, this.config.finalKeepMs);
+    const expired = expiredRevision(retention, this.config.finalStateRetentionMs);
     if (expired !== null && expired > this.#sweptRevision(authorization)) {
       const finalStates = await this.#collectFinalStates(authorization, expired);
       if (!authorization.isValid()) return;
@@ -126,13 +132,18 @@
     const batchLimit = Math.max(1, this.dependencies.transactionOps - 1);
     let deleted = 0;
     for (let since: string | null = null; ;) {
-      const page = await this.dependencies.client.list(FINAL, since, LIST_PAGE, CALL_PRIORITY.rest);
+      const page = await this.dependencies.client.list(
+        FINAL_STATE_PREFIX,
+        since,
+        LIST_PAGE_SIZE,
+        CALL_PRIORITY.background,
+      );
       const old = page.entries.filter((entry) => entry.revision <= expired);
       for (let start = 0; start < old.length; start += batchLimit) {
         if (!authorization.isValid()) return deleted;
         const batch = old.slice(start, start + batchLimit);
         if (await this.#deleteFinalStates(authorization, batch)) deleted += batch.length;
-        await sleep(((batch.length + 1) * 1000) / this.config.clearWritesPerS);
+        await sleep(((batch.length + 1) * 1000) / this.config.garbageCollectionWritesPerS);
       }
       const last = page.entries.at(-1);
       if (!page.more || last === undefined) return deleted;
@@ -144,7 +155,7 @@
     const guards = batch.map(({ key: name, revision }) => ({ key: name, revision }));
     const drops: Write[] = batch.map(({ key: name }) => ({ drop: name }));
     const value = { token: authorization.fencingToken };
-    const acceptance = { put: dutyEntryKey.acceptance, value };
+    const acceptance = { put: electionEntryKey.acceptance, value };
     return this.#compareAndSwap(authorization, guards, [...drops, acceptance]);
   }
 
@@ -179,12 +190,12 @@
    */
   async #collectNodes(authorization: Authorization): Promise<void> {
     const { client, cache, ownNodeKey, log } = this.dependencies;
-    const own = await client.get(ownNodeKey, CALL_PRIORITY.rest);
+    const own = await client.get(ownNodeKey, CALL_PRIORITY.background);
     if ('missing' in own || (own.lease ?? null) === null) return;
     for (const { value } of cache.tables.nodes.values()) {
       const name = key.node(value.node, value.incarnation);
       if (name === ownNodeKey) continue;
-      const found = await client.get(name, CALL_PRIORITY.rest);
+      const found = await client.get(name, CALL_PRIORITY.background);
       if ('missing' in found || (found.lease ?? null) !== null) continue;
       if (!(await this.#delete(authorization, found))) return;
       log.info({ node: value.node, incarnation: value.incarnation }, 'node record deleted');
@@ -204,7 +215,7 @@
     const outcome = await fencedCompareAndSwap(
       client,
       authorization,
-      CALL_PRIORITY.rest,
+      CALL_PRIORITY.background,
       guards,
       writes,
     );
--- a/src/singletons/orphan-collector.ts
+++ b/src/singletons/orphan-collector.ts
@@ -1,9 +1,9 @@
 /** Orphan collection: returns machines that no record knows, for instance from rentals that were carried out late. */
 import type { Authorization } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
-import type { CloudClient } from '../cloud/client.js';
+import type { CloudClient } from '../cloud/cloud-client.js';
 import { MAX_RETURN_BATCH } from '../constants.js';
-import { CONDITIONS_PER_OP } from '../store/constants.js';
+import { MAX_GUARDS_PER_WRITE } from '../store/constants.js';
 import { key } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { ListedMachine } from '../wire/schemas.js';
@@ -77,7 +77,7 @@
     await current();
     const limit = Math.min(
       MAX_RETURN_BATCH,
-      this.transactionOps * CONDITIONS_PER_OP - OTHER_GUARDS,
+      this.transactionOps * MAX_GUARDS_PER_WRITE - OTHER_GUARDS,
     );
     const names = listed
       .filter((machine) => this.#isOrphaned(machine))
--- a/src/singletons/retention-clock.ts
+++ b/src/singletons/retention-clock.ts
@@ -7,7 +7,7 @@
   type RetentionRecord,
 } from '@sumacstep/leader-election';
 import { CLOCK_DRIFT } from '../constants.js';
-import { dutyEntryKey } from '../store/election-entries.js';
+import { electionEntryKey } from '../store/election-entries.js';
 import { CALL_PRIORITY, type StoreClient } from '../store/store-client.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import { RETENTION_INTERVAL_SHARE, RETENTION_WRITE_INTERVAL_MS } from './constants.js';
@@ -50,7 +50,7 @@
     const previous = stored?.value.kind === 'retention' ? stored.value.retention : EMPTY_RETENTION;
     if (stored !== undefined && passedMs < this.#writeIntervalMs()) return null;
     const options = { keepMs: this.keepMs, clockDrift: CLOCK_DRIFT };
-    const record = observeElapsed(previous, passedMs, cache.epoch, options);
+    const record = observeElapsed(previous, passedMs, cache.revision, options);
     if (!(await this.#write(authorization, record, stored?.revision ?? 0))) return null;
     this.#observation = { fencingToken, until: now };
     return record;
@@ -66,13 +66,13 @@
     revision: number,
   ): Promise<boolean> {
     const { client, cache } = this.dependencies;
-    const key = dutyEntryKey.retention;
+    const key = electionEntryKey.retention;
     const writes = [{ put: key, value }];
     const guards = [{ key, revision }];
     const outcome = await fencedCompareAndSwap(
       client,
       authorization,
-      CALL_PRIORITY.rest,
+      CALL_PRIORITY.background,
       guards,
       writes,
     );
--- a/src/singletons/return-intents.ts
+++ b/src/singletons/return-intents.ts
@@ -6,10 +6,10 @@
   type Write,
 } from '@sumacstep/leader-election';
 import {
-  dutyEntryKey,
-  encodeReturns,
-  type DutyEntry,
-  type ReturnList,
+  electionEntryKey,
+  encodeReturnIntents,
+  type ElectionEntry,
+  type ReturnIntentList,
 } from '../store/election-entries.js';
 import { CALL_PRIORITY, type StoreClient } from '../store/store-client.js';
 import type { Cached, WatchCache } from '../store/watch-cache.js';
@@ -23,7 +23,7 @@
 
 /** Machines to add to a list of intents. */
 export interface ReturnIntent {
-  readonly list: ReturnList;
+  readonly list: ReturnIntentList;
   /** machines to return */
   readonly names: readonly string[];
   /** whether a machine that is on the list already must stay there */
@@ -46,14 +46,14 @@
   ) {}
 
   /** The machines on a list, as far as this node knows it. */
-  recorded(list: ReturnList): ReadonlySet<string> {
+  recorded(list: ReturnIntentList): ReadonlySet<string> {
     const entry = this.#entry(list)?.value;
     return entry?.kind === 'returns' ? entry.machines : NO_MACHINES;
   }
 
   /** The list's revision as it is known here, to guard writes that rely on what is not on the list. */
-  guard(list: ReturnList): Guard {
-    return { key: dutyEntryKey.returns(list), revision: this.#entry(list)?.revision ?? 0 };
+  guard(list: ReturnIntentList): Guard {
+    return { key: electionEntryKey.returns(list), revision: this.#entry(list)?.revision ?? 0 };
   }
 
   /**
@@ -68,7 +68,10 @@
     if (names.every((name) => known.has(name))) return names;
     const kept = [...known].filter(isNeeded);
     const machines = this.#thatFit([...new Set([...kept, ...names])]);
-    const put: Write = { put: dutyEntryKey.returns(list), value: encodeReturns(machines) };
+    const put: Write = {
+      put: electionEntryKey.returns(list),
+      value: encodeReturnIntents(machines),
+    };
     const outcome = await fencedCompareAndSwap(
       this.client,
       authorization,
@@ -82,8 +85,8 @@
     return names.filter((name) => written.has(name));
   }
 
-  #entry(list: ReturnList): Cached<DutyEntry> | undefined {
-    return this.cache.tables.elections.get(dutyEntryKey.returns(list).slice('duties/'.length));
+  #entry(list: ReturnIntentList): Cached<ElectionEntry> | undefined {
+    return this.cache.tables.elections.get(electionEntryKey.returns(list).slice('duties/'.length));
   }
 
   #thatFit(names: readonly string[]): string[] {
--- a/src/singletons/singleton-controllers.ts
+++ b/src/singletons/singleton-controllers.ts
@@ -4,12 +4,12 @@
  */
 import type { FencingRejections } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
-import type { CloudClient } from '../cloud/client.js';
-import type { DutiesConfig } from '../config/duties.js';
+import type { CloudClient } from '../cloud/cloud-client.js';
+import type { SingletonsConfig } from '../config/singletons.js';
 import type { PlatformConfig } from '../config/platform.js';
-import type { SharesConfig } from '../config/shares.js';
+import type { RebalancingConfig } from '../config/rebalancing.js';
 import { MoveCoordinator } from '../rebalancing/move-coordinator.js';
-import { dutyEntryKey } from '../store/election-entries.js';
+import { electionEntryKey } from '../store/election-entries.js';
 import { key } from '../store/keys.js';
 import type { StoreClient } from '../store/store-client.js';
 import type { WatchCache } from '../store/watch-cache.js';
@@ -51,8 +51,8 @@
 
   constructor(
     platform: Platform,
-    config: DutiesConfig,
-    shares: SharesConfig | null,
+    config: SingletonsConfig,
+    shares: RebalancingConfig | null,
     incarnation: string,
     dependencies: SingletonControllersDependencies,
   ) {
@@ -67,9 +67,9 @@
     );
     this.#election = election;
     const intents = new ReturnIntents(client, cache, valueBytes);
-    this.shardReturnIntents = config.recordReturns ? intents : null;
+    this.shardReturnIntents = config.recordReturnIntents ? intents : null;
     const collector = new OrphanCollector(transactionOps, { ...dependencies, election, intents });
-    this.orphanCollection = config.reclaim ? { collector, intents } : null;
+    this.orphanCollection = config.collectOrphans ? { collector, intents } : null;
     this.#moveCoordinator =
       shares === null ? null : new MoveCoordinator({ ...dependencies, election });
     this.#garbageCollector = new GarbageCollector(config, {
@@ -95,7 +95,7 @@
 
   /** What acceptances of jobs are guarded by: it changes whenever final states are deleted. */
   acceptanceGuard(): Guard {
-    const name = dutyEntryKey.acceptance;
+    const name = electionEntryKey.acceptance;
     const known = this.#cache.tables.elections.get(name.slice('duties/'.length));
     return { key: name, revision: known?.revision ?? 0 };
   }
--- a/src/singletons/singleton-election.ts
+++ b/src/singletons/singleton-election.ts
@@ -14,8 +14,8 @@
   type Versioned,
 } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
-import type { DutiesConfig } from '../config/duties.js';
-import { key, type Entries } from '../store/keys.js';
+import type { SingletonsConfig } from '../config/singletons.js';
+import { key, type CachedValues } from '../store/keys.js';
 import { CALL_PRIORITY, type CallPriority, type StoreClient } from '../store/store-client.js';
 import type { Cached, WatchCache } from '../store/watch-cache.js';
 import { CANDIDATE_DELAY_MS } from './constants.js';
@@ -29,12 +29,12 @@
 const CALL_PRIORITY_OF: Readonly<Record<Urgency, CallPriority>> = {
   lease: CALL_PRIORITY.renew,
   normal: CALL_PRIORITY.completion,
-  background: CALL_PRIORITY.rest,
+  background: CALL_PRIORITY.background,
 };
 
 type Tables = Pick<WatchCache['tables'], 'nodes' | 'elections'>;
 
-const liveMembers = (nodes: ReadonlyMap<string, Cached<Entries['nodes/']>>): LiveMember[] =>
+const liveMembers = (nodes: ReadonlyMap<string, Cached<CachedValues['nodes/']>>): LiveMember[] =>
   [...nodes.values()].map(({ value, revision }) => ({ ...value, revision }));
 
 /** Members, leader records and transfer requests as the tables show them. */
@@ -51,7 +51,7 @@
 };
 
 /** Which singleton controllers this node is a candidate for. */
-export type EnabledControllers = Pick<DutiesConfig, 'reclaim' | 'clear'> & {
+export type EnabledControllers = Pick<SingletonsConfig, 'collectOrphans' | 'collectGarbage'> & {
   readonly move: boolean;
 };
 
@@ -71,8 +71,8 @@
 
 const enabledRoles = (enabled: EnabledControllers): readonly string[] => {
   const byRole = {
-    [ORPHAN_COLLECTOR_ROLE]: enabled.reclaim,
-    [GARBAGE_COLLECTOR_ROLE]: enabled.clear,
+    [ORPHAN_COLLECTOR_ROLE]: enabled.collectOrphans,
+    [GARBAGE_COLLECTOR_ROLE]: enabled.collectGarbage,
     [MOVE_COORDINATOR_ROLE]: enabled.move,
   };
   return SINGLETON_ROLES.filter((role) => byRole[role]);
--- a/test/helpers.ts
+++ b/test/helpers.ts
@@ -2,7 +2,7 @@
 import pino from 'pino';
 import type { JobRecord, JobSpec, MachineRecord, MachineType, Team } from '../src/core/model.js';
 import { Shard, type ShardSettings } from '../src/core/shard/shard.js';
-import type { Owned } from '../src/shards/shard-controller.js';
+import { OwnedShard } from '../src/shards/owned-shard.js';
 
 export const machineType = (over: Partial<MachineType> = {}): MachineType => ({
   name: 'm',
@@ -74,7 +74,7 @@
   ...over,
 });
 
-/** The state service's tables as a shard sees them. */
+/** The store's records as a shard sees them. */
 export class Store {
   readonly jobs = new Map<string, { value: JobRecord }>();
   /** bitmaps by `<uid>/<first task>` */
@@ -157,13 +157,5 @@
 };
 
 /** A shard as its controller holds it, whose record has revision 1. */
-export const ownedShard = (shard: Shard): Owned => ({
-  shard,
-  authorization: authorization(`parts/${shard.index}`, shard.term, 1),
-  suspended: false,
-  saving: false,
-  lastSave: 0,
-  lastProgress: 0,
-  fresh: false,
-  claiming: new Set(),
-});
+export const ownedShard = (shard: Shard): OwnedShard =>
+  new OwnedShard(shard, authorization(`parts/${shard.index}`, shard.term, 1), 0);
--- a/test/leadership-commands.test.ts
+++ b/test/leadership-commands.test.ts
@@ -3,7 +3,7 @@
 import { describe, test } from 'node:test';
 import { leaderKey, transferRequestKey, type LeaderRecord } from '@sumacstep/leader-election';
 import type { LeadershipOutput } from '../src/commands/duties.js';
-import { parseDuties } from '../src/config/duties.js';
+import { parseSingletonsConfig } from '../src/config/singletons.js';
 import { ConfigError } from '../src/config/platform.js';
 import { ORPHAN_COLLECTOR_ROLE } from '../src/singletons/roles.js';
 import { Cluster } from './standins/cluster.js';
@@ -54,7 +54,7 @@
 
 describe('sumacstep duties', () => {
   test('shows leaders during a failover, and transfers by request', async () => {
-    const features = { duties: parseDuties('', '') };
+    const features = { duties: parseSingletonsConfig('', '') };
     const cluster = new Cluster({ runMs: 500, leaseS: 10, cancelS: 20, features });
     const record = () => cluster.stored(leaderKey(ROLE)) as LeaderRecord | undefined;
     try {
@@ -116,7 +116,7 @@
   test('settings: each bad key is named', () => {
     const text = '[clear]\nfinal_keep_h = 0\nfinal_keep = 3\n[returns]\nrecord = maybe\n[x]\ny = 1';
     try {
-      parseDuties('duties.ini', text);
+      parseSingletonsConfig('duties.ini', text);
       assert.fail('accepted');
     } catch (error) {
       assert.ok(error instanceof ConfigError);
--- a/test/move-candidates.test.ts
+++ b/test/move-candidates.test.ts
@@ -18,49 +18,53 @@
 const readyMachine = () => {
   const store = new Store().add(machine('x'), job({ tasks: 1 }));
   const shard = shardWith(store);
-  const state = shard.machines.get('x')!;
-  Object.assign(state, { known: true, lastStatusAt: NOW, lastHeartbeatAt: NOW, cordoned: true });
-  Object.assign(state, { record: { ...state.record, up: true } });
-  return { shard, m: state };
+  const m = shard.machines.get('x')!;
+  Object.assign(m, {
+    confirmedSince: NOW,
+    lastStatusAt: NOW,
+    lastHeartbeatAt: NOW,
+    cordoned: true,
+  });
+  Object.assign(m, { record: { ...m.record, up: true } });
+  return { shard, m };
 };
 
-const rows: [string, (state: MachineState) => void, boolean][] = [
+const rows: [string, (m: MachineState) => void, boolean][] = [
   ['nothing is there', () => undefined, true],
-  ['it is not cordoned', (state) => (state.cordoned = false), false],
+  ['it is not cordoned', (m) => (m.cordoned = false), false],
   [
     'the worker lists an ended task, which a late start could begin again',
-    (state) => (state.listed = 1),
-    false,
-  ],
-  ['a direct start has no answer yet', (state) => void state.doubtful.add('j/0@1'), false],
-  ['a task is there that is being stopped', (state) => (state.unknownTasks = 1), false],
-  ['it has not answered under this term', (state) => (state.known = false), false],
-  ['it is unreachable', (state) => (state.lastStatusAt = state.lastHeartbeatAt = -1e6), false],
-  ['commands to it are lost', (state) => (state.commandsLostSince = NOW), false],
-  ['it has a preemption notice', (state) => (state.preemptionNoticeAt = NOW), false],
-  ['it is to be returned', (state) => (state.terminating = true), false],
-  [
-    'its record does not say that it is up',
-    (state) => (state.record = { ...state.record, up: false }),
+    (m) => (m.reportedTaskCount = 1),
     false,
   ],
+  ['a direct start has no answer yet', (m) => void m.unsettledDirectStarts.add('j/0@1'), false],
+  ['a task is there that is being stopped', (m) => (m.unknownTaskCount = 1), false],
+  ['it has not answered under this term', (m) => (m.confirmedSince = null), false],
+  ['it is unreachable', (m) => (m.lastStatusAt = m.lastHeartbeatAt = -1e6), false],
+  ['commands to it are lost', (m) => (m.commandsLostSince = NOW), false],
+  ['it has a preemption notice', (m) => (m.preemptionNoticeAt = NOW), false],
+  ['it is to be returned', (m) => (m.terminating = true), false],
+  ['it is being emptied', (m) => (m.lifecycle = 'draining'), false],
+  ["its record is another shard's", (m) => (m.lifecycle = 'orphaned'), false],
+  ['it fails tasks', (m) => (m.faultStatus = 'quarantined'), false],
+  ['its record does not say that it is up', (m) => (m.record = { ...m.record, up: false }), false],
 ];
 
 for (const [name, spoil, ready] of rows) {
   test(`may a machine move: ${name}`, () => {
-    const { shard, m: state } = readyMachine();
-    spoil(state);
-    assert.equal(candidateOf(shard, state, NOW).readyToMove, ready);
+    const { shard, m } = readyMachine();
+    spoil(m);
+    assert.equal(candidateOf(shard, m, NOW).readyToMove, ready);
   });
 }
 
 test('a cordoned machine gets no tasks, and gets them again when it is uncordoned', () => {
-  const { shard, m: state } = readyMachine();
+  const { shard, m } = readyMachine();
   shard.placeAll(NOW);
-  assert.equal(state.tasks.size, 0);
-  state.cordoned = false;
+  assert.equal(m.tasks.size, 0);
+  m.cordoned = false;
   shard.placeAll(NOW);
-  assert.equal(state.tasks.size, 1);
+  assert.equal(m.tasks.size, 1);
 });
 
 /** Shard 0 has two groups of machines: `x` and `y`, and `z`. */
@@ -69,7 +73,7 @@
   const group = (hosts: string[]) =>
     encodeMachineGroup({
       ...machine('x', { shard: 0, term: 1 }),
-      hosts: new Map(hosts.map((n) => [n, true])),
+      machines: new Map(hosts.map((n) => [n, true])),
     });
   const put = (key: string, value: unknown, revision: number) => ({
     key,
@@ -78,7 +82,7 @@
     removed: false,
   });
   const changes = [put('machines/g', group(['x', 'y']), 5), put('machines/h', group(['z']), 6)];
-  cache.apply({ fresh: true, epoch: 9, whole: 9, changes });
+  cache.apply({ isListing: true, revision: 9, consistentFrom: 9, changes });
   return cache;
 };
 
--- a/test/rebalancing-commands.test.ts
+++ b/test/rebalancing-commands.test.ts
@@ -3,12 +3,12 @@
 import { describe, test } from 'node:test';
 import { decodeMove, moveKey, shardLockKey, type Move } from '@sumacstep/shard-rebalancing';
 import type { PlanOutput, ShardsOutput } from '../src/commands/shares.js';
-import { parseDuties } from '../src/config/duties.js';
-import { parseShares } from '../src/config/shares.js';
+import { parseSingletonsConfig } from '../src/config/singletons.js';
+import { parseRebalancingConfig } from '../src/config/rebalancing.js';
 import { Cluster, type ClusterOptions } from './standins/cluster.js';
 import { withCommands, type Run } from './standins/commands.js';
 
-const FEATURES = { duties: parseDuties('', ''), shares: parseShares('', '') };
+const FEATURES = { duties: parseSingletonsConfig('', ''), shares: parseRebalancingConfig('', '') };
 const LEASE_S = 10;
 type Command = (...args: string[]) => Promise<Run>;
 
--- a/test/shard-controller.test.ts
+++ b/test/shard-controller.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import pino from 'pino';
-import { parseOperator } from '../src/config/operator.js';
+import { parseOperatorConfig } from '../src/config/operator.js';
 import type { PlatformConfig } from '../src/config/platform.js';
 import { FAILBACK_MS } from '../src/core/ownership/constants.js';
 import { ATTEMPTS_PER_TERM } from '../src/core/shard/constants.js';
@@ -12,7 +12,7 @@
   TRANSFER_EVERY_MS,
 } from '../src/shards/constants.js';
 import { STORE_RETRY_MS } from '../src/store/constants.js';
-import { renewableMs } from '../src/core/cancellation/cancellations.js';
+import { renewableMs } from '../src/core/cancellation/lease-renewal.js';
 import { ShardController } from '../src/shards/shard-controller.js';
 import { StoreRequestError, type CompareAndSwapResult } from '../src/store/store-client.js';
 import { encodeJob, encodeMachineGroup } from '../src/store/keys.js';
@@ -52,7 +52,7 @@
     get: (name: string) => {
       if (world.current !== null) return Promise.resolve(world.current);
       const item = cache.tables.activeJobs.get(name.slice('active/'.length));
-      if (item === undefined) return Promise.resolve({ missing: true as const, epoch: 0 });
+      if (item === undefined) return Promise.resolve({ missing: true as const, storeRevision: 0 });
       return Promise.resolve({
         key: name,
         value: encodeJob(item.value),
@@ -67,7 +67,7 @@
   };
   const shardController = new ShardController(
     CONFIG,
-    parseOperator('', ''),
+    parseOperatorConfig('', ''),
     'a',
     client,
     cache,
@@ -96,9 +96,9 @@
     removed: false,
   });
   cache.apply({
-    fresh: true,
-    epoch: 20,
-    whole: 20,
+    isListing: true,
+    revision: 20,
+    consistentFrom: 20,
     changes: [
       put('term', 5, 10),
       put('parts/0', { owner: 'n0', incarnation: 'a', term: 4 }, 9),
@@ -107,7 +107,7 @@
       put('nodes/n1/b', { incarnation: 'b' }, 11),
       put(
         'machines/g',
-        encodeMachineGroup({ ...machine('x', { shard: 1, term: 5 }), hosts: X_UP }),
+        encodeMachineGroup({ ...machine('x', { shard: 1, term: 5 }), machines: X_UP }),
         12,
       ),
       put('active/job-000001', encodeJob(job({}, 5, 1)), 13),
@@ -143,17 +143,17 @@
   s.world.outcome = () => new StoreRequestError('no_answer', 'lost');
   await returns(s);
   s.shardController.tick();
-  assert.equal(s.shardController.owned.get(1)?.suspended, true);
+  assert.equal(s.shardController.owned.get(1)?.state, 'transferring');
   s.world.outcome = () => ({ ok: true, epoch: 60 });
   s.world.now += TRANSFER_SETTLE_MS + 1;
   s.shardController.tick();
   await settle();
   assert.equal(s.cache.tables.shards.get('1')?.value.term, 6);
-  s.cache.apply({ fresh: false, changes: [], epoch: 60 });
+  s.cache.apply({ isListing: false, changes: [], revision: 60 });
   s.shardController.tick();
   assert.equal(s.shardController.owned.get(1)?.shard.term, 6);
   assert.equal(
-    s.shardController.owned.get(1)?.shard.rebuilt,
+    s.shardController.owned.get(1)?.shard.recovered,
     false,
     'and everything must answer first',
   );
@@ -165,8 +165,8 @@
   s.shardController.tick();
   assert.equal(s.shardController.owned.has(1), false);
   s.cache.apply({
-    fresh: false,
-    epoch: 21,
+    isListing: false,
+    revision: 21,
     changes: [
       {
         key: 'parts/1',
@@ -266,9 +266,9 @@
   ]);
   // A listing or a change from before the cancellation does not bring the job back.
   s.cache.apply({
-    fresh: true,
-    epoch: 30,
-    whole: 30,
+    isListing: true,
+    revision: 30,
+    consistentFrom: 30,
     changes: [
       {
         key: 'active/job-000001',
@@ -279,7 +279,7 @@
     ],
   });
   assert.equal(s.cache.tables.activeJobs.has('job-000001'), false);
-  assert.equal(s.cache.finals.get('job-000001')?.status, 'cancelled');
+  assert.equal(s.cache.finalStates.get('job-000001')?.status, 'cancelled');
 });
 
 let lostValue: unknown = null;
@@ -303,15 +303,15 @@
 
   const good = await stuck(() => ({ ok: true, epoch: 50 }));
   assert.deepEqual(ranges(good), moved);
-  good.cache.apply({ fresh: false, changes: [], epoch: 50 });
+  good.cache.apply({ isListing: false, changes: [], revision: 50 });
   good.shardController.tick();
   assert.equal(good.shardController.owned.get(1)?.shard.jobs.size, 0, 'gone from here');
-  assert.equal(good.shardController.owned.get(0)?.shard.waiting(0, 0), 1, 'and waits there');
+  assert.equal(good.shardController.owned.get(0)?.shard.waitingTasks(0, 0), 1, 'and waits there');
 
   const refused = await stuck(() => ({ ok: false, failed: ['active/job-000001'] }));
   await settle();
   refused.shardController.tick();
-  assert.equal(refused.shardController.owned.get(1)?.shard.waiting(0, 0), 1, 'still ours');
+  assert.equal(refused.shardController.owned.get(1)?.shard.waitingTasks(0, 0), 1, 'still ours');
 
   // The first try was carried out, but its answer got lost; the second one meets a conflict.
   let tries = 0;
@@ -330,7 +330,7 @@
   assert.deepEqual(ranges(lost), moved, 'only the present record tells');
   lost.shardController.tick();
   assert.equal(
-    lost.shardController.owned.get(1)?.shard.waiting(0, 0) ?? 0,
+    lost.shardController.owned.get(1)?.shard.waitingTasks(0, 0) ?? 0,
     0,
     'not brought back as fresh',
   );
@@ -341,7 +341,7 @@
   s.world.lessAllocated = 0;
   // The other node is away, or it would get its shard back meanwhile.
   const away = { key: 'nodes/n1/b', value: undefined, revision: 21, removed: true };
-  s.cache.apply({ fresh: false, epoch: 21, changes: [away] });
+  s.cache.apply({ isListing: false, revision: 21, changes: [away] });
   s.shardController.tick();
   const passes = () =>
     s.world.written.flat().filter((w) => 'put' in w && w.put === 'active/job-000001').length;
@@ -382,8 +382,8 @@
   const value = encodeJob(job({ uid }, 5, 1));
   const final = { status: 'cancelled', tasks: 1, done: 0 };
   cache.apply({
-    fresh: false,
-    epoch: 22,
+    isListing: false,
+    revision: 22,
     changes: [
       { key: name, value, revision: 21, removed: false },
       { key: name, value: undefined, revision: 22, removed: true },
--- a/test/singleton-controllers.test.ts
+++ b/test/singleton-controllers.test.ts
@@ -5,21 +5,21 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { leaderKey, transferRequestKey, type LeaderRecord } from '@sumacstep/leader-election';
-import type { DutiesConfig } from '../src/config/duties.js';
+import type { SingletonsConfig } from '../src/config/singletons.js';
 import { GARBAGE_COLLECTOR_ROLE, ORPHAN_COLLECTOR_ROLE } from '../src/singletons/roles.js';
-import { dutyEntryKey } from '../src/store/election-entries.js';
+import { electionEntryKey } from '../src/store/election-entries.js';
 import { Cluster, type ClusterOptions } from './standins/cluster.js';
 import type { Version } from './standins/controllers.js';
 import type { Request } from './standins/server.js';
 
 const LEASE_S = 12;
 const CANCEL_S = 20;
-const CONFIG: DutiesConfig = {
-  recordReturns: true,
-  reclaim: true,
-  clear: true,
-  finalKeepMs: 86_400_000,
-  clearWritesPerS: 100,
+const CONFIG: SingletonsConfig = {
+  recordReturnIntents: true,
+  collectOrphans: true,
+  collectGarbage: true,
+  finalStateRetentionMs: 86_400_000,
+  garbageCollectionWritesPerS: 100,
 };
 const IDLE_KEPT_S = 20;
 
@@ -112,7 +112,7 @@
         cluster.cloud.returned.filter((n) => n === name),
         [name],
       );
-      const list = cluster.stored(dutyEntryKey.returns('unrecorded')) as { machines: string[] };
+      const list = cluster.stored(electionEntryKey.returns('unrecorded')) as { machines: string[] };
       assert.ok(list.machines.includes(name), 'recorded before it was sent');
     },
   );
@@ -152,7 +152,7 @@
 describe('singleton controllers: garbage collection', () => {
   scenario(
     'a final state is deleted after its retention time, and a late acceptance does not bring the job back',
-    { features: { duties: { ...CONFIG, finalKeepMs: 4000 } } },
+    { features: { duties: { ...CONFIG, finalStateRetentionMs: 4000 } } },
     async (cluster) => {
       await untilLed(cluster, GARBAGE_COLLECTOR_ROLE);
       const accepted: Request[] = [];
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -52,7 +52,7 @@
 };
 
 const placedTasks = (shard: Shard): number =>
-  [...shard.jobs.values()].reduce((sum, j) => sum + j.placed.size, 0);
+  [...shard.jobs.values()].reduce((sum, j) => sum + j.placements.size, 0);
 
 /** Arrays, gangs and single tasks of several kinds, more than fit. */
 const crowdedWork = (store: Store, machines: number): void => {
@@ -165,7 +165,7 @@
     reserveSigma: 0,
     drainS: 45,
     idleKeepMs: 1000,
-    machinesMost: machines,
+    maxMachines: machines,
     now: 5000,
   };
   const { returns } = planCapacity(input);
--- a/test/standins/user-node.ts
+++ b/test/standins/user-node.ts
@@ -5,9 +5,9 @@
 import type { Found, CompareAndSwapResult } from '../../src/store/store-client.js';
 import { LinearizableReads } from '../../src/store/linearizable-reads.js';
 import { WatchCache } from '../../src/store/watch-cache.js';
-import { userRoutes } from '../../src/users/api.js';
+import { userRoutes } from '../../src/users/user-routes.js';
 import { JobReader } from '../../src/users/job-reader.js';
-import { Jobs } from '../../src/users/jobs.js';
+import { JobService } from '../../src/users/job-service.js';
 import { transactionBody, type Guard, type Write } from '../../src/wire/schemas.js';
 import { machineType, settings } from '../helpers.js';
 import type { AnswerHistory } from './answer-history.js';
@@ -47,10 +47,10 @@
 }
 
 /** Counts the submissions that have come in, so that a test knows when one waits behind a gate. */
-class ObservedJobs extends Jobs {
+class ObservedJobs extends JobService {
   calls = 0;
 
-  override submit(...args: Parameters<Jobs['submit']>): ReturnType<Jobs['submit']> {
+  override submit(...args: Parameters<JobService['submit']>): ReturnType<JobService['submit']> {
     this.calls += 1;
     return super.submit(...args);
   }
@@ -102,11 +102,11 @@
     const client = {
       compareAndSwap: (_class: unknown, guards: readonly Guard[], writes: readonly Write[]) =>
         this.#compareAndSwap(guards, writes),
-      expectedMs: () => 0,
+      expectedWaitMs: () => 0,
     };
     const linearizable = {
-      wait: () => {
-        const shown = this.#reads.wait();
+      waitUntilCurrent: () => {
+        const shown = this.#reads.waitUntilCurrent();
         this.#follow();
         return shown;
       },
@@ -114,19 +114,15 @@
     const get = (name: string) => this.#get(name);
     const reader = new ObservedReader({ get }, this.cache, linearizable);
     this.#reader = reader;
+    const routing = {
+      types: () => new Map([['m', machineType()]]),
+      loads: () => [{ shard: 0, load: 0, fitsNow: true, hasImage: true }],
+      termOf: () => 1,
+      random: () => 0,
+    };
     const jobs = new ObservedJobs(
-      client,
-      this.cache,
-      reader,
-      {
-        types: () => new Map([['m', machineType()]]),
-        loads: () => [{ shard: 0, load: 0, fitsNow: true, hasImage: true }],
-        termOf: () => 1,
-        random: () => 0,
-      },
+      { client, cache: this.cache, reader, routing, acceptanceGuard: () => null, now: steadyMs },
       { teams: settings().teams, shards: 1, valueBytes: this.valueBytes, loadThreshold: 0.85 },
-      () => null,
-      steadyMs,
     );
     this.#jobs = jobs;
     const app = new Koa();
@@ -135,14 +131,14 @@
         jobs,
         reader,
         progress: () => ({ done: 0, running: 0 }),
-        cancelled: () => undefined,
-        ready: () => true,
+        onCancelled: () => undefined,
+        isReady: () => true,
         storeAvailable: () => true,
         timeOfDay: () => 0,
-        steady: steadyMs,
+        now: steadyMs,
         random: () => 0,
-        accepted: () => undefined,
-        malformed: () => undefined,
+        onAccepted: () => undefined,
+        onMalformed: () => undefined,
       }),
     );
     const handler = app.callback();
@@ -179,7 +175,7 @@
     const item = this.state.items.get(key);
     const epoch = this.state.epoch;
     await this.readAnswer.pass();
-    if (item === undefined) return { missing: true, epoch };
+    if (item === undefined) return { missing: true, storeRevision: epoch };
     return { key, value: item.value, revision: item.revision };
   }
 
@@ -207,7 +203,13 @@
     });
     await this.feedAnswer.pass();
     const cached = changes.filter(({ key }) => !key.startsWith('final/'));
-    this.cache.apply({ fresh: true, changes: cached, epoch, whole: epoch, began });
+    this.cache.apply({
+      isListing: true,
+      changes: cached,
+      revision: epoch,
+      consistentFrom: epoch,
+      readStartedAt: began,
+    });
   }
 
   /** Reads the watch until everybody who waits has had a read that began after they came. */
@@ -227,9 +229,9 @@
   /** One read of the watch. */
   async follow(): Promise<void> {
     const began = steadyMs();
-    this.#reads.reading(began);
+    this.#reads.onReadState(began);
     await this.feedRequest.pass();
-    const query = new URLSearchParams({ Since: String(this.cache.epoch), BlockMs: '0' });
+    const query = new URLSearchParams({ Since: String(this.cache.revision), BlockMs: '0' });
     const request = { method: 'GET', path: '/follow', query, body: null };
     const reply = await this.state.handle(request);
     if (reply === 'hang') throw new Error('the stand-in answers every watch');
@@ -241,8 +243,8 @@
       value: n.Value,
       removed: n.Drop !== undefined,
     }));
-    this.#reads.reading(null);
-    this.cache.apply({ fresh: false, changes, epoch, began });
+    this.#reads.onReadState(null);
+    this.cache.apply({ isListing: false, changes, revision: epoch, readStartedAt: began });
   }
 
   close(): void {
