--- a/src/service/service.ts
+++ b/src/service/service.ts
@@ -192,11 +192,11 @@
     };
     this.#scaleIn = new ScaleIn({
       ...loopDependencies,
-      intents: this.#duties?.shardReturns ?? null,
+      intents: this.#duties?.shardReturnIntents ?? null,
     });
     this.#orphanedInstances = new OrphanedInstances({
       ...loopDependencies,
-      reclaimer: this.#duties?.reclaimer ?? null,
+      orphanCollection: this.#duties?.orphanCollection ?? null,
     });
     this.#scaleOut = new ScaleOut({
       ...loopDependencies,
@@ -430,7 +430,7 @@
     await this.#linearizable.waitUntilCurrent();
     const shard = SHARD_DUTY.exec(duty)?.[1];
     if (shard !== undefined) return this.#shardController.termOf(Number(shard));
-    return this.#duties?.tokenOf(duty) ?? null;
+    return this.#duties?.fencingTokenOf(duty) ?? null;
   }
 
   #summarize(): void {
--- a/src/shards/orphaned-instances.ts
+++ b/src/shards/orphaned-instances.ts
@@ -8,20 +8,13 @@
 import type { PlatformConfig } from '../config/platform.js';
 import { shardOfMachine } from '../core/jobs/jobs.js';
 import type { Heartbeat } from '../core/model.js';
-import type { OrphanCollector } from '../singletons/orphan-collector.js';
-import type { ReturnIntents } from '../singletons/return-intents.js';
+import type { OrphanCollection } from '../singletons/orphan-collector.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { ListedMachine } from '../wire/cloud.js';
 import { ADOPTION_DELAY_MS, MACHINE_LIST_INTERVAL_MS } from './constants.js';
 import { attempt } from './retryable-errors.js';
 import type { ShardController } from './shard-controller.js';
 
-/** The collection of machines that no record knows, where it is switched on. */
-export interface Reclaimer {
-  readonly reclaiming: OrphanCollector;
-  readonly intents: ReturnIntents;
-}
-
 /** What following the cloud's list needs of the process. */
 export interface OrphanedInstancesDependencies {
   readonly config: Pick<PlatformConfig, 'nodes' | 'cloudLimits'>;
@@ -29,7 +22,7 @@
   readonly cache: WatchCache;
   readonly shardController: ShardController;
   /** null: orphaned machines are always adopted */
-  readonly reclaimer: Reclaimer | null;
+  readonly orphanCollection: OrphanCollection | null;
   /** steady ms */
   readonly now: () => number;
   readonly log: Logger;
@@ -74,8 +67,8 @@
   }
 
   #needsList(): boolean {
-    const { shardController, reclaimer } = this.dependencies;
-    return shardController.owned.size > 0 || (reclaimer?.reclaiming.held ?? false);
+    const { shardController, orphanCollection } = this.dependencies;
+    return shardController.owned.size > 0 || (orphanCollection?.collector.isLeader ?? false);
   }
 
   async #readList(): Promise<void> {
@@ -94,8 +87,9 @@
     for (const { name, address } of list) if (address !== null) this.#addresses.set(name, address);
     const unrecorded = list.filter((machine) => !this.#isRecorded(machine));
     const orphaned = unrecorded.filter((machine) => this.#isOrphaned(machine));
-    if (this.dependencies.reclaimer?.reclaiming.begun ?? false) await this.#reclaim(orphaned);
-    else for (const machine of orphaned) void this.#adopt(machine);
+    if (this.dependencies.orphanCollection?.collector.electionActive ?? false) {
+      await this.#collect(orphaned);
+    } else for (const machine of orphaned) void this.#adopt(machine);
   }
 
   #forgetUnlisted(listed: ReadonlySet<string>): void {
@@ -128,22 +122,22 @@
     return now - since > settledMs && !shardController.machines.returnedInstances.has(name);
   }
 
-  async #reclaim(machines: readonly ListedMachine[]): Promise<void> {
-    const { reclaimer, shardController } = this.dependencies;
-    if (machines.length === 0 || reclaimer === null) return;
-    const returned = await reclaimer.reclaiming.reclaim(machines);
+  async #collect(machines: readonly ListedMachine[]): Promise<void> {
+    const { orphanCollection, shardController } = this.dependencies;
+    if (machines.length === 0 || orphanCollection === null) return;
+    const returned = await orphanCollection.collector.collect(machines);
     shardController.machines.returnedInstances.add(returned);
   }
 
   async #adopt({ name, type, zone, spot }: ListedMachine): Promise<void> {
-    const { config, shardController, reclaimer, log } = this.dependencies;
+    const { config, shardController, orphanCollection, log } = this.dependencies;
     const shard = shardOfMachine(name, config.nodes);
     const owned = shardController.owned.get(shard);
     if (owned === undefined || this.#adopting.has(name)) return;
     // The leader of the orphan collection may have sent the machine's return before it was paused.
-    const intents = reclaimer?.intents ?? null;
+    const intents = orphanCollection?.intents ?? null;
     if (intents?.recorded('unrecorded').has(name) ?? false) return;
-    const guards = intents === null ? [] : [intents.condition('unrecorded')];
+    const guards = intents === null ? [] : [intents.guard('unrecorded')];
     this.#adopting.add(name);
     await attempt(log, 'machine adoption failed', () =>
       shardController.machines.adopt(owned, { name, shard, type, zone, spot }, guards),
--- a/src/shards/scale-in.ts
+++ b/src/shards/scale-in.ts
@@ -85,8 +85,8 @@
   ): Promise<readonly string[]> {
     const { intents } = this.dependencies;
     if (intents === null) return names;
-    const needed = (name: string) => shard.machines.has(name);
-    return intents.record(shard.index, authorization, names, needed);
+    const isNeeded = (name: string) => shard.machines.has(name);
+    return intents.record(authorization, { list: shard.index, names, isNeeded });
   }
 
   async #returnBatch(
--- a/test/move-candidates.test.ts
+++ b/test/move-candidates.test.ts
@@ -1,20 +1,20 @@
+/**
+ * Which machines are ready to move, and how they move: only when nothing is on a machine and nothing may still arrive
+ * there. Each row removes one of the conditions that together prove that.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import pino from 'pino';
 import { MachineRecords } from '../src/shards/machine-records/machine-records.js';
-import { candidateOf } from '../src/rebalancing/shard-mover.js';
+import { candidateOf } from '../src/rebalancing/move-candidates.js';
 import type { MachineState } from '../src/core/shard/shard.js';
 import { encodeMachineGroup } from '../src/store/codecs/machine-group.js';
 import { WatchCache } from '../src/store/watch-cache.js';
 import type { Guard, Write } from '@sumacstep/leader-election';
 import { job, machine, ownedShard, shardWith, Store } from './helpers.js';
 
-/**
- * A machine may move only when nothing is on it and nothing may still arrive there. Each row spoils one of the
- * things that together prove that.
- */
 const NOW = 1000;
-const settledMachine = () => {
+const readyMachine = () => {
   const store = new Store().add(machine('x'), job({ tasks: 1 }));
   const shard = shardWith(store);
   const m = shard.machines.get('x')!;
@@ -30,7 +30,7 @@
 
 const rows: [string, (m: MachineState) => void, boolean][] = [
   ['nothing is there', () => undefined, true],
-  ['it may still get work', (m) => (m.cordoned = false), false],
+  ['it is not cordoned', (m) => (m.cordoned = false), false],
   [
     'the worker lists an ended task, which a late start could begin again',
     (m) => (m.reportedTaskCount = 1),
@@ -39,9 +39,9 @@
   ['a direct start has no answer yet', (m) => void m.unsettledDirectStarts.add('j/0@1'), false],
   ['a task is there that is being stopped', (m) => (m.unknownTaskCount = 1), false],
   ['it has not answered under this term', (m) => (m.confirmedSince = null), false],
-  ['it is silent', (m) => (m.lastStatusAt = m.lastHeartbeatAt = -1e6), false],
-  ['it seems to hear nothing', (m) => (m.commandsLostSince = NOW), false],
-  ['it has a notice', (m) => (m.preemptionNoticeAt = NOW), false],
+  ['it is unreachable', (m) => (m.lastStatusAt = m.lastHeartbeatAt = -1e6), false],
+  ['commands to it are lost', (m) => (m.commandsLostSince = NOW), false],
+  ['it has a preemption notice', (m) => (m.preemptionNoticeAt = NOW), false],
   ['it is to be returned', (m) => (m.terminating = true), false],
   ['it is being emptied', (m) => (m.lifecycle = 'draining'), false],
   ["its record is another shard's", (m) => (m.lifecycle = 'orphaned'), false],
@@ -49,16 +49,16 @@
   ['its record does not say that it is up', (m) => (m.record = { ...m.record, up: false }), false],
 ];
 
-for (const [name, spoil, settled] of rows) {
+for (const [name, spoil, ready] of rows) {
   test(`may a machine move: ${name}`, () => {
-    const { shard, m } = settledMachine();
+    const { shard, m } = readyMachine();
     spoil(m);
-    assert.equal(candidateOf(shard, m, NOW).readyToMove, settled);
+    assert.equal(candidateOf(shard, m, NOW).readyToMove, ready);
   });
 }
 
-test('a chosen machine gets no work, and gets it again when it is let go', () => {
-  const { shard, m } = settledMachine();
+test('a cordoned machine gets no tasks, and gets them again when it is uncordoned', () => {
+  const { shard, m } = readyMachine();
   shard.placeAll(NOW);
   assert.equal(m.tasks.size, 0);
   m.cordoned = false;
@@ -66,7 +66,8 @@
   assert.equal(m.tasks.size, 1);
 });
 
-test('machines move in one transaction that depends on both shards, their groups and the move', async () => {
+/** Shard 0 has two groups of machines: `x` and `y`, and `z`. */
+const cacheWithGroups = (): WatchCache => {
   const cache = new WatchCache();
   const groupChange = (key: string, names: string[], revision: number) => {
     const machines = new Map(names.map((name) => [name, true]));
@@ -75,6 +76,11 @@
   };
   const changes = [groupChange('machines/g', ['x', 'y'], 5), groupChange('machines/h', ['z'], 6)];
   cache.apply({ isListing: true, revision: 9, consistentFrom: 9, changes });
+  return cache;
+};
+
+test('machines move in one transaction that depends on both shards, their groups and the move', async () => {
+  const cache = cacheWithGroups();
   const sent: { guards: readonly Guard[]; writes: readonly Write[] }[] = [];
   const client = {
     compareAndSwap: (_priority: unknown, guards: readonly Guard[], writes: readonly Write[]) => {
@@ -90,7 +96,7 @@
     now: () => 0,
     log: pino({ level: 'silent' }),
   });
-  const { shard } = settledMachine();
+  const { shard } = readyMachine();
   const moved = await records.move(ownedShard(shard), ['x', 'z'], {
     shard: 1,
     term: 8,
