--- a/eslint.config.js
+++ b/eslint.config.js
@@ -2,7 +2,6 @@
 import { createTypeScriptImportResolver } from 'eslint-import-resolver-typescript';
 import { importX } from 'eslint-plugin-import-x';
 import jsdoc from 'eslint-plugin-jsdoc';
-import process from 'node:process';
 import tseslint from 'typescript-eslint';
 
 /** Lines of a module without comments and blank lines. */
@@ -14,7 +13,14 @@
 const MAX_COMPLEXITY = 14;
 
 /** Folders that hold all limits; what is left is listed in docs/ROADMAP.md under issue 18. */
-const FINISHED = process.env.LINT_FINISHED?.split(',') ?? [];
+const FINISHED = [
+  'packages/*/src/**/*.ts',
+  'src/*.ts',
+  'src/{cloud,commands,config,peers,rebalancing,service,shards}/**/*.ts',
+  'src/{singletons,store,transport,users,wire,workers}/**/*.ts',
+  'src/core/*.ts',
+  'src/core/{cancellation,jobs,ownership,placement,reachability,shard}/**/*.ts',
+];
 
 const SOURCES = ['src/**/*.ts', 'packages/*/src/**/*.ts'];
 const TESTS = ['test/**/*.ts', 'packages/*/test/**/*.ts'];
@@ -67,45 +73,41 @@
       'max-lines': ['error', { max: MAX_MODULE_LINES, skipBlankLines: true, skipComments: true }],
     },
   },
-  ...(FINISHED.length === 0
-    ? []
-    : [
-        ...finishedOnly(tseslint.configs.strictTypeCheckedOnly),
+  ...finishedOnly(tseslint.configs.strictTypeCheckedOnly),
+  {
+    files: FINISHED,
+    plugins: { jsdoc },
+    rules: {
+      'max-lines-per-function': [
+        'error',
+        { max: MAX_FUNCTION_LINES, skipBlankLines: true, skipComments: true },
+      ],
+      '@typescript-eslint/max-params': ['error', { max: MAX_PARAMETERS }],
+      complexity: ['error', MAX_COMPLEXITY],
+      'jsdoc/require-jsdoc': [
+        'error',
         {
-          files: FINISHED,
-          plugins: { jsdoc },
-          rules: {
-            'max-lines-per-function': [
-              'error',
-              { max: MAX_FUNCTION_LINES, skipBlankLines: true, skipComments: true },
-            ],
-            '@typescript-eslint/max-params': ['error', { max: MAX_PARAMETERS }],
-            complexity: ['error', MAX_COMPLEXITY],
-            'jsdoc/require-jsdoc': [
-              'error',
-              {
-                publicOnly: true,
-                contexts: [
-                  'ClassDeclaration',
-                  'FunctionDeclaration',
-                  'TSInterfaceDeclaration',
-                  'TSTypeAliasDeclaration',
-                  'ExportNamedDeclaration > VariableDeclaration',
-                ],
-              },
-            ],
-            '@typescript-eslint/no-confusing-void-expression': [
-              'error',
-              { ignoreArrowShorthand: true, ignoreVoidReturningFunctions: true },
-            ],
-            // Numbers in messages need no conversion.
-            '@typescript-eslint/restrict-template-expressions': [
-              'error',
-              { allowNumber: true, allowBoolean: true },
-            ],
-            // An index is checked by the loop that made it, or its absence is handled with `noUncheckedIndexedAccess`.
-            '@typescript-eslint/no-non-null-assertion': 'off',
-          },
+          publicOnly: true,
+          contexts: [
+            'ClassDeclaration',
+            'FunctionDeclaration',
+            'TSInterfaceDeclaration',
+            'TSTypeAliasDeclaration',
+            'ExportNamedDeclaration > VariableDeclaration',
+          ],
         },
-      ]),
+      ],
+      '@typescript-eslint/no-confusing-void-expression': [
+        'error',
+        { ignoreArrowShorthand: true, ignoreVoidReturningFunctions: true },
+      ],
+      // Numbers in messages need no conversion.
+      '@typescript-eslint/restrict-template-expressions': [
+        'error',
+        { allowNumber: true, allowBoolean: true },
+      ],
+      // An index is checked by the loop that made it, or its absence is handled with `noUncheckedIndexedAccess`.
+      '@typescript-eslint/no-non-null-assertion': 'off',
+    },
+  },
 );
--- a/src/core/capacity/capacity-planner.ts
+++ b/src/core/capacity/capacity-planner.ts
@@ -21,8 +21,11 @@
   readonly count: number;
 }
 
-export type ReturnReason = 'silent' | 'hears nothing' | 'never came up' | 'fails tasks' | 'idle';
+/** Why a machine is returned; written to the log. */
+export type ReturnReason =
+  'heartbeats lost' | 'commands lost' | 'never came up' | 'fails tasks' | 'idle';
 
+/** What a plan is made of. */
 export interface CapacityInput extends DemandInput {
   readonly zones: readonly string[];
   /** rentals asked for but not answered */
@@ -33,6 +36,7 @@
   readonly maxMachines: number;
 }
 
+/** Machines to rent and to return. */
 export interface CapacityPlan {
   readonly rentals: readonly RentWish[];
   readonly returns: readonly { readonly name: string; readonly reason: ReturnReason }[];
@@ -136,8 +140,8 @@
 
   #faultOf(m: MachineState): ReturnReason | null {
     const { shard, now } = this.input;
-    if (shard.heartbeatsLost(m, now)) return 'silent';
-    if (shard.commandsLost(m, now)) return 'hears nothing';
+    if (shard.heartbeatsLost(m, now)) return 'heartbeats lost';
+    if (shard.commandsLost(m, now)) return 'commands lost';
     const bootMs = (m.type?.bootS ?? DEFAULT_BOOT_S) * 1000;
     const neverUp = !m.everConfirmed && !m.record.up;
     if (neverUp && now - m.trackedSince > bootMs * BOOT_GIVE_UP) return 'never came up';
@@ -286,5 +290,6 @@
   }
 }
 
+/** Plans what a shard rents and returns; pure. */
 export const planCapacity = (input: CapacityInput): CapacityPlan =>
   new CapacityPlanner(input).plan();
--- a/src/core/jobs/admission.ts
+++ b/src/core/jobs/admission.ts
@@ -1,5 +1,7 @@
+/** Whether a submission can ever run. */
 import { fits, type JobSpec, type MachineType, type Team } from '../model.js';
 
+/** Why a job is admitted or can never run. */
 export type Verdict = 'accept' | 'unknown_team' | 'no_machine_type' | 'over_team_limit';
 
 /** Machine types on which one task of the job may run. */
--- a/src/core/jobs/jobs.ts
+++ b/src/core/jobs/jobs.ts
@@ -15,6 +15,7 @@
   return out;
 };
 
+/** The done tasks of a range, by its bitmap. */
 export const decodeDone = (range: { from: number; to: number }, bits: string): Set<number> => {
   const done = new Set<number>();
   for (let c = 0; c < bits.length; c++) {
@@ -50,9 +51,11 @@
   return out + long.slice(short.length);
 };
 
+/** Whether the team has a quota limit. */
 export const hasLimit = (team: Team | undefined): boolean =>
   team !== undefined && (team.cpusMax > 0 || team.gpusMax > 0);
 
+/** Whether the team has a guaranteed share. */
 export const hasGuarantee = (team: Team | undefined): boolean =>
   team !== undefined && (team.cpus > 0 || team.gpus > 0);
 
@@ -92,9 +95,10 @@
   return out;
 };
 
+/** What routing knows of a shard. */
 export interface ShardLoad {
   readonly shard: number;
-  /** booked share of the shard's machines, waiting tasks included */
+  /** allocation ratio of the shard, waiting tasks included */
   readonly load: number;
   /** true if the demand fits on some machine now */
   readonly fitsNow: boolean;
--- a/src/core/placement/unused-volume.ts
+++ b/src/core/placement/unused-volume.ts
@@ -8,6 +8,7 @@
   return sum;
 };
 
+/** A machine with its free resources. */
 export interface Candidate {
   readonly name: string;
   readonly free: Resources;
--- a/src/service/constants.ts
+++ b/src/service/constants.ts
@@ -1,45 +1,39 @@
 /** Timing and limits of the node's process. */
 
-/** ms; a request that takes longer than any caller waits is cut off. */
+/** ms; a request that takes longer is cut off */
 export const REQUEST_TIMEOUT_MS = 10_000;
 
-/** share of the process's sockets that direct commands may take at once: a survivor that takes over
- * every shard claims all workers, and their reports and the users need sockets as well. */
+/** share of the process's sockets that direct commands may use at once: after a failover of every shard, probes of
+ * all workers must leave sockets for heartbeats and users. */
 export const DIRECT_COMMAND_SOCKET_SHARE = 0.08;
 
-/** share of the inbound connections beyond which answers close theirs: what is left takes newcomers */
+/** share of the inbound connections beyond which responses close their connection */
 export const CLOSE_AFTER_RESPONSE_SHARE = 0.7;
 
-/** sockets to each other node: one a way, and as many that have ended and are not gone yet */
+/** sockets for each peer: one in each direction, and as many that are still closing */
 export const PEER_SOCKETS = 4;
 
-/** sockets kept back for what is counted nowhere: listeners, probes of the load balancer, watches */
+/** sockets for listeners, health checks and watches */
 export const RESERVED_SOCKETS = 24;
 
-/** worker leases after which an idle inbound connection is closed: a machine that is gone says nothing,
- * and users ask about every 5 s while they wait. */
+/** worker leases; an inbound connection that was idle for longer is closed */
 export const IDLE_LEASES = 2;
 
-/** share of a node's requests that the feed may take; less means answers and starts come later. */
+/** share of a node's store requests that the watch may use */
 export const WATCH_REQUEST_SHARE = 0.3;
 
-/** ms; a watch is opened again no sooner than this: each opening counts as a request. */
-export const FOLLOW_PAUSE_MS = 400;
+/** ms; shortest pause between two reads of the watch */
+export const WATCH_PAUSE_MS = 400;
 
-/** ms; state answered more recently than this counts as "has state". */
+/** ms; the store counts as reachable for this long after an answer */
 export const STORE_FRESH_MS = 4000;
 
-/**
- * ms; a node without state stays in the load balancer this long although a peer has state. At both ends
- * of an outage the nodes see it a little apart, and a node that leaves comes back late.
- */
+/** ms; a node without the store stays ready for this long although a peer has it: at both ends of an outage the
+ * nodes notice it a little apart. */
 export const READY_GRACE_MS = 3000;
 
-/**
- * ms; a node without state that hears no other node leaves the load balancer after this: by then its
- * lease is over and others have taken its shards. Its users are better served by them.
- */
+/** ms; a node without the store and without peers is not ready after this: its lease is over by then. */
 export const ISOLATED_GRACE_MS = 8000;
 
-/** ms; a stray worker is told to the others for this long. */
+/** ms; a heartbeat of another shard's worker is told to the peers for this long */
 export const OBSERVED_WORKER_MS = 6000;
--- /dev/null
+++ b/src/service/control-loops.ts
@@ -0,0 +1,145 @@
+/** The control loops of a node, in their order, and when a round of them is due. */
+import { DEBOUNCE_MS, LOOP_MS } from '../constants.js';
+import type { CloudClient } from '../cloud/cloud-client.js';
+import type { MachineTypes } from '../cloud/machine-types.js';
+import type { WorkloadStatistics } from '../core/capacity/workload-statistics.js';
+import type { Heartbeat, JobSpec } from '../core/model.js';
+import { ShardMover } from '../rebalancing/shard-mover.js';
+import { OrphanedInstances } from '../shards/orphaned-instances.js';
+import { ScaleIn } from '../shards/scale-in.js';
+import { ScaleOut } from '../shards/scale-out/scale-out.js';
+import type { ShardController } from '../shards/shard-controller.js';
+import type { SingletonControllers } from '../singletons/singleton-controllers.js';
+import type { NodeContext } from './node-context.js';
+import type { OptionalFeatures } from './optional-features.js';
+import type { PeerExchange } from './peer-exchange.js';
+import type { StoreAccess } from './store-access.js';
+import type { HeartbeatResponse } from '../workers/heartbeat-routes.js';
+
+/** What the loops run on. */
+export interface ControlLoopsDependencies {
+  readonly context: NodeContext;
+  readonly store: StoreAccess;
+  readonly cloud: CloudClient;
+  readonly machineTypes: MachineTypes;
+  readonly peers: PeerExchange;
+  readonly workload: WorkloadStatistics;
+  readonly shardController: ShardController;
+  /** null: switched off */
+  readonly singletons: SingletonControllers | null;
+  readonly features: OptionalFeatures;
+  /** jobs whose users were told to retry */
+  readonly expectedJobs: () => readonly JobSpec[];
+  /** called at the beginning of each round */
+  readonly onRound: () => void;
+}
+
+/** Runs a round of all control loops once per interval, or soon after a change. */
+export class ControlLoops {
+  readonly #scaleIn: ScaleIn;
+  readonly #scaleOut: ScaleOut;
+  readonly #orphanedInstances: OrphanedInstances;
+  /** null: rebalancing is switched off */
+  readonly #shardMover: ShardMover | null;
+  #timer: NodeJS.Timeout | null = null;
+  #nextRoundAt = Infinity;
+  /** the cache's version whose jobs the workload statistics have seen */
+  #observedVersion = -1;
+  #closed = false;
+
+  constructor(private readonly dependencies: ControlLoopsDependencies) {
+    const { context, store, cloud, machineTypes, peers, workload, singletons } = dependencies;
+    const { client, cache } = store;
+    const { shardController, features, expectedJobs } = dependencies;
+    const shared = { ...context, client, cloud, cache, shardController };
+    this.#shardMover = features.shares === null ? null : new ShardMover(features.shares, shared);
+    this.#scaleIn = new ScaleIn({ ...shared, intents: singletons?.shardReturnIntents ?? null });
+    this.#orphanedInstances = new OrphanedInstances({
+      ...shared,
+      orphanCollection: singletons?.orphanCollection ?? null,
+    });
+    this.#scaleOut = new ScaleOut({
+      ...shared,
+      scaleIn: this.#scaleIn,
+      workload,
+      activeTasksElsewhere: (shard) => peers.directory.activeTasksElsewhere(shard),
+      expectedJobs,
+      machineTypes: () => machineTypes.current,
+    });
+  }
+
+  /** Begins the rounds. */
+  start(): void {
+    this.#scheduleRound(LOOP_MS);
+  }
+
+  /** Runs a round soon, for this change together with those that come right after it. */
+  runSoon(): void {
+    const { now } = this.dependencies.context;
+    if (this.#timer === null || this.#nextRoundAt - now() <= DEBOUNCE_MS) return;
+    clearTimeout(this.#timer);
+    this.#scheduleRound(DEBOUNCE_MS);
+  }
+
+  /** The reply to a worker's heartbeat, which may make a round due. */
+  handleHeartbeat(heartbeat: Heartbeat): HeartbeatResponse {
+    const response = this.dependencies.shardController.handleHeartbeat(heartbeat);
+    if (response.kind === 'unavailable') this.#orphanedInstances.handleHeartbeat(heartbeat);
+    else if (response.kind === 'answer') this.runSoon();
+    return response;
+  }
+
+  /** Ends the rounds. */
+  close(): void {
+    this.#closed = true;
+    if (this.#timer !== null) clearTimeout(this.#timer);
+  }
+
+  #scheduleRound(ms: number): void {
+    this.#nextRoundAt = this.dependencies.context.now() + ms;
+    this.#timer = setTimeout(() => this.#round(), ms);
+  }
+
+  #round(): void {
+    if (this.#closed) return;
+    this.#scheduleRound(LOOP_MS);
+    const { shardController, singletons, onRound } = this.dependencies;
+    onRound();
+    this.#observeWorkload();
+    this.#scaleIn.markRecordedReturns();
+    this.#shardMover?.tick();
+    shardController.tick();
+    this.#collectEvents();
+    this.#scaleIn.markRecordedReturns();
+    this.#orphanedInstances.tick();
+    this.#scaleOut.tick();
+    singletons?.tick();
+  }
+
+  /** Takes in arrivals, when there are new ones, and run times that peers have learned. */
+  #observeWorkload(): void {
+    const { context, store, peers, workload } = this.dependencies;
+    const { version, tables } = store.cache;
+    if (this.#observedVersion === version) return;
+    this.#observedVersion = version;
+    const nowS = context.timeOfDay() / 1000;
+    for (const { value } of tables.activeJobs.values()) {
+      workload.arrived(value.spec, Math.min(nowS, value.at / 1000));
+    }
+    workload.keepOnly(tables.activeJobs);
+    for (const { classes } of peers.gossip.recent()) {
+      for (const { jobClass, runS, finished } of classes) workload.adopt(jobClass, runS, finished);
+    }
+  }
+
+  /** Hands on what happened to tasks: run times to the statistics, events to the log. */
+  #collectEvents(): void {
+    const { context, shardController, workload } = this.dependencies;
+    for (const [index, { shard }] of shardController.owned) {
+      for (const run of shard.finishedRuns.splice(0)) workload.ran(run.jobClass, run.runS);
+      for (const { uid, ...event } of shard.events.splice(0)) {
+        context.log.debug({ job: uid, shard: index, term: shard.term, ...event }, 'task changed');
+      }
+    }
+  }
+}
--- /dev/null
+++ b/src/service/peer-exchange.ts
@@ -0,0 +1,110 @@
+/** What this node exchanges with its peers: status, known cancellations and learned run times. */
+import type { Cancellation } from '../core/cancellation/cancellation.js';
+import { CancellationBroadcast } from '../core/cancellation/cancellation-broadcast.js';
+import { CancellationCoverage } from '../core/cancellation/cancellation-coverage.js';
+import type { WorkloadStatistics } from '../core/capacity/workload-statistics.js';
+import type { PeerStatus } from '../peers/frames.js';
+import { Gossip, type OwnStatus } from '../peers/gossip.js';
+import { ShardDirectory } from '../peers/shard-directory.js';
+import type { PeerView } from '../shards/peer-view.js';
+import type { ShardController } from '../shards/shard-controller.js';
+import type { NodeContext } from './node-context.js';
+import { describeShards } from './shard-status.js';
+import type { StoreAccess } from './store-access.js';
+
+/** What the exchange tells of, and takes in. */
+export interface PeerExchangeDependencies {
+  readonly context: NodeContext;
+  readonly store: StoreAccess;
+  readonly workload: WorkloadStatistics;
+  /** asked for only once the node runs: the controller itself depends on the exchange */
+  readonly shardController: () => ShardController;
+}
+
+/** Owns the gossip with the peers and the cancellations that go with it. */
+export class PeerExchange {
+  readonly gossip: Gossip;
+  readonly directory: ShardDirectory;
+  readonly #broadcast: CancellationBroadcast;
+  readonly #coverage: CancellationCoverage;
+
+  constructor(private readonly dependencies: PeerExchangeDependencies) {
+    const { context, shardController } = dependencies;
+    const { config, incarnation, now, log } = context;
+    const peers = config.peers.map(({ node }) => node);
+    this.#broadcast = new CancellationBroadcast(peers, config.workers.cancelS * 1000);
+    this.#coverage = new CancellationCoverage(peers);
+    this.gossip = new Gossip({
+      node: config.node,
+      incarnation,
+      peers: config.peers,
+      ownStatus: (detailed, sentAt) => this.#ownStatus(detailed, sentAt),
+      onStatus: (status, acknowledgedAt) => this.#receive(status, acknowledgedAt),
+      now,
+      log,
+    });
+    const owned = () => shardController().owned;
+    this.directory = new ShardDirectory(config.nodes, owned, this.gossip, now);
+  }
+
+  /** A reachable peer that the store answers; null if none. */
+  reachablePeerWithStore(): string | null {
+    return this.gossip.reachable().find((status) => status.hasStore)?.node ?? null;
+  }
+
+  /** Whether there are peers, and none of them is reachable. */
+  get isolated(): boolean {
+    return (
+      this.dependencies.context.config.peers.length > 0 && this.gossip.reachable().length === 0
+    );
+  }
+
+  /** The peers as the control loops of the shards see them. */
+  view(): PeerView {
+    const { cache } = this.dependencies.store;
+    return {
+      reachablePeerWithStore: () => this.reachablePeerWithStore(),
+      incarnationWithStore: (node) => this.#incarnationWithStore(node),
+      capacityElsewhere: (spec, excluded) => this.directory.capacityElsewhere(spec, excluded),
+      lessAllocated: (spec, shard) => this.directory.lessAllocated(spec, shard),
+      imagesOf: (machine) => this.directory.imagesOf(machine),
+      peerReceivingHeartbeats: (shard) => this.directory.nodeReachingMostWorkers(shard),
+      cancellationsKnownUntil: () => this.#coverage.knownUntil(cache.currentAt),
+    };
+  }
+
+  /** A cancellation is confirmed: it is broadcast until every peer has acknowledged it. */
+  addCancellation(cancellation: Cancellation): void {
+    this.#broadcast.add(cancellation, this.dependencies.context.now());
+  }
+
+  /** Broadcasts at once if peers may not know the job's cancellation: its owner should stop the tasks now. */
+  flushCancellation(uid: string): void {
+    if (this.#broadcast.isPending(uid)) this.gossip.flush();
+  }
+
+  #incarnationWithStore(node: string): string | null {
+    const status = this.gossip.reachable().find((peer) => peer.node === node && peer.hasStore);
+    return status?.incarnation ?? null;
+  }
+
+  #ownStatus(detailed: boolean, sentAt: number): OwnStatus {
+    const { context, store, workload, shardController } = this.dependencies;
+    return {
+      cancellations: this.#broadcast.nextMessage(sentAt),
+      cancellationsComplete: this.#broadcast.isComplete(sentAt),
+      hasStore: store.answeredLately,
+      ...describeShards(shardController(), this.directory, detailed, context.now()),
+      classes: workload.runs(),
+    };
+  }
+
+  #receive(status: PeerStatus, acknowledgedSentAt: number): void {
+    const { context, store } = this.dependencies;
+    const { node, incarnation, cancellations, cancellationsComplete: complete } = status;
+    for (const cancellation of cancellations) store.cache.learnCancelled(cancellation);
+    const broadcast = { node, incarnation, complete, acknowledgedSentAt };
+    this.#coverage.receive(broadcast, store.cache.currentAt, context.now());
+    this.#broadcast.acknowledge(node, acknowledgedSentAt);
+  }
+}
--- a/src/service/socket-budget.ts
+++ b/src/service/socket-budget.ts
@@ -36,6 +36,7 @@
   }
 }
 
+/** How the sockets of this process are shared out. */
 export interface SocketBudget {
   /** direct commands to workers at the same time */
   readonly direct: number;
--- a/src/service/summary.ts
+++ b/src/service/summary.ts
@@ -1,3 +1,4 @@
+/** The periodic `summary` line of the log. */
 import hdr from 'hdr-histogram-js';
 import type { FencingRejectionCounts } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
@@ -16,19 +17,27 @@
     placed += job.placements.size;
   }
   const machines = [...shard.machines.values()];
-  const known = machines.filter((m) => m.confirmedSince !== null);
-  const idle = known.filter((m) => m.tasks.size === 0).length;
+  const confirmed = machines.filter((machine) => machine.confirmedSince !== null);
+  const idle = confirmed.filter((machine) => machine.tasks.size === 0).length;
   return {
-    part: index,
+    shard: index,
     term: shard.term,
     waiting,
     placed,
     machines: machines.length,
-    up: known.length,
+    up: confirmed.length,
     idle,
   };
 };
 
+/** What the summary line tells besides its own counts. */
+export interface SummaryInputs {
+  readonly shards: ReadonlyMap<number, { readonly shard: Shard }>;
+  readonly activeJobs: number;
+  readonly storeAvailable: boolean;
+  readonly fencingRejections: FencingRejectionCounts;
+}
+
 /** Counts what the periodic `summary` line of the log says. */
 export class PeriodicSummary {
   readonly #acceptMs = hdr.build({
@@ -49,23 +58,18 @@
     this.#connectionsDropped += 1;
   }
 
-  /** Writes the line and begins to count anew. */
-  write(
-    shards: ReadonlyMap<number, { readonly shard: Shard }>,
-    activeJobs: number,
-    storeAvailable: boolean,
-    ordersRefused: FencingRejectionCounts,
-  ): void {
+  /** Writes the line and starts to count anew. */
+  write({ shards, activeJobs, storeAvailable, fencingRejections }: SummaryInputs): void {
     const percentile = (p: number) => this.#acceptMs.getValueAtPercentile(p);
     const count = this.#acceptMs.totalCount;
     this.log.info(
       {
-        parts: [...shards].map(([index, { shard }]) => summaryOf(index, shard)),
-        active: activeJobs,
-        state: storeAvailable,
+        shards: [...shards].map(([index, { shard }]) => summaryOf(index, shard)),
+        activeJobs,
+        storeAvailable,
         acceptMs: { p50: percentile(50), p99: percentile(99), count },
         connectionsDropped: this.#connectionsDropped,
-        ordersRefused,
+        fencingRejections,
         rssMb: Math.round(process.memoryUsage.rss() / MEBIBYTE),
       },
       'summary',
--- a/src/store/watch.ts
+++ b/src/store/watch.ts
@@ -30,7 +30,7 @@
   /** the steady clock, in ms */
   readonly now: () => number;
   /** called with the steady ms when a read of changes begins, and with null when it ends */
-  readonly onReadState?: (startedAt: number | null) => void;
+  readonly onReadState: (startedAt: number | null) => void;
 }
 
 type WatchClient = Pick<StoreClient, 'list' | 'watch'>;
@@ -66,9 +66,9 @@
         yield { ...listing, readStartedAt };
         since = listing.revision;
       } else {
-        onReadState?.(readStartedAt);
+        onReadState(readStartedAt);
         const answer = await client.watch(since, WATCH_BLOCK_MS);
-        onReadState?.(null);
+        onReadState(null);
         if (answer === null) {
           since = null;
           continue;
@@ -78,7 +78,7 @@
         await pause(pauseMs, signal);
       }
     } catch (error) {
-      onReadState?.(null);
+      onReadState(null);
       if (!(error instanceof StoreRequestError)) throw error;
       await pause(STORE_RETRY_MS, signal);
     }
--- a/test/capacity.test.ts
+++ b/test/capacity.test.ts
@@ -119,8 +119,8 @@
   const reasons = (now: number) =>
     planCapacity({ ...i, now }).returns.map((g) => `${g.name}: ${g.reason}`);
   assert.deepEqual(reasons(5000), [], 'not yet');
-  assert.deepEqual(reasons(20_000), ['lost: silent', 'idle: idle']);
-  assert.deepEqual(reasons(120_000), ['lost: silent', 'new: never came up', 'idle: idle']);
+  assert.deepEqual(reasons(20_000), ['lost: heartbeats lost', 'idle: idle']);
+  assert.deepEqual(reasons(120_000), ['lost: heartbeats lost', 'new: never came up', 'idle: idle']);
 });
 
 test('learning: rates and run times by class', () => {
--- a/test/service-faults.test.ts
+++ b/test/service-faults.test.ts
@@ -57,7 +57,7 @@
 const MACHINE_FAULTS: [string, (h: WorkerHost) => void][] = [
   ['hangs', (h) => (h.worker.hung = true)],
   ['reaches no controller', (h) => (h.losesHeartbeats = true)],
-  ['hears nothing', (h) => (h.losesCommands = true)],
+  ['commands lost', (h) => (h.losesCommands = true)],
   ['is cut off both ways', (h) => (h.losesHeartbeats = h.losesCommands = true)],
 ];
 
--- a/test/services.test.ts
+++ b/test/services.test.ts
@@ -136,7 +136,7 @@
   assert.deepEqual(plan(cluster.shard, from + 2.5 * HEARTBEAT_MS, patient).returns, []);
   const now = from + 3.5 * HEARTBEAT_MS;
   cluster.exchangeHeartbeats(now, [other]);
-  assert.equal(plan(cluster.shard, now).returns[0]?.reason, 'silent');
+  assert.equal(plan(cluster.shard, now).returns[0]?.reason, 'heartbeats lost');
   assert.equal(cluster.on(lost), 1, 'still there as far as anybody knows');
   cluster.workers.get(lost)!.vanish();
   cluster.shard.removeMachine(lost, now);
--- a/test/shard-controller.test.ts
+++ b/test/shard-controller.test.ts
@@ -25,6 +25,7 @@
   scene.tick();
   assert.ok(scene.written.length > 0, 'it was tried');
   assert.equal(scene.owned(1)?.shard, before, 'the same object, never a second one');
+  assert.equal(scene.controller.actsFor(scene.owned(1)!), true, 'and the node acts for it again');
 });
 
 test('after a transfer without an answer the node acts again only under a new term', async () => {
@@ -32,7 +33,10 @@
   scene.outcome = noAnswer;
   await scene.failback();
   scene.tick();
-  assert.equal(scene.owned(1)?.state, 'transferring');
+  const transferring = scene.owned(1)!;
+  assert.equal(transferring.state, 'transferring');
+  assert.equal(scene.controller.actsFor(transferring), false, 'the peer may own it by now');
+  assert.equal(transferring.authorization.isValid(), false, 'no write or cloud call may leave');
   scene.outcome = () => ({ ok: true, epoch: 60 });
   await scene.tickAt(scene.now + TRANSFER_SETTLE_MS + 1);
   assert.equal(scene.termOf(1), TERM + 1);
