--- a/test/standins/production-process.ts
+++ b/test/standins/production-process.ts
@@ -11,7 +11,7 @@
     operator: unknown,
     log: unknown,
   ) => { start(): Promise<void> };
-  readonly parseOperatorConfig: (file: string, text: string) => unknown;
+  readonly parseOperator: (file: string, text: string) => unknown;
 }
 
 const FIXTURE = new URL('../../../../test/fixtures/production/controller.js', import.meta.url);
@@ -26,7 +26,7 @@
   void (async () => {
     const production = (await import(FIXTURE.href)) as ProductionModule;
     const log = pino({ level: 'silent' });
-    await new production.Service(settings, production.parseOperatorConfig('', ''), log).start();
+    await new production.Service(settings, production.parseOperator('', ''), log).start();
     process.send?.('listening');
   })();
 });
