--- a/test/linearizable-reads.test.ts
+++ b/test/linearizable-reads.test.ts
@@ -2,11 +2,11 @@
 import { describe, test } from 'node:test';
 import { setImmediate as turn, setTimeout as sleep } from 'node:timers/promises';
 import { HELD_READ_MS, READ_GATHER_MS } from '../src/constants.js';
-import type { Found } from '../src/state/client.js';
-import { key } from '../src/state/keys.js';
-import { LinearizableReads } from '../src/state/linearizable-reads.js';
-import { SharedReads } from '../src/state/reads.js';
-import { WatchCache } from '../src/state/watch-cache.js';
+import type { Found } from '../src/store/store-client.js';
+import { key } from '../src/store/keys.js';
+import { LinearizableReads } from '../src/store/linearizable-reads.js';
+import { SharedReads } from '../src/store/shared-reads.js';
+import { WatchCache } from '../src/store/watch-cache.js';
 
 /** A reader waits for a read that began after it came, whatever else arrives meanwhile. */
 class Scene {
--- a/test/service.test.ts
+++ b/test/service.test.ts
@@ -105,7 +105,7 @@
   c.cutState('n2', true);
   c.cutPeers('n2', true);
   const began = Date.now();
-  // The others take its part and do all of the work, what was on its machines included.
+  // The others take its shard and do all of the work, what was on its machines included.
   for (const uid of uids) await done('n0', uid, 40);
   await until('its users are sent elsewhere', 20, async () => !(await ready('n2')()));
   assert.equal((await call('n2', 'POST', '/submissions', c.submission())).status, 503);
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -4,7 +4,7 @@
 import { ConfigError, parsePlatform } from '../src/config/platform.js';
 import { openLog } from '../src/log.js';
 import { readFileSync } from 'node:fs';
-import { TokenBucket } from '../src/tokens.js';
+import { TokenBucket } from '../src/transport/token-bucket.js';
 import { PLATFORM } from './helpers.js';
 
 test("the platform's file: unknown fields are ignored, wrong ones named", () => {
--- a/test/share-moves.test.ts
+++ b/test/share-moves.test.ts
@@ -3,7 +3,7 @@
 import { ShareMoves } from './standins/share-moves.js';
 
 /**
- * Machines move between the parts of three controllers every few seconds while jobs run. However controllers and
+ * Machines move between the shards of three controllers every few seconds while jobs run. However controllers and
  * machines fail meanwhile, every job is done in the end and no rule is broken at any moment. The ten minutes
  * are played by scripts/share-moves.sh.
  */
--- a/test/standins/answer-history.ts
+++ b/test/standins/answer-history.ts
@@ -1,4 +1,4 @@
-import type { Answer } from '../../src/http.js';
+import type { Answer } from '../../src/transport/http.js';
 
 /** What a user can ask of a job. */
 export type UserCall = 'submit' | 'query' | 'withdraw';
--- a/test/standins/cloud.ts
+++ b/test/standins/cloud.ts
@@ -1,5 +1,5 @@
 import { setTimeout as sleep } from 'node:timers/promises';
-import { CborClient } from '../../src/http.js';
+import { CborClient } from '../../src/transport/http.js';
 import type { Report } from '../../src/core/model.js';
 import { StandInServer, type Reply, type Request } from './server.js';
 import { FakeWorker, type World } from './worker.js';
--- a/test/standins/controller-process.ts
+++ b/test/standins/controller-process.ts
@@ -5,7 +5,7 @@
 import pino from 'pino';
 import { parseOperator } from '../../src/config/operator.js';
 import type { PlatformConfig } from '../../src/config/platform.js';
-import { Service, type Features } from '../../src/service.js';
+import { Service, type Features } from '../../src/service/service.js';
 
 interface Settings {
   readonly config: PlatformConfig;
--- a/test/standins/controllers.ts
+++ b/test/standins/controllers.ts
@@ -4,7 +4,7 @@
 import pino from 'pino';
 import { parseOperator } from '../../src/config/operator.js';
 import type { PlatformConfig } from '../../src/config/platform.js';
-import { Service, type Features } from '../../src/service.js';
+import { Service, type Features } from '../../src/service/service.js';
 
 /** One life of a controller, of either version. */
 export interface Controller {
--- a/test/standins/server.ts
+++ b/test/standins/server.ts
@@ -1,6 +1,6 @@
 import { createServer, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
-import { collect } from '../../src/http.js';
+import { collect } from '../../src/transport/http.js';
 import { fromBytes, toBytes } from '../../src/wire/cbor.js';
 
 export interface Request {
--- a/test/user-answers.test.ts
+++ b/test/user-answers.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { setImmediate as turn } from 'node:timers/promises';
-import type { Answer } from '../src/http.js';
-import { key } from '../src/state/keys.js';
+import type { Answer } from '../src/transport/http.js';
+import { key } from '../src/store/keys.js';
 import { AnswerHistory, type UserCall } from './standins/answer-history.js';
-import { FakeStateService } from './standins/state.js';
+import { FakeStateService } from './standins/store.js';
 import { UserNode } from './standins/user-node.js';
 
 /**
