--- a/src/peers/frames.ts
+++ b/src/peers/frames.ts
@@ -1,10 +1,9 @@
 /**
- * Messages between the nodes: the typed form of `peers.proto`, and the streams that encode and decode them as
+ * Messages between the nodes: the typed form of `status.proto`, and the streams that encode and decode them as
  * length-delimited protobuf. Field numbers are the wire form; an older version reads them by its own names.
  */
 import { readFileSync } from 'node:fs';
 import { Transform, type TransformCallback } from 'node:stream';
-import { fileURLToPath } from 'node:url';
 import protobuf from 'protobufjs';
 import { MAX_FRAME_BYTES } from './constants.js';
 import type { Cancellation } from '../core/cancellation/cancellation.js';
@@ -84,22 +83,15 @@
   cancellationsComplete: boolean;
 }
 
-/** Where `peers.proto` lies relative to this module: in the sources, compiled, compiled for tests, bundled. */
-const PROTO_DIRECTORIES = ['../../src/peers/', '../../../../src/peers/', '../src/peers/', './'];
-
-const readProto = (): string => {
-  for (const directory of PROTO_DIRECTORIES) {
-    const file = fileURLToPath(new URL(`${directory}peers.proto`, import.meta.url));
-    try {
-      return readFileSync(file, 'utf8');
-    } catch {
-      // Not there: try the next directory.
-    }
-  }
-  throw new Error('peers.proto is missing from the installation');
-};
+/**
+ * The schema lies beside the compiled module, or beside the bundle: the build copies it there. It is looked up in no
+ * other place, since an installation inside the repository of another version would find that version's schema.
+ */
+const SCHEMA_FILE = new URL('./status.proto', import.meta.url);
 
-const Status = protobuf.parse(readProto()).root.lookupType('sumacstep.Status');
+const Status = protobuf
+  .parse(readFileSync(SCHEMA_FILE, 'utf8'))
+  .root.lookupType('sumacstep.Status');
 
 const encode = (status: PeerStatus): Buffer =>
   Buffer.from(Status.encodeDelimited(Status.fromObject(status)).finish());
--- a/test/standins/production-process.ts
+++ b/test/standins/production-process.ts
@@ -4,6 +4,7 @@
  * `listening`, and ends like the real program when an error is not handled.
  */
 import pino from 'pino';
+import { installProduction } from './production-installation.js';
 
 interface ProductionModule {
   readonly Service: new (
@@ -14,8 +15,6 @@
   readonly parseOperator: (file: string, text: string) => unknown;
 }
 
-const FIXTURE = new URL('../../../../test/fixtures/production/controller.js', import.meta.url);
-
 const fail = () => process.exit(1);
 process.on('uncaughtException', fail);
 process.on('unhandledRejection', fail);
@@ -24,7 +23,7 @@
 
 process.once('message', (settings: unknown) => {
   void (async () => {
-    const production = (await import(FIXTURE.href)) as ProductionModule;
+    const production = (await import(installProduction().href)) as ProductionModule;
     const log = pino({ level: 'silent' });
     await new production.Service(settings, production.parseOperator('', ''), log).start();
     process.send?.('listening');
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -17,6 +17,7 @@
 import { prefixOf } from '../src/store/keys.js';
 import { WatchCache } from '../src/store/watch-cache.js';
 import { shardWith, Store } from './helpers.js';
+import { installProduction } from './standins/production-installation.js';
 import { FakeWorker, World } from './standins/worker.js';
 
 /**
@@ -154,6 +155,39 @@
   assert.deepEqual(Old.toObject(message, options), OLD.status);
 });
 
+/** The type of the statuses that the version in production uses, by the schema file that its own search finds. */
+const statusTypeOfProduction = async (): Promise<protobuf.Type> => {
+  const original = protobuf.parse;
+  const roots: protobuf.Root[] = [];
+  protobuf.parse = ((source: string) => {
+    const parsed = original(source);
+    roots.push(parsed.root);
+    return parsed;
+  }) as typeof protobuf.parse;
+  try {
+    await import(installProduction().href);
+  } finally {
+    protobuf.parse = original;
+  }
+  assert.equal(roots.length, 1, 'the version in production parses one schema');
+  return roots[0]!.lookupType('sumacstep.Status');
+};
+
+// It takes the first `peers.proto` of several folders. Under another version's schema the lists of a status have
+// other names: it reads undefined and its process ends.
+test('the version in production, installed inside this repository, reads statuses of the present version by its own names', async () => {
+  const frames: Buffer[] = [];
+  for await (const frame of Readable.from([underPresentNames(OLD.status)]).pipe(
+    new StatusEncoder(),
+  )) {
+    frames.push(frame as Buffer);
+  }
+  const status = await statusTypeOfProduction();
+  const message = status.decodeDelimited(Buffer.concat(frames));
+  const read = status.toObject(message, { arrays: true, defaults: true, longs: Number });
+  assert.deepEqual(read, OLD.status);
+});
+
 test('an owner of either version goes on with what the other recorded', () => {
   const cache = new WatchCache();
   const changes = Object.entries(OLD.values).map(([key, value], i) => ({
