--- a/src/core/capacity/capacity-planner.ts
+++ b/src/core/capacity/capacity-planner.ts
@@ -29,9 +29,9 @@
 export interface CapacityInput extends DemandInput {
   readonly zones: readonly string[];
   /** rentals asked for but not answered */
-  readonly pending: readonly RentWish[];
+  readonly pendingRentals: readonly RentWish[];
   /** true while the cloud has said "no capacity" for this kind lately */
-  readonly refused: (type: string, zone: string, spot: boolean) => boolean;
+  readonly inBackoff: (type: string, zone: string, spot: boolean) => boolean;
   readonly idleKeepMs: number;
   readonly maxMachines: number;
 }
@@ -62,7 +62,7 @@
   const spreads = (spec: JobSpec | null) =>
     spec !== null && spec.kind === 'service' && spec.spread && !spec.spot;
   for (const job of input.shard.jobs.values()) if (!job.ended && spreads(job.spec)) return true;
-  return [...input.stats.values()].some((s) => spreads(s.sample));
+  return [...input.classStats.values()].some((s) => spreads(s.sample));
 };
 
 /** Ordinary machines that stay, counted by type and zone. */
@@ -110,8 +110,9 @@
     }
     this.#spreads = spreadServiceKnown(input);
     this.#ordinary = new OrdinaryMachines(this.#staying);
-    const pending = input.pending.reduce((sum, p) => sum + p.count, 0);
-    this.#allowed = Math.ceil(input.maxMachines / input.shards) - this.#staying.length - pending;
+    const pending = input.pendingRentals.reduce((sum, p) => sum + p.count, 0);
+    this.#allowed =
+      Math.ceil(input.maxMachines / input.shardCount) - this.#staying.length - pending;
   }
 
   plan(): CapacityPlan {
@@ -161,7 +162,9 @@
   }
 
   #isPending(type: string, zone: string, spot: boolean): boolean {
-    return this.input.pending.some((p) => p.type === type && p.zone === zone && p.spot === spot);
+    return this.input.pendingRentals.some(
+      (p) => p.type === type && p.zone === zone && p.spot === spot,
+    );
   }
 
   /** Machines of the type that stay or are asked for. */
@@ -170,7 +173,8 @@
     for (const m of this.#staying) {
       if (m.record.type === type && m.record.spot === spot) count += 1;
     }
-    for (const p of this.input.pending) if (p.type === type && p.spot === spot) count += p.count;
+    for (const p of this.input.pendingRentals)
+      if (p.type === type && p.spot === spot) count += p.count;
     return count;
   }
 
@@ -186,7 +190,7 @@
 
   /** Asks for machines, in one zone or over all; returns how many will come as far as can be told. */
   #wish(type: MachineType, spot: boolean, count: number, only: string | null): number {
-    const { zones, refused } = this.input;
+    const { zones, inBackoff: refused } = this.input;
     const open = zones
       .filter((z) => (only === null || z === only) && type.zones.includes(z))
       .filter((z) => !refused(type.name, z, spot));
@@ -263,7 +267,7 @@
 
   /** However little work it is: a job that no machine could ever take gets one that can. */
   #rentForUnplaceable(): void {
-    const { shard, pending, types, now } = this.input;
+    const { shard, pendingRentals: pending, types, now } = this.input;
     const reachable = new ReachableCapacity(
       this.#staying,
       pending,
--- a/src/core/capacity/wanted-machines.ts
+++ b/src/core/capacity/wanted-machines.ts
@@ -17,14 +17,14 @@
 export interface DemandInput {
   readonly shard: Shard;
   /** number of shards, which share what is kept ready */
-  readonly shards: number;
+  readonly shardCount: number;
   readonly types: ReadonlyMap<string, MachineType>;
   readonly objectives: readonly Objective[];
-  readonly stats: ReadonlyMap<string, ClassStats>;
+  readonly classStats: ReadonlyMap<string, ClassStats>;
   /** tasks of each class in the other shards, waiting or placed */
-  readonly elsewhere: ReadonlyMap<string, number>;
+  readonly activeTasksElsewhere: ReadonlyMap<string, number>;
   /** jobs that were told to come back: their machines are rented before they are accepted */
-  readonly expected: readonly JobSpec[];
+  readonly expectedJobs: readonly JobSpec[];
   readonly reserveSigma: number;
   readonly drainS: number;
   /** steady ms */
@@ -89,9 +89,9 @@
   for (const job of input.shard.jobs.values()) {
     if (!job.ended) note(job.spec, job.placements.size, tasksNeedingCapacity(job, input.now));
   }
-  for (const spec of input.expected) note(spec, 0, spec.tasks);
+  for (const spec of input.expectedJobs) note(spec, 0, spec.tasks);
   // Classes known from other shards or earlier times need their reserve here as well.
-  for (const [name, s] of input.stats) {
+  for (const [name, s] of input.classStats) {
     if (needs.has(name) || s.sample === null) continue;
     const type = cheapest(s.sample, input.types.values());
     if (type !== null) needs.set(name, { spec: s.sample, type, running: 0, waiting: 0 });
@@ -117,14 +117,14 @@
   /** reserve that lower ranks may fill until it is needed */
   let slack = 0;
   for (const [name, need] of needsByClass(input)) {
-    const s = input.stats.get(name);
+    const s = input.classStats.get(name);
     const runS = s?.runS ?? (need.spec.estimateS > 0 ? need.spec.estimateS : RUN_UNKNOWN_S);
     const perMachine = Math.max(1, timesIn(need.spec.demand, need.type));
     // Replicas never end, so their run time says nothing: what may arrive while a machine boots counts.
     const service = need.spec.kind === 'service';
     const whole = (s?.tasksPerS ?? 0) * (service ? need.type.bootS : runS);
-    const atOnce = whole / input.shards;
-    const elsewhere = input.elsewhere.get(name) ?? 0;
+    const atOnce = whole / input.shardCount;
+    const elsewhere = input.activeTasksElsewhere.get(name) ?? 0;
     const busy = need.running + need.waiting;
     const t = out.get(need.type.name) ?? { ordinary: 0, spot: 0, instead: 0 };
     out.set(need.type.name, t);
@@ -135,7 +135,7 @@
       // share of the whole, the shards with more work than others would come on top.
       const there = service ? 0 : busy + elsewhere;
       const kept = whole + input.reserveSigma * Math.sqrt(whole) - there;
-      soon = patient = busy + Math.max(0, kept) / input.shards;
+      soon = patient = busy + Math.max(0, kept) / input.shardCount;
       if (input.shard.preemptionEnabled) slack += Math.max(0, soon - busy) / perMachine;
     } else {
       // Half of the running work is still to be done.
--- a/src/core/capacity/workload-statistics.ts
+++ b/src/core/capacity/workload-statistics.ts
@@ -56,7 +56,7 @@
   }
 
   /** A job accepted at `at` (s, time of day). Repeats are ignored. */
-  arrived(spec: JobSpec, at: number): void {
+  recordArrival(spec: JobSpec, at: number): void {
     if (this.#seen.has(spec.uid)) return;
     this.#seen.add(spec.uid);
     const c = this.#of(spec.jobClass);
@@ -73,13 +73,13 @@
    * Forgets jobs that have ended, once so many are remembered: they do not come by again. Those that have
    * not ended must stay, however many they are, or each would be counted anew at every look.
    */
-  keepOnly(active: { has(uid: string): boolean }): void {
+  forgetEndedJobs(active: { has(uid: string): boolean }): void {
     if (this.#seen.size <= this.#seenMost) return;
     this.#seen = new Set([...this.#seen].filter((uid) => active.has(uid)));
     this.#seenMost = Math.max(SEEN_JOBS_LIMIT, 2 * this.#seen.size);
   }
 
-  ran(jobClass: string, runS: number): void {
+  recordRun(jobClass: string, runS: number): void {
     const c = this.#of(jobClass);
     c.finished += 1;
     // A plain mean at first, then one that forgets slowly.
@@ -88,7 +88,7 @@
   }
 
   /** Run times that another node has learned, taken if it has seen more than this one. */
-  adopt(jobClass: string, runS: number, finished: number): void {
+  adoptRunTime(jobClass: string, runS: number, finished: number): void {
     const c = this.#of(jobClass);
     if (finished <= c.finished) return;
     c.runS = runS;
@@ -101,7 +101,7 @@
     return c === undefined ? null : expectedRunS(c);
   }
 
-  runs(): { jobClass: string; runS: number; finished: number }[] {
+  measuredRunTimes(): { jobClass: string; runS: number; finished: number }[] {
     return [...this.#classes]
       .filter(([, c]) => c.runS !== null)
       .map(([jobClass, c]) => ({ jobClass, runS: c.runS ?? 0, finished: c.finished }));
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -153,15 +153,15 @@
   }
   const input: CapacityInput = {
     shard,
-    shards: 1,
+    shardCount: 1,
     types: new Map([['m', machineType()]]),
     zones: ['y', 'z'],
     objectives: [],
-    stats: new Map(),
-    elsewhere: new Map(),
-    expected: [],
-    pending: [],
-    refused: () => false,
+    classStats: new Map(),
+    activeTasksElsewhere: new Map(),
+    expectedJobs: [],
+    pendingRentals: [],
+    inBackoff: () => false,
     reserveSigma: 0,
     drainS: 45,
     idleKeepMs: 1000,
@@ -211,8 +211,8 @@
   const workload = new WorkloadStatistics();
   const active = new Set(Array.from({ length: SEEN_JOBS_LIMIT + 1000 }, (_, i) => `job-${i}`));
   for (let look = 0; look < 3; look++) {
-    for (const uid of active) workload.arrived(spec({ uid }), 10);
-    workload.keepOnly(active);
+    for (const uid of active) workload.recordArrival(spec({ uid }), 10);
+    workload.forgetEndedJobs(active);
   }
   const { tasksPerS } = workload.stats(20).get('c')!;
   assert.equal(Math.round(tasksPerS * FIRST_SPAN_S), active.size);
