--- a/src/core/capacity/wanted-machines.ts
+++ b/src/core/capacity/wanted-machines.ts
@@ -1,4 +1,4 @@
-import { CEIL_SLACK, RUN_UNKNOWN_S } from './constants.js';
+import { IGNORED_MACHINE_FRACTION, DEFAULT_RUN_S } from './constants.js';
 import { typesFor } from '../jobs/admission.js';
 import { tasksNeedingCapacity } from '../reachability/failure-tracker.js';
 import type { ClassStats } from './workload-statistics.js';
@@ -42,7 +42,8 @@
 }
 
 /** Whole machines for the need, a small fraction of one aside. */
-export const machinesFor = (need: number): number => Math.max(0, Math.ceil(need - CEIL_SLACK));
+export const wholeMachines = (need: number): number =>
+  Math.max(0, Math.ceil(need - IGNORED_MACHINE_FRACTION));
 
 /** Classes whose tasks must start sooner than a machine boots need machines kept ready. */
 export const isUrgent = (
@@ -53,7 +54,7 @@
   objectives.some((o) => o.kind === 'wait' && o.jobClass === jobClass && o.withinS < bootS);
 
 /** The type on which the job costs least; null if none fits. */
-export const cheapest = (spec: JobSpec, types: Iterable<MachineType>): MachineType | null => {
+export const cheapestType = (spec: JobSpec, types: Iterable<MachineType>): MachineType | null => {
   let best: MachineType | null = null;
   let bestPrice = Infinity;
   for (const t of typesFor(spec, types)) {
@@ -78,7 +79,7 @@
   const note = (spec: JobSpec, running: number, waiting: number): void => {
     let need = needs.get(spec.jobClass);
     if (need === undefined) {
-      const type = cheapest(spec, input.types.values());
+      const type = cheapestType(spec, input.types.values());
       if (type === null) return;
       need = { spec, type, running: 0, waiting: 0 };
       needs.set(spec.jobClass, need);
@@ -93,7 +94,7 @@
   // Classes known from other shards or earlier times need their reserve here as well.
   for (const [name, s] of input.classStats) {
     if (needs.has(name) || s.sample === null) continue;
-    const type = cheapest(s.sample, input.types.values());
+    const type = cheapestType(s.sample, input.types.values());
     if (type !== null) needs.set(name, { spec: s.sample, type, running: 0, waiting: 0 });
   }
   return needs;
@@ -118,7 +119,7 @@
   let slack = 0;
   for (const [name, need] of needsByClass(input)) {
     const s = input.classStats.get(name);
-    const runS = s?.runS ?? (need.spec.estimateS > 0 ? need.spec.estimateS : RUN_UNKNOWN_S);
+    const runS = s?.runS ?? (need.spec.estimateS > 0 ? need.spec.estimateS : DEFAULT_RUN_S);
     const perMachine = Math.max(1, timesIn(need.spec.demand, need.type));
     // Replicas never end, so their run time says nothing: what may arrive while a machine boots counts.
     const service = need.spec.kind === 'service';
--- a/src/shards/scale-out/scale-out.ts
+++ b/src/shards/scale-out/scale-out.ts
@@ -116,7 +116,11 @@
     return this.dependencies.shardController.owned.keys().next().value === shard;
   }
 
-  #logPlan(shard: number, { wanted, rentals, returns, capped }: CapacityPlan, now: number): void {
+  #logPlan(
+    shard: number,
+    { wanted, rentals, returns, cappedCount: capped }: CapacityPlan,
+    now: number,
+  ): void {
     const { log, operator } = this.dependencies;
     if (rentals.length > 0 || returns.length > 0) {
       log.debug({ shard, wanted, rentals, returns }, 'capacity planned');
--- a/test/capacity.test.ts
+++ b/test/capacity.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { BOOT_GIVE_UP } from '../src/core/capacity/constants.js';
+import { BOOT_TIMEOUT_FACTOR } from '../src/core/capacity/constants.js';
 import { planCapacity, type CapacityInput } from '../src/core/capacity/capacity-planner.js';
 import { WorkloadStatistics } from '../src/core/capacity/workload-statistics.js';
 import { isUrgent, wantedMachines } from '../src/core/capacity/wanted-machines.js';
@@ -154,7 +154,7 @@
     w.direct(1, 1, []);
     shard.handleCommandStatus(w.heartbeat(), late);
   }
-  const over = (BOOT_GIVE_UP + 0.01) * BOOT_MS;
+  const over = (BOOT_TIMEOUT_FACTOR + 0.01) * BOOT_MS;
   const { rentals: rent, returns } = plan(over);
   assert.deepEqual(
     returns.map((g) => `${g.name} ${g.reason}`),
