--- a/src/core/capacity/allocation-ratio.ts
+++ b/src/core/capacity/allocation-ratio.ts
@@ -1,86 +1,94 @@
+/**
+ * Allocation ratios of a shard, by which new jobs are routed to shards: the demand that is running or waiting,
+ * divided by the capacity. A shard has one ratio for each priority rank, since a job waits only behind work that
+ * it cannot preempt, and within each rank one for jobs that may use spot machines and one for jobs that may not.
+ */
 import { PRIORITY_RANK, RESOURCE_KINDS, type Resources } from '../model.js';
 import { tasksNeedingCapacity } from '../reachability/failure-tracker.js';
 import { isLeaving } from '../reachability/machine-health.js';
 import type { MachineState } from '../shard/types.js';
 import type { ShardState } from '../shard/shard-state.js';
 
-/**
- * How much of a shard is booked, for the routing of new jobs: by rank, since a job waits only behind work
- * that it cannot displace, and by whether it may use spot machines.
- */
-
 const RANK_COUNT = Object.keys(PRIORITY_RANK).length;
 
-/** Where the share for a job is found in the list of shares. */
+/** Returns the index, in the list of allocation ratios, of the ratio that applies to a job. */
 export const loadIndex = (rank: number, spot: boolean): number => rank * 2 + Number(spot);
 
-interface Amounts {
+/** A running total of each resource. */
+interface ResourceTotals {
   cpus: number;
   gpus: number;
   memoryGb: number;
 }
 
-const none = (): Amounts => ({ cpus: 0, gpus: 0, memoryGb: 0 });
-const noneByRank = (): Amounts[] => Array.from({ length: RANK_COUNT }, none);
+const zeroTotals = (): ResourceTotals => ({ cpus: 0, gpus: 0, memoryGb: 0 });
+const zeroTotalsByRank = (): ResourceTotals[] => Array.from({ length: RANK_COUNT }, zeroTotals);
 
-const addTo = (sum: Amounts, amount: Resources, times = 1): void => {
-  for (const k of RESOURCE_KINDS) sum[k] += amount[k] * times;
+const addTo = (total: ResourceTotals, amount: Resources, times = 1): void => {
+  for (const resource of RESOURCE_KINDS) total[resource] += amount[resource] * times;
 };
 
-/** Machines of one kind, ordinary or spot: what they have, and what is booked there by rank. */
-interface KindOfMachines {
-  readonly capacity: Amounts;
-  readonly booked: Amounts[];
+/** The capacity of all ordinary machines, or of all spot machines, and what is allocated there. */
+interface MachinePool {
+  readonly capacity: ResourceTotals;
+  readonly allocatedByRank: ResourceTotals[];
 }
 
-const countsForRouting = (state: ShardState, m: MachineState, now: number): boolean => {
-  const goes = isLeaving(m) || m.preemptionNoticeAt !== null;
-  return !goes && (!m.everConfirmed || state.health.isFresh(m, now));
+/** Whether the machine counts as capacity: it stays, and is either still booting or heard from lately. */
+const countsForRouting = (state: ShardState, machine: MachineState, now: number): boolean => {
+  const leaves = isLeaving(machine) || machine.preemptionNoticeAt !== null;
+  return !leaves && (!machine.everConfirmed || state.health.isFresh(machine, now));
 };
 
 /**
- * Booked shares of the shard, waiting tasks included: for each rank the largest over the resources, first on
- * ordinary machines alone and then on all. One look at every machine, task and job.
+ * Returns the allocation ratios of the shard, as `loadIndex` numbers them. Waiting tasks count as allocated. Each
+ * ratio is the largest over the resources, first of the ordinary machines alone and then of all machines. Visits
+ * every machine, task and job once.
  */
 export const allocationRatios = (state: ShardState, now: number): number[] => {
-  const ordinary: KindOfMachines = { capacity: none(), booked: noneByRank() };
-  const spot: KindOfMachines = { capacity: none(), booked: noneByRank() };
-  for (const m of state.machines.values()) {
-    if (m.type === null || !countsForRouting(state, m, now)) continue;
-    const kind = m.record.spot ? spot : ordinary;
-    addTo(kind.capacity, m.type);
-    for (const { job } of m.tasks.values()) addTo(kind.booked[job.priorityRank]!, job.spec.demand);
+  const ordinary: MachinePool = { capacity: zeroTotals(), allocatedByRank: zeroTotalsByRank() };
+  const spot: MachinePool = { capacity: zeroTotals(), allocatedByRank: zeroTotalsByRank() };
+  for (const machine of state.machines.values()) {
+    if (machine.type === null || !countsForRouting(state, machine, now)) continue;
+    const pool = machine.record.spot ? spot : ordinary;
+    addTo(pool.capacity, machine.type);
+    for (const { job } of machine.tasks.values()) {
+      addTo(pool.allocatedByRank[job.priorityRank]!, job.spec.demand);
+    }
   }
-  const waiting = noneByRank();
+  const waitingByRank = zeroTotalsByRank();
   for (const job of state.jobs.values()) {
-    addTo(waiting[job.priorityRank]!, job.spec.demand, tasksNeedingCapacity(job, now));
+    addTo(waitingByRank[job.priorityRank]!, job.spec.demand, tasksNeedingCapacity(job, now));
   }
-  const shares: number[] = [];
+  const ratios: number[] = [];
   for (let rank = 0; rank < RANK_COUNT; rank++) {
-    const least = state.settings.preempt ? rank : 0;
-    for (const kinds of [[ordinary], [ordinary, spot]]) {
-      const booked = [waiting, ...kinds.map((kind) => kind.booked)];
-      shares.push(largestShare(booked, kinds, least, state.largest));
+    const lowestRank = state.settings.preempt ? rank : 0;
+    for (const pools of [[ordinary], [ordinary, spot]]) {
+      const allocated = [waitingByRank, ...pools.map((pool) => pool.allocatedByRank)];
+      ratios.push(largestRatio(allocated, pools, lowestRank, state.largest));
     }
   }
-  return shares;
+  return ratios;
 };
 
-/** Of what ranks from `least` on have booked, by resource; the largest share counts. */
-const largestShare = (
-  bookedByRank: readonly (readonly Amounts[])[],
-  kinds: readonly KindOfMachines[],
-  least: number,
+/** Returns the largest ratio over the resources of what ranks from `lowestRank` on have allocated. */
+const largestRatio = (
+  allocatedByRank: readonly (readonly ResourceTotals[])[],
+  pools: readonly MachinePool[],
+  lowestRank: number,
   largest: Resources,
 ): number => {
-  const capacity = none();
-  for (const kind of kinds) addTo(capacity, kind.capacity);
-  const booked = none();
-  for (const byRank of bookedByRank) {
-    for (const amounts of byRank.slice(least)) addTo(booked, amounts);
+  const capacity = zeroTotals();
+  for (const pool of pools) addTo(capacity, pool.capacity);
+  const allocated = zeroTotals();
+  for (const byRank of allocatedByRank) {
+    for (const totals of byRank.slice(lowestRank)) addTo(allocated, totals);
   }
-  // A shard without machines counts as one machine: what is booked there still tells shards apart.
-  const share = (k: keyof Amounts) =>
-    booked[k] === 0 ? 0 : booked[k] / Math.max(capacity[k], largest[k]);
-  return Math.max(...RESOURCE_KINDS.map(share));
+  // A shard without machines counts as having one, so that its waiting work still gives a finite ratio by which
+  // such shards can be compared.
+  const ratioOf = (resource: keyof ResourceTotals) =>
+    allocated[resource] === 0
+      ? 0
+      : allocated[resource] / Math.max(capacity[resource], largest[resource]);
+  return Math.max(...RESOURCE_KINDS.map(ratioOf));
 };
--- a/src/core/capacity/constants.ts
+++ b/src/core/capacity/constants.ts
@@ -1,25 +1,25 @@
-/** Numbers of capacity planning. */
+/** Limits and time constants of capacity planning. */
 
-/** Fractions of a machine below this are not worth renting one for. */
+/** A need for less than this fraction of a machine, beyond whole machines, does not justify renting one more. */
 export const IGNORED_MACHINE_FRACTION = 0.15;
 
-/** times the nominal boot time after which a machine that never reported is given back. */
+/** multiple of the nominal boot time after which a machine that never reported is returned */
 export const BOOT_TIMEOUT_FACTOR = 2.2;
 
-/** jobs remembered against counting twice, before those that have ended are sorted out */
+/** number of jobs remembered so that none is counted twice, before ended jobs are removed from that set */
 export const COUNTED_JOBS_LIMIT = 20_000;
 
-/** s; shortest span that a rate is taken over */
+/** shortest span over which an arrival rate is computed */
 export const MIN_ARRIVAL_WINDOW_S = 120;
 
-/** finished tasks from which on the measured run time is trusted alone */
+/** number of finished tasks of a class from which on its measured run time is used without the owners' estimates */
 export const RELIABLE_RUN_COUNT = 20;
 
-/** s; arrival rates are averaged over about this long: several boot times, well under an hour. */
+/** window over which arrival rates are averaged: several boot times, well under an hour */
 export const ARRIVAL_WINDOW_S = 150;
 
-/** weight of one more finished task in the learned run time of its class. */
+/** smallest weight of a newly finished task in the moving average of its class's run time */
 export const RUN_TIME_SMOOTHING = 0.08;
 
-/** s; assumed run time of a class of which nothing is known and whose guess is 0. */
+/** assumed run time of a class with no finished tasks whose jobs give 0 as their estimate */
 export const DEFAULT_RUN_S = 60;
--- a/src/core/capacity/reachable-capacity.ts
+++ b/src/core/capacity/reachable-capacity.ts
@@ -1,12 +1,12 @@
+/**
+ * Capacity that a waiting job could get on the machines of a shard, now or once other work ends, with machines
+ * included whose rental is pending. A job for which none is in reach needs a new machine, however little work it
+ * has.
+ */
 import type { JobState, MachineState } from '../shard/types.js';
 import { add, timesIn, ZERO, type MachineType, type Resources } from '../model.js';
 import { tasksAllowedIn } from '../placement/zones.js';
 
-/**
- * Room that a job could get on the machines of a shard, those that are still asked for included. A job
- * without any needs a machine of its own, however little work it is.
- */
-
 /** A rental that has not been answered yet. */
 export interface PendingRental {
   readonly type: string;
@@ -15,8 +15,8 @@
   readonly count: number;
 }
 
-/** Machines that are alike, up or asked for. */
-interface MachineKind {
+/** Interchangeable machines, either present or with their rental pending. */
+interface MachinePool {
   readonly type: MachineType;
   readonly zone: string;
   readonly spot: boolean;
@@ -26,88 +26,103 @@
 const mayUse = ({ spec }: JobState, type: string, spot: boolean): boolean =>
   (spec.spot || !spot) && (spec.types === null || spec.types.includes(type));
 
-/** What a replica can take: others of its rank or a higher one never end, lower work can be stopped. */
-const besideReplicas = (m: MachineState, job: JobState, preempts: boolean): Resources => {
-  let room: Resources = m.type ?? ZERO;
-  for (const p of m.tasks.values()) {
+/**
+ * Returns the capacity of a machine that a replica of the job could get. Other replicas never end, and tasks of
+ * its rank or a higher one are not preempted for it, so both keep theirs; tasks of lower ranks can be preempted.
+ */
+const capacityForReplicas = (
+  machine: MachineState,
+  job: JobState,
+  preemptionEnabled: boolean,
+): Resources => {
+  let free: Resources = machine.type ?? ZERO;
+  for (const placement of machine.tasks.values()) {
     const stays =
-      p.job.spec.kind === 'service' || !preempts || p.job.priorityRank >= job.priorityRank;
-    if (stays) room = add(room, p.job.spec.demand, -1);
+      placement.job.spec.kind === 'service' ||
+      !preemptionEnabled ||
+      placement.job.priorityRank >= job.priorityRank;
+    if (stays) free = add(free, placement.job.spec.demand, -1);
   }
-  return room;
+  return free;
 };
 
-/** The machines of one plan, looked at for many waiting jobs. */
+/** The machines that a capacity plan keeps or has asked for, grouped for queries about many waiting jobs. */
 export class ReachableCapacity {
-  readonly #asked: MachineKind[] = [];
-  readonly #all: MachineKind[] = [];
+  readonly #pendingPools: MachinePool[] = [];
+  readonly #allPools: MachinePool[] = [];
 
   constructor(
-    private readonly staying: readonly MachineState[],
-    pending: readonly PendingRental[],
+    private readonly retained: readonly MachineState[],
+    pendingRentals: readonly PendingRental[],
     types: ReadonlyMap<string, MachineType>,
-    private readonly preempts: boolean,
+    private readonly preemptionEnabled: boolean,
     private readonly now: number,
   ) {
-    for (const { type: name, zone, spot, count } of pending) {
+    for (const { type: name, zone, spot, count } of pendingRentals) {
       const type = types.get(name);
-      if (type !== undefined) this.#asked.push({ type, zone, spot, count });
+      if (type !== undefined) this.#pendingPools.push({ type, zone, spot, count });
     }
-    const kinds = new Map<string, MachineKind>();
-    for (const { type, record } of staying) {
+    const pools = new Map<string, MachinePool>();
+    for (const { type, record } of retained) {
       if (type === null) continue;
       const { zone, spot } = record;
       const key = `${type.name} ${zone} ${spot}`;
-      const kind = kinds.get(key) ?? { type, zone, spot, count: 0 };
-      kind.count += 1;
-      kinds.set(key, kind);
+      const pool = pools.get(key) ?? { type, zone, spot, count: 0 };
+      pool.count += 1;
+      pools.set(key, pool);
     }
-    this.#all = [...kinds.values(), ...this.#asked];
+    this.#allPools = [...pools.values(), ...this.#pendingPools];
   }
 
-  /** Tasks of the job for which there is or will be room, within its constraints on zones. */
+  /** Returns how many tasks of the job have or will have capacity, within its zone constraints. */
   tasksThatFit(job: JobState): number {
     const { spec } = job;
-    const byZone = new Map<string, number>();
-    const note = (zone: string, tasks: number) => byZone.set(zone, (byZone.get(zone) ?? 0) + tasks);
-    const service = spec.kind === 'service';
-    // Other work ends some time, so its machines count as a whole; replicas stay.
-    for (const { type, zone, spot, count } of service ? this.#asked : this.#all) {
-      if (mayUse(job, type.name, spot)) note(zone, timesIn(spec.demand, type) * count);
+    const tasksByZone = new Map<string, number>();
+    const addTasks = (zone: string, tasks: number) =>
+      tasksByZone.set(zone, (tasksByZone.get(zone) ?? 0) + tasks);
+    const isService = spec.kind === 'service';
+    // Tasks of arrays and gangs end some time, so a machine that runs them counts with all of its capacity. For a
+    // service, `#addByMachine` counts what the replicas on each machine leave.
+    for (const { type, zone, spot, count } of isService ? this.#pendingPools : this.#allPools) {
+      if (mayUse(job, type.name, spot)) addTasks(zone, timesIn(spec.demand, type) * count);
     }
-    if (service || job.avoidedMachines.size > 0) this.#addByMachine(job, note);
-    const rooms = [...byZone].map(([zone, tasks]) => Math.min(tasks, tasksAllowedIn(job, zone)));
-    return spec.oneZone ? Math.max(0, ...rooms) : rooms.reduce((sum, n) => sum + n, 0);
+    if (isService || job.avoidedMachines.size > 0) this.#addByMachine(job, addTasks);
+    const allowed = [...tasksByZone].map(([zone, tasks]) =>
+      Math.min(tasks, tasksAllowedIn(job, zone)),
+    );
+    return spec.oneZone ? Math.max(0, ...allowed) : allowed.reduce((sum, tasks) => sum + tasks, 0);
   }
 
-  /** Adds what replicas find on each machine, or takes off the machines that the job avoids. */
-  #addByMachine(job: JobState, note: (zone: string, tasks: number) => void): void {
+  /** Adds the replicas that fit each machine, or for other jobs subtracts the machines that the job avoids. */
+  #addByMachine(job: JobState, addTasks: (zone: string, tasks: number) => void): void {
     const { spec } = job;
-    const service = spec.kind === 'service';
-    for (const m of this.staying) {
-      const { type, zone, spot, name } = { ...m.record, type: m.type };
+    const isService = spec.kind === 'service';
+    for (const machine of this.retained) {
+      const { type, zone, spot, name } = { ...machine.record, type: machine.type };
       if (type === null || !mayUse(job, type.name, spot)) continue;
       const avoided = (job.avoidedMachines.get(name) ?? -Infinity) > this.now;
-      if (!service && avoided) note(zone, -timesIn(spec.demand, type));
-      if (!service || avoided) continue;
-      note(zone, Math.max(0, timesIn(spec.demand, besideReplicas(m, job, this.preempts))));
+      if (!isService && avoided) addTasks(zone, -timesIn(spec.demand, type));
+      if (!isService || avoided) continue;
+      const free = capacityForReplicas(machine, job, this.preemptionEnabled);
+      addTasks(zone, Math.max(0, timesIn(spec.demand, free)));
     }
   }
 }
 
-/** The zone in which a job that finds no room should get a machine; null: any. */
+/** Returns the zone in which machines should be rented for a job that lacks capacity; null: any zone will do. */
 export const zoneForNewMachines = (
   job: JobState,
   type: MachineType,
-  staying: readonly MachineState[],
+  retained: readonly MachineState[],
 ): string | null => {
   const { spec } = job;
   if (spec.zone !== null) return spec.zone;
   if (!spec.oneZone && !spec.spread) return null;
-  const machines = (z: string) => staying.filter((m) => m.record.zone === z).length;
-  const open = type.zones.filter((z) => tasksAllowedIn(job, z) > 0);
-  // A job of one zone grows where most is, one that spreads where least is.
+  const machinesIn = (zone: string) =>
+    retained.filter((machine) => machine.record.zone === zone).length;
+  const zones = type.zones.filter((zone) => tasksAllowedIn(job, zone) > 0);
+  // A job bound to one zone gets machines where most are already, one that must spread where fewest are.
   const sign = spec.oneZone ? -1 : 1;
-  open.sort((a, b) => sign * (machines(a) - machines(b)) || (a < b ? -1 : 1));
-  return open[0] ?? null;
+  zones.sort((a, b) => sign * (machinesIn(a) - machinesIn(b)) || (a < b ? -1 : 1));
+  return zones[0] ?? null;
 };
--- a/src/core/capacity/wanted-machines.ts
+++ b/src/core/capacity/wanted-machines.ts
@@ -1,3 +1,4 @@
+/** Computes how many machines of each type a shard needs, from its jobs and from the statistics of their classes. */
 import { IGNORED_MACHINE_FRACTION, DEFAULT_RUN_S } from './constants.js';
 import { typesFor } from '../jobs/admission.js';
 import { tasksNeedingCapacity } from '../reachability/failure-tracker.js';
@@ -11,41 +12,48 @@
 } from '../model.js';
 import type { Shard } from '../shard/shard.js';
 
-/** How many machines of each type a shard needs, by its work and by what is learned of the classes. */
-
-/** What a shard's need of machines follows from. */
+/** The inputs from which a shard's demand for machines is computed. */
 export interface DemandInput {
   readonly shard: Shard;
-  /** number of shards, which share what is kept ready */
+  /** number of shards in the cluster, which split the reserve of machines between them */
   readonly shardCount: number;
   readonly types: ReadonlyMap<string, MachineType>;
   readonly objectives: readonly Objective[];
+  /** statistics by job class */
   readonly classStats: ReadonlyMap<string, ClassStats>;
-  /** tasks of each class in the other shards, waiting or placed */
+  /** by job class, the tasks in the other shards, waiting or placed */
   readonly activeTasksElsewhere: ReadonlyMap<string, number>;
-  /** jobs that were told to come back: their machines are rented before they are accepted */
+  /** jobs whose submitters were told to retry later: their machines are rented before the jobs are accepted */
   readonly expectedJobs: readonly JobSpec[];
+  /** for urgent classes, capacity for the expected tasks plus this many standard deviations is kept */
   readonly reserveSigma: number;
+  /** seconds in which the waiting work of other classes should be done */
   readonly drainS: number;
   /** steady ms */
   readonly now: number;
 }
 
-/** Machines of one type that a shard needs. */
+/** How many machines of one type a shard needs, as fractional numbers. */
 export interface TypeNeed {
-  /** for jobs that may not use spot machines */
+  /** ordinary machines for jobs that may not use spot machines */
   ordinary: number;
-  /** for all others, if spot machines can be had */
+  /** spot machines for jobs that may use them, while the cloud has some */
   spot: number;
-  /** for all others, if they cannot: dearer machines have to be worth it */
+  /**
+   * ordinary machines for jobs that may use spot machines, while the cloud has none; fewer than `spot`, since
+   * ordinary machines cost more and are rented only as far as objectives require
+   */
   instead: number;
 }
 
-/** Whole machines for the need, a small fraction of one aside. */
+/** Rounds a need up to whole machines, ignoring a small fraction. */
 export const wholeMachines = (need: number): number =>
   Math.max(0, Math.ceil(need - IGNORED_MACHINE_FRACTION));
 
-/** Classes whose tasks must start sooner than a machine boots need machines kept ready. */
+/**
+ * Whether tasks of the class must start sooner than a machine boots, so that machines have to be kept ready for
+ * them.
+ */
 export const isUrgent = (
   jobClass: string,
   objectives: readonly Objective[],
@@ -53,20 +61,21 @@
 ): boolean =>
   objectives.some((o) => o.kind === 'wait' && o.jobClass === jobClass && o.withinS < bootS);
 
-/** The type on which the job costs least; null if none fits. */
+/** Returns the machine type on which a task of the job costs least; null: it fits on none. */
 export const cheapestType = (spec: JobSpec, types: Iterable<MachineType>): MachineType | null => {
-  let best: MachineType | null = null;
-  let bestPrice = Infinity;
-  for (const t of typesFor(spec, types)) {
-    const price = (spec.spot ? t.spotPrice : t.price) * dominantShare(spec.demand, t);
-    if (price < bestPrice) {
-      best = t;
-      bestPrice = price;
+  let cheapest: MachineType | null = null;
+  let lowestPrice = Infinity;
+  for (const type of typesFor(spec, types)) {
+    const price = (spec.spot ? type.spotPrice : type.price) * dominantShare(spec.demand, type);
+    if (price < lowestPrice) {
+      cheapest = type;
+      lowestPrice = price;
     }
   }
-  return best;
+  return cheapest;
 };
 
+/** The tasks of one job class in this shard, and the machine type that is rented for them. */
 interface ClassNeed {
   readonly spec: JobSpec;
   readonly type: MachineType;
@@ -76,7 +85,7 @@
 
 const needsByClass = (input: DemandInput): Map<string, ClassNeed> => {
   const needs = new Map<string, ClassNeed>();
-  const note = (spec: JobSpec, running: number, waiting: number): void => {
+  const addTasks = (spec: JobSpec, running: number, waiting: number): void => {
     let need = needs.get(spec.jobClass);
     if (need === undefined) {
       const type = cheapestType(spec, input.types.values());
@@ -88,73 +97,91 @@
     need.waiting += waiting;
   };
   for (const job of input.shard.jobs.values()) {
-    if (!job.ended) note(job.spec, job.placements.size, tasksNeedingCapacity(job, input.now));
+    if (!job.ended) addTasks(job.spec, job.placements.size, tasksNeedingCapacity(job, input.now));
   }
-  for (const spec of input.expectedJobs) note(spec, 0, spec.tasks);
-  // Classes known from other shards or earlier times need their reserve here as well.
-  for (const [name, s] of input.classStats) {
-    if (needs.has(name) || s.sample === null) continue;
-    const type = cheapestType(s.sample, input.types.values());
-    if (type !== null) needs.set(name, { spec: s.sample, type, running: 0, waiting: 0 });
+  for (const spec of input.expectedJobs) addTasks(spec, 0, spec.tasks);
+  // A class without tasks here, known from other shards or from earlier, needs this shard's part of its reserve.
+  for (const [jobClass, { sample }] of input.classStats) {
+    if (needs.has(jobClass) || sample === null) continue;
+    const type = cheapestType(sample, input.types.values());
+    if (type !== null) needs.set(jobClass, { spec: sample, type, running: 0, waiting: 0 });
   }
   return needs;
 };
 
-/** s; how long a class's waiting work may take on machines that are dear: what its aims leave. */
-const patience = (name: string, need: ClassNeed, runS: number, input: DemandInput): number => {
-  const within = input.objectives
-    .filter((o) => o.kind === 'finished' && o.jobClass === name)
+/**
+ * Returns in how many seconds the waiting work of a class should be done on ordinary machines that are rented
+ * in place of spot machines: the time that the objectives of the class leave after a boot and a run, and
+ * `drainS` at least.
+ */
+const costlyDrainS = (
+  jobClass: string,
+  need: ClassNeed,
+  runS: number,
+  input: DemandInput,
+): number => {
+  const limitsS = input.objectives
+    .filter((o) => o.kind === 'finished' && o.jobClass === jobClass)
     .map((o) => o.withinS);
-  if (within.length === 0) return input.drainS;
-  return Math.max(input.drainS, Math.min(...within) - runS - need.type.bootS);
+  if (limitsS.length === 0) return input.drainS;
+  return Math.max(input.drainS, Math.min(...limitsS) - runS - need.type.bootS);
 };
 
 /**
- * Machines that a shard needs: by the square-root rule for urgent classes (expected tasks at once
- * plus some standard deviations), and by the work to be drained for the others.
+ * Returns the machines that a shard needs, by type. Urgent classes, gangs and services are sized by the
+ * square-root rule: the tasks expected at once plus some standard deviations. The other classes are sized by the
+ * work that has to be drained.
  */
 export const wantedMachines = (input: DemandInput): Map<string, TypeNeed> => {
-  const out = new Map<string, TypeNeed>();
-  /** reserve that lower ranks may fill until it is needed */
-  let slack = 0;
-  for (const [name, need] of needsByClass(input)) {
-    const s = input.classStats.get(name);
-    const runS = s?.runS ?? (need.spec.estimateS > 0 ? need.spec.estimateS : DEFAULT_RUN_S);
-    const perMachine = Math.max(1, timesIn(need.spec.demand, need.type));
-    // Replicas never end, so their run time says nothing: what may arrive while a machine boots counts.
-    const service = need.spec.kind === 'service';
-    const whole = (s?.tasksPerS ?? 0) * (service ? need.type.bootS : runS);
-    const atOnce = whole / input.shardCount;
-    const elsewhere = input.activeTasksElsewhere.get(name) ?? 0;
-    const busy = need.running + need.waiting;
-    const t = out.get(need.type.name) ?? { ordinary: 0, spot: 0, instead: 0 };
-    out.set(need.type.name, t);
-    let soon: number;
-    let patient: number;
-    if (isUrgent(name, input.objectives, need.type.bootS) || need.spec.kind !== 'array') {
-      // What is to be kept beyond the work that is there is shared by the shards: if each kept its
-      // share of the whole, the shards with more work than others would come on top.
-      const there = service ? 0 : busy + elsewhere;
-      const kept = whole + input.reserveSigma * Math.sqrt(whole) - there;
-      soon = patient = busy + Math.max(0, kept) / input.shardCount;
-      if (input.shard.preemptionEnabled) slack += Math.max(0, soon - busy) / perMachine;
+  const needsByType = new Map<string, TypeNeed>();
+  /** reserved machines, on which tasks of lower ranks may run until they are preempted */
+  let preemptibleReserve = 0;
+  for (const [jobClass, need] of needsByClass(input)) {
+    const stats = input.classStats.get(jobClass);
+    const runS = stats?.runS ?? (need.spec.estimateS > 0 ? need.spec.estimateS : DEFAULT_RUN_S);
+    const tasksPerMachine = Math.max(1, timesIn(need.spec.demand, need.type));
+    // Replicas never end, so their run time does not tell how many there are at once. Capacity is kept for those
+    // that may arrive while a machine boots.
+    const isService = need.spec.kind === 'service';
+    const clusterTasks = (stats?.tasksPerS ?? 0) * (isService ? need.type.bootS : runS);
+    const tasksPerShard = clusterTasks / input.shardCount;
+    const activeElsewhere = input.activeTasksElsewhere.get(jobClass) ?? 0;
+    const active = need.running + need.waiting;
+    const typeNeed = needsByType.get(need.type.name) ?? { ordinary: 0, spot: 0, instead: 0 };
+    needsByType.set(need.type.name, typeNeed);
+    // Tasks to have capacity for: on machines of the cheapest kind, and on ordinary ones rented instead of spot ones.
+    let capacityTasks: number;
+    let costlyCapacityTasks: number;
+    if (isUrgent(jobClass, input.objectives, need.type.bootS) || need.spec.kind !== 'array') {
+      // The reserve beyond the tasks that exist is computed for the cluster and split evenly between the shards.
+      // If each shard aimed at its part of the cluster's total instead, shards with more tasks than others would
+      // exceed theirs, and the cluster would have too many machines.
+      const activeInCluster = isService ? 0 : active + activeElsewhere;
+      const reserve = clusterTasks + input.reserveSigma * Math.sqrt(clusterTasks) - activeInCluster;
+      capacityTasks = costlyCapacityTasks = active + Math.max(0, reserve) / input.shardCount;
+      if (input.shard.preemptionEnabled) {
+        preemptibleReserve += Math.max(0, capacityTasks - active) / tasksPerMachine;
+      }
     } else {
-      // Half of the running work is still to be done.
-      const work = (need.waiting + need.running / 2) * runS;
-      const steady = Math.min(atOnce, busy);
-      const within = (seconds: number) => Math.min(busy, Math.max(steady, work / seconds));
-      soon = within(Math.max(input.drainS, runS));
-      patient = within(Math.max(patience(name, need, runS, input), runS));
+      // On average, half of the work of running tasks is still to be done.
+      const workS = (need.waiting + need.running / 2) * runS;
+      const steadyTasks = Math.min(tasksPerShard, active);
+      const tasksToDrainIn = (seconds: number) =>
+        Math.min(active, Math.max(steadyTasks, workS / seconds));
+      capacityTasks = tasksToDrainIn(Math.max(input.drainS, runS));
+      costlyCapacityTasks = tasksToDrainIn(
+        Math.max(costlyDrainS(jobClass, need, runS, input), runS),
+      );
     }
     if (need.spec.spot) {
-      t.spot += soon / perMachine;
-      t.instead += patient / perMachine;
-    } else t.ordinary += soon / perMachine;
+      typeNeed.spot += capacityTasks / tasksPerMachine;
+      typeNeed.instead += costlyCapacityTasks / tasksPerMachine;
+    } else typeNeed.ordinary += capacityTasks / tasksPerMachine;
   }
-  for (const t of out.values()) {
-    if (t.ordinary === 0) continue;
-    t.spot = Math.max(0, t.spot - slack);
-    t.instead = Math.max(0, t.instead - slack);
+  for (const typeNeed of needsByType.values()) {
+    if (typeNeed.ordinary === 0) continue;
+    typeNeed.spot = Math.max(0, typeNeed.spot - preemptibleReserve);
+    typeNeed.instead = Math.max(0, typeNeed.instead - preemptibleReserve);
   }
-  return out;
+  return needsByType;
 };
