--- a/src/core/capacity/capacity-planner.ts
+++ b/src/core/capacity/capacity-planner.ts
@@ -46,6 +46,7 @@
   readonly wanted: readonly { readonly type: string; readonly need: TypeNeed }[];
 }
 
+/** boot time assumed for a machine of an unknown type */
 const DEFAULT_BOOT_S = 60;
 
 const isInUse = (machine: MachineState): boolean =>
--- a/src/shards/machine-records/constants.ts
+++ b/src/shards/machine-records/constants.ts
@@ -1,13 +1,13 @@
-/** Timing and limits of machine records. */
+/** Intervals and size limits of machine records. */
 
-/** ms; between two writes of a shard's machine records: those of a boot wave come close together */
+/** interval between two writes of a shard's machine records, so that machines that boot together share a write */
 export const MACHINE_RECORDS_INTERVAL_MS = 400;
 
-/** bytes of a machine's name in the record of its group, with quotes and state */
+/** bytes of one machine in the record of its group: its name with quotes, and its state */
 export const MACHINE_ENTRY_BYTES = 40;
 
-/** bytes of everything else in such a record: type and zone are short names */
+/** bytes of everything else in the record of a group, given that type and zone are short names */
 export const MACHINE_GROUP_OVERHEAD_BYTES = 300;
 
-/** names of returned machines that are remembered: the cloud lists them a little longer */
+/** number of returned machines whose names are remembered, since the cloud still lists them for a short time */
 export const RETURNED_INSTANCES_LIMIT = 10_000;
--- a/src/shards/machine-records/group-edits.ts
+++ b/src/shards/machine-records/group-edits.ts
@@ -1,6 +1,6 @@
 /**
- * Edits of a shard's machine groups, collected for one transaction. A group is the stored record of the
- * machines of one rental, so that a wave of boots or returns costs a few writes instead of one a machine.
+ * Edits of a shard's machine groups, collected for one transaction. A group is one stored record of the machines of
+ * one rental, so that many machines that boot or are returned together cost a few writes instead of one each.
  */
 import { encodeMachineGroup, type MachineGroup } from '../../store/codecs/machine-group.js';
 import { key } from '../../store/keys.js';
@@ -9,19 +9,21 @@
 import { MACHINE_ENTRY_BYTES, MACHINE_GROUP_OVERHEAD_BYTES } from './constants.js';
 import type { Transaction } from '../transaction.js';
 
+/** A changed copy of one group. */
 interface GroupEdit {
-  /** of the record that is edited */
+  /** revision of the stored record that was copied */
   readonly revision: number;
-  /** by machine: whether it is recorded as up */
+  /** the changed machines by name; true: recorded as up */
   readonly machines: Map<string, boolean>;
+  /** the record to be written, which holds `machines` */
   readonly group: MachineGroup;
 }
 
-/** How many machines fit one group's record, which must fit a value of the store; may be fractional. */
+/** Returns how many machines fit a group whose record is one value of the store; may be fractional. */
 export const groupCapacity = (valueBytes: number): number =>
   (valueBytes - MACHINE_GROUP_OVERHEAD_BYTES) / MACHINE_ENTRY_BYTES;
 
-/** Copies of the groups of one shard that a transaction changes, up to a limit of groups. */
+/** Collects the changed groups of one shard for a transaction that may hold `groupLimit` groups. */
 export class GroupEdits {
   readonly #byGroup = new Map<string, GroupEdit>();
 
@@ -36,8 +38,8 @@
   }
 
   /**
-   * The machines of the group that holds this one, to be changed in place. Null if the cache shows the machine
-   * in no group of the shard, or if the transaction holds no further group.
+   * Returns the machines of the group that holds `machine`, to be changed in place. Null if the cache shows the
+   * machine in no group of the shard, or if the transaction is full and does not hold its group yet.
    */
   edit(machine: string): Map<string, boolean> | null {
     const cached = this.cache.machines.get(machine);
@@ -53,13 +55,13 @@
     return edit.machines;
   }
 
-  /** Whether an edited group still holds the machine. */
+  /** Whether any edited group holds the machine after its changes. */
   holds(machine: string): boolean {
     for (const { machines } of this.#byGroup.values()) if (machines.has(machine)) return true;
     return false;
   }
 
-  /** Writes the edited groups, and drops those that are empty, if none has changed in the store. */
+  /** Returns the transaction that writes the edited groups, and deletes empty ones, if the store has none newer. */
   transaction(): Transaction {
     const guards: Guard[] = [];
     const writes: Write[] = [];
--- a/src/shards/machine-records/machine-move.ts
+++ b/src/shards/machine-records/machine-move.ts
@@ -1,4 +1,4 @@
-/** The transaction that moves machines from one shard to another. */
+/** Builds the transaction that moves machines from one shard to another. */
 import { encodeMachineGroup, type MachineGroup } from '../../store/codecs/machine-group.js';
 import { key } from '../../store/keys.js';
 import type { WatchCache } from '../../store/watch-cache.js';
@@ -8,28 +8,32 @@
 import type { StoreSizeLimits, Transaction } from '../transaction.js';
 import { groupCapacity, GroupEdits } from './group-edits.js';
 
-/** writes of a move besides the groups that machines leave: their new group, and the move itself */
+/** writes of a move besides the groups that machines leave: their new group, and the record of the move */
 const MOVE_WRITES = 2;
 
-/** Where machines move to, and what is written along with it. */
+/** The shard and group that machines move to, and guards and writes to add to the transaction. */
 export interface MoveTarget {
   readonly shard: number;
   readonly term: number;
-  /** the target shard's record as it is known */
+  /** guards the target shard's record, so that its owner and term are those that are known here */
   readonly shardGuard: Guard;
-  /** the new group that holds them */
+  /** id of the new group that will hold the machines */
   readonly group: string;
   readonly guards: readonly Guard[];
+  /** returns the added writes, given the names of the machines that the transaction moves */
   readonly writes: (moved: readonly string[]) => readonly Write[];
 }
 
-/** A transaction, and the machines that it moves. */
+/** A transaction and the names of the machines that it moves. */
 export interface MachineMove {
   readonly transaction: Transaction;
   readonly moved: readonly string[];
 }
 
-/** Takes machines of one kind out of their groups, as many as one transaction and one new group hold. */
+/**
+ * Takes machines of one kind, that of the first which can move, out of their groups: as many as one transaction and
+ * one new group of `capacity` machines hold. Returns null if none can move.
+ */
 const takeFromGroups = (
   cache: Pick<WatchCache, 'machines'>,
   edits: GroupEdits,
@@ -51,7 +55,7 @@
   return kind === null ? null : { kind, moved };
 };
 
-/** Plans a move of as many of the machines as one transaction holds; null if none can move. */
+/** Plans the move of as many of the machines as one transaction holds. Returns null if none can move. */
 export const planMove = (
   cache: Pick<WatchCache, 'machines' | 'tables'>,
   { transactionOps, valueBytes }: StoreSizeLimits,
--- a/src/shards/machine-records/machine-records.ts
+++ b/src/shards/machine-records/machine-records.ts
@@ -1,4 +1,4 @@
-/** The stored machine records of the shards that this node owns. */
+/** Writes the stored machine records of the shards that this node owns. */
 import type { Logger } from 'pino';
 import type { MachineState } from '../../core/shard/types.js';
 import { CALL_PRIORITY, type CallPriority } from '../../store/call-priority.js';
@@ -24,7 +24,7 @@
 } from './new-groups.js';
 import { ReturnedInstances } from './returned-instances.js';
 
-/** What machine records need of the process. */
+/** Dependencies of `MachineRecords`. */
 export interface MachineRecordsDependencies {
   readonly config: { readonly storeLimits: StoreSizeLimits };
   readonly client: CommitDependencies['client'];
@@ -37,19 +37,22 @@
 }
 
 /**
- * Writes the machine records of owned shards. All changes of a shard's existing groups go through here, one
- * transaction at a time, so that none undoes another.
+ * Writes the machine records of owned shards. This class makes all changes to the existing groups of a shard, one
+ * transaction at a time, so that no change overwrites another.
  */
 export class MachineRecords {
   readonly returnedInstances = new ReturnedInstances();
-  /** shards with a write of their groups under way */
+  /** shards with a write of existing groups in flight */
   readonly #writing = new Set<number>();
-  /** by shard, steady ms */
+  /** by shard: when its last write of existing groups ended, steady ms */
   readonly #lastWriteAt = new Map<number, number>();
 
   constructor(private readonly dependencies: MachineRecordsDependencies) {}
 
-  /** Records machines that have come up, and removes the records of returned ones. */
+  /**
+   * Records machines that have come up, and removes returned machines from their records. Does nothing while a write
+   * of the shard is in flight or was made less than `MACHINE_RECORDS_INTERVAL_MS` ago.
+   */
   async reconcile(owned: OwnedShard, now: number): Promise<void> {
     const { index } = owned.shard;
     const lastWriteAt = this.#lastWriteAt.get(index) ?? -Infinity;
@@ -65,6 +68,7 @@
     }
   }
 
+  /** Returns the edits that bring the records in line with machines that came up or were returned. */
   #observedChanges(shard: number, justUp: readonly MachineState[]): GroupEdits {
     const { cache, config } = this.dependencies;
     const edits = new GroupEdits(cache, shard, config.storeLimits.transactionOps);
@@ -75,7 +79,7 @@
     return edits;
   }
 
-  /** Resolves with false if the groups have changed in the store, or if it did not answer. */
+  /** Resolves with false if the groups have changed in the store, or if the store request failed. */
   async #writeGroups(
     { shard, authorization }: OwnedShard,
     priority: CallPriority,
@@ -95,7 +99,7 @@
     }
   }
 
-  /** Records the machines of an answered rental and drops the rental's record, in one transaction. */
+  /** Records the machines of an answered rental and deletes the rental's record, in one transaction. */
   async recordRental(
     { shard, authorization }: OwnedShard,
     rental: RentalRecord,
@@ -106,10 +110,10 @@
   }
 
   /**
-   * Takes a machine that is in no record into a group of its own. A rental that is not settled may be about
-   * to record it for another shard, and with two records two owners would have it
-   * (docs/incidents/2026-12-02-two-records.md). Every rental is recorded before its call, so once a current
-   * cache shows neither a rental of the machine's kind nor the machine, none can record it any more.
+   * Records a machine that is in no record, in a group of its own. A pending rental may be about to record the same
+   * machine for another shard, and a machine with two records would have two owners
+   * (docs/incidents/2026-12-02-two-records.md). Every rental is recorded before it is requested from the cloud. So
+   * once an up-to-date cache shows neither the machine nor a rental of its kind, no rental can record it any more.
    */
   async adopt(
     { shard, authorization }: OwnedShard,
@@ -131,8 +135,9 @@
   }
 
   /**
-   * Moves machines on which nothing is, and where nothing may arrive any more, to another shard in one
-   * transaction. As many as it holds go; resolves with their names, none if the records have changed.
+   * Moves machines to another shard in one transaction, as many as it holds. The machines must be empty, with no
+   * start on its way to them. Resolves with the names of those that have moved: none if the records have changed,
+   * the store request failed, or a write of the shard is in flight.
    */
   async move(
     owned: OwnedShard,
--- a/src/shards/machine-records/new-groups.ts
+++ b/src/shards/machine-records/new-groups.ts
@@ -1,4 +1,4 @@
-/** Transactions that create the record of a group: of an answered rental, or of an adopted machine. */
+/** Builds the transactions that create a machine group, for an answered rental or for an adopted machine. */
 import { encodeMachineGroup, type MachineGroup } from '../../store/codecs/machine-group.js';
 import { key } from '../../store/keys.js';
 import { type RentalRecord } from '../../store/codecs/rental.js';
@@ -7,13 +7,13 @@
 import { isSameKind, type MachineKind } from '../machine-kind.js';
 import type { Transaction } from '../transaction.js';
 
-/** A machine that no record knows, and the shard that adopts it. */
+/** A machine that is in no record, and the shard that adopts it. */
 export interface OrphanedMachine extends MachineKind {
   readonly name: string;
   readonly shard: number;
 }
 
-/** Whether a rental of the kind is recorded that has not been settled yet. */
+/** Whether a rental of this kind is pending. The record of a rental is deleted when it is settled. */
 export const isRentalPending = (
   rentals: ReadonlyMap<string, { readonly value: RentalRecord }>,
   kind: MachineKind,
@@ -23,8 +23,8 @@
 };
 
 /**
- * Settles a rental that the cloud has answered with the machines `rented`: drops its record, and records those of
- * its machines that are in no group yet.
+ * Returns the transaction that settles a rental which the cloud has answered with the machines `rented`: deletes the
+ * rental's record, and records those machines in a group that are in no group yet.
  */
 export const rentalTransaction = (
   cache: Pick<WatchCache, 'machines' | 'tables'>,
@@ -47,7 +47,7 @@
   return { guards, writes };
 };
 
-/** Records a machine in a group of its own, unless it was adopted before. */
+/** Returns the transaction that records a machine in a group of its own, unless it was adopted before. */
 export const adoptionTransaction = (
   term: number,
   { name, shard, type, zone, spot }: OrphanedMachine,
--- a/src/shards/machine-records/returned-instances.ts
+++ b/src/shards/machine-records/returned-instances.ts
@@ -1,18 +1,21 @@
-/** Memory of the machines that the cloud has taken back: late lists and heartbeats must not bring them back. */
+/**
+ * Remembers machines that were returned to the cloud, so that outdated machine lists and late heartbeats do not make
+ * them look like machines without a record.
+ */
 import { RETURNED_INSTANCES_LIMIT } from './constants.js';
 
-/** Names of returned machines; the oldest are forgotten first. */
+/** The names of returned machines. Beyond `RETURNED_INSTANCES_LIMIT` names, the oldest are forgotten first. */
 export class ReturnedInstances {
-  /** the latest last */
+  /** in the order of their return */
   readonly #names = new Set<string>();
-  /** those whose records still have to be removed */
-  readonly #recorded = new Set<string>();
+  /** returned machines that may still be in a record */
+  readonly #maybeRecorded = new Set<string>();
 
-  /** The cloud has confirmed that these are gone. */
+  /** Adds machines whose return the cloud has confirmed. */
   add(names: readonly string[]): void {
     for (const name of names) {
       this.#names.add(name);
-      this.#recorded.add(name);
+      this.#maybeRecorded.add(name);
     }
     for (const name of this.#names) {
       if (this.#names.size <= RETURNED_INSTANCES_LIMIT) break;
@@ -24,11 +27,11 @@
     return this.#names.has(name);
   }
 
-  /** Visits the machines that are still in `records`; those that are not need no further visit. */
+  /** Visits the returned machines that are still in `records`. Those that are not are never visited again. */
   forEachRecorded(records: ReadonlyMap<string, unknown>, visit: (name: string) => void): void {
-    for (const name of this.#recorded) {
+    for (const name of this.#maybeRecorded) {
       if (records.has(name)) visit(name);
-      else this.#recorded.delete(name);
+      else this.#maybeRecorded.delete(name);
     }
   }
 }
--- a/src/shards/orphaned-instances.ts
+++ b/src/shards/orphaned-instances.ts
@@ -1,7 +1,7 @@
 /**
- * Follows the cloud's list of machines: their addresses, machines that failed, and orphaned machines, which no
- * record knows. Those are adopted by the shard that their name belongs to, or returned by the leader of the
- * orphan collection.
+ * Reads the cloud's list of machines for their addresses, for machines that failed, and for orphaned machines, which
+ * are in no record. An orphaned machine is adopted by the shard that its name maps to, or returned by the leader of
+ * the orphan collection.
  */
 import type { Logger } from 'pino';
 import type { CloudClient } from '../cloud/cloud-client.js';
@@ -15,7 +15,7 @@
 import { attempt } from './retryable-errors.js';
 import type { ShardController } from './shard-controller.js';
 
-/** What following the cloud's list needs of the process. */
+/** Dependencies of `OrphanedInstances`. */
 export interface OrphanedInstancesDependencies {
   readonly config: Pick<PlatformConfig, 'nodes' | 'cloudLimits'>;
   readonly cloud: Pick<CloudClient, 'listMachines' | 'minListIntervalMs'>;
@@ -28,18 +28,20 @@
   readonly log: Logger;
 }
 
-/** Reads the cloud's list while this node owns a shard or collects orphans, and acts on what it shows. */
+/** Reads the cloud's list while this node owns a shard or collects orphaned machines, and acts on its content. */
 export class OrphanedInstances {
+  /** by machine, as the list showed them last */
   readonly #addresses = new Map<string, string>();
-  /** since when the list shows machines without a record, steady ms */
+  /** by machine: since when the list shows it without a record, steady ms */
   readonly #unrecordedSince = new Map<string, number>();
+  /** machines whose adoption is in flight */
   readonly #adopting = new Set<string>();
   #lastListAt = -Infinity;
   #listing = false;
 
   constructor(private readonly dependencies: OrphanedInstancesDependencies) {}
 
-  /** Reads the list if it is due, and sets the addresses that it showed in the owned shards. */
+  /** Sets the listed addresses of machines in the owned shards that have none, and reads the list if it is due. */
   tick(): void {
     const { shardController, cloud } = this.dependencies;
     const now = this.dependencies.now();
@@ -55,8 +57,8 @@
   }
 
   /**
-   * A heartbeat of a machine that may be in no record: a rental that was carried out late, or a late copy of
-   * a heartbeat of a machine that is gone. Only the cloud's list tells which, so it is read soon.
+   * Makes the list due earlier if the heartbeat's machine is in no record. The machine may come from a rental that
+   * was carried out late, or it may be gone and the heartbeat a late copy: only the cloud's list tells which.
    */
   handleHeartbeat({ machine }: Heartbeat): void {
     const { cache, shardController, now } = this.dependencies;
@@ -98,7 +100,7 @@
     }
   }
 
-  /** Whether a record knows the machine; marks it for return if the cloud says that it failed. */
+  /** Whether the machine is in a record. Marks it as terminating if it is and the cloud lists it as failed. */
   #isRecorded({ name, status }: ListedMachine): boolean {
     const { cache, shardController, log } = this.dependencies;
     const record = cache.machines.get(name)?.value;
@@ -112,7 +114,10 @@
     return true;
   }
 
-  /** The list may show machines that are gone and were returned; it can't any more after some time. */
+  /**
+   * Whether a machine without a record is orphaned. The list lags, so it may show returned machines for some time: a
+   * machine counts as orphaned only once it has been listed without a record for longer than that.
+   */
   #isOrphaned({ name }: ListedMachine): boolean {
     const { config, shardController } = this.dependencies;
     const now = this.dependencies.now();
@@ -122,6 +127,7 @@
     return now - since > settledMs && !shardController.machines.returnedInstances.has(name);
   }
 
+  /** Has the machines returned by the orphan collection, if this node is its leader. */
   async #collect(machines: readonly ListedMachine[]): Promise<void> {
     const { orphanCollection, shardController } = this.dependencies;
     if (machines.length === 0 || orphanCollection === null) return;
@@ -129,12 +135,13 @@
     shardController.machines.returnedInstances.add(returned);
   }
 
+  /** Records the machine in the shard that its name maps to, if this node owns that shard. */
   async #adopt({ name, type, zone, spot }: ListedMachine): Promise<void> {
     const { config, shardController, orphanCollection, log } = this.dependencies;
     const shard = shardOfMachine(name, config.nodes);
     const owned = shardController.owned.get(shard);
     if (owned === undefined || this.#adopting.has(name)) return;
-    // The leader of the orphan collection may have sent the machine's return before it was paused.
+    // The leader of the orphan collection may have sent the machine's return before the collection was paused.
     const intents = orphanCollection?.intents ?? null;
     if (intents?.recorded('unrecorded').has(name) ?? false) return;
     const guards = intents === null ? [] : [intents.guard('unrecorded')];
--- a/src/shards/scale-in.ts
+++ b/src/shards/scale-in.ts
@@ -7,13 +7,13 @@
 import { attempt } from './retryable-errors.js';
 import type { ShardController } from './shard-controller.js';
 
-/** A machine to be returned, and why. */
+/** A machine to be returned, and the reason for it. */
 export interface PlannedReturn {
   readonly name: string;
   readonly reason: string;
 }
 
-/** What scaling in needs of the process. */
+/** Dependencies of `ScaleIn`. */
 export interface ScaleInDependencies {
   readonly cloud: Pick<CloudClient, 'returnMachines'>;
   readonly shardController: Pick<ShardController, 'owned' | 'machines'>;
@@ -24,14 +24,14 @@
   readonly log: Logger;
 }
 
-/** Marks machines as terminating, and returns those that are marked until the cloud has confirmed it. */
+/** Marks machines as terminating, and repeats the return of marked machines until the cloud has confirmed it. */
 export class ScaleIn {
-  /** machines with a return under way */
+  /** machines whose return is in flight */
   readonly #returning = new Set<string>();
 
   constructor(private readonly dependencies: ScaleInDependencies) {}
 
-  /** Takes machines out of use, for a return. */
+  /** Marks machines as terminating, so that nothing starts there and `returnMarked` returns them. */
   markForReturn({ shard }: OwnedShard, planned: readonly PlannedReturn[]): void {
     for (const { name, reason } of planned) {
       const machine = shard.machines.get(name);
@@ -42,7 +42,10 @@
     }
   }
 
-  /** Takes machines out of use whose return an earlier owner has recorded: its call may still arrive. */
+  /**
+   * Marks machines as terminating whose return is recorded, for instance by an earlier owner of the shard: its call
+   * may still reach the cloud.
+   */
   markRecordedReturns(): void {
     const { intents, shardController } = this.dependencies;
     if (intents === null) return;
@@ -56,7 +59,7 @@
     }
   }
 
-  /** Returns whatever is out of use and has no return under way yet. */
+  /** Starts the return of all terminating machines of the shard that have no return in flight. */
   returnMarked(owned: OwnedShard): void {
     const names = [...owned.shard.machines.values()]
       .filter((machine) => machine.terminating && !this.#returning.has(machine.record.name))
@@ -78,7 +81,7 @@
     }
   }
 
-  /** The machines whose return is recorded and may be sent now. */
+  /** Records the return of the machines. Resolves with those whose return may be sent now. */
   async #record(
     { shard, authorization }: OwnedShard,
     names: readonly string[],
@@ -89,6 +92,7 @@
     return intents.record(authorization, { list: shard.index, names, isNeeded });
   }
 
+  /** Returns machines and forgets them once the cloud has confirmed it. */
   async #returnBatch(
     { shard, authorization }: OwnedShard,
     names: readonly string[],
--- a/src/shards/scale-out/capacity-backoff.ts
+++ b/src/shards/scale-out/capacity-backoff.ts
@@ -1,17 +1,18 @@
-/** Kinds of machines of which the cloud had no more, and until when they are not asked for again. */
+/** Backoff of rental requests for kinds of machines that the cloud has no capacity for. */
 import { NO_CAPACITY_BACKOFF_MS } from './constants.js';
 import { machineKindKey, type MachineKind } from '../machine-kind.js';
 
-/** Backoff by kind of machine after the cloud's answer "no capacity". */
+/** Keeps by kind of machine until when it is not requested again. */
 export class CapacityBackoff {
-  /** by kind, steady ms */
+  /** by kind of machine: when its backoff ends, steady ms */
   readonly #until = new Map<string, number>();
 
-  /** The cloud has just refused machines of the kind. */
+  /** Starts a backoff of `NO_CAPACITY_BACKOFF_MS`; call it when the cloud has not provided all machines requested. */
   begin(kind: MachineKind, now: number): void {
     this.#until.set(machineKindKey(kind), now + NO_CAPACITY_BACKOFF_MS);
   }
 
+  /** Whether machines of the kind should not be requested now. */
   isActive(kind: MachineKind, now: number): boolean {
     return (this.#until.get(machineKindKey(kind)) ?? 0) > now;
   }
--- a/src/shards/scale-out/constants.ts
+++ b/src/shards/scale-out/constants.ts
@@ -1,13 +1,13 @@
-/** Timing and limits of renting machines. */
+/** Intervals and limits of renting machines. */
 
-/** ms; between two capacity plans */
+/** interval between two capacity plans */
 export const CAPACITY_PLAN_INTERVAL_MS = 2000;
 
-/** ms; between repeats of a rental without an answer */
+/** delay before a rental that is still recorded after a request is requested again */
 export const RENTAL_RETRY_MS = 1000;
 
-/** ms; after "no capacity" the same kind of machine is not asked for again for this long */
+/** time for which a kind of machine is not requested again after the cloud had no capacity for it */
 export const NO_CAPACITY_BACKOFF_MS = 15_000;
 
-/** machines; the protocol's limit for one rental */
+/** largest number of machines in one rental; a limit of the cloud's protocol */
 export const MAX_RENTAL_BATCH = 50;
--- a/src/shards/scale-out/rental-requests.ts
+++ b/src/shards/scale-out/rental-requests.ts
@@ -1,8 +1,8 @@
 /**
- * Rentals from the cloud with write-ahead records. A rental's name is its idempotency key at the cloud, and
- * it is written to the store before the first call. Whoever owns the shard later, after a crash or a failover,
- * finds the record and repeats the call under the same name until its machines are known: no machine is
- * rented twice, and none is paid for that no record leads to.
+ * Rents machines from the cloud with write-ahead records. A rental's name is its idempotency key at the cloud, and
+ * its record is stored before the first request. A later owner of the shard, after a crash or a failover, finds the
+ * record and repeats the request under the same name until the cloud has told the machines. So no rental is carried
+ * out twice, and no machine is paid for that is neither recorded nor found through a rental's record.
  */
 import { RecordedIntent } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
@@ -21,10 +21,10 @@
 import { commit, type CommitDependencies, type StoreSizeLimits } from '../transaction.js';
 import type { CapacityBackoff } from './capacity-backoff.js';
 
-/** What rentals need of the process. */
+/** Dependencies of `RentalRequests`. */
 export interface RentalRequestsDependencies {
   readonly config: { readonly node: string; readonly storeLimits: StoreSizeLimits };
-  /** of this process: with the node and a sequence it makes the names of rentals unique */
+  /** id of this run of the process; the node, the incarnation and a sequence number make rental names unique */
   readonly incarnation: string;
   readonly cloud: Pick<CloudClient, 'rent'>;
   readonly client: CommitDependencies['client'];
@@ -36,14 +36,14 @@
   readonly log: Logger;
 }
 
-/** Records rentals, asks the cloud for what is recorded, and settles the records by its answers. */
+/** Records rentals, requests them from the cloud, and settles their records with its answers. */
 export class RentalRequests {
   #sequence = 0;
   /** shards whose new rentals are being recorded */
   readonly #recording = new Set<number>();
-  /** by rental: when it may be asked for again, steady ms; `Infinity` while a call is under way */
+  /** by rental name: until when it is not requested again, steady ms; `Infinity` while a request is in flight */
   readonly #retryAt = new Map<string, number>();
-  /** machines of one rental: their record must fit a value of the store */
+  /** largest number of machines in one rental, whose group must fit one value of the store */
   readonly #maxMachines: number;
 
   constructor(private readonly dependencies: RentalRequestsDependencies) {
@@ -51,12 +51,15 @@
     this.#maxMachines = Math.max(1, Math.min(MAX_RENTAL_BATCH, capacity));
   }
 
-  /** Whether new rentals of the shard are being recorded, so that the cache does not show them yet. */
+  /** Whether new rentals of the shard are being recorded and so are not in the cache yet. */
   isRecording(shard: number): boolean {
     return this.#recording.has(shard);
   }
 
-  /** Records new rentals, as many as one transaction holds, and then asks for them. */
+  /**
+   * Records new rentals and then requests them. Rentals that do not fit one transaction are left to the next capacity
+   * plan.
+   */
   async start(owned: OwnedShard, wanted: readonly RentalRequest[]): Promise<void> {
     const { config, log } = this.dependencies;
     const { index } = owned.shard;
@@ -76,23 +79,25 @@
     this.requestRecorded(owned);
   }
 
-  /** Cuts what is wanted into rentals of at most the size that one record holds. */
+  /** Splits requests into rentals of at most `#maxMachines` machines. */
   #split(wanted: readonly RentalRequest[]): RentalRequest[] {
     const rentals: RentalRequest[] = [];
-    for (const wish of wanted) {
-      for (let left = wish.count; left > 0; left -= this.#maxMachines) {
-        rentals.push({ ...wish, count: Math.min(left, this.#maxMachines) });
+    for (const request of wanted) {
+      for (let left = request.count; left > 0; left -= this.#maxMachines) {
+        rentals.push({ ...request, count: Math.min(left, this.#maxMachines) });
       }
     }
     return rentals;
   }
 
-  /** Asks the cloud for every recorded rental of the shard that is neither under way nor just answered. */
+  /** Requests the recorded rentals of the shard, except while a request is in flight or has just ended. */
   requestRecorded(owned: OwnedShard): void {
     const { cache, log, now } = this.dependencies;
     const { index } = owned.shard;
     const startedAt = now();
-    for (const [name, at] of this.#retryAt) if (at <= startedAt) this.#retryAt.delete(name);
+    for (const [name, retryAt] of this.#retryAt) {
+      if (retryAt <= startedAt) this.#retryAt.delete(name);
+    }
     for (const { value: rental, revision } of cache.tables.rentals.values()) {
       if (rental.shard !== index || this.#retryAt.has(rental.name)) continue;
       this.#retryAt.set(rental.name, Infinity);
@@ -104,15 +109,17 @@
     }
   }
 
+  /** Requests a recorded rental and settles its record with the answer. Rejects like the cloud and the store do. */
   async #rent(owned: OwnedShard, rental: RentalRecord, intent: RecordedIntent): Promise<void> {
     const { cloud, machineRecords } = this.dependencies;
     const result = await cloud.rent({ request: rental.name, ...rental }, intent);
-    this.#noteResult(rental, result);
+    this.#handleResult(rental, result);
     const machines = result.kind === 'rented' ? result.machines : [];
     await machineRecords.recordRental(owned, rental, machines);
   }
 
-  #noteResult(rental: RentalRecord, result: RentResult): void {
+  /** Logs the answer, and begins a backoff if the cloud has not provided all machines. */
+  #handleResult(rental: RentalRecord, result: RentResult): void {
     const { backoff, log, now } = this.dependencies;
     const { type, zone, spot, shard } = rental;
     const fields = { type, zone, spot, shard };
--- a/src/shards/scale-out/scale-out.ts
+++ b/src/shards/scale-out/scale-out.ts
@@ -1,6 +1,6 @@
 /**
- * Capacity control loop of the shards that this node owns: observes demand and machines, decides with the
- * capacity planner, and acts by renting (scale out) and by returning what is not needed (scale in).
+ * Capacity control loop of the shards that this node owns: observes demand and machines, decides with the capacity
+ * planner, and acts by renting machines (scale out) and by returning machines that are not needed (scale in).
  */
 import type { Logger } from 'pino';
 import type { CloudClient } from '../../cloud/cloud-client.js';
@@ -23,7 +23,7 @@
 import { CapacityBackoff } from './capacity-backoff.js';
 import { RentalRequests } from './rental-requests.js';
 
-/** What scaling out needs of the process. */
+/** Dependencies of `ScaleOut`. */
 export interface ScaleOutDependencies {
   readonly config: PlatformConfig;
   readonly operator: OperatorConfig;
@@ -34,20 +34,20 @@
   readonly shardController: ShardController;
   readonly scaleIn: ScaleIn;
   readonly workload: WorkloadStatistics;
-  /** tasks of each class in the other shards, waiting or placed */
+  /** returns by job class the tasks in shards other than `shard`, waiting or placed */
   readonly activeTasksElsewhere: (shard: number) => ReadonlyMap<string, number>;
-  /** jobs that were told to come back: they will be submitted again, here or elsewhere */
+  /** returns jobs whose submitters were told to retry later; the retry may reach this or another node */
   readonly expectedJobs: () => readonly JobSpec[];
-  /** null: not known yet */
+  /** returns the machine types by name; null: not known yet */
   readonly machineTypes: () => ReadonlyMap<string, MachineType> | null;
   /** steady ms */
   readonly now: () => number;
-  /** ms */
+  /** wall-clock ms */
   readonly timeOfDay: () => number;
   readonly log: Logger;
 }
 
-/** Plans the machines of owned shards, rents what is missing and has the rest returned. */
+/** Plans the machines of owned shards, rents missing ones and has surplus, lost and faulty ones returned. */
 export class ScaleOut {
   readonly #backoff = new CapacityBackoff();
   readonly #rentals: RentalRequests;
@@ -63,7 +63,7 @@
     });
   }
 
-  /** Repeats recorded rentals in every round, and plans anew every `CAPACITY_PLAN_INTERVAL_MS`. */
+  /** Requests recorded rentals at every call, and makes a new plan every `CAPACITY_PLAN_INTERVAL_MS`. */
   tick(): void {
     const { shardController, machineTypes } = this.dependencies;
     const now = this.dependencies.now();
@@ -75,7 +75,7 @@
     if (now - this.#lastPlanAt < CAPACITY_PLAN_INTERVAL_MS) return;
     this.#lastPlanAt = now;
     for (const owned of shardController.owned.values()) {
-      // What is being recorded is not in the cache yet and would be planned a second time.
+      // Rentals that are being recorded are not in the cache yet, so a plan would rent the same machines again.
       if (!owned.isActive || this.#rentals.isRecording(owned.shard.index)) continue;
       const plan = planCapacity(this.#observe(owned, types, now));
       this.#logPlan(owned.shard.index, plan, now);
@@ -111,23 +111,26 @@
     };
   }
 
-  /** Expected jobs have no shard yet: one shard of this node plans for them. */
+  /** Whether this is the shard of the node that plans for expected jobs, which belong to no shard yet. */
   #isFirstOwned(shard: number): boolean {
     return this.dependencies.shardController.owned.keys().next().value === shard;
   }
 
   #logPlan(
     shard: number,
-    { wanted, rentals, returns, cappedCount: capped }: CapacityPlan,
+    { wanted, rentals, returns, cappedCount }: CapacityPlan,
     now: number,
   ): void {
     const { log, operator } = this.dependencies;
     if (rentals.length > 0 || returns.length > 0) {
       log.debug({ shard, wanted, rentals, returns }, 'capacity planned');
     }
-    if (capped > 0 && now - this.#lastLimitLogAt > SUMMARY_MS) {
+    if (cappedCount > 0 && now - this.#lastLimitLogAt > SUMMARY_MS) {
       this.#lastLimitLogAt = now;
-      log.info({ shard, limit: operator.maxMachines, missing: capped }, 'machine limit reached');
+      log.info(
+        { shard, limit: operator.maxMachines, missing: cappedCount },
+        'machine limit reached',
+      );
     }
   }
 
