--- a/test/rental-requests.test.ts
+++ b/test/rental-requests.test.ts
@@ -1,4 +1,4 @@
-/** Rentals: recorded before the first call, repeated under the same name until they are answered. */
+/** Rental requests: recorded before the first call, repeated under the same name until the cloud answers. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import pino from 'pino';
@@ -22,14 +22,14 @@
 
 const settle = () => new Promise((resolve) => setImmediate(resolve));
 
-/** A shard whose rentals the cloud answers one by one, as the test says. */
+/** A shard with rental requests that the test answers one by one in place of the cloud. */
 class RentalScene {
   now = 0;
   readonly cache = new WatchCache();
   readonly store = new MemoryStore();
   readonly owned = ownedShard(shardWith(new Store()));
   readonly backoff = new CapacityBackoff();
-  /** calls at the cloud, each with whether its rental was in the store by then */
+  /** rental calls at the cloud; `recorded`: the rental was in the store when the call arrived */
   readonly calls: { name: string; count: number; recorded: boolean }[] = [];
   readonly answers: { resolve: (result: RentResult) => void; reject: (error: Error) => void }[] =
     [];
@@ -97,14 +97,14 @@
   assert.equal(scene.backoff.isActive(KIND, 0), false);
 });
 
-test('a call without an answer is repeated under the same name, after a pause and one at a time', async () => {
+test('a call without an answer is repeated under the same name, after the retry delay and one at a time', async () => {
   const scene = new RentalScene();
   await scene.start(1);
   await scene.requestAt(10 * RENTAL_RETRY_MS);
-  assert.equal(scene.calls.length, 1, 'the first call is under way');
+  assert.equal(scene.calls.length, 1, 'no second call while the first is in flight');
   await scene.answer(new CloudRequestError('no_response', 'no answer'));
   await scene.requestAt(scene.now + RENTAL_RETRY_MS - 1);
-  assert.equal(scene.calls.length, 1, 'not before the pause is over');
+  assert.equal(scene.calls.length, 1, 'no call before the retry delay is over');
   await scene.requestAt(scene.now + 1);
   assert.deepEqual(
     scene.calls.map(({ name }) => name),
@@ -116,11 +116,11 @@
 const INCOMPLETE: [string, RentResult, string[]][] = [
   ['no capacity', { kind: 'no_capacity' }, []],
   ['a malformed call', { kind: 'malformed', answer: '{}' }, []],
-  ['fewer machines than asked for', { kind: 'rented', machines: ['x'] }, ['machines/n0-a-1']],
+  ['fewer machines than requested', { kind: 'rented', machines: ['x'] }, ['machines/n0-a-1']],
 ];
 
 for (const [name, result, keys] of INCOMPLETE) {
-  test(`after an answer the rental is settled and its kind backs off: ${name}`, async () => {
+  test(`an answer without all machines settles the rental and starts a backoff of its kind: ${name}`, async () => {
     const scene = new RentalScene();
     await scene.start(2);
     await scene.answer(result);
@@ -131,7 +131,7 @@
   });
 }
 
-test('rentals are cut to what one record holds, and to as many as one transaction holds', async () => {
+test('rentals are split to what one record holds, and no more start than one transaction holds', async () => {
   for (const [valueBytes, counts] of [
     [8192, [MAX_RENTAL_BATCH, MAX_RENTAL_BATCH, 20]],
     [512, [5, 5, 5, 5]],
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -1,3 +1,7 @@
+/**
+ * The work of a scheduling decision must not grow with the fleet. These tests count visits of machines and jobs. The
+ * counts depend on the state alone, so the result is the same on every test machine.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { planCapacity, type CapacityInput } from '../src/core/capacity/capacity-planner.js';
@@ -12,16 +16,12 @@
 import { TaskSet } from '../src/core/jobs/task-set.js';
 import { job, machine, machineType, shardWith, spec, Store } from './helpers.js';
 
-/**
- * What a decision looks at must not grow with the fleet. The counts depend on the state alone, so the
- * verdict is the same on every machine.
- */
-
+/** numbers of machines */
 const FLEETS = { small: 1000, large: 4000 };
 
 const nameOf = (i: number): string => `m${String(i).padStart(5, '0')}`;
 
-/** A shard with so many machines, each of which has answered under its term. */
+/** Returns a shard with `machines` machines, each of which has acknowledged the shard's term. */
 const shardOf = (store: Store, machines: number): Shard => {
   for (let i = 0; i < machines; i++) {
     store.add(machine(nameOf(i), { spot: i % 3 === 0, zone: i % 2 === 0 ? 'y' : 'z' }));
@@ -54,7 +54,7 @@
 const placedTasks = (shard: Shard): number =>
   [...shard.jobs.values()].reduce((sum, j) => sum + j.placements.size, 0);
 
-/** Arrays, gangs and single tasks of several kinds, more than fit. */
+/** Submits arrays, and gangs of one or two tasks, with several demands: more than the machines can run. */
 const crowdedWork = (store: Store, machines: number): void => {
   const random = randomFrom(7);
   for (let i = 0; i < machines / 4; i++) {
@@ -72,36 +72,40 @@
   }
 };
 
-test('machines and jobs looked at for a placed task do not grow with the fleet', () => {
+test('machines and jobs visited for one placed task do not grow with the fleet', () => {
   const measure = (machines: number) => {
     const store = new Store();
     crowdedWork(store, machines);
     const shard = shardOf(store, machines);
     shard.placeAll(1);
     const placed = placedTasks(shard);
-    const first = { ...shard.state.work };
+    const firstPass = { ...shard.state.work };
     shard.placeAll(2);
-    const again = shard.state.work.machinesVisited - first.machinesVisited;
+    const secondPassVisits = shard.state.work.machinesVisited - firstPass.machinesVisited;
     assert.ok(placed > 2 * machines, `${placed} tasks placed on ${machines} machines`);
     return {
-      visited: first.machinesVisited / placed,
-      compared: first.jobsCompared / shard.jobs.size / shard.jobs.size,
-      again: again / machines,
+      visited: firstPass.machinesVisited / placed,
+      compared: firstPass.jobsCompared / shard.jobs.size / shard.jobs.size,
+      secondPass: secondPassVisits / machines,
     };
   };
   const small = measure(FLEETS.small);
   const large = measure(FLEETS.large);
-  // A pair that fits nowhere still looks into blocks of machines that have enough of each resource apart.
-  assert.ok(large.visited <= 3 * small.visited, `${large.visited} after ${small.visited}`);
-  assert.ok(large.visited < 40, `${large.visited} machines for a task`);
+  // A pair of tasks that fits nowhere still visits the blocks of machines that have enough of each resource, but not
+  // on the same machine.
+  assert.ok(
+    large.visited <= 3 * small.visited,
+    `${large.visited} visits a task, ${small.visited} in the small fleet`,
+  );
+  assert.ok(large.visited < 40, `${large.visited} machines visited for a task`);
   assert.ok(large.compared <= 1, `${large.compared} jobs compared for a pair of jobs`);
   assert.ok(
-    large.again <= 8,
-    `a pass that places nothing looks at each machine ${large.again} times`,
+    large.secondPass <= 8,
+    `a pass that places nothing visits each machine ${large.secondPass} times`,
   );
 });
 
-test('a report finds out quickly that none of thousands of waiting tasks fits', () => {
+test('a heartbeat visits no machine while none of thousands of waiting tasks fits', () => {
   const store = new Store();
   for (let i = 0; i < 3000; i++) {
     submit(store, `job-${i}`, { demand: { cpus: 3, gpus: 0, memoryGb: 1 }, types: ['m'] });
@@ -112,8 +116,8 @@
   const before = shard.state.work.machinesVisited;
   for (let i = 0; i < 100; i++) {
     const { zone, spot } = store.machines.get(nameOf(i))!.value;
-    const m = shard.machines.get(nameOf(i))!;
-    const tasks = [...m.tasks.values()].map(({ job: { spec }, index, attempt }) => ({
+    const { tasks: placements } = shard.machines.get(nameOf(i))!;
+    const tasks = [...placements.values()].map(({ job: { spec }, index, attempt }) => ({
       ...{ uid: spec.uid, index, attempt, why: null, saved: false },
       state: 'running' as const,
     }));
@@ -134,19 +138,18 @@
   assert.equal(shard.state.work.machinesVisited - before, 0);
 });
 
-test('returning thousands of idle machines takes one look at each', () => {
+test('returning thousands of idle machines looks at each machine a limited number of times', () => {
   const machines = FLEETS.large;
   const store = new Store();
   submit(store, 'job-s', { kind: 'service', tasks: 2, spread: true, spot: false });
   const shard = shardOf(store, machines);
   shard.placeAll(1);
-  let looked = 0;
-  const counted = [...shard.machines.values()];
-  for (const m of counted) {
-    const { record } = m;
-    Object.defineProperty(m, 'record', {
+  let recordReads = 0;
+  for (const state of [...shard.machines.values()]) {
+    const { record } = state;
+    Object.defineProperty(state, 'record', {
       get: () => {
-        looked += 1;
+        recordReads += 1;
         return record;
       },
     });
@@ -169,48 +172,48 @@
     now: 5000,
   };
   const { returns } = planCapacity(input);
-  assert.ok(returns.length > machines - 10, `${returns.length} given back`);
-  assert.ok(looked < 100 * machines, `${looked / machines} looks at each machine`);
+  assert.ok(returns.length > machines - 10, `${returns.length} machines returned`);
+  assert.ok(recordReads < 100 * machines, `${recordReads / machines} reads of each record`);
 });
 
-test('a set of task numbers behaves like a set, in order', () => {
+test('a TaskSet behaves like a Set that iterates in ascending order', () => {
   const random = randomFrom(5);
   const tasks = new TaskSet();
-  const plain = new Set<number>();
+  const reference = new Set<number>();
   for (let step = 0; step < 5000; step++) {
     const task = random(100_000) >> random(12);
-    assert.equal(tasks.has(task), plain.has(task));
-    if (random(3) === 0) assert.equal(tasks.delete(task), plain.delete(task));
+    assert.equal(tasks.has(task), reference.has(task));
+    if (random(3) === 0) assert.equal(tasks.delete(task), reference.delete(task));
     else {
       tasks.add(task);
-      plain.add(task);
+      reference.add(task);
     }
-    assert.equal(tasks.size, plain.size);
+    assert.equal(tasks.size, reference.size);
   }
   assert.deepEqual(
     [...tasks],
-    [...plain].sort((a, b) => a - b),
+    [...reference].sort((a, b) => a - b),
   );
 });
 
-test('completed tasks are counted from a bitmap as from a set', () => {
+test('counting the completed tasks of a bitmap gives the size of the decoded set', () => {
   const random = randomFrom(3);
   for (let i = 0; i < 300; i++) {
     const from = random(50);
     const range = { from, to: from + 1 + random(40) };
     const done = new Set(Array.from({ length: random(60) }, () => random(100)));
-    const cuts = [range, { from, to: range.to + random(9) }];
-    for (const cut of cuts) {
-      const bits = encodeDone(cut, done);
+    const encodedRanges = [range, { from, to: range.to + random(9) }];
+    for (const encoded of encodedRanges) {
+      const bits = encodeDone(encoded, done);
       assert.equal(countDone(range, bits), decodeDone(range, bits).size, JSON.stringify(range));
     }
   }
 });
 
-test('more jobs that have not ended than are remembered: each counts once', () => {
+test('more active jobs than the limit of remembered ones: each still counts once', () => {
   const workload = new WorkloadStatistics();
   const active = new Set(Array.from({ length: COUNTED_JOBS_LIMIT + 1000 }, (_, i) => `job-${i}`));
-  for (let look = 0; look < 3; look++) {
+  for (let pass = 0; pass < 3; pass++) {
     for (const uid of active) workload.recordArrival(spec({ uid }), 10);
     workload.forgetEndedJobs(active);
   }
@@ -218,41 +221,41 @@
   assert.equal(Math.round(tasksPerS * MIN_ARRIVAL_WINDOW_S), active.size);
 });
 
-test('an ordered search finds what a search through all machines finds, while they change', () => {
+test('the unused-volume index finds the machine that a full scan finds, while machines change', () => {
   for (let seed = 1; seed <= 40; seed++) {
     const random = randomFrom(seed);
     const store = new Store();
     const shard = shardOf(store, 60);
     const { largest } = shard.state;
     const machines = [...shard.machines.values()];
-    const change = (m: (typeof machines)[number]) => {
-      m.free = { cpus: random(9), gpus: random(3), memoryGb: 8 * random(9) };
+    const changeFree = (state: (typeof machines)[number]) => {
+      state.free = { cpus: random(9), gpus: random(3), memoryGb: 8 * random(9) };
     };
-    machines.forEach(change);
-    const order = new UnusedVolumeIndex(machines, largest);
+    machines.forEach(changeFree);
+    const index = new UnusedVolumeIndex(machines, largest);
     const present = new Set(machines);
     for (let step = 0; step < 100; step++) {
-      const m = machines[random(machines.length)]!;
-      change(m);
+      const changed = machines[random(machines.length)]!;
+      changeFree(changed);
       if (random(4) === 0) {
-        order.remove(m);
-        present.delete(m);
+        index.remove(changed);
+        present.delete(changed);
       } else {
-        order.put(m);
-        present.add(m);
+        index.put(changed);
+        present.add(changed);
       }
       const demand = { cpus: random(9), gpus: random(3), memoryGb: 8 * random(9) };
-      const takes = ({ free, record }: (typeof machines)[number]) =>
+      const fits = ({ free, record }: (typeof machines)[number]) =>
         demand.cpus <= free.cpus &&
         demand.gpus <= free.gpus &&
         demand.memoryGb <= free.memoryGb &&
         record.zone === 'y';
-      const [plain] = [...present].filter(takes).sort((a, b) => {
+      const [expected] = [...present].filter(fits).sort((a, b) => {
         const gap = unusedVolume(a.free, largest) - unusedVolume(b.free, largest);
         return Math.abs(gap) > 1e-9 ? gap : a.record.name < b.record.name ? -1 : 1;
       });
-      assert.equal(order.leastUnused(demand, takes), plain ?? null, `seed ${seed}, step ${step}`);
-      assert.equal(order.size, present.size);
+      assert.equal(index.leastUnused(demand, fits), expected ?? null, `seed ${seed}, step ${step}`);
+      assert.equal(index.size, present.size);
     }
   }
 });
