--- a/src/service/peer-exchange.ts
+++ b/src/service/peer-exchange.ts
@@ -102,7 +102,7 @@
   #receive(status: PeerStatus, acknowledgedSentAt: number): void {
     const { context, store } = this.dependencies;
     const { node, incarnation, cancellations, cancellationsComplete: complete } = status;
-    for (const cancellation of cancellations) store.cache.learnCancelled(cancellation);
+    for (const cancellation of cancellations) store.cache.applyCancellation(cancellation);
     const broadcast = { node, incarnation, complete, acknowledgedSentAt };
     this.#coverage.receive(broadcast, store.cache.currentAt, context.now());
     this.#broadcast.acknowledge(node, acknowledgedSentAt);
--- a/src/store/constants.ts
+++ b/src/store/constants.ts
@@ -13,7 +13,7 @@
 export const MIN_STORE_BURST_TOKENS = 4;
 
 /** ms; a read of the watch that takes longer is held, since nothing changes. */
-export const HELD_WATCH_MS = 40;
+export const WATCH_PROBE_DELAY_MS = 40;
 
 /** ms; requests for the same key that come within this time share a read. */
 export const READ_BATCH_WINDOW_MS = 4;
--- a/src/store/node-session.ts
+++ b/src/store/node-session.ts
@@ -4,7 +4,7 @@
 import { CLOCK_DRIFT } from '../constants.js';
 import { encodeNode, type NodeRecord } from './codecs/node.js';
 import { LEASE_MARGIN_MS, LEASE_RENEW_MS, LEASE_RETRY_MS, LEASE_TTL_MS } from './constants.js';
-import { key } from './keys.js';
+import { storeKey } from './keys.js';
 import type { StoreClient } from './store-client.js';
 
 const TIMING = {
@@ -23,7 +23,7 @@
   log: Logger,
 ): SessionLease => {
   const registration = {
-    key: key.node(node, incarnation),
+    key: storeKey.node(node, incarnation),
     value: encodeNode(incarnation, capabilities),
   };
   return new SessionLease(client, registration, TIMING, now, log);
--- a/src/store/store-client.ts
+++ b/src/store/store-client.ts
@@ -21,7 +21,7 @@
 import { StoreRequestError } from './errors.js';
 import { RequestScheduler, type StoreLimits } from './request-scheduler.js';
 import { keyOf, TransactionLimits, type StoreSizeLimits } from './transaction-limits.js';
-import type { Changes, Found, Page } from './types.js';
+import type { Changes, ReadResult, Page } from './types.js';
 
 interface Call {
   readonly priority: CallPriority;
@@ -76,7 +76,7 @@
   }
 
   /** Reads one key, as of a moment after the call. */
-  async get(key: string, priority: CallPriority): Promise<Found> {
+  async get(key: string, priority: CallPriority): Promise<ReadResult> {
     const response = await this.#call({ priority, method: 'GET', path: `/store/${key}` });
     if (response.status === 404) {
       return { missing: true, storeRevision: storeRevisionSchema.parse(response.body) };
--- a/src/store/watch-cache.ts
+++ b/src/store/watch-cache.ts
@@ -7,7 +7,13 @@
 import type { Cancellation } from '../core/cancellation/cancellation.js';
 import { eitherDone } from '../core/jobs/jobs.js';
 import type { MachineRecord } from '../core/model.js';
-import { FINAL_STATE_PREFIX, key, prefixOf, TABLE_OF_PREFIX, type CachedPrefix } from './keys.js';
+import {
+  FINAL_STATE_PREFIX,
+  storeKey,
+  cachedPrefixOf,
+  TABLE_OF_PREFIX,
+  type CachedPrefix,
+} from './keys.js';
 import { encodeFinalState, decodeFinalState, type FinalState } from './codecs/final-state.js';
 import { machinesOf, type MachineGroup } from './codecs/machine-group.js';
 import { decoders, type CachedValues } from './codecs/cached-values.js';
@@ -21,7 +27,7 @@
 /** What has changed since the changes were last taken. */
 export interface CacheChanges {
   /** a listing has replaced all tables */
-  everything: boolean;
+  allTables: boolean;
   /** uids of active jobs that were written or removed */
   readonly jobs: Set<string>;
   machines: boolean;
@@ -69,7 +75,7 @@
   readonly machines = new Map<string, CachedMachine>();
   /** counts updates: while it stays the same, nothing has changed */
   version = 0;
-  #changed: CacheChanges = { everything: true, jobs: new Set(), machines: true };
+  #changed: CacheChanges = { allTables: true, jobs: new Set(), machines: true };
   /** final states by uid; the oldest are evicted first and can be read again */
   readonly finalStates = new Map<string, FinalState>();
   revision = -1;
@@ -91,7 +97,7 @@
     if (batch.isListing) {
       this.tables = emptyTables();
       this.machines.clear();
-      this.#changed.everything = true;
+      this.#changed.allTables = true;
       // A listing may be older than this node's latest writes: without them machines would be missing
       // on which tasks run.
       this.#consistentFrom = Math.max(batch.consistentFrom ?? batch.revision, this.#ownRevision);
@@ -134,10 +140,10 @@
   #applyChange(change: Change): void {
     if (change.key.startsWith(FINAL_STATE_PREFIX)) {
       const uid = change.key.slice(FINAL_STATE_PREFIX.length);
-      if (!change.removed) this.learnFinalState(uid, change.value, change.revision);
+      if (!change.removed) this.recordFinalState(uid, change.value, change.revision);
       return;
     }
-    const prefix = prefixOf(change.key);
+    const prefix = cachedPrefixOf(change.key);
     if (prefix === null) return;
     const id = change.key.slice(prefix.length);
     const table = this.tables[TABLE_OF_PREFIX[prefix]] as Map<string, Cached<unknown>>;
@@ -177,7 +183,7 @@
   /** Returns what has changed since the last call, for the one reconciler that compares only that. */
   takeChanges(): CacheChanges {
     const changed = this.#changed;
-    this.#changed = { everything: false, jobs: new Set(), machines: false };
+    this.#changed = { allTables: false, jobs: new Set(), machines: false };
     return changed;
   }
 
@@ -199,17 +205,20 @@
   }
 
   /** Takes in a cancellation that another node has sent, ahead of the watch and without the store. */
-  learnCancelled({ uid, tasks, done, epoch }: Cancellation): void {
+  applyCancellation({ uid, tasks, done, epoch }: Cancellation): void {
     if (this.finalStates.has(uid)) return;
     const final: FinalState = { status: 'cancelled', tasks, done };
     this.applyOwn(
-      [{ drop: key.activeJob(uid) }, { put: key.finalState(uid), value: encodeFinalState(final) }],
+      [
+        { drop: storeKey.activeJob(uid) },
+        { put: storeKey.finalState(uid), value: encodeFinalState(final) },
+      ],
       epoch,
     );
   }
 
   /** Takes in a final state as of a revision; returns the valid one, which is the first. */
-  learnFinalState(uid: string, value: unknown, revision: number): FinalState {
+  recordFinalState(uid: string, value: unknown, revision: number): FinalState {
     const known = this.finalStates.get(uid);
     if (known !== undefined) return known;
     const final = decodeFinalState(value);
--- a/test/linearizable-reads.test.ts
+++ b/test/linearizable-reads.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { setImmediate as turn, setTimeout as sleep } from 'node:timers/promises';
-import { HELD_WATCH_MS, READ_BATCH_WINDOW_MS } from '../src/store/constants.js';
-import type { Found } from '../src/store/types.js';
-import { key } from '../src/store/keys.js';
+import { WATCH_PROBE_DELAY_MS, READ_BATCH_WINDOW_MS } from '../src/store/constants.js';
+import type { ReadResult } from '../src/store/types.js';
+import { storeKey } from '../src/store/keys.js';
 import { LinearizableReads } from '../src/store/linearizable-reads.js';
 import { SharedReads } from '../src/store/shared-reads.js';
 import { WatchCache } from '../src/store/watch-cache.js';
@@ -13,12 +13,12 @@
   now = 100;
   readonly cache = new WatchCache();
   /** probes that were sent and not answered yet */
-  readonly probes: ((found: Found) => void)[] = [];
+  readonly probes: ((found: ReadResult) => void)[] = [];
   readonly reads: LinearizableReads;
   shownSince: number | null = null;
 
   constructor() {
-    const get = () => new Promise<Found>((resolve) => this.probes.push(resolve));
+    const get = () => new Promise<ReadResult>((resolve) => this.probes.push(resolve));
     this.reads = new LinearizableReads({ get }, this.cache, () => this.now);
     this.listing(10, 0);
   }
@@ -44,8 +44,8 @@
   /** A read of the watch is held for long enough that a probe is sent. */
   async heldUntilProbe(): Promise<void> {
     this.reads.onReadState(this.now);
-    this.now += HELD_WATCH_MS;
-    while (this.probes.length === 0) await sleep(HELD_WATCH_MS / 4);
+    this.now += WATCH_PROBE_DELAY_MS;
+    while (this.probes.length === 0) await sleep(WATCH_PROBE_DELAY_MS / 4);
   }
 
   answerProbe(revision: number): void {
@@ -153,7 +153,7 @@
     await turn();
     assert.equal(scene.shownSince, 100);
     assert.equal(second, null);
-    while (scene.probes.length === 0) await sleep(HELD_WATCH_MS / 4);
+    while (scene.probes.length === 0) await sleep(WATCH_PROBE_DELAY_MS / 4);
     scene.answerProbe(10);
     await turn();
     assert.equal(second, scene.now);
@@ -162,10 +162,10 @@
 });
 
 test('reads of one key are shared until they leave, and not after', async () => {
-  const answers: ((found: Found) => void)[] = [];
-  const get = () => new Promise<Found>((resolve) => answers.push(resolve));
+  const answers: ((found: ReadResult) => void)[] = [];
+  const get = () => new Promise<ReadResult>((resolve) => answers.push(resolve));
   const reads = new SharedReads({ get });
-  const name = key.finalState('job-000001');
+  const name = storeKey.finalState('job-000001');
   const early = [reads.read(name), reads.read(name)];
   await sleep(READ_BATCH_WINDOW_MS * 3);
   assert.equal(answers.length, 1, 'both left as one');
--- a/test/watch-cache.test.ts
+++ b/test/watch-cache.test.ts
@@ -2,7 +2,7 @@
 import { describe, test } from 'node:test';
 import { randomFrom } from '../src/random.js';
 import type { Change } from '../src/store/types.js';
-import { CACHED_PREFIXES, key, TABLE_OF_PREFIX } from '../src/store/keys.js';
+import { CACHED_PREFIXES, storeKey, TABLE_OF_PREFIX } from '../src/store/keys.js';
 import { encodeJob } from '../src/store/codecs/job.js';
 import { encodeMachineGroup } from '../src/store/codecs/machine-group.js';
 import type { WatchBatch } from '../src/store/watch.js';
@@ -19,12 +19,12 @@
 const GROUP = { ...machine('x'), machines: new Map([['x', true]]) };
 /** a value for each kind of key */
 const VALUES: readonly (readonly [name: string, value: unknown])[] = [
-  [key.activeJob(UID), encodeJob(job())],
-  [key.machineGroup('g'), encodeMachineGroup(GROUP)],
-  [key.rental(0, 'h'), { type: 'm', zone: 'z', spot: false, count: 1 }],
-  [key.shard(0), { owner: 'n', incarnation: 'i', term: 1 }],
-  [key.completions(0, 0), { [`${UID}/0`]: 'f' }],
-  [key.node('n', 'i'), { incarnation: 'i' }],
+  [storeKey.activeJob(UID), encodeJob(job())],
+  [storeKey.machineGroup('g'), encodeMachineGroup(GROUP)],
+  [storeKey.rental(0, 'h'), { type: 'm', zone: 'z', spot: false, count: 1 }],
+  [storeKey.shard(0), { owner: 'n', incarnation: 'i', term: 1 }],
+  [storeKey.completions(0, 0), { [`${UID}/0`]: 'f' }],
+  [storeKey.node('n', 'i'), { incarnation: 'i' }],
 ];
 const FINAL = { status: 'cancelled', tasks: 1, done: 0 };
 
@@ -122,7 +122,7 @@
         cache.applyOwn([{ put: name, value }], 5);
         assert.equal(shown(cache).get(name) ?? null, row.shows, name);
         const group = cache.machines.get('x')?.revision ?? null;
-        if (name === key.machineGroup('g')) assert.equal(group, row.shows);
+        if (name === storeKey.machineGroup('g')) assert.equal(group, row.shows);
       }
     });
   }
@@ -131,9 +131,11 @@
 test('a final state never changes: a later one of another kind is not taken in', () => {
   const cache = new WatchCache();
   cache.apply(listing(1, []));
-  cache.apply(changed(3, [put(key.finalState(UID), { status: 'done', tasks: 1, done: 1 }, 3)]));
-  cache.learnCancelled({ uid: UID, tasks: 1, done: 0, epoch: 4 });
-  cache.learnFinalState(UID, FINAL, 4);
+  cache.apply(
+    changed(3, [put(storeKey.finalState(UID), { status: 'done', tasks: 1, done: 1 }, 3)]),
+  );
+  cache.applyCancellation({ uid: UID, tasks: 1, done: 0, epoch: 4 });
+  cache.recordFinalState(UID, FINAL, 4);
   assert.equal(cache.finalStates.get(UID)?.status, 'done');
 });
 
@@ -215,16 +217,16 @@
 
   #jobWrites(): Write[] {
     const uid = `job-${this.#random(this.#jobs + 1)}`;
-    const present = this.#store.at(key.activeJob(uid), this.#store.revision);
+    const present = this.#store.at(storeKey.activeJob(uid), this.#store.revision);
     if (present?.removed === true) return [{ put: 'term', value: this.#store.revision }];
     if (present === undefined) this.#jobs += 1;
     const end = present !== undefined && this.#random(2) === 0;
-    if (!end) return [{ put: key.activeJob(uid), value: encodeJob(job({ uid })) }];
+    if (!end) return [{ put: storeKey.activeJob(uid), value: encodeJob(job({ uid })) }];
     const status = this.#random(2) === 0 ? 'done' : 'cancelled';
     if (status === 'cancelled')
       this.#peerCancellations.push({ uid, revision: this.#store.revision + 1 });
     const value = { status, tasks: 1, done: 0 };
-    return [{ drop: key.activeJob(uid) }, { put: key.finalState(uid), value }];
+    return [{ drop: storeKey.activeJob(uid) }, { put: storeKey.finalState(uid), value }];
   }
 
   #ownWrite(): void {
@@ -247,8 +249,8 @@
     const told = this.#peerCancellations[this.#random(this.#peerCancellations.length)];
     if (told === undefined) return;
     const { uid, revision } = told;
-    this.#cache.learnCancelled({ uid, epoch: revision, tasks: 1, done: 0 });
-    this.#toldRemoval(key.activeJob(uid), revision);
+    this.#cache.applyCancellation({ uid, epoch: revision, tasks: 1, done: 0 });
+    this.#toldRemoval(storeKey.activeJob(uid), revision);
   }
 
   /** The watch's answer is made at one step and arrives at another; a listing is made page by page. */
@@ -306,7 +308,7 @@
     const machines = this.#cache.tables.machineGroups.has('g') ? ['x'] : [];
     assert.deepEqual([...this.#cache.machines.keys()], machines, `step ${step}: machines by name`);
     for (const [uid, { status }] of this.#cache.finalStates) {
-      const stored = this.#store.at(key.finalState(uid), this.#store.revision)
+      const stored = this.#store.at(storeKey.finalState(uid), this.#store.revision)
         ?.value as typeof FINAL;
       assert.equal(status, stored.status, `step ${step}: ${uid}`);
     }
