--- a/src/store/availability.ts
+++ b/src/store/availability.ts
@@ -1,17 +1,17 @@
-/** Tells from the outcomes of the calls whether the store is available to this node. */
+/** Derives from the outcomes of calls whether the store is available to this node. */
 import { CONSECUTIVE_FAILURES_LIMIT } from './constants.js';
 
-/** Counts failures in a row; a single one may be due to the network. */
+/** Counts consecutive failures; a single failure may be due to the network. */
 export class StoreAvailability {
   #consecutiveFailures = 0;
   #lastSuccessAt = -Infinity;
 
-  /** steady ms of the last answer that shows the store working */
+  /** Steady-clock time in ms of the last answer that shows the store to be working. */
   get lastSuccessAt(): number {
     return this.#lastSuccessAt;
   }
 
-  /** False during an outage, which may be one that only this node sees. */
+  /** False during an outage; the outage may affect this node only. */
   get available(): boolean {
     return this.#consecutiveFailures < CONSECUTIVE_FAILURES_LIMIT;
   }
--- a/src/store/call-priority.ts
+++ b/src/store/call-priority.ts
@@ -1,6 +1,6 @@
-/** Order in which the calls to the store are sent when there are more than its limits allow. */
+/** Priorities of calls to the store, which order them while the rate limits allow fewer calls than are waiting. */
 
-/** Priorities, the most important first: leases keep ownership, everything else can wait for them. */
+/** Priorities, most important first. Lease renewals come before everything else, because leases keep ownership. */
 export const CALL_PRIORITY = {
   renew: 0,
   watch: 1,
@@ -11,5 +11,5 @@
   background: 6,
 } as const;
 
-/** One of the priorities; lower goes first. */
+/** One of the priorities; the lower number is sent first. */
 export type CallPriority = (typeof CALL_PRIORITY)[keyof typeof CALL_PRIORITY];
--- a/src/store/codecs/cached-values.ts
+++ b/src/store/codecs/cached-values.ts
@@ -11,7 +11,7 @@
 import { decodeShard, type ShardRecord } from './shard.js';
 import { decodeTerm } from './term.js';
 
-/** What the values under each prefix are in memory. */
+/** Types of the decoded values, by prefix of their keys. */
 export interface CachedValues {
   'active/': JobRecord;
   'done/': CompletionBitmaps;
@@ -24,7 +24,7 @@
   term: number;
 }
 
-/** Reads a stored value; `id` is the key without its prefix. Throws if the value is not of its kind. */
+/** Decoders by prefix; `id` is the key without its prefix. A decoder throws if the value is malformed. */
 export const decoders: {
   [P in CachedPrefix]: (id: string, value: unknown) => CachedValues[P];
 } = {
--- a/src/store/codecs/completions.ts
+++ b/src/store/codecs/completions.ts
@@ -1,15 +1,16 @@
-/** Codec of completed tasks (`done/<shard>/<slot>`). */
+/** Codec of the bitmaps of completed tasks (`done/<shard>/<slot>`). */
 import * as z from 'zod';
 
-/** Bitmaps of completed tasks by `<uid>/<first task>`: many ranges of a shard in one value. */
+/** Bitmaps of completed tasks by `<uid>/<first task>`. One value holds those of many ranges of a shard. */
 export type CompletionBitmaps = ReadonlyMap<string, string>;
 
-const storedBitmaps = z.record(z.string(), z.string());
+const storedBitmapsSchema = z.record(z.string(), z.string());
 
-/** Bitmaps as they are stored. */
-export const encodeCompletions = (bitmaps: CompletionBitmaps): z.infer<typeof storedBitmaps> =>
-  Object.fromEntries(bitmaps);
+/** Returns the stored form of bitmaps. */
+export const encodeCompletions = (
+  bitmaps: CompletionBitmaps,
+): z.infer<typeof storedBitmapsSchema> => Object.fromEntries(bitmaps);
 
-/** Reads stored bitmaps; throws if they are none. */
+/** Decodes stored bitmaps; throws if the value is malformed. */
 export const decodeCompletions = (value: unknown): CompletionBitmaps =>
-  new Map(Object.entries(storedBitmaps.parse(value)));
+  new Map(Object.entries(storedBitmapsSchema.parse(value)));
--- a/src/store/codecs/election-entry.ts
+++ b/src/store/codecs/election-entry.ts
@@ -1,4 +1,4 @@
-/** Codec of what the store holds of leader election and singleton controllers (`duties/`). */
+/** Codec of the stored state of leader election and of the singleton controllers (`duties/`). */
 import {
   decodeLeaderRecord,
   decodeTransferRequest,
@@ -12,7 +12,11 @@
 import * as z from 'zod';
 import { electionEntryKey, ELECTIONS_PREFIX, RETURN_INTENTS_PREFIX } from '../keys.js';
 
-/** One value under the prefix. A value of another version is `other` and is left alone. */
+/**
+ * A decoded value under the prefix. `record` names the leader of a role, `request` asks for a transfer of its
+ * leadership, `returns` lists machines whose return was decided, and `retention` is the retention clock. Values of
+ * other versions and keys of other kinds are `other` and must not be changed.
+ */
 export type ElectionEntry =
   | { readonly kind: 'record'; readonly role: string; readonly record: LeaderRecord }
   | { readonly kind: 'request'; readonly role: string; readonly request: LeadershipTransferRequest }
@@ -20,19 +24,19 @@
   | { readonly kind: 'retention'; readonly retention: RetentionRecord }
   | { readonly kind: 'other' };
 
-const storedReturnIntents = z.object({ machines: z.array(z.string()) });
+const storedReturnIntentsSchema = z.object({ machines: z.array(z.string()) });
 
-/** Machines whose return was decided, as they are stored. */
+/** Returns the stored form of a list of machines whose return to the cloud was decided. */
 export const encodeReturnIntents = (
   machines: readonly string[],
 ): { readonly machines: readonly string[] } => ({ machines });
 
-/** The marker that changes with every garbage collection of final states, as it is stored. */
+/** Returns the stored form of the marker that each deletion of final states writes (`electionEntryKey.acceptance`). */
 export const encodeAcceptanceMarker = (fencingToken: number): { readonly token: number } => ({
   token: fencingToken,
 });
 
-/** Reads a stored entry; `id` is the key without its prefix. */
+/** Decodes a stored entry; `id` is the key without its prefix. */
 export const decodeElectionEntry = (id: string, value: unknown): ElectionEntry => {
   const key = `${ELECTIONS_PREFIX}${id}`;
   if (key.startsWith(LEADER_PREFIX)) {
@@ -43,12 +47,12 @@
     };
   }
   if (key.startsWith(TRANSFER_REQUEST_PREFIX)) {
-    const duty = key.slice(TRANSFER_REQUEST_PREFIX.length);
+    const role = key.slice(TRANSFER_REQUEST_PREFIX.length);
     const request = decodeTransferRequest(value);
-    return request === null ? { kind: 'other' } : { kind: 'request', role: duty, request };
+    return request === null ? { kind: 'other' } : { kind: 'request', role, request };
   }
   if (key.startsWith(RETURN_INTENTS_PREFIX)) {
-    return { kind: 'returns', machines: new Set(storedReturnIntents.parse(value).machines) };
+    return { kind: 'returns', machines: new Set(storedReturnIntentsSchema.parse(value).machines) };
   }
   if (key === electionEntryKey.retention) {
     return { kind: 'retention', retention: decodeRetention(value) };
--- a/src/store/codecs/final-state.ts
+++ b/src/store/codecs/final-state.ts
@@ -1,27 +1,28 @@
-/** Codec of final states of jobs (`final/<uid>`); the first one written never changes. */
+/** Codec of final states of jobs (`final/<uid>`). Once written, a final state never changes. */
 import * as z from 'zod';
 import { nonNegativeInteger } from './schema-parts.js';
 
 /** How a job ended. */
 export interface FinalState {
   readonly status: 'done' | 'cancelled';
+  /** number of the job's tasks */
   readonly tasks: number;
-  /** tasks that were completed */
+  /** number of tasks that were completed */
   readonly done: number;
 }
 
-const storedFinalState = z.object({
+const storedFinalStateSchema = z.object({
   status: z.enum(['done', 'cancelled']),
   tasks: nonNegativeInteger,
   done: nonNegativeInteger,
 });
 
-/** A final state as it is stored. */
+/** Returns the stored form of a final state. */
 export const encodeFinalState = ({
   status,
   tasks,
   done,
-}: FinalState): z.infer<typeof storedFinalState> => ({ status, tasks, done });
+}: FinalState): z.infer<typeof storedFinalStateSchema> => ({ status, tasks, done });
 
-/** Reads a stored final state; throws if it is none. */
-export const decodeFinalState = (value: unknown): FinalState => storedFinalState.parse(value);
+/** Decodes a stored final state; throws if the value is malformed. */
+export const decodeFinalState = (value: unknown): FinalState => storedFinalStateSchema.parse(value);
--- a/src/store/codecs/job.ts
+++ b/src/store/codecs/job.ts
@@ -3,15 +3,19 @@
 import type { JobRecord, JobSpec } from '../../core/model.js';
 import { nonNegativeInteger } from './schema-parts.js';
 
-const storedResources = z.object({ cpus: z.number(), gpus: z.number(), memoryGb: z.number() });
+const storedResourcesSchema = z.object({
+  cpus: z.number(),
+  gpus: z.number(),
+  memoryGb: z.number(),
+});
 
-const storedSpec = z.object({
+const storedSpecSchema = z.object({
   jobClass: z.string(),
   team: z.string(),
   kind: z.enum(['array', 'gang', 'service']),
   priority: z.enum(['production', 'high', 'normal', 'low']),
   tasks: nonNegativeInteger,
-  demand: storedResources,
+  demand: storedResourcesSchema,
   image: z.string(),
   imageGb: z.number(),
   types: z.array(z.string()).nullable(),
@@ -25,29 +29,32 @@
   deadlineS: z.number().nullable(),
 });
 
-/** Stored: each range is `[from, to, shard, term]`. */
-const storedJob = z.object({
-  spec: storedSpec,
+/**
+ * The stored form of a job. `at` is the time of day of its acceptance in ms. Each range is
+ * `[from, to, shard, term]`.
+ */
+const storedJobSchema = z.object({
+  spec: storedSpecSchema,
   at: z.number(),
   ranges: z.array(
     z.tuple([nonNegativeInteger, nonNegativeInteger, nonNegativeInteger, nonNegativeInteger]),
   ),
 });
 
-/** A job as it is stored; the key holds its uid. */
+/** Returns the stored form of a job. Its uid is part of the key only. */
 export const encodeJob = ({ spec, at, ranges }: JobRecord): unknown => {
-  const storedSpec: Partial<JobSpec> = { ...spec };
-  delete (storedSpec as { uid?: string }).uid;
+  const specWithoutUid: Partial<JobSpec> = { ...spec };
+  delete (specWithoutUid as { uid?: string }).uid;
   return {
-    spec: storedSpec,
+    spec: specWithoutUid,
     at,
     ranges: ranges.map(({ from, to, shard, term }) => [from, to, shard, term]),
   };
 };
 
-/** Reads a stored job; throws if it is none. */
+/** Decodes a stored job; throws if the value is malformed. */
 export const decodeJob = (uid: string, value: unknown): JobRecord => {
-  const { spec, at, ranges } = storedJob.parse(value);
+  const { spec, at, ranges } = storedJobSchema.parse(value);
   return {
     spec: { uid, ...spec } satisfies JobSpec,
     at,
--- a/src/store/codecs/machine-group.ts
+++ b/src/store/codecs/machine-group.ts
@@ -1,16 +1,16 @@
-/** Codec of machines (`machines/<group>`). */
+/** Codec of groups of machines (`machines/<group>`). */
 import * as z from 'zod';
 import type { MachineRecord } from '../../core/model.js';
 import { nonNegativeInteger } from './schema-parts.js';
 
-/** The machines of one rental that are in the same shard, in one value: they cost one write. */
+/** The machines of one rental that belong to the same shard. They are stored in one value, so they cost one write. */
 export interface MachineGroup extends Omit<MachineRecord, 'name' | 'up'> {
-  /** by name: whether the machine is recorded as up */
+  /** for each machine, by name, whether it is recorded as up */
   readonly machines: ReadonlyMap<string, boolean>;
 }
 
-/** Stored: `part` is the shard, `era` the term, `hosts` the machines with 1 for up. */
-const storedGroup = z.object({
+/** The stored form: `part` is the shard, `era` the term, `hosts` the machines by name, with 1 for up and 0 for down. */
+const storedGroupSchema = z.object({
   part: nonNegativeInteger,
   era: nonNegativeInteger,
   type: z.string(),
@@ -19,21 +19,21 @@
   hosts: z.record(z.string(), z.number()),
 });
 
-/** A group as it is stored. */
-export const encodeMachineGroup = (group: MachineGroup): z.infer<typeof storedGroup> => {
+/** Returns the stored form of a group. */
+export const encodeMachineGroup = (group: MachineGroup): z.infer<typeof storedGroupSchema> => {
   const { shard, term, type, zone, spot, machines } = group;
   const hosts = Object.fromEntries([...machines].map(([name, up]) => [name, Number(up)]));
   return { part: shard, era: term, type, zone, spot, hosts };
 };
 
-/** Reads a stored group; throws if it is none. */
+/** Decodes a stored group; throws if the value is malformed. */
 export const decodeMachineGroup = (value: unknown): MachineGroup => {
-  const { part: shard, era: term, hosts, ...properties } = storedGroup.parse(value);
+  const { part: shard, era: term, hosts, ...properties } = storedGroupSchema.parse(value);
   const machines = new Map(Object.entries(hosts).map(([name, up]) => [name, up !== 0]));
   return { ...properties, shard, term, machines };
 };
 
-/** The machines of a group one by one, as the core knows them. */
+/** Returns one record for each machine of a group. */
 export const machinesOf = (group: MachineGroup): MachineRecord[] => {
   const { shard, term, type, zone, spot, machines } = group;
   return [...machines].map(([name, up]) => ({ name, shard, term, type, zone, spot, up }));
--- a/src/store/codecs/rebalancing-entry.ts
+++ b/src/store/codecs/rebalancing-entry.ts
@@ -1,26 +1,29 @@
-/** Codec of what the store holds of moves of machines between shards (`shares/`). */
+/** Codec of the stored state of moves of machines between shards (`shares/`). */
 import { decodeShardLock, decodeMove, type Move } from '@sumacstep/shard-rebalancing';
 
-/** One value under the prefix. A value of another version is `other` and is left alone. */
+/**
+ * A decoded value under the prefix. Values of other versions and keys of other kinds are `other` and must not be
+ * changed.
+ */
 export type RebalancingEntry =
   | { readonly kind: 'move'; readonly move: Move }
-  /** the move that holds a shard; one at a time touches it */
+  /** the id of the move that has locked a shard; only one move at a time may change the shard's machines */
   | { readonly kind: 'lock'; readonly shard: number; readonly move: string }
   | { readonly kind: 'other' };
 
-/** Stored keys after `shares/`: moves by their id, and locks by the index of the shard. */
-const MOVES = 'moves/';
-const LOCKS = 'parts/';
+/** Prefixes of the keys after `shares/`: moves are stored by their id, locks by the index of the shard. */
+const MOVE_PREFIX = 'moves/';
+const LOCK_PREFIX = 'parts/';
 
-/** Reads a stored entry; `id` is the key without its prefix. */
+/** Decodes a stored entry; `id` is the key without its prefix. */
 export const decodeRebalancingEntry = (id: string, value: unknown): RebalancingEntry => {
-  if (id.startsWith(MOVES)) {
+  if (id.startsWith(MOVE_PREFIX)) {
     const move = decodeMove(value);
     return move === null ? { kind: 'other' } : { kind: 'move', move };
   }
-  if (id.startsWith(LOCKS)) {
+  if (id.startsWith(LOCK_PREFIX)) {
     const move = decodeShardLock(value);
-    const shard = Number(id.slice(LOCKS.length));
+    const shard = Number(id.slice(LOCK_PREFIX.length));
     return move === null ? { kind: 'other' } : { kind: 'lock', shard, move };
   }
   return { kind: 'other' };
--- a/src/store/codecs/rental.ts
+++ b/src/store/codecs/rental.ts
@@ -1,8 +1,8 @@
-/** Codec of rentals under way (`hires/<shard>/<name>`): they are recorded before the cloud is called. */
+/** Codec of rental requests in flight (`hires/<shard>/<name>`). A request is recorded before the cloud is called. */
 import * as z from 'zod';
 import { nonNegativeInteger } from './schema-parts.js';
 
-/** Machines to be rented. */
+/** The machines that a rental request asks for. */
 export interface RentalSpec {
   readonly type: string;
   readonly zone: string;
@@ -10,30 +10,30 @@
   readonly count: number;
 }
 
-/** A rental, with the shard it is for and the name under which the cloud is asked. */
+/** A rental request, with the shard that the machines are for and the name under which it is sent to the cloud. */
 export interface RentalRecord extends RentalSpec {
   readonly shard: number;
   readonly name: string;
 }
 
-const storedRental = z.object({
+const storedRentalSchema = z.object({
   type: z.string(),
   zone: z.string(),
   spot: z.boolean(),
   count: nonNegativeInteger,
 });
 
-/** A rental as it is stored; the key holds its shard and name. */
+/** Returns the stored form of a rental request. Its shard and name are part of the key only. */
 export const encodeRental = ({
   type,
   zone,
   spot,
   count,
-}: RentalSpec): z.infer<typeof storedRental> => ({ type, zone, spot, count });
+}: RentalSpec): z.infer<typeof storedRentalSchema> => ({ type, zone, spot, count });
 
-/** Reads a stored rental; `id` is the key without its prefix. */
+/** Decodes a stored rental request; `id` is the key without its prefix. Throws if the value is malformed. */
 export const decodeRental = (id: string, value: unknown): RentalRecord => {
   const slash = id.indexOf('/');
   const shard = Number(id.slice(0, slash));
-  return { shard, name: id.slice(slash + 1), ...storedRental.parse(value) };
+  return { shard, name: id.slice(slash + 1), ...storedRentalSchema.parse(value) };
 };
--- a/src/store/codecs/schema-parts.ts
+++ b/src/store/codecs/schema-parts.ts
@@ -1,5 +1,5 @@
-/** Schemas that several stored values have in common. */
+/** Schemas that several codecs share. */
 import * as z from 'zod';
 
-/** A stored count, index or term. */
+/** Schema of a stored count, index or term. */
 export const nonNegativeInteger = z.number().int().nonnegative();
--- a/src/store/codecs/shard.ts
+++ b/src/store/codecs/shard.ts
@@ -2,27 +2,27 @@
 import * as z from 'zod';
 import { nonNegativeInteger } from './schema-parts.js';
 
-/** Who owns a shard. */
+/** The owner of a shard. */
 export interface ShardRecord {
   readonly owner: string;
-  /** incarnation of the owner: a name alone would mix up a node and its restarted self */
+  /** incarnation of the owner, since the name alone does not distinguish a node from itself after a restart */
   readonly incarnation: string;
-  /** rises with each change of ownership */
+  /** increases with each change of ownership */
   readonly term: number;
 }
 
-const storedShard = z.object({
+const storedShardSchema = z.object({
   owner: z.string(),
   incarnation: z.string(),
   term: nonNegativeInteger,
 });
 
-/** A record as it is stored. */
+/** Returns the stored form of a record. */
 export const encodeShard = ({
   owner,
   incarnation,
   term,
-}: ShardRecord): z.infer<typeof storedShard> => ({ owner, incarnation, term });
+}: ShardRecord): z.infer<typeof storedShardSchema> => ({ owner, incarnation, term });
 
-/** Reads a stored record; throws if it is none. */
-export const decodeShard = (value: unknown): ShardRecord => storedShard.parse(value);
+/** Decodes a stored record; throws if the value is malformed. */
+export const decodeShard = (value: unknown): ShardRecord => storedShardSchema.parse(value);
--- a/src/store/codecs/term.ts
+++ b/src/store/codecs/term.ts
@@ -1,8 +1,8 @@
-/** Codec of the last term that any shard was given (`term`). */
+/** Codec of the latest term assigned to any shard (`term`). */
 import { nonNegativeInteger } from './schema-parts.js';
 
-/** A term as it is stored. */
+/** Returns the stored form of a term. */
 export const encodeTerm = (term: number): number => term;
 
-/** Reads a stored term; throws if it is none. */
+/** Decodes a stored term; throws if the value is malformed. */
 export const decodeTerm = (value: unknown): number => nonNegativeInteger.parse(value);
--- a/src/store/keys.ts
+++ b/src/store/keys.ts
@@ -1,13 +1,13 @@
 /**
- * Names of everything that the service keeps in the key-value store. The prefixes are stored as they are
- * and must not change; some are older than the terms that the code uses (`parts/`: shards, `hires/`:
- * rentals, `duties/`: leader election, `shares/`: rebalancing). The values are in `codecs/`.
+ * Keys of everything that the service keeps in the key-value store. The prefixes are part of the stored data and
+ * must not change; some are older than the terms that the code uses (`parts/`: shards, `hires/`: rentals,
+ * `duties/`: leader election, `shares/`: rebalancing). The codecs of the values are in `codecs/`.
  */
 
-/** Final states of jobs; too many to cache them all, so they are read on demand. */
+/** Prefix of the final states of jobs. There are too many to cache them all, so they are read on demand. */
 export const FINAL_STATE_PREFIX = 'final/';
 
-/** What every node lists and watches. */
+/** Prefixes that every node lists and watches. */
 export const CACHED_PREFIXES = [
   'parts/',
   'nodes/',
@@ -20,10 +20,10 @@
   'term',
 ] as const;
 
-/** One of the prefixes that are cached; `term` is a single key. */
+/** One of the cached prefixes; `term` is a single key. */
 export type CachedPrefix = (typeof CACHED_PREFIXES)[number];
 
-/** The cache's table of the values under each prefix. */
+/** The table of the cache that holds the values under each prefix. */
 export const TABLE_OF_PREFIX = {
   'parts/': 'shards',
   'nodes/': 'nodes',
@@ -36,41 +36,44 @@
   term: 'term',
 } as const satisfies Record<CachedPrefix, string>;
 
-/** The cached prefix that a key is under; null if it is not cached. */
+/** Returns the cached prefix that a key begins with, or null if the key is not cached. */
 export const cachedPrefixOf = (key: string): CachedPrefix | null =>
   CACHED_PREFIXES.find((prefix) => key.startsWith(prefix)) ?? null;
 
-/** Keys by what they hold. */
+/** Builds the key of each kind of stored value. */
 export const storeKey = {
   shard: (index: number) => `parts/${index}`,
   node: (name: string, incarnation: string) => `nodes/${name}/${incarnation}`,
   machineGroup: (group: string) => `machines/${group}`,
-  /** the group of a machine that no rental recorded */
+  /** the group of one machine that was found at the cloud without a record of its rental */
   adoptedMachineGroup: (machine: string) => `machines/found-${machine}`,
   rental: (shard: number, name: string) => `hires/${shard}/${name}`,
   activeJob: (uid: string) => `active/${uid}`,
   finalState: (uid: string) => `${FINAL_STATE_PREFIX}${uid}`,
   completions: (shard: number, slot: number) => `done/${shard}/${slot}`,
   term: 'term',
-  /** never written: reading it returns the store's present revision */
+  /** a key that is never written: the answer to reading it holds the store's present revision */
   probe: 'never',
 } as const;
 
-/** Keys of leader election and of the singleton controllers begin with this. */
+/** Prefix of the keys of leader election and of the singleton controllers. */
 export const ELECTIONS_PREFIX = 'duties/';
 
-/** Keys of return intents begin with this. */
+/** Prefix of the lists of return intents: machines whose return to the cloud was decided. */
 export const RETURN_INTENTS_PREFIX = `${ELECTIONS_PREFIX}returns/`;
 
-/** Machines of a shard that are being returned, or machines that no shard has a record of. */
+/** Identifies a list of return intents: the index of the shard that has a record of its machines, or `unrecorded`. */
 export type ReturnIntentList = number | 'unrecorded';
 
-/** Keys of what the singleton controllers record, beside their election. */
+/** Builds the keys of the singleton controllers' records other than those of the election. */
 export const electionEntryKey = {
-  /** machines whose return was decided: nothing may be started on them any more */
+  /** machines whose return was decided: no task may be started on them any more */
   returns: (list: ReturnIntentList) => `${RETURN_INTENTS_PREFIX}${list}`,
-  /** how much time has been observed since which revision */
+  /** the retention clock: how much time has been observed since which revisions */
   retention: `${ELECTIONS_PREFIX}retention`,
-  /** changes whenever a final state is collected: acceptances from before then fail */
+  /**
+   * changes with each transaction that deletes final states; acceptances of jobs are guarded by it, so those that
+   * were prepared earlier fail
+   */
   acceptance: `${ELECTIONS_PREFIX}acceptance`,
 } as const;
--- a/src/store/linearizable-reads.ts
+++ b/src/store/linearizable-reads.ts
@@ -1,4 +1,4 @@
-/** Lets answers from the cache be as current as reads of the store. */
+/** Linearizable reads from the watch cache: it answers once it is as current as a read of the store would be. */
 import { USER_REQUEST_TIMEOUT_MS } from '../constants.js';
 import { CALL_PRIORITY } from './call-priority.js';
 import { WATCH_PROBE_DELAY_MS } from './constants.js';
@@ -7,29 +7,31 @@
 import type { StoreClient } from './store-client.js';
 import type { WatchCache } from './watch-cache.js';
 
-/** ms after which the user's call has been refused anyhow */
+/** Time in ms after which the user's request has been refused in any case. */
 const MAX_WAIT_MS = 2 * USER_REQUEST_TIMEOUT_MS;
 
+/** A request that waits for the cache. */
 interface Reader {
-  /** steady ms of the request */
+  /** steady-clock time of the request in ms */
   readonly requestedAt: number;
-  /** the store's revision that a probe found which was sent after the request; null: none yet */
+  /** the store's revision as found by a probe that was sent after the request; null while there is none */
   probedRevision: number | null;
   readonly resolve: (currentSince: number) => void;
   readonly reject: (error: unknown) => void;
 }
 
 /**
- * Tells when the cache shows everything that was committed before a request came in. Then an answer
- * from the cache is as current as a read of its own would be, and all requests of a moment share
- * one read however many jobs they are about, so no job can wait longer than another.
+ * Lets a request wait until the cache shows everything that was committed before the request arrived. From then on
+ * an answer from the cache is as current as a separate read of the store. All requests that arrive at about the same
+ * time share one read, however many jobs they are about, so no job waits longer than another.
  *
- * The next read of the watch shows it. While that read is held, because nothing changes, one small read (a
- * probe) returns the store's present revision instead.
+ * A request can be answered once the cache holds the result of a read of the watch that began after the request
+ * arrived. While that read is blocked because nothing changes, a small read (a probe) returns the store's present
+ * revision instead, and the request can be answered once the cache has reached it.
  */
 export class LinearizableReads {
   #readers: Reader[] = [];
-  /** steady ms at which the watch's present read began; null between reads */
+  /** steady-clock time in ms at which the watch's present read began; null between reads */
   #watchReadStartedAt: number | null = null;
   #probing = false;
   #timer: NodeJS.Timeout | null = null;
@@ -44,7 +46,7 @@
     });
   }
 
-  /** To be called when a read of the watch begins, and with null when it ends. */
+  /** Must be called with the start time when a read of the watch begins, and with null when it ends. */
   onReadState(startedAt: number | null): void {
     this.#watchReadStartedAt = startedAt;
     if (this.#timer !== null) clearTimeout(this.#timer);
@@ -52,7 +54,10 @@
     this.#scheduleCheck();
   }
 
-  /** Resolves with the steady ms since which the cache is current: the moment of the call. */
+  /**
+   * Resolves as soon as the cache shows everything that was committed before the call. Returns the steady-clock time
+   * of the call in ms.
+   */
   waitUntilCurrent(): Promise<number> {
     return new Promise((resolve, reject) => {
       this.#readers.push({ requestedAt: this.now(), probedRevision: null, resolve, reject });
@@ -60,7 +65,7 @@
     });
   }
 
-  /** Stops the timer; readers that still wait are left unanswered. */
+  /** Stops the timer; requests that are still waiting are neither resolved nor rejected. */
   close(): void {
     if (this.#timer !== null) clearTimeout(this.#timer);
   }
@@ -77,7 +82,10 @@
     });
   }
 
-  /** Checks whether the present read is held; between two reads only whether readers have expired. */
+  /**
+   * Starts the timer that rejects expired requests and sends a probe if the watch's present read is blocked. Between
+   * two reads of the watch it only rejects expired requests.
+   */
   #scheduleCheck(): void {
     if (this.#timer !== null || this.#readers.length === 0) return;
     const waitMs = this.#watchReadStartedAt === null ? MAX_WAIT_MS : WATCH_PROBE_DELAY_MS;
@@ -85,8 +93,8 @@
       if (this.#timer === timer) this.#timer = null;
       this.#expireReaders();
       const startedAt = this.#watchReadStartedAt;
-      const held = startedAt !== null && this.now() - startedAt >= WATCH_PROBE_DELAY_MS;
-      if (held && !this.#probing && this.#readers.some((r) => r.probedRevision === null)) {
+      const isBlocked = startedAt !== null && this.now() - startedAt >= WATCH_PROBE_DELAY_MS;
+      if (isBlocked && !this.#probing && this.#readers.some((r) => r.probedRevision === null)) {
         void this.#probe();
       }
       this.#scheduleCheck();
@@ -95,22 +103,25 @@
   }
 
   #expireReaders(): void {
-    const oldest = this.now() - MAX_WAIT_MS;
+    const expiredBefore = this.now() - MAX_WAIT_MS;
     for (const reader of this.#readers) {
-      if (reader.requestedAt >= oldest) continue;
+      if (reader.requestedAt >= expiredBefore) continue;
       const message = `read not answered: the watch was not current within ${MAX_WAIT_MS} ms`;
       reader.reject(new StoreRequestError('overloaded', message));
     }
-    this.#readers = this.#readers.filter((reader) => reader.requestedAt >= oldest);
+    this.#readers = this.#readers.filter((reader) => reader.requestedAt >= expiredBefore);
   }
 
-  /** Serves those who came before it was sent: the answer may be older than a later request. */
+  /**
+   * Reads the store's present revision for the requests that arrived before the probe is sent. Later requests need
+   * another probe, since this one's answer may be older than they are.
+   */
   async #probe(): Promise<void> {
     this.#probing = true;
     const readers = this.#readers.filter((reader) => reader.probedRevision === null);
     try {
-      const found = await this.client.get(storeKey.probe, CALL_PRIORITY.read);
-      const revision = 'missing' in found ? found.storeRevision : found.revision;
+      const result = await this.client.get(storeKey.probe, CALL_PRIORITY.read);
+      const revision = 'missing' in result ? result.storeRevision : result.revision;
       for (const reader of readers) reader.probedRevision = revision;
       this.#resolveCurrent();
     } catch (error) {
--- a/src/store/node-session.ts
+++ b/src/store/node-session.ts
@@ -1,4 +1,4 @@
-/** This node's lease on the store and the key that registers the node, which is attached to the lease. */
+/** Creates the node's session: its lease in the store, and the registration key that is attached to the lease. */
 import { SessionLease } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import { CLOCK_DRIFT } from '../constants.js';
@@ -7,7 +7,7 @@
 import { storeKey } from './keys.js';
 import type { StoreClient } from './store-client.js';
 
-const TIMING = {
+const LEASE_TIMING = {
   ttlMs: LEASE_TTL_MS,
   renewMs: LEASE_RENEW_MS,
   retryMs: LEASE_RETRY_MS,
@@ -15,7 +15,7 @@
   marginMs: LEASE_MARGIN_MS,
 };
 
-/** Makes the session of one incarnation of a node; it runs once `run` is called. */
+/** Creates the session of one incarnation of a node. It takes no lease until its `run` is called. */
 export const createNodeSession = (
   client: Pick<StoreClient, 'grant' | 'renew' | 'register'>,
   { node, incarnation, ...capabilities }: NodeRecord,
@@ -26,5 +26,5 @@
     key: storeKey.node(node, incarnation),
     value: encodeNode(incarnation, capabilities),
   };
-  return new SessionLease(client, registration, TIMING, now, log);
+  return new SessionLease(client, registration, LEASE_TIMING, now, log);
 };
--- a/src/store/request-scheduler.ts
+++ b/src/store/request-scheduler.ts
@@ -1,4 +1,4 @@
-/** Keeps a node's calls to within its share of the store's rate limits, the most important first. */
+/** Sends a node's calls within its share of the store's rate limits, in the order of their priorities. */
 import type { Logger } from 'pino';
 import { TokenBucket } from '../transport/token-bucket.js';
 import { CALL_PRIORITY, type CallPriority } from './call-priority.js';
@@ -18,11 +18,14 @@
 
 /** One node's share of the store's limits. */
 export interface StoreLimits extends StoreRates {
-  /** what is allowed from some moment on, which a 429 shows; as now if nothing is announced */
+  /**
+   * limits announced for an unknown later moment, equal to the present ones if none are announced; a 429 is taken
+   * as the sign that they apply
+   */
   readonly next?: StoreRates;
 }
 
-type Rate = keyof StoreRates;
+type RateName = keyof StoreRates;
 
 interface QueuedCall {
   /** keys that the call writes, or 0 for a read */
@@ -33,15 +36,15 @@
 const burstTokens = (rate: number): number =>
   Math.max(MIN_STORE_BURST_TOKENS, rate * STORE_BURST_S);
 
-/** Lets calls go by priority, each for a token per request and a token per written key. */
+/** Queues calls by priority. Each call costs a token per request, and a token per key that it writes. */
 export class RequestScheduler {
   readonly #requests: TokenBucket;
   readonly #writes: TokenBucket;
-  /** by priority */
+  /** queues by priority, first in first out */
   readonly #queues: QueuedCall[][] = Object.values(CALL_PRIORITY).map(() => []);
-  #queued = 0;
+  #queuedCalls = 0;
   #timer: NodeJS.Timeout | null = null;
-  /** the limits that have come down to what was announced */
+  /** which limits have been lowered to the announced ones */
   readonly #lowered = { rps: false, writeRps: false };
 
   constructor(
@@ -53,37 +56,40 @@
     this.#writes = new TokenBucket(limits.writeRps, burstTokens(limits.writeRps), now());
   }
 
-  /** Resolves when the call may be sent. Rejects at once if too many wait; renewals always wait. */
+  /**
+   * Resolves when the call may be sent. If too many calls are waiting, rejects at once with `overloaded`, except for
+   * renewals, which always wait.
+   */
   acquire(priority: CallPriority, writes: number): Promise<void> {
-    if (this.#queued >= STORE_QUEUE_LIMIT && priority !== CALL_PRIORITY.renew) {
-      const message = `store call not sent: ${this.#queued} calls wait for the rate limit`;
+    if (this.#queuedCalls >= STORE_QUEUE_LIMIT && priority !== CALL_PRIORITY.renew) {
+      const message = `store call not sent: ${this.#queuedCalls} calls wait for the rate limit`;
       return Promise.reject(new StoreRequestError('overloaded', message));
     }
     return new Promise((resolve) => {
       this.#queues[priority]!.push({ writes, send: resolve });
-      this.#queued += 1;
+      this.#queuedCalls += 1;
       this.#sendReady();
     });
   }
 
-  /** The node's share of the limits changes with the number of live nodes. */
+  /** Sets the node's share of the limits, which changes with the number of live nodes. */
   setLimits(limits: StoreLimits): void {
     this.limits = limits;
     const now = this.now();
-    const rps = this.#rate('rps');
-    const writeRps = this.#rate('writeRps');
+    const rps = this.#currentRate('rps');
+    const writeRps = this.#currentRate('writeRps');
     this.#requests.setRate(rps, burstTokens(rps), now);
     this.#writes.setRate(writeRps, burstTokens(writeRps), now);
   }
 
-  /** After a 429: calls pause, and the limit may have come down to what was announced. */
+  /** Handles a 429: pauses calls, and lowers the limit to the announced one if that is lower. */
   recordRateLimited(writes: number): void {
     const bucket = writes > 0 ? this.#writes : this.#requests;
     bucket.block(RATE_LIMITED_BACKOFF_MS, this.now());
-    this.#lower(writes > 0 ? 'writeRps' : 'rps');
+    this.#lowerRate(writes > 0 ? 'writeRps' : 'rps');
   }
 
-  /** ms until a write of this priority that comes now would probably be sent. */
+  /** Returns the estimated time in ms until a write of this priority would be sent if it were queued now. */
   expectedWaitMs(priority: CallPriority): number {
     let writes = 1;
     for (const queue of this.#queues.slice(0, priority + 1)) {
@@ -92,16 +98,17 @@
     return this.#writes.backlogWaitMs(writes, this.now());
   }
 
+  /** Stops the timer; calls that are still waiting are never sent. */
   close(): void {
     if (this.#timer !== null) clearTimeout(this.#timer);
   }
 
-  #rate(rate: Rate): number {
+  #currentRate(rate: RateName): number {
     const { limits } = this;
     return this.#lowered[rate] && limits.next !== undefined ? limits.next[rate] : limits[rate];
   }
 
-  #lower(rate: Rate): void {
+  #lowerRate(rate: RateName): void {
     const next = this.limits.next?.[rate];
     if (this.#lowered[rate] || next === undefined || next >= this.limits[rate]) return;
     this.#lowered[rate] = true;
@@ -117,14 +124,15 @@
         const { writes, send } = queue[0]!;
         const waitMs = this.#waitMs(writes, now);
         if (waitMs > 0) {
-          // A waiting write holds back less important writes, not reads: the next queue may go on.
+          // Tokens for writes may be missing while those for reads are not: a waiting write delays the
+          // writes of lower priority, but their queues may still send reads.
           this.#scheduleAfter(waitMs);
           break;
         }
         this.#requests.take(1, now);
         if (writes > 0) this.#writes.take(writes, now);
         queue.shift();
-        this.#queued -= 1;
+        this.#queuedCalls -= 1;
         send();
       }
     }
--- a/src/store/store-client.ts
+++ b/src/store/store-client.ts
@@ -1,6 +1,6 @@
 /**
- * The client of the key-value store. Each call waits for its turn (`RequestScheduler`) and either returns
- * the store's answer or throws a `StoreRequestError`.
+ * The client of the key-value store. Each call waits until the rate limits allow it (`RequestScheduler`). It then
+ * returns the store's answer or throws a `StoreRequestError`.
  */
 import type { CompareAndSwapResult, Guard, Write } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
@@ -17,10 +17,10 @@
 } from '../wire/store.js';
 import { StoreAvailability } from './availability.js';
 import { CALL_PRIORITY, type CallPriority } from './call-priority.js';
-import { MAX_STORE_SOCKETS, STORE_CALL_TIMEOUT_MS, WATCH_SOCKETS } from './constants.js';
+import { MAX_STORE_SOCKETS, STORE_CALL_TIMEOUT_MS, MAX_WATCH_SOCKETS } from './constants.js';
 import { StoreRequestError } from './errors.js';
 import { RequestScheduler, type StoreLimits } from './request-scheduler.js';
-import { keyOf, TransactionLimits, type StoreSizeLimits } from './transaction-limits.js';
+import { writtenKey, TransactionLimits, type StoreSizeLimits } from './transaction-limits.js';
 import type { Changes, ReadResult, Page } from './types.js';
 
 interface Call {
@@ -33,10 +33,10 @@
   readonly timeoutMs?: number;
 }
 
-/** The one place for calls to the store. */
+/** All calls to the store go through this client. */
 export class StoreClient {
   readonly #http: CborClient;
-  /** connections of their own, since a watch holds one for as long as nothing changes */
+  /** separate connections, since a watch occupies one for as long as nothing changes */
   readonly #watchHttp: CborClient;
   readonly #scheduler: RequestScheduler;
   readonly #transactionLimits: TransactionLimits;
@@ -50,27 +50,27 @@
     log: Logger,
   ) {
     this.#http = new CborClient(address, MAX_STORE_SOCKETS);
-    this.#watchHttp = new CborClient(address, WATCH_SOCKETS);
+    this.#watchHttp = new CborClient(address, MAX_WATCH_SOCKETS);
     this.#scheduler = new RequestScheduler(limits, now, log);
     this.#transactionLimits = new TransactionLimits(sizeLimits, log);
   }
 
-  /** steady ms of the last answer that shows the store working */
+  /** Steady-clock time in ms of the last answer that shows the store to be working. */
   get lastSuccessAt(): number {
     return this.#availability.lastSuccessAt;
   }
 
-  /** False once calls fail in a row: an outage, which may be one that only this node sees. */
+  /** False after consecutive failed calls: during an outage, which may affect this node only. */
   get available(): boolean {
     return this.#availability.available;
   }
 
-  /** The node's share of the limits changes with the number of live nodes. */
+  /** Sets the node's share of the limits, which changes with the number of live nodes. */
   setLimits(limits: StoreLimits): void {
     this.#scheduler.setLimits(limits);
   }
 
-  /** ms until a write of this priority that comes now would probably be sent. */
+  /** Returns the estimated time in ms until a write of this priority would be sent if it were queued now. */
   expectedWaitMs(priority: CallPriority): number {
     return this.#scheduler.expectedWaitMs(priority);
   }
@@ -84,29 +84,29 @@
     return entrySchema.parse(response.body);
   }
 
-  /** Reads a page of the keys under a prefix; `since` is the last key of the page before. */
+  /** Reads one page of the keys under a prefix; `afterKey` is the last key of the previous page, null for the first. */
   async list(
     prefix: string,
-    since: string | null,
+    afterKey: string | null,
     limit: number,
     priority: CallPriority = CALL_PRIORITY.watch,
   ): Promise<Page> {
-    const after = since === null ? '' : `&Since=${encodeURIComponent(since)}`;
-    const path = `/store?Starts=${encodeURIComponent(prefix)}${after}&Limit=${limit}`;
+    const sinceParameter = afterKey === null ? '' : `&Since=${encodeURIComponent(afterKey)}`;
+    const path = `/store?Starts=${encodeURIComponent(prefix)}${sinceParameter}&Limit=${limit}`;
     const response = await this.#call({ priority, method: 'GET', path });
     return listingSchema.parse(response.body);
   }
 
   /**
-   * Writes all or nothing: only if each guarded key has its revision. Over the store's limits, it fails
-   * with `invalid` and is not sent.
+   * Carries out all writes if every guarded key has the revision of its guard, and none otherwise. A transaction that
+   * exceeds the store's limits is not sent and fails with `invalid`.
    */
   async compareAndSwap(
     priority: CallPriority,
     guards: readonly Guard[],
     writes: readonly Write[],
   ): Promise<CompareAndSwapResult> {
-    const shape = this.#transactionLimits.check(guards, writes);
+    const signature = this.#transactionLimits.check(guards, writes);
     const { status, body } = await this.#call({
       priority,
       method: 'POST',
@@ -116,11 +116,11 @@
     });
     if (status === 200) return { ok: true, epoch: storeRevisionSchema.parse(body) };
     if (status === 409) return { ok: false, failed: conflictSchema.parse(body) };
-    const keys = writes.map(keyOf);
-    return this.#transactionLimits.reject(shape, { status, answer: body, keys });
+    const keys = writes.map(writtenKey);
+    return this.#transactionLimits.reject(signature, { status, answer: body, keys });
   }
 
-  /** Writes a key attached to a lease; returns the store's revision, or null if the lease has ended. */
+  /** Writes a key that is attached to a lease. Returns the store's revision, or null if the lease has ended. */
   async register(key: string, value: unknown, lease: number): Promise<number | null> {
     const { status, body } = await this.#call({
       priority: CALL_PRIORITY.renew,
@@ -132,7 +132,7 @@
     return status === 200 ? storeRevisionSchema.parse(body) : null;
   }
 
-  /** Returns the id of a new lease. */
+  /** Creates a lease and returns its id. */
   async grant(ttlMs: number): Promise<number> {
     const { status, body } = await this.#call({
       priority: CALL_PRIORITY.renew,
@@ -146,7 +146,7 @@
     return leaseSchema.parse(body);
   }
 
-  /** Returns false if the lease has ended. */
+  /** Renews a lease; returns false if it has ended. */
   async renew(lease: number): Promise<boolean> {
     const path = `/leases/${lease}/renew`;
     const { status } = await this.#call({
@@ -163,15 +163,15 @@
   }
 
   /**
-   * Returns the changes after a revision, and waits up to `blockMs` for one. Null if the store no longer
-   * keeps them: then the keys must be listed anew.
+   * Returns the changes after a revision; while there are none, waits for up to `blockMs`. Returns null if the store
+   * no longer keeps these changes: the caller must then list the keys again.
    */
-  async watch(since: number, blockMs: number): Promise<Changes | null> {
+  async watch(sinceRevision: number, blockMs: number): Promise<Changes | null> {
     const { status, body } = await this.#call(
       {
         priority: CALL_PRIORITY.watch,
         method: 'GET',
-        path: `/follow?Starts=&Since=${since}&BlockMs=${blockMs}`,
+        path: `/follow?Starts=&Since=${sinceRevision}&BlockMs=${blockMs}`,
         timeoutMs: blockMs + STORE_CALL_TIMEOUT_MS,
       },
       this.#watchHttp,
@@ -179,7 +179,7 @@
     return status === 410 ? null : watchSchema.parse(body);
   }
 
-  /** Closes all connections. */
+  /** Stops sending waiting calls and closes all connections. */
   close(): void {
     this.#scheduler.close();
     this.#http.close();
@@ -194,8 +194,8 @@
       response = await http.call(method, path, body, timeoutMs);
     } catch (error) {
       this.#availability.recordFailure();
-      const text = error instanceof Error ? error.message : String(error);
-      throw new StoreRequestError('no_response', text, { cause: error });
+      const reason = error instanceof Error ? error.message : String(error);
+      throw new StoreRequestError('no_response', reason, { cause: error });
     }
     if (response.status === 429) {
       this.#scheduler.recordRateLimited(writes);
--- a/src/store/transaction-limits.ts
+++ b/src/store/transaction-limits.ts
@@ -4,19 +4,20 @@
 import { MAX_GUARDS_PER_WRITE, MAX_REMEMBERED_REJECTIONS } from './constants.js';
 import { StoreRequestError } from './errors.js';
 
-/** The largest value and transaction that the store takes, now and after announced changes. */
+/** Size limits of the store: the smaller ones of the present limits and those announced for later. */
 export interface StoreSizeLimits {
+  /** bytes of one value */
   readonly valueBytes: number;
-  /** keys that one transaction writes */
+  /** keys that one transaction may write */
   readonly transactionOps: number;
 }
 
-/** The key that a write changes. */
-export const keyOf = (write: Write): string => ('put' in write ? write.put : write.drop);
+/** Returns the key that a write changes. */
+export const writtenKey = (write: Write): string => ('put' in write ? write.put : write.drop);
 
-/** Fails transactions that the store would reject, and those that it has rejected before. */
+/** Refuses transactions that exceed the store's limits, and those that were rejected before. */
 export class TransactionLimits {
-  /** keys and sizes of transactions that were rejected */
+  /** signatures (keys and value sizes) of rejected transactions */
   readonly #rejected = new Set<string>();
 
   constructor(
@@ -24,27 +25,30 @@
     private readonly log: Logger,
   ) {}
 
-  /** Throws an `invalid` error, or returns the keys and sizes, by which `reject` remembers them. */
+  /**
+   * Returns the transaction's signature: its keys and the sizes of their values, by which `reject` remembers it.
+   * Throws an `invalid` error if the transaction exceeds a limit or if one of the same signature was rejected.
+   */
   check(guards: readonly Guard[], writes: readonly Write[]): string {
     const { valueBytes, transactionOps } = this.limits;
     const sizes = writes.map((write) => ('put' in write ? JSON.stringify(write.value).length : 0));
-    const shape = writes.map((write, i) => `${keyOf(write)} ${sizes[i]}`).join();
-    if (this.#rejected.has(shape)) {
-      const message = `transaction not sent: the store rejected the same before (${shape})`;
+    const signature = writes.map((write, i) => `${writtenKey(write)} ${sizes[i]}`).join();
+    if (this.#rejected.has(signature)) {
+      const message = `transaction not sent: one with the same keys and sizes was rejected (${signature})`;
       throw new StoreRequestError('invalid', message);
     }
-    const large = writes.find((_, i) => sizes[i]! > valueBytes);
-    const many =
+    const oversizedWrite = writes.find((_, i) => sizes[i]! > valueBytes);
+    const tooManyOperations =
       writes.length > transactionOps || guards.length > transactionOps * MAX_GUARDS_PER_WRITE;
-    if (large === undefined && !many) return shape;
-    const key = large === undefined ? null : keyOf(large);
-    return this.reject(shape, { key, writes: writes.length, guards: guards.length });
+    if (oversizedWrite === undefined && !tooManyOperations) return signature;
+    const key = oversizedWrite === undefined ? null : writtenKey(oversizedWrite);
+    return this.reject(signature, { key, writes: writes.length, guards: guards.length });
   }
 
-  /** Remembers a transaction as invalid, logs why, and throws. */
-  reject(shape: string, reason: object): never {
+  /** Remembers a transaction as rejected, logs the reason and throws an `invalid` error. */
+  reject(signature: string, reason: object): never {
     if (this.#rejected.size >= MAX_REMEMBERED_REJECTIONS) this.#rejected.clear();
-    this.#rejected.add(shape);
+    this.#rejected.add(signature);
     this.log.error(reason, 'transaction rejected');
     const message = `transaction rejected, not to be repeated: ${JSON.stringify(reason)}`;
     throw new StoreRequestError('invalid', message);
--- a/src/store/types.ts
+++ b/src/store/types.ts
@@ -1,7 +1,8 @@
 /**
- * What the key-value store returns. It counts its transactions: `revision` of a key is the count at the
- * key's last change, `storeRevision` of an answer is the count that the store had reached (`Epoch` in the
- * protocol, `epoch` in the results of transactions). Both are of one sequence and may be compared.
+ * Results of calls to the key-value store. The store counts its transactions: the `revision` of a key is the
+ * count at the key's last change, and the `storeRevision` of an answer is the count that the store had reached
+ * (`Epoch` in the protocol, `epoch` in the results of transactions). Both belong to one sequence and can be
+ * compared.
  */
 
 /** A key and its value. */
@@ -9,13 +10,14 @@
   readonly key: string;
   readonly value: unknown;
   readonly revision: number;
-  /** the lease that the key is attached to, if the answer says so */
+  /** id of the lease that the key is attached to; null if there is none, undefined if the answer does not say */
   readonly lease?: number | null;
 }
 
 /** One page of a listing, in the order of the keys. */
 export interface Page {
   readonly entries: readonly Entry[];
+  /** whether further pages follow */
   readonly more: boolean;
   readonly storeRevision: number;
 }
@@ -27,12 +29,12 @@
 export interface Change {
   readonly key: string;
   readonly revision: number;
-  /** undefined: removed */
+  /** undefined if the key was removed */
   readonly value: unknown;
   readonly removed: boolean;
 }
 
-/** The changes up to a revision. */
+/** The changes up to and including `storeRevision`. */
 export interface Changes {
   readonly storeRevision: number;
   readonly changes: readonly Change[];
--- a/src/store/watch.ts
+++ b/src/store/watch.ts
@@ -1,4 +1,4 @@
-/** Watches the store: a listing of everything that is cached, then every change. */
+/** Watches the store: lists all cached keys, then reads every change. */
 import { Readable } from 'node:stream';
 import { setTimeout as sleep } from 'node:timers/promises';
 import { LIST_PAGE_SIZE, STORE_RETRY_MS, WATCH_BLOCK_MS } from './constants.js';
@@ -7,42 +7,42 @@
 import type { StoreClient } from './store-client.js';
 import type { Change, Page } from './types.js';
 
-/** What one read has found: a listing, or the changes since the batch before. */
+/** The result of one read: a listing, or the changes since the previous batch. */
 export interface WatchBatch {
-  /** a listing replaces everything known before */
+  /** whether this is a listing, which replaces everything that was known before */
   readonly isListing: boolean;
   readonly changes: readonly Change[];
-  /** all changes up to this revision are known; of a listing: the store's revision at its first page */
+  /** revision up to which all changes are known; for a listing, the store's revision at its first page */
   readonly revision: number;
   /**
-   * the store's revision at a listing's last page: until the changes reach it, the pages show the store at
-   * different revisions
+   * for a listing, the store's revision at its last page. Each page shows the store as of its own revision, so the
+   * listing is consistent only once the changes up to this revision have been applied
    */
   readonly consistentFrom?: number;
-  /** steady ms at which the read began: what was committed before it is in the cache now */
+  /** steady-clock time in ms at which the read began; everything committed before then is known with this batch */
   readonly readStartedAt?: number;
 }
 
-/** How the watch reads. */
+/** Options of the watch. */
 export interface WatchOptions {
-  /** ms between two reads */
+  /** pause between two reads, in ms */
   readonly pauseMs: number;
   /** the steady clock, in ms */
   readonly now: () => number;
-  /** called with the steady ms when a read of changes begins, and with null when it ends */
+  /** called with the steady-clock time in ms when a read of changes begins, and with null when it ends */
   readonly onReadState: (startedAt: number | null) => void;
 }
 
 type WatchClient = Pick<StoreClient, 'list' | 'watch'>;
 
 /**
- * Streams `WatchBatch`es until the signal is given. If the store no longer keeps the changes that come
- * next, the watch starts over with a listing. Failed reads are repeated.
+ * Streams `WatchBatch`es until the signal aborts. If the store no longer keeps the changes that come next, the watch
+ * starts over with a listing. Failed reads are repeated.
  */
 export const watch = (client: WatchClient, signal: AbortSignal, options: WatchOptions): Readable =>
-  Readable.from(batches(client, signal, options), { objectMode: true, highWaterMark: 1 });
+  Readable.from(readBatches(client, signal, options), { objectMode: true, highWaterMark: 1 });
 
-/** Ends early when the signal is given. */
+/** Waits for `ms`, or until the signal aborts. */
 const pause = async (ms: number, signal: AbortSignal): Promise<void> => {
   try {
     await sleep(ms, undefined, { signal });
@@ -51,30 +51,30 @@
   }
 };
 
-async function* batches(
+async function* readBatches(
   client: WatchClient,
   signal: AbortSignal,
   { pauseMs, now, onReadState }: WatchOptions,
 ): AsyncGenerator<WatchBatch> {
-  /** null: a listing is due */
-  let since: number | null = null;
+  /** revision of the last batch; null if a listing is due */
+  let sinceRevision: number | null = null;
   while (!signal.aborted) {
     const readStartedAt = now();
     try {
-      if (since === null) {
+      if (sinceRevision === null) {
         const listing: WatchBatch = await listPrefixes(client, CACHED_PREFIXES);
         yield { ...listing, readStartedAt };
-        since = listing.revision;
+        sinceRevision = listing.revision;
       } else {
         onReadState(readStartedAt);
-        const answer = await client.watch(since, WATCH_BLOCK_MS);
+        const result = await client.watch(sinceRevision, WATCH_BLOCK_MS);
         onReadState(null);
-        if (answer === null) {
-          since = null;
+        if (result === null) {
+          sinceRevision = null;
           continue;
         }
-        since = Math.max(since, answer.storeRevision);
-        yield { isListing: false, changes: answer.changes, revision: since, readStartedAt };
+        sinceRevision = Math.max(sinceRevision, result.storeRevision);
+        yield { isListing: false, changes: result.changes, revision: sinceRevision, readStartedAt };
         await pause(pauseMs, signal);
       }
     } catch (error) {
@@ -85,7 +85,7 @@
   }
 }
 
-/** Lists everything under some prefixes. The pages are of different revisions: see `consistentFrom`. */
+/** Lists all keys under the prefixes. The pages show the store at different revisions: see `consistentFrom`. */
 export const listPrefixes = async (
   client: Pick<StoreClient, 'list'>,
   prefixes: readonly CachedPrefix[],
@@ -94,7 +94,7 @@
   let firstRevision = Infinity;
   let lastRevision = 0;
   for (const prefix of prefixes) {
-    for await (const page of pagesOf(client, prefix)) {
+    for await (const page of listPages(client, prefix)) {
       firstRevision = Math.min(firstRevision, page.storeRevision);
       lastRevision = Math.max(lastRevision, page.storeRevision);
       for (const entry of page.entries) changes.push({ ...entry, removed: false });
@@ -103,16 +103,16 @@
   return { isListing: true, changes, revision: firstRevision, consistentFrom: lastRevision };
 };
 
-async function* pagesOf(
+async function* listPages(
   client: Pick<StoreClient, 'list'>,
   prefix: CachedPrefix,
 ): AsyncGenerator<Page> {
-  let since: string | null = null;
+  let afterKey: string | null = null;
   for (;;) {
-    const page: Page = await client.list(prefix, since, LIST_PAGE_SIZE);
+    const page: Page = await client.list(prefix, afterKey, LIST_PAGE_SIZE);
     yield page;
-    const last = page.entries.at(-1);
-    if (!page.more || last === undefined) return;
-    since = last.key;
+    const lastEntry = page.entries.at(-1);
+    if (!page.more || lastEntry === undefined) return;
+    afterKey = lastEntry.key;
   }
 }
--- a/test/standins/memory-store.ts
+++ b/test/standins/memory-store.ts
@@ -22,10 +22,10 @@
   }
 
   /** Shows every value: as a new listing, or as changes of the watch. */
-  applyTo(cache: WatchCache, as: 'listing' | 'changes'): void {
+  applyTo(cache: WatchCache, batchKind: 'listing' | 'changes'): void {
     const changes = [...this.values].map(([key, stored]) => ({ key, ...stored, removed: false }));
     const revision = this.#revision;
-    if (as === 'listing')
+    if (batchKind === 'listing')
       cache.apply({ isListing: true, revision, consistentFrom: revision, changes });
     else cache.apply({ isListing: false, revision, changes });
   }
