--- a/test/linearizable-reads.test.ts
+++ b/test/linearizable-reads.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Tests of linearizable reads: a request is answered from the cache only once a read of the watch that began after
+ * the request, or a probe that was sent after it, shows that the cache is current, whatever else arrives meanwhile.
+ */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { setImmediate as turn, setTimeout as sleep } from 'node:timers/promises';
@@ -8,13 +12,14 @@
 import { SharedReads } from '../src/store/shared-reads.js';
 import { WatchCache } from '../src/store/watch-cache.js';
 
-/** A reader waits for a read that began after it came, whatever else arrives meanwhile. */
+/** A cache at revision 10, and a request that arrives at 100 ms. */
 class ReadScenario {
   now = 100;
   readonly cache = new WatchCache();
   /** probes that were sent and not answered yet */
-  readonly probes: ((found: ReadResult) => void)[] = [];
+  readonly probes: ((result: ReadResult) => void)[] = [];
   readonly reads: LinearizableReads;
+  /** the result of `startRead`; null while it waits */
   currentSince: number | null = null;
 
   constructor() {
@@ -41,7 +46,7 @@
     void this.reads.waitUntilCurrent().then((since) => (this.currentSince = since));
   }
 
-  /** A read of the watch is held for long enough that a probe is sent. */
+  /** Blocks a read of the watch for long enough that a probe is sent. */
   async blockWatchUntilProbe(): Promise<void> {
     this.reads.onReadState(this.now);
     this.now += WATCH_PROBE_DELAY_MS;
@@ -55,133 +60,133 @@
 
 interface ReadCase {
   readonly name: string;
-  readonly run: (scene: ReadScenario) => Promise<void> | void;
-  /** steady ms since which the reader is told that the cache is current; null: it waits on */
+  readonly run: (scenario: ReadScenario) => Promise<void> | void;
+  /** steady-clock time in ms as of which the read is answered; null if it still waits */
   readonly expectedCurrentSince: number | null;
 }
 
 const READ_CASES: readonly ReadCase[] = [
   {
-    name: 'a read that began before',
-    run: (s) => s.applyChanges(12, 99.9),
+    name: 'a watch read that began before the request does not answer it',
+    run: (scenario) => scenario.applyChanges(12, 99.9),
     expectedCurrentSince: null,
   },
   {
-    name: 'a read that began in the same instant',
-    run: (s) => s.applyChanges(12, 100),
+    name: 'a watch read that began in the same instant answers it',
+    run: (scenario) => scenario.applyChanges(12, 100),
     expectedCurrentSince: 100,
   },
   {
-    name: 'a read that began after',
-    run: (s) => s.applyChanges(10, 100.1),
+    name: 'a watch read that began after the request answers it',
+    run: (scenario) => scenario.applyChanges(10, 100.1),
     expectedCurrentSince: 100,
   },
   {
-    name: "an earlier read's answer that was held up, however late it comes",
-    run: (s) => {
-      s.now = 900;
-      s.applyChanges(500, 50);
+    name: 'a watch read that began before the request does not answer it, however late it ends',
+    run: (scenario) => {
+      scenario.now = 900;
+      scenario.applyChanges(500, 50);
     },
     expectedCurrentSince: null,
   },
   {
-    name: 'an own write that is ahead of the watch',
-    run: (s) => s.cache.applyOwn([{ put: 'term', value: 1 }], 90),
+    name: 'an own write applied ahead of the watch does not answer it',
+    run: (scenario) => scenario.cache.applyOwn([{ put: 'term', value: 1 }], 90),
     expectedCurrentSince: null,
   },
   {
-    name: 'a probe that finds the epoch of the cache',
-    run: async (s) => {
-      await s.blockWatchUntilProbe();
-      s.answerProbe(10);
+    name: 'a probe that finds the revision of the cache answers it',
+    run: async (scenario) => {
+      await scenario.blockWatchUntilProbe();
+      scenario.answerProbe(10);
     },
     expectedCurrentSince: 100,
   },
   {
-    name: 'a probe that finds a later epoch, while only an own write has reached it',
-    run: async (s) => {
-      await s.blockWatchUntilProbe();
-      s.cache.applyOwn([{ put: 'term', value: 1 }], 12);
-      s.answerProbe(12);
+    name: 'a probe that finds a later revision does not answer it while only an own write has reached that',
+    run: async (scenario) => {
+      await scenario.blockWatchUntilProbe();
+      scenario.cache.applyOwn([{ put: 'term', value: 1 }], 12);
+      scenario.answerProbe(12);
     },
     expectedCurrentSince: null,
   },
   {
-    name: 'a probe that finds a later epoch, which an older read then shows',
-    run: async (s) => {
-      await s.blockWatchUntilProbe();
-      s.answerProbe(12);
+    name: 'a probe that finds a later revision answers it once an older watch read has reached that',
+    run: async (scenario) => {
+      await scenario.blockWatchUntilProbe();
+      scenario.answerProbe(12);
       await turn();
-      s.applyChanges(12, 60);
+      scenario.applyChanges(12, 60);
     },
     expectedCurrentSince: 100,
   },
   {
-    name: 'a listing that began after, as long as it shows a mixture',
-    run: (s) => s.applyListing(12, 101, 15),
+    name: 'a listing that began after the request does not answer it while its pages are inconsistent',
+    run: (scenario) => scenario.applyListing(12, 101, 15),
     expectedCurrentSince: null,
   },
   {
-    name: 'a listing that began after, once the watch has made it whole',
-    run: (s) => {
-      s.applyListing(12, 101, 15);
-      s.applyChanges(15, 102);
+    name: 'a listing that began after the request answers it once the watch has made it consistent',
+    run: (scenario) => {
+      scenario.applyListing(12, 101, 15);
+      scenario.applyChanges(15, 102);
     },
     expectedCurrentSince: 100,
   },
   {
-    name: 'a listing older than an own write',
-    run: (s) => {
-      s.cache.applyOwn([{ put: 'term', value: 1 }], 20);
-      s.applyListing(12, 101);
+    name: 'a listing older than an own write does not answer it',
+    run: (scenario) => {
+      scenario.cache.applyOwn([{ put: 'term', value: 1 }], 20);
+      scenario.applyListing(12, 101);
     },
     expectedCurrentSince: null,
   },
 ];
 
-describe('what satisfies a linearizable read', () => {
-  for (const row of READ_CASES) {
-    test(row.name, async () => {
-      const scene = new ReadScenario();
-      scene.startRead();
-      await row.run(scene);
+describe('a request for a linearizable read', () => {
+  for (const testCase of READ_CASES) {
+    test(testCase.name, async () => {
+      const scenario = new ReadScenario();
+      scenario.startRead();
+      await testCase.run(scenario);
       await turn();
-      assert.equal(scene.currentSince, row.expectedCurrentSince);
-      scene.reads.close();
+      assert.equal(scenario.currentSince, testCase.expectedCurrentSince);
+      scenario.reads.close();
     });
   }
 
-  test('a reader that comes while a probe is on its way needs one of its own', async () => {
-    const scene = new ReadScenario();
-    scene.startRead();
-    await scene.blockWatchUntilProbe();
-    let second: number | null = null;
-    void scene.reads.waitUntilCurrent().then((since) => (second = since));
-    scene.answerProbe(10);
+  test('a request that arrives while a probe is in flight needs a probe of its own', async () => {
+    const scenario = new ReadScenario();
+    scenario.startRead();
+    await scenario.blockWatchUntilProbe();
+    let secondCurrentSince: number | null = null;
+    void scenario.reads.waitUntilCurrent().then((since) => (secondCurrentSince = since));
+    scenario.answerProbe(10);
     await turn();
-    assert.equal(scene.currentSince, 100);
-    assert.equal(second, null);
-    while (scene.probes.length === 0) await sleep(WATCH_PROBE_DELAY_MS / 4);
-    scene.answerProbe(10);
+    assert.equal(scenario.currentSince, 100);
+    assert.equal(secondCurrentSince, null);
+    while (scenario.probes.length === 0) await sleep(WATCH_PROBE_DELAY_MS / 4);
+    scenario.answerProbe(10);
     await turn();
-    assert.equal(second, scene.now);
-    scene.reads.close();
+    assert.equal(secondCurrentSince, scenario.now);
+    scenario.reads.close();
   });
 });
 
-test('reads of one key are shared until they leave, and not after', async () => {
-  const answers: ((found: ReadResult) => void)[] = [];
+test('requests for a key share a read until it is sent, and later requests need another read', async () => {
+  const answers: ((result: ReadResult) => void)[] = [];
   const get = () => new Promise<ReadResult>((resolve) => answers.push(resolve));
   const reads = new SharedReads({ get });
-  const name = storeKey.finalState('job-000001');
-  const early = [reads.read(name), reads.read(name)];
+  const key = storeKey.finalState('job-000001');
+  const early = [reads.read(key), reads.read(key)];
   await sleep(READ_BATCH_WINDOW_MS * 3);
-  assert.equal(answers.length, 1, 'both left as one');
-  const late = reads.read(name);
+  assert.equal(answers.length, 1, 'the first two requests share one read');
+  const late = reads.read(key);
   await sleep(READ_BATCH_WINDOW_MS * 3);
-  assert.equal(answers.length, 2, 'the third came after they had left');
+  assert.equal(answers.length, 2, 'the third request came after that read was sent');
   answers[0]!({ missing: true, storeRevision: 1 });
-  answers[1]!({ key: name, value: 1, revision: 2 });
-  for (const found of await Promise.all(early)) assert.ok('missing' in found);
+  answers[1]!({ key, value: 1, revision: 2 });
+  for (const result of await Promise.all(early)) assert.ok('missing' in result);
   assert.ok(!('missing' in (await late)));
 });
--- a/test/standins/memory-store.ts
+++ b/test/standins/memory-store.ts
@@ -1,13 +1,14 @@
-/** The store's values in memory, for tests of control loops that call nothing but compare-and-swap. */
+/** A key-value store in memory, for tests of control loops whose only calls to the store are compare-and-swap. */
 import type { CompareAndSwapResult } from '@sumacstep/leader-election';
 import type { WatchCache } from '../../src/store/watch-cache.js';
 import type { Guard, Write } from '@sumacstep/leader-election';
 
-/** Carries out transactions as the store does, and shows its values to watch caches. */
+/** Carries out transactions as the store does, and applies its values to watch caches. */
 export class MemoryStore {
   readonly values = new Map<string, { value: unknown; revision: number }>();
   #revision = 10;
 
+  /** Carries out a transaction; returns the keys of failed guards if there are any. */
   commit(guards: readonly Guard[], writes: readonly Write[]): CompareAndSwapResult {
     const failed = guards.filter(
       ({ key, revision }) => (this.values.get(key)?.revision ?? 0) !== revision,
@@ -21,7 +22,7 @@
     return { ok: true, epoch: this.#revision };
   }
 
-  /** Shows every value: as a new listing, or as changes of the watch. */
+  /** Applies all values to a cache, as a new listing or as changes of the watch. Removed keys are not reported. */
   applyTo(cache: WatchCache, batchKind: 'listing' | 'changes'): void {
     const changes = [...this.values].map(([key, stored]) => ({ key, ...stored, removed: false }));
     const revision = this.#revision;
--- a/test/watch-cache.test.ts
+++ b/test/watch-cache.test.ts
@@ -1,3 +1,10 @@
+/**
+ * Tests of the watch cache: it never shows a key that was removed, nor an older revision than it has shown before.
+ *
+ * Guards against an own write whose answer is handled after the watch has reported both the write and the removal of
+ * its key. The key came back for good, so that an ended job was active again in that cache
+ * (docs/incidents/2026-12-02-went-back.md).
+ */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { randomFrom } from '../src/random.js';
@@ -10,15 +17,10 @@
 import type { Write } from '@sumacstep/leader-election';
 import { job, machine } from './helpers.js';
 
-/**
- * The watch cache never shows what was removed, nor an older revision than it has shown. Guards against an
- * own write whose answer is handled after the watch has shown both the write and the removal of its key: the
- * job of such a key was active again in that cache, for good (docs/incidents/2026-12-02-went-back.md).
- */
 const UID = 'job-000001';
 const GROUP = { ...machine('x'), machines: new Map([['x', true]]) };
-/** a value for each kind of key */
-const SAMPLE_VALUES: readonly (readonly [name: string, value: unknown])[] = [
+/** Keys of several kinds, each with a value. */
+const SAMPLE_VALUES: readonly (readonly [key: string, value: unknown])[] = [
   [storeKey.activeJob(UID), encodeJob(job())],
   [storeKey.machineGroup('g'), encodeMachineGroup(GROUP)],
   [storeKey.rental(0, 'h'), { type: 'm', zone: 'z', spot: false, count: 1 }],
@@ -28,11 +30,11 @@
 ];
 const CANCELLED_STATE = { status: 'cancelled', tasks: 1, done: 0 };
 
-const putChange = (name: string, value: unknown, revision: number): Change => {
-  return { key: name, value, revision, removed: false };
+const putChange = (key: string, value: unknown, revision: number): Change => {
+  return { key, value, revision, removed: false };
 };
-const removalChange = (name: string, revision: number): Change => {
-  return { key: name, value: undefined, revision, removed: true };
+const removalChange = (key: string, revision: number): Change => {
+  return { key, value: undefined, revision, removed: true };
 };
 const listingBatch = (
   revision: number,
@@ -45,7 +47,7 @@
   return { isListing: false, revision, changes };
 };
 
-/** Keys that the cache shows, with their revisions. */
+/** Returns the keys that the cache shows, with their revisions. */
 const cachedRevisions = (cache: WatchCache): Map<string, number> => {
   const revisions = new Map<string, number>();
   for (const prefix of CACHED_PREFIXES) {
@@ -57,87 +59,88 @@
 
 interface LateAnswerCase {
   readonly name: string;
-  /** the write was carried out at revision 5; its answer is handled after all this */
-  readonly batchesBefore: (name: string, value: unknown) => readonly WatchBatch[];
-  /** revision that the cache shows in the end; null: none */
+  /** batches applied before the answer of the write is handled; the write was carried out at revision 5 */
+  readonly batchesBefore: (key: string, value: unknown) => readonly WatchBatch[];
+  /** revision that the cache shows for the key afterwards; null if it shows none */
   readonly expectedRevision: number | null;
 }
 
 const LATE_ANSWER_CASES: readonly LateAnswerCase[] = [
   {
-    name: 'the watch has shown the write and its removal in one answer',
-    batchesBefore: (name, value) => [
+    name: 'is ignored if one batch of the watch has reported the write and the removal of its key',
+    batchesBefore: (key, value) => [
       listingBatch(1, []),
-      changesBatch(6, [putChange(name, value, 5), removalChange(name, 6)]),
+      changesBatch(6, [putChange(key, value, 5), removalChange(key, 6)]),
     ],
     expectedRevision: null,
   },
   {
-    name: 'the watch has shown them in two answers',
-    batchesBefore: (name, value) => [
+    name: 'is ignored if two batches of the watch have reported the write and the removal',
+    batchesBefore: (key, value) => [
       listingBatch(1, []),
-      changesBatch(5, [putChange(name, value, 5)]),
-      changesBatch(6, [removalChange(name, 6)]),
+      changesBatch(5, [putChange(key, value, 5)]),
+      changesBatch(6, [removalChange(key, 6)]),
     ],
     expectedRevision: null,
   },
   {
-    name: 'the watch has named the removal first',
-    batchesBefore: (name, value) => [
+    name: 'is ignored if a batch has listed the removal before the write',
+    batchesBefore: (key, value) => [
       listingBatch(1, []),
-      changesBatch(6, [removalChange(name, 6), putChange(name, value, 5)]),
+      changesBatch(6, [removalChange(key, 6), putChange(key, value, 5)]),
     ],
     expectedRevision: null,
   },
   {
-    name: 'a listing was made after both',
+    name: 'is ignored if a listing was made after the write and the removal',
     batchesBefore: () => [listingBatch(1, []), listingBatch(6, [])],
     expectedRevision: null,
   },
   {
-    name: 'a listing was made between them, and the watch has shown the removal',
-    batchesBefore: (name, value) => [
-      listingBatch(5, [putChange(name, value, 5)]),
-      changesBatch(6, [removalChange(name, 6)]),
+    name: 'is ignored if a listing was made between the two and the watch has reported the removal',
+    batchesBefore: (key, value) => [
+      listingBatch(5, [putChange(key, value, 5)]),
+      changesBatch(6, [removalChange(key, 6)]),
     ],
     expectedRevision: null,
   },
   {
-    name: 'a listing shows a mixture: the page of the key is newer than its first',
-    batchesBefore: (name) => [listingBatch(4, [], 7), changesBatch(7, [removalChange(name, 6)])],
+    name: 'is ignored if the page of its key is newer than the first page of the listing',
+    batchesBefore: (key) => [listingBatch(4, [], 7), changesBatch(7, [removalChange(key, 6)])],
     expectedRevision: null,
   },
   {
-    name: 'the watch has shown a newer value',
-    batchesBefore: (name, value) => [
+    name: 'does not replace a newer value that the watch has reported',
+    batchesBefore: (key, value) => [
       listingBatch(1, []),
-      changesBatch(8, [putChange(name, value, 5), putChange(name, value, 8)]),
+      changesBatch(8, [putChange(key, value, 5), putChange(key, value, 8)]),
     ],
     expectedRevision: 8,
   },
   {
-    name: 'the watch is behind',
+    name: 'is applied if the watch has not reached its revision',
     batchesBefore: () => [listingBatch(4, [])],
     expectedRevision: 5,
   },
 ];
 
 describe('an own write whose answer is handled late', () => {
-  for (const row of LATE_ANSWER_CASES) {
-    test(row.name, () => {
-      for (const [name, value] of SAMPLE_VALUES) {
+  for (const testCase of LATE_ANSWER_CASES) {
+    test(testCase.name, () => {
+      for (const [key, value] of SAMPLE_VALUES) {
         const cache = new WatchCache();
-        for (const batch of row.batchesBefore(name, value)) cache.apply(batch);
-        cache.applyOwn([{ put: name, value }], 5);
-        assert.equal(cachedRevisions(cache).get(name) ?? null, row.expectedRevision, name);
-        const group = cache.machines.get('x')?.revision ?? null;
-        if (name === storeKey.machineGroup('g')) assert.equal(group, row.expectedRevision);
+        for (const batch of testCase.batchesBefore(key, value)) cache.apply(batch);
+        cache.applyOwn([{ put: key, value }], 5);
+        assert.equal(cachedRevisions(cache).get(key) ?? null, testCase.expectedRevision, key);
+        const machineRevision = cache.machines.get('x')?.revision ?? null;
+        if (key === storeKey.machineGroup('g'))
+          assert.equal(machineRevision, testCase.expectedRevision);
       }
     });
   }
 });
 
-test('a final state never changes: a later one of another kind is not taken in', () => {
+test('a final state never changes: a later one with another status is ignored', () => {
   const cache = new WatchCache();
   cache.apply(listingBatch(1, []));
   cache.apply(
@@ -150,26 +153,26 @@
   assert.equal(cache.finalStates.get(UID)?.status, 'done');
 });
 
-/** The store as it is, with all that ever happened to each key. */
+/** A model of the store that keeps every change of each key. */
 class ModelStore {
   revision = 1;
   readonly history: Change[] = [];
 
   write(writes: readonly Write[]): number {
     this.revision += 1;
-    for (const w of writes) {
+    for (const write of writes) {
       const change =
-        'drop' in w
-          ? removalChange(w.drop, this.revision)
-          : putChange(w.put, w.value, this.revision);
+        'drop' in write
+          ? removalChange(write.drop, this.revision)
+          : putChange(write.put, write.value, this.revision);
       this.history.push(change);
     }
     return this.revision;
   }
 
-  /** The newest change of a key at or before a revision. */
-  changeAt(name: string, revision: number): Change | undefined {
-    return this.history.findLast((c) => c.key === name && c.revision <= revision);
+  /** Returns the newest change of a key at or before a revision. */
+  changeAt(key: string, revision: number): Change | undefined {
+    return this.history.findLast((c) => c.key === key && c.revision <= revision);
   }
 
   changesSince(revision: number): Change[] {
@@ -177,21 +180,24 @@
   }
 }
 
+/** The answer of the store to a transaction of this node. */
 interface OwnAnswer {
   readonly writes: readonly Write[];
   readonly revision: number;
 }
 
-/** One run of random steps; each checks the cache against the model. */
+/** A run of random steps. After each step the cache is checked against the model of the store. */
 class Interleaving {
   readonly #store = new ModelStore();
   readonly #cache = new WatchCache();
   readonly #random: (below: number) => number;
-  /** own writes that were carried out, and whose answers are still on their way */
+  /** answers in flight to transactions of this node that were carried out */
   readonly #pendingAnswers: OwnAnswer[] = [];
+  /** cancellations that other nodes may report, with the revisions of their transactions */
   readonly #peerCancellations: { uid: string; revision: number }[] = [];
-  /** the watch's answer, or the pages of a listing so far, on the way */
+  /** the batch in flight from the watch */
   #inFlight: WatchBatch | null = null;
+  /** the pages of an unfinished listing */
   #partialListing: {
     prefixes: number;
     first: number;
@@ -199,7 +205,7 @@
     changes: Change[];
   } | null = null;
   #jobCount = 0;
-  /** by key, the newest removal that the cache was told of, by the watch or ahead of it */
+  /** by key, the revision of the newest removal that an own answer or a peer's cancellation gave to the cache */
   readonly #knownRemovals = new Map<string, number>();
 
   constructor(seed: number) {
@@ -223,13 +229,13 @@
     else this.#advanceWatch();
   }
 
-  /** What anybody may do: a key is put, put anew or removed; a job ends for good. */
+  /** Returns writes that any node may send: a key is created, replaced or removed; a job ends for good. */
   #randomWrites(): Write[] {
     if (this.#random(3) > 0) return this.#randomJobWrites();
-    const [name, value] = SAMPLE_VALUES[1 + this.#random(SAMPLE_VALUES.length - 1)]!;
-    const present = this.#store.changeAt(name, this.#store.revision);
+    const [key, value] = SAMPLE_VALUES[1 + this.#random(SAMPLE_VALUES.length - 1)]!;
+    const present = this.#store.changeAt(key, this.#store.revision);
     const exists = present !== undefined && !present.removed;
-    return exists && this.#random(2) === 0 ? [{ drop: name }] : [{ put: name, value }];
+    return exists && this.#random(2) === 0 ? [{ drop: key }] : [{ put: key, value }];
   }
 
   #randomJobWrites(): Write[] {
@@ -237,8 +243,8 @@
     const present = this.#store.changeAt(storeKey.activeJob(uid), this.#store.revision);
     if (present?.removed === true) return [{ put: 'term', value: this.#store.revision }];
     if (present === undefined) this.#jobCount += 1;
-    const end = present !== undefined && this.#random(2) === 0;
-    if (!end) return [{ put: storeKey.activeJob(uid), value: encodeJob(job({ uid })) }];
+    const ends = present !== undefined && this.#random(2) === 0;
+    if (!ends) return [{ put: storeKey.activeJob(uid), value: encodeJob(job({ uid })) }];
     const status = this.#random(2) === 0 ? 'done' : 'cancelled';
     if (status === 'cancelled')
       this.#peerCancellations.push({ uid, revision: this.#store.revision + 1 });
@@ -255,12 +261,12 @@
     const [answer] = this.#pendingAnswers.splice(this.#random(this.#pendingAnswers.length), 1);
     if (answer === undefined) return;
     this.#cache.applyOwn(answer.writes, answer.revision);
-    for (const w of answer.writes)
-      if ('drop' in w) this.#recordKnownRemoval(w.drop, answer.revision);
+    for (const write of answer.writes)
+      if ('drop' in write) this.#recordKnownRemoval(write.drop, answer.revision);
   }
 
-  #recordKnownRemoval(name: string, revision: number): void {
-    this.#knownRemovals.set(name, Math.max(revision, this.#knownRemovals.get(name) ?? -1));
+  #recordKnownRemoval(key: string, revision: number): void {
+    this.#knownRemovals.set(key, Math.max(revision, this.#knownRemovals.get(key) ?? -1));
   }
 
   #applyPeerCancellation(): void {
@@ -271,7 +277,7 @@
     this.#recordKnownRemoval(storeKey.activeJob(uid), revision);
   }
 
-  /** The watch's answer is made at one step and arrives at another; a listing is made page by page. */
+  /** Advances the watch: a batch is read at one step and applied at a later one, and a listing takes a step a page. */
   #advanceWatch(): void {
     if (this.#inFlight !== null) {
       this.#cache.apply(this.#inFlight);
@@ -288,44 +294,46 @@
   }
 
   #listPage(): void {
-    const listed = this.#partialListing!;
-    const prefix = CACHED_PREFIXES[listed.prefixes]!;
-    const names = new Set(
-      this.#store.history.map((c) => c.key).filter((k) => k.startsWith(prefix)),
-    );
-    for (const name of names) {
-      const present = this.#store.changeAt(name, this.#store.revision);
-      if (present !== undefined && !present.removed) listed.changes.push(present);
+    const partial = this.#partialListing!;
+    const prefix = CACHED_PREFIXES[partial.prefixes]!;
+    const keys = new Set(this.#store.history.map((c) => c.key).filter((k) => k.startsWith(prefix)));
+    for (const key of keys) {
+      const present = this.#store.changeAt(key, this.#store.revision);
+      if (present !== undefined && !present.removed) partial.changes.push(present);
     }
-    listed.first = Math.min(listed.first, this.#store.revision);
-    listed.consistentFrom = this.#store.revision;
-    listed.prefixes += 1;
-    if (listed.prefixes < CACHED_PREFIXES.length) return;
-    this.#inFlight = listingBatch(listed.first, listed.changes, listed.consistentFrom);
+    partial.first = Math.min(partial.first, this.#store.revision);
+    partial.consistentFrom = this.#store.revision;
+    partial.prefixes += 1;
+    if (partial.prefixes < CACHED_PREFIXES.length) return;
+    this.#inFlight = listingBatch(partial.first, partial.changes, partial.consistentFrom);
     this.#partialListing = null;
   }
 
   #check(step: number): void {
     const { revision: cacheRevision } = this.#cache;
     const present = cachedRevisions(this.#cache);
-    for (const [name, revision] of present) {
-      const covered = this.#store.changeAt(name, cacheRevision);
-      const known = covered === undefined || revision >= covered.revision;
+    for (const [key, revision] of present) {
+      const expected = this.#store.changeAt(key, cacheRevision);
+      const isCurrent = expected === undefined || revision >= expected.revision;
+      assert.ok(
+        isCurrent,
+        `step ${step}: ${key} of ${revision} at ${cacheRevision}, ${expected?.revision}`,
+      );
+      const wasRemoved = expected?.removed === true && revision <= expected.revision;
+      assert.ok(!wasRemoved, `step ${step}: ${key} was removed at ${expected?.revision}`);
+      const removedAt = this.#knownRemovals.get(key) ?? -1;
       assert.ok(
-        known,
-        `step ${step}: ${name} of ${revision} at ${cacheRevision}, ${covered?.revision}`,
+        revision > removedAt,
+        `step ${step}: ${key} of ${revision}, removed at ${removedAt}`,
       );
-      const gone = covered?.removed === true && revision <= covered.revision;
-      assert.ok(!gone, `step ${step}: ${name} was removed at ${covered?.revision}`);
-      const told = this.#knownRemovals.get(name) ?? -1;
-      assert.ok(revision > told, `step ${step}: ${name} of ${revision}, removed at ${told}`);
     }
-    for (const c of this.#store.history) {
-      if (c.removed || c.revision > cacheRevision || c.key.startsWith('final/')) continue;
-      if (this.#store.changeAt(c.key, this.#store.revision) !== c) continue;
+    for (const change of this.#store.history) {
+      if (change.removed || change.revision > cacheRevision || change.key.startsWith('final/'))
+        continue;
+      if (this.#store.changeAt(change.key, this.#store.revision) !== change) continue;
       assert.ok(
-        present.has(c.key),
-        `step ${step}: ${c.key} of ${c.revision} is missing at ${cacheRevision}`,
+        present.has(change.key),
+        `step ${step}: ${change.key} of ${change.revision} is missing at ${cacheRevision}`,
       );
     }
     const machines = this.#cache.tables.machineGroups.has('g') ? ['x'] : [];
@@ -338,7 +346,7 @@
   }
 }
 
-test('random interleavings of watch, listings, own writes shown late and news of peers', () => {
+test('the cache matches the store under random interleavings of watch, listings, own answers and peers', () => {
   for (let seed = 1; seed <= 150; seed++) {
     try {
       new Interleaving(seed).run(300);
