--- a/src/store/constants.ts
+++ b/src/store/constants.ts
@@ -57,7 +57,7 @@
 /** Calls that may wait for a token; further calls fail at once. */
 export const STORE_QUEUE_LIMIT = 500;
 
-/** Share of a second's rate limit that may be spent at once; the store itself allows one second's worth. */
+/** Seconds' worth of a rate limit that may be spent at once; the store itself allows one second's worth. */
 export const STORE_BURST_S = 0.8;
 
 /** Time in ms for which calls pause after a 429, since the budget shared with other nodes is spent. */
--- a/src/store/keys.ts
+++ b/src/store/keys.ts
@@ -62,7 +62,10 @@
 /** Prefix of the lists of return intents: machines whose return to the cloud was decided. */
 export const RETURN_INTENTS_PREFIX = `${ELECTIONS_PREFIX}returns/`;
 
-/** Identifies a list of return intents: the index of the shard that has a record of its machines, or `unrecorded`. */
+/**
+ * Identifies a list of return intents: the index of the shard that has a record of the machines, or `unrecorded` for
+ * machines of which no shard has a record.
+ */
 export type ReturnIntentList = number | 'unrecorded';
 
 /** Builds the keys of the singleton controllers' records other than those of the election. */
--- a/src/store/request-scheduler.ts
+++ b/src/store/request-scheduler.ts
@@ -124,8 +124,8 @@
         const { writes, send } = queue[0]!;
         const waitMs = this.#waitMs(writes, now);
         if (waitMs > 0) {
-          // Tokens for writes may be missing while those for reads are not: a waiting write delays the
-          // writes of lower priority, but their queues may still send reads.
+          // Only this queue waits: while tokens for a write are missing, the queues of lower priority may
+          // still send reads, and writes for which there are enough tokens.
           this.#scheduleAfter(waitMs);
           break;
         }
