--- a/src/service/peer-exchange.ts
+++ b/src/service/peer-exchange.ts
@@ -95,7 +95,7 @@
       cancellationsComplete: this.#broadcast.isComplete(sentAt),
       hasStore: store.answeredLately,
       ...describeShards(shardController(), this.directory, detailed, context.now()),
-      classes: workload.runs(),
+      classes: workload.measuredRunTimes(),
     };
   }
 
--- a/src/shards/scale-out/rental-requests.ts
+++ b/src/shards/scale-out/rental-requests.ts
@@ -7,7 +7,7 @@
 import { RecordedIntent } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import type { CloudClient, RentResult } from '../../cloud/cloud-client.js';
-import type { RentWish } from '../../core/capacity/capacity-planner.js';
+import type { RentalRequest } from '../../core/capacity/capacity-planner.js';
 import { CALL_PRIORITY } from '../../store/call-priority.js';
 import { storeKey } from '../../store/keys.js';
 import { encodeRental, type RentalRecord } from '../../store/codecs/rental.js';
@@ -57,7 +57,7 @@
   }
 
   /** Records new rentals, as many as one transaction holds, and then asks for them. */
-  async start(owned: OwnedShard, wanted: readonly RentWish[]): Promise<void> {
+  async start(owned: OwnedShard, wanted: readonly RentalRequest[]): Promise<void> {
     const { config, log } = this.dependencies;
     const { index } = owned.shard;
     const rentals = this.#split(wanted).slice(0, config.storeLimits.transactionOps);
@@ -77,8 +77,8 @@
   }
 
   /** Cuts what is wanted into rentals of at most the size that one record holds. */
-  #split(wanted: readonly RentWish[]): RentWish[] {
-    const rentals: RentWish[] = [];
+  #split(wanted: readonly RentalRequest[]): RentalRequest[] {
+    const rentals: RentalRequest[] = [];
     for (const wish of wanted) {
       for (let left = wish.count; left > 0; left -= this.#maxMachines) {
         rentals.push({ ...wish, count: Math.min(left, this.#maxMachines) });
