--- a/src/store/codecs/final-state.ts
+++ b/src/store/codecs/final-state.ts
@@ -1,12 +1,13 @@
-/** Codec of final states of jobs (`final/<uid>`); the first one written never changes. */
+/** Codec of final states of jobs (`final/<uid>`). Once written, a final state never changes. */
 import * as z from 'zod';
 import { nonNegativeInteger } from './schema-parts.js';
 
 /** How a job ended. */
 export interface FinalState {
   readonly status: 'done' | 'cancelled';
+  /** number of the job's tasks */
   readonly tasks: number;
-  /** tasks that were completed */
+  /** number of tasks that were completed */
   readonly done: number;
 }
 
@@ -16,12 +17,12 @@
   done: nonNegativeInteger,
 });
 
-/** A final state as it is stored. */
+/** Returns the stored form of a final state. */
 export const encodeFinalState = ({
   status,
   tasks,
   done,
 }: FinalState): z.infer<typeof storedFinalStateSchema> => ({ status, tasks, done });
 
-/** Reads a stored final state; throws if it is none. */
+/** Decodes a stored final state; throws if the value is malformed. */
 export const decodeFinalState = (value: unknown): FinalState => storedFinalStateSchema.parse(value);
--- a/src/store/codecs/job.ts
+++ b/src/store/codecs/job.ts
@@ -29,7 +29,10 @@
   deadlineS: z.number().nullable(),
 });
 
-/** Stored: each range is `[from, to, shard, term]`. */
+/**
+ * The stored form of a job. `at` is the time of day of its acceptance in ms. Each range is
+ * `[from, to, shard, term]`.
+ */
 const storedJobSchema = z.object({
   spec: storedSpecSchema,
   at: z.number(),
@@ -38,18 +41,18 @@
   ),
 });
 
-/** A job as it is stored; the key holds its uid. */
+/** Returns the stored form of a job. Its uid is part of the key only. */
 export const encodeJob = ({ spec, at, ranges }: JobRecord): unknown => {
-  const storedSpec: Partial<JobSpec> = { ...spec };
-  delete (storedSpec as { uid?: string }).uid;
+  const specWithoutUid: Partial<JobSpec> = { ...spec };
+  delete (specWithoutUid as { uid?: string }).uid;
   return {
-    spec: storedSpec,
+    spec: specWithoutUid,
     at,
     ranges: ranges.map(({ from, to, shard, term }) => [from, to, shard, term]),
   };
 };
 
-/** Reads a stored job; throws if it is none. */
+/** Decodes a stored job; throws if the value is malformed. */
 export const decodeJob = (uid: string, value: unknown): JobRecord => {
   const { spec, at, ranges } = storedJobSchema.parse(value);
   return {
--- a/src/store/codecs/rental.ts
+++ b/src/store/codecs/rental.ts
@@ -1,8 +1,8 @@
-/** Codec of rentals under way (`hires/<shard>/<name>`): they are recorded before the cloud is called. */
+/** Codec of rental requests in flight (`hires/<shard>/<name>`). A request is recorded before the cloud is called. */
 import * as z from 'zod';
 import { nonNegativeInteger } from './schema-parts.js';
 
-/** Machines to be rented. */
+/** The machines that a rental request asks for. */
 export interface RentalSpec {
   readonly type: string;
   readonly zone: string;
@@ -10,7 +10,7 @@
   readonly count: number;
 }
 
-/** A rental, with the shard it is for and the name under which the cloud is asked. */
+/** A rental request, with the shard that the machines are for and the name under which it is sent to the cloud. */
 export interface RentalRecord extends RentalSpec {
   readonly shard: number;
   readonly name: string;
@@ -23,7 +23,7 @@
   count: nonNegativeInteger,
 });
 
-/** A rental as it is stored; the key holds its shard and name. */
+/** Returns the stored form of a rental request. Its shard and name are part of the key only. */
 export const encodeRental = ({
   type,
   zone,
@@ -31,7 +31,7 @@
   count,
 }: RentalSpec): z.infer<typeof storedRentalSchema> => ({ type, zone, spot, count });
 
-/** Reads a stored rental; `id` is the key without its prefix. */
+/** Decodes a stored rental request; `id` is the key without its prefix. Throws if the value is malformed. */
 export const decodeRental = (id: string, value: unknown): RentalRecord => {
   const slash = id.indexOf('/');
   const shard = Number(id.slice(0, slash));
--- a/src/store/node-session.ts
+++ b/src/store/node-session.ts
@@ -1,4 +1,4 @@
-/** This node's lease on the store and the key that registers the node, which is attached to the lease. */
+/** Creates the node's session: its lease in the store, and the registration key that is attached to the lease. */
 import { SessionLease } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import { CLOCK_DRIFT } from '../constants.js';
@@ -15,7 +15,7 @@
   marginMs: LEASE_MARGIN_MS,
 };
 
-/** Makes the session of one incarnation of a node; it runs once `run` is called. */
+/** Creates the session of one incarnation of a node. It takes no lease until its `run` is called. */
 export const createNodeSession = (
   client: Pick<StoreClient, 'grant' | 'renew' | 'register'>,
   { node, incarnation, ...capabilities }: NodeRecord,
--- a/src/store/request-scheduler.ts
+++ b/src/store/request-scheduler.ts
@@ -1,4 +1,4 @@
-/** Keeps a node's calls to within its share of the store's rate limits, the most important first. */
+/** Sends a node's calls within its share of the store's rate limits, in the order of their priorities. */
 import type { Logger } from 'pino';
 import { TokenBucket } from '../transport/token-bucket.js';
 import { CALL_PRIORITY, type CallPriority } from './call-priority.js';
@@ -18,7 +18,10 @@
 
 /** One node's share of the store's limits. */
 export interface StoreLimits extends StoreRates {
-  /** what is allowed from some moment on, which a 429 shows; as now if nothing is announced */
+  /**
+   * limits announced for an unknown later moment, equal to the present ones if none are announced; a 429 is taken
+   * as the sign that they apply
+   */
   readonly next?: StoreRates;
 }
 
@@ -33,15 +36,15 @@
 const burstTokens = (rate: number): number =>
   Math.max(MIN_STORE_BURST_TOKENS, rate * STORE_BURST_S);
 
-/** Lets calls go by priority, each for a token per request and a token per written key. */
+/** Queues calls by priority. Each call costs a token per request, and a token per key that it writes. */
 export class RequestScheduler {
   readonly #requests: TokenBucket;
   readonly #writes: TokenBucket;
-  /** by priority */
+  /** queues by priority, first in first out */
   readonly #queues: QueuedCall[][] = Object.values(CALL_PRIORITY).map(() => []);
   #queuedCalls = 0;
   #timer: NodeJS.Timeout | null = null;
-  /** the limits that have come down to what was announced */
+  /** which limits have been lowered to the announced ones */
   readonly #lowered = { rps: false, writeRps: false };
 
   constructor(
@@ -53,7 +56,10 @@
     this.#writes = new TokenBucket(limits.writeRps, burstTokens(limits.writeRps), now());
   }
 
-  /** Resolves when the call may be sent. Rejects at once if too many wait; renewals always wait. */
+  /**
+   * Resolves when the call may be sent. If too many calls are waiting, rejects at once with `overloaded`, except for
+   * renewals, which always wait.
+   */
   acquire(priority: CallPriority, writes: number): Promise<void> {
     if (this.#queuedCalls >= STORE_QUEUE_LIMIT && priority !== CALL_PRIORITY.renew) {
       const message = `store call not sent: ${this.#queuedCalls} calls wait for the rate limit`;
@@ -66,7 +72,7 @@
     });
   }
 
-  /** The node's share of the limits changes with the number of live nodes. */
+  /** Sets the node's share of the limits, which changes with the number of live nodes. */
   setLimits(limits: StoreLimits): void {
     this.limits = limits;
     const now = this.now();
@@ -76,14 +82,14 @@
     this.#writes.setRate(writeRps, burstTokens(writeRps), now);
   }
 
-  /** After a 429: calls pause, and the limit may have come down to what was announced. */
+  /** Handles a 429: pauses calls, and lowers the limit to the announced one if that is lower. */
   recordRateLimited(writes: number): void {
     const bucket = writes > 0 ? this.#writes : this.#requests;
     bucket.block(RATE_LIMITED_BACKOFF_MS, this.now());
     this.#lowerRate(writes > 0 ? 'writeRps' : 'rps');
   }
 
-  /** ms until a write of this priority that comes now would probably be sent. */
+  /** Returns the estimated time in ms until a write of this priority would be sent if it were queued now. */
   expectedWaitMs(priority: CallPriority): number {
     let writes = 1;
     for (const queue of this.#queues.slice(0, priority + 1)) {
@@ -92,6 +98,7 @@
     return this.#writes.backlogWaitMs(writes, this.now());
   }
 
+  /** Stops the timer; calls that are still waiting are never sent. */
   close(): void {
     if (this.#timer !== null) clearTimeout(this.#timer);
   }
@@ -117,7 +124,8 @@
         const { writes, send } = queue[0]!;
         const waitMs = this.#waitMs(writes, now);
         if (waitMs > 0) {
-          // A waiting write holds back less important writes, not reads: the next queue may go on.
+          // Only this queue waits: while tokens for a write are missing, the queues of lower priority may
+          // still send reads, and writes for which there are enough tokens.
           this.#scheduleAfter(waitMs);
           break;
         }
