--- a/src/core/capacity/capacity-planner.ts
+++ b/src/core/capacity/capacity-planner.ts
@@ -144,7 +144,7 @@
     const reason = this.#faultOf(machine);
     if (reason !== null) this.#return(machine, reason);
     else if (machine.faultStatus === 'quarantined') this.#drain(machine);
-    else if (machine.preemptionNoticeAt === null && !machine.cordoned) this.#retained.push(machine);
+    else if (machine.preemptionAt === null && !machine.cordoned) this.#retained.push(machine);
   }
 
   /** Returns the fault for which the machine has to be returned now; null: none. */
