--- a/src/shards/completions/completion-collector.ts
+++ b/src/shards/completions/completion-collector.ts
@@ -24,11 +24,11 @@
   job.waitingTasks.length + job.placements.size + job.migratingTasks.length > 0;
 
 const completedTasks = (job: JobState): { has(index: number): boolean } => ({
-  has: (index) => job.savedTasks.has(index) || job.unsavedTasks.has(index),
+  has: (index) => job.savedCompletions.has(index) || job.unsavedCompletions.has(index),
 });
 
 const unsavedIn = (job: JobState, { from, to }: TaskRange): number[] =>
-  [...job.unsavedTasks].filter((index) => index >= from && index < to);
+  [...job.unsavedCompletions].filter((index) => index >= from && index < to);
 
 /** Whether every task is done: those of this shard by its own state, those of others by what they saved. */
 const isFinished = (
@@ -59,7 +59,7 @@
   batch.writes.push(...writes);
   batch.guards.push({ key: key.activeJob(uid), revision });
   batch.finishedJobs.push(uid);
-  batch.savedTasks.push({ uid, indexes: [...job.unsavedTasks] });
+  batch.savedTasks.push({ uid, indexes: [...job.unsavedCompletions] });
 };
 
 const addProgress = (
@@ -102,7 +102,9 @@
     return [];
   }
   return ownRanges
-    .filter(({ from, to }) => [...job.unsavedTasks].some((index) => index >= from && index < to))
+    .filter(({ from, to }) =>
+      [...job.unsavedCompletions].some((index) => index >= from && index < to),
+    )
     .map((range) => ({ job, range, isUrgent: !isOpen }));
 };
 
@@ -120,7 +122,7 @@
   const progress: RangeProgress[] = [];
   for (const job of jobs.values()) {
     if (job.ended || job.spec.kind === 'service') continue;
-    if (job.unsavedTasks.size === 0 && hasOpenTasks(job)) continue;
+    if (job.unsavedCompletions.size === 0 && hasOpenTasks(job)) continue;
     const active = context.cache.tables.activeJobs.get(job.spec.uid);
     if (active === undefined) continue;
     progress.push(...collectJob(context, batch, index, job, active));
--- a/src/shards/task-migration.ts
+++ b/src/shards/task-migration.ts
@@ -115,7 +115,7 @@
       otherShards.capacityElsewhere(spec, shard.index) ??
       this.#lessAllocated(job, shard.index, now);
     if (destination === null) return null;
-    const migratable = shard.migratable(job, record.value);
+    const migratable = shard.migratableTasks(job, record.value);
     const term = cache.tables.shards.get(String(destination.shard))?.value.term;
     if (migratable === null || term === undefined) return null;
     const { range } = migratable;
--- a/test/budget.test.ts
+++ b/test/budget.test.ts
@@ -107,7 +107,7 @@
   const finish = (uid: string, index: number) => {
     const state = shard.jobs.get(uid)!;
     state.waitingTasks = state.waitingTasks.filter((waiting) => waiting !== index);
-    state.unsavedTasks.add(index);
+    state.unsavedCompletions.add(index);
   };
   for (const uid of uids) finish(uid, 0);
   await saver.save(owned, COMPLETION_SAVE_INTERVAL_MS);
@@ -119,7 +119,7 @@
     'one value for thirty ranges',
   );
   assert.ok(uids.every((uid) => cache.completedTasks(0, uid, 0) === '8'));
-  assert.ok(uids.every((uid) => shard.jobs.get(uid)!.savedTasks.has(0)));
+  assert.ok(uids.every((uid) => shard.jobs.get(uid)!.savedCompletions.has(0)));
 
   for (const i of [1, 2, 3]) finish(uids[0]!, i);
   await saver.save(owned, PROGRESS_SAVE_INTERVAL_MS + COMPLETION_SAVE_INTERVAL_MS);
@@ -195,7 +195,7 @@
     log: LOG,
   });
   const complete = (index: number) => {
-    state.unsavedTasks.add(index);
+    state.unsavedCompletions.add(index);
     state.waitingTasks = state.waitingTasks.filter((waiting) => waiting !== index);
   };
   const save = async () => {
@@ -226,7 +226,7 @@
   await save();
   store.show(cache, 'changes');
   await save();
-  assert.deepEqual([...state.unsavedTasks], [], 'saved once the cache shows the late one');
+  assert.deepEqual([...state.unsavedCompletions], [], 'saved once the cache shows the late one');
 });
 
 test('a machine that nobody recorded is adopted only when no rental can still record it', async () => {
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -79,9 +79,9 @@
     const shard = shardOf(store, machines);
     shard.placeAll(1);
     const placed = placedTasks(shard);
-    const first = { ...shard.state.work };
+    const first = { ...shard.state.workCounters };
     shard.placeAll(2);
-    const again = shard.state.work.machinesVisited - first.machinesVisited;
+    const again = shard.state.workCounters.machinesVisited - first.machinesVisited;
     assert.ok(placed > 2 * machines, `${placed} tasks placed on ${machines} machines`);
     return {
       visited: first.machinesVisited / placed,
@@ -109,7 +109,7 @@
   const shard = shardOf(store, 100);
   shard.placeAll(1);
   assert.equal(placedTasks(shard), 200);
-  const before = shard.state.work.machinesVisited;
+  const before = shard.state.workCounters.machinesVisited;
   for (let i = 0; i < 100; i++) {
     const { zone, spot } = store.machines.get(nameOf(i))!.value;
     const m = shard.machines.get(nameOf(i))!;
@@ -131,7 +131,7 @@
     );
     assert.equal(result.kind, 'answer');
   }
-  assert.equal(shard.state.work.machinesVisited - before, 0);
+  assert.equal(shard.state.workCounters.machinesVisited - before, 0);
 });
 
 test('returning thousands of idle machines takes one look at each', () => {
@@ -223,7 +223,7 @@
     const random = randomFrom(seed);
     const store = new Store();
     const shard = shardOf(store, 60);
-    const { largest } = shard.state;
+    const { largestCapacity: largest } = shard.state;
     const machines = [...shard.machines.values()];
     const change = (m: (typeof machines)[number]) => {
       m.free = { cpus: random(9), gpus: random(3), memoryGb: 8 * random(9) };
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -168,11 +168,11 @@
   for (const { value } of cache.machines.values()) store.add({ ...value, shard: 0 });
   const bits = cache.completedTasks(0, 'job-000001', 0);
   assert.ok(bits !== undefined);
-  store.bits.set('job-000001/0', bits);
+  store.doneBitmaps.set('job-000001/0', bits);
   // The shard was the old version's; what it may have started waits for its machines' answers.
   const shard = shardWith(store, 12);
   const job = shard.jobs.get('job-000001')!;
-  assert.equal(job.savedTasks.size, 7);
+  assert.equal(job.savedCompletions.size, 7);
   assert.equal(job.waitingTasks.length, 9);
   assert.equal(shard.recovered, false);
   shard.placeAll(0);
