--- a/src/core/reachability/constants.ts
+++ b/src/core/reachability/constants.ts
@@ -1,41 +1,53 @@
-/** When machines count as unreachable or faulty, and jobs as suspect. */
+/**
+ * Thresholds at which a machine counts as unreachable or faulty, and at which a job counts as suspect. Intervals
+ * are those between heartbeats.
+ */
 
-/** heartbeat intervals without a message after which a machine gets no new tasks. */
+/** A machine whose last message is older than this gets no new tasks. */
 export const STALE_HEARTBEAT_INTERVALS = 2.2;
 
-/** heartbeat intervals without any message after which a machine with replicas of services is returned to the
- * cloud: each second costs served time, and a machine that only lost a heartbeat or two is heard within this. */
+/**
+ * A machine with service replicas is returned to the cloud after this many intervals without any message: each
+ * second costs served time, and a machine that only lost a heartbeat or two is heard from within this time.
+ */
 export const HEARTBEATS_LOST_SERVICE_INTERVALS = 3;
 
-/** heartbeat intervals without a heartbeat after which a machine is returned to the cloud. */
+/** A machine is returned to the cloud after this many intervals without a heartbeat. */
 export const HEARTBEATS_LOST_INTERVALS = 4.5;
 
-/** heartbeat intervals after which a machine that loses commands is returned to the cloud. */
+/** A machine is returned to the cloud when commands to it have been lost for this many intervals. */
 export const COMMANDS_LOST_RETURN_INTERVALS = 2;
 
-/** share of the time for a cancellation after which a task that was told to stop and still runs costs its machine:
- * the rest is for the cloud's answer, and for asking again. */
+/**
+ * A task that has been told to stop and still runs after this share of the time for a cancellation causes its
+ * machine to be returned. The rest of the time is for the cloud's answer, and for asking again.
+ */
 export const STOP_TIMEOUT_SHARE = 0.5;
 
-/** ms; failures of a service count anew after a replica ran this long. */
+/** When a service fails later than this after its previous failure, its failure count starts again at one. */
 export const REPLICA_STABLE_MS = 60_000;
 
-/** distinct jobs that must fail on a machine, without a success between, to quarantine it. */
+/** A machine is quarantined after this many distinct jobs failed there without a success in between. */
 export const QUARANTINE_FAILED_JOBS = 2;
 
-/** the same if all of them fail elsewhere, too: one job in 25 may be submitted with a mistake, so four of them in a
- * row on a healthy machine are rare, and a faulty machine meets four jobs within seconds. */
+/**
+ * A machine is quarantined after this many distinct jobs failed there without a success in between, even if all of
+ * them fail on other machines, too. One job in 25 may be submitted with a mistake, so four of them in a row on a
+ * healthy machine are rare, while a faulty machine meets four jobs within seconds.
+ */
 export const QUARANTINE_SUSPECT_JOBS = 4;
 
-/** failures on different machines, without a success between, after which a job is suspect itself. */
+/** A job is suspect after this many failures on different machines without a success in between. */
 export const SUSPECT_FAILURES = 2;
 
-/** ms; a task of a suspect job that has run this long shows that the job can run: its other tasks follow. */
+/** A task of a suspect job that has run for this long shows that the job can run: its other tasks follow. */
 export const SUSPECT_JOB_PROBE_MS = 20_000;
 
-/** s; first and longest backoff of a job whose tasks fail on machine after machine. */
+/** First and longest backoff of a job whose tasks fail on machine after machine. */
 export const JOB_BACKOFF_S = { first: 2, max: 60 } as const;
 
-/** ms; a machine that failed a job's task is avoided by that job for this long. No job may wait for 90 s beside a
- * machine with free capacity, and it may be the only one. */
+/**
+ * A job avoids a machine that failed one of its tasks for this long. It is below 90 s because no job may wait that
+ * long beside a machine with free capacity, and the avoided machine may be the only one.
+ */
 export const MACHINE_AVOIDANCE_MS = 60_000;
--- a/src/core/reachability/machine-health.ts
+++ b/src/core/reachability/machine-health.ts
@@ -1,22 +1,24 @@
 /**
- * What a shard concludes from the messages of its machines: which may get tasks, which should be asked by direct
- * command, and which are better returned to the cloud.
+ * Derives the reachability of a shard's machines from their messages: which machines may get tasks, which are probed
+ * by direct command, and which are returned to the cloud.
  *
- * Reachability, named by the direction that fails. The states are found from time stamps when they are asked for,
- * and the two directions may fail together.
+ * The states are named after the direction of communication that fails. They are computed from timestamps on
+ * demand, and both directions may fail at the same time.
  *
- * | state            | sign                                                | consequence                             |
- * | ---------------- | --------------------------------------------------- | --------------------------------------- |
- * | unconfirmed      | no list under our term, or its lease has expired    | gets nothing; probed                    |
- * | fresh            | confirmed, and a list within 2.2 intervals          | may get tasks                           |
- * | stale            | confirmed, but no list for longer than that         | gets nothing new                        |
- * | heartbeats lost  | no heartbeat for 4.5 intervals; with replicas of    | returned to the cloud                   |
- * |                  | services also no list of any kind for 3             |                                         |
- * | commands lost    | heartbeats arrive, but commands show no effect      | probed, gets nothing new; returned when |
- * |                  |                                                     | it lasts, or a stop is overdue          |
+ * | state           | condition                                            | consequence                           |
+ * | --------------- | ---------------------------------------------------- | ------------------------------------- |
+ * | unconfirmed     | no task list under this shard's term, or the lease   | gets no tasks; probed                 |
+ * |                 | of the worker has expired                            |                                       |
+ * | fresh           | confirmed, and a task list within 2.2 intervals      | may get tasks                         |
+ * | stale           | confirmed, but no task list for 2.2 intervals        | gets no new tasks                     |
+ * | heartbeats lost | no heartbeat for 4.5 intervals; on a machine with    | returned to the cloud                 |
+ * |                 | service replicas also no task list for 3 intervals   |                                       |
+ * | commands lost   | heartbeats arrive, but commands have no effect       | probed, gets no new tasks; returned   |
+ * |                 |                                                      | if this lasts or a stop is overdue    |
  *
- * A list is a heartbeat or the answer to a direct command. Such an answer renews no lease, so it does not replace
- * heartbeats for long. Intervals are those between heartbeats; their numbers are in `constants.ts`.
+ * A task list is a heartbeat or the answer to a direct command. Only heartbeats renew the worker's lease, so answers
+ * to commands can't replace them for long. Intervals are those between heartbeats; the thresholds are defined in
+ * `constants.ts`.
  */
 import { hostsServiceReplicas } from '../shard/placements.js';
 import type { MachineState, ShardSettings } from '../shard/types.js';
@@ -28,27 +30,28 @@
   STOP_TIMEOUT_SHARE,
 } from './constants.js';
 
-/** To be returned to the cloud, or no longer this shard's: nothing starts there. */
+/** Whether the machine is to be returned to the cloud, or belongs to this shard no longer: no task starts there. */
 export const isLeaving = (machine: MachineState): boolean =>
   machine.terminating ||
   machine.lifecycle !== 'in-service' ||
   machine.faultStatus === 'quarantined';
 
-/** Finds the states of the table above for single machines of one shard. */
+/** Computes the reachability states above for the machines of one shard. */
 export class MachineHealth {
   constructor(
     private readonly term: number,
     private readonly settings: ShardSettings,
   ) {}
 
-  /** An earlier owner may have started something there. */
+  /** Whether an earlier owner of the shard may have started tasks on the machine. */
   mayHoldInheritedTasks({ record }: MachineState): boolean {
     return record.term !== this.term && record.up;
   }
 
   /**
-   * True for a machine of an earlier term, which should be told of ours at once, and for one that seems to lose
-   * commands: an answer to one would show that it does not.
+   * Whether the machine should be sent a direct command to get its task list. This is so for a machine that has not
+   * confirmed this shard's term, which it learns at once by the probe, and for one that seems to lose commands,
+   * since an answer would show that they arrive.
    */
   needsProbe(machine: MachineState): boolean {
     if (machine.terminating) return false;
@@ -57,12 +60,12 @@
     return machine.confirmedSince === null && expected;
   }
 
-  /** Without heartbeats for so long that the machine is better returned than waited for. */
+  /** Whether the machine has sent no heartbeats for so long that it should be returned to the cloud. */
   heartbeatsLost(machine: MachineState, now: number): boolean {
     const expected = machine.everConfirmed || this.mayHoldInheritedTasks(machine);
     if (!expected) return false;
-    // A return that the cloud has confirmed proves a replica gone sooner than the end of its lease does. A worker
-    // that is still looking for a living controller answers commands meanwhile.
+    // A return that the cloud has confirmed proves a replica gone earlier than the end of its lease does. A worker
+    // that is still looking for a controller it can reach answers commands meanwhile, which counts here.
     const { lastStatusAt, lastHeartbeatAt, trackedSince } = machine;
     const silentMs = now - Math.max(lastStatusAt, lastHeartbeatAt, trackedSince);
     const limitMs = this.settings.heartbeatIntervalMs * HEARTBEATS_LOST_SERVICE_INTERVALS;
@@ -71,15 +74,15 @@
     );
   }
 
-  /** A machine that only answers commands reaches no controller: its lease ends with all that it runs. */
+  /** Whether heartbeats are overdue. If so, its lease ends with all tasks, even if the worker answers commands. */
   #sendsNoHeartbeats({ lastHeartbeatAt, trackedSince }: MachineState, now: number): boolean {
     const limitMs = this.settings.heartbeatIntervalMs * HEARTBEATS_LOST_INTERVALS;
     return now - Math.max(lastHeartbeatAt, trackedSince) > limitMs;
   }
 
   /**
-   * Heartbeats arrive, but commands have had no effect for so long that the machine is better returned: only that
-   * surely ends what runs there, which matters for cancelled jobs most of all.
+   * Whether commands to the machine have had no effect for so long that it should be returned to the cloud. Only the
+   * return is sure to end its tasks, which matters most for cancelled jobs.
    */
   commandsLost(machine: MachineState, now: number): boolean {
     const { commandsLostSince, unknownTasksSince } = machine;
@@ -94,7 +97,7 @@
     return unknownTasksSince !== null && now - unknownTasksSince > stopTimeoutMs;
   }
 
-  /** Confirmed, and heard from lately. */
+  /** Whether the machine has confirmed this shard's term and has sent a task list recently. */
   isFresh(machine: MachineState, now: number): boolean {
     const limitMs = this.settings.heartbeatIntervalMs * STALE_HEARTBEAT_INTERVALS;
     return (
@@ -104,7 +107,7 @@
     );
   }
 
-  /** A task may start there now, as far as the machine itself is concerned. */
+  /** Whether a task may start on the machine now, regardless of its free capacity. */
   isSchedulable(machine: MachineState, now: number): boolean {
     return (
       this.isFresh(machine, now) &&
--- a/src/core/shard/constants.ts
+++ b/src/core/shard/constants.ts
@@ -1,28 +1,34 @@
-/** Timing of worker leases, commands and migrations. */
+/** Timing and limits of worker leases, commands and migrations. */
 
-/** attempt numbers are term * this + counter: below 2^53 for terms under a billion. */
+/** Attempt numbers are term * this + counter, which stays below 2^53 for terms under a billion. */
 export const ATTEMPTS_PER_TERM = 2 ** 23;
 
-/** ms; a worker drops an answer that comes later than 4 s, and ours are made within milliseconds. */
+/**
+ * A placement whose start has not been sent for this long is released. A worker drops an answer that comes later than
+ * 4 s, and the shard answers within milliseconds.
+ */
 export const UNDISPATCHED_START_TIMEOUT_MS = 8000;
 
-/** ms; added to a worker's lease before its tasks count as gone. */
+/** Added to a worker's lease before the tasks on the worker count as ended. */
 export const WORKER_LEASE_MARGIN_MS = 1000;
 
-/** s; a stop whose task still runs after its grace and this is repeated without grace. */
+/** A stop is repeated without grace if its task still runs this long after the end of the grace period. */
 export const STOP_OVERDUE_MARGIN_S = 6;
 
-/** ms; a worker is told to forget completed tasks after this at the latest, and lists them until then. */
+/** A worker lists completed tasks until it is told to forget them, which it is after this time at the latest. */
 export const FORGET_DELAY_MAX_MS = 20_000;
 
-/** tasks; a worker that lists so many completed ones is told to forget them at once: heartbeats stay short. */
+/** A worker that lists this many completed tasks is told to forget them at once, which keeps heartbeats short. */
 export const FORGET_BATCH_LIMIT = 16;
 
-/** commands in a row without effect after which a machine counts as one that loses commands. */
+/** After this many consecutive commands without effect a machine counts as losing commands. */
 export const LOST_COMMANDS_LIMIT = 2;
 
-/** ms; a machine that refused a start for want of capacity gets none for this long: our state lags. */
+/**
+ * A machine that refused a start for lack of capacity gets no starts for this long, since the shard's view of its free
+ * capacity lags behind.
+ */
 export const NO_ROOM_BACKOFF_MS = 3000;
 
-/** ms; tasks that passed to another shard, or failed to, stay at least this long before they pass again. */
+/** After a migration of tasks of a job, successful or not, the job migrates no tasks for this long. */
 export const MIGRATION_COOLDOWN_MS = 5000;
--- a/src/core/shard/types.ts
+++ b/src/core/shard/types.ts
@@ -1,6 +1,6 @@
 /**
- * The data that the modules of one shard share: its jobs, its machines, and which task is where. `ShardState`
- * holds it. Times are monotonic milliseconds unless a name or comment says otherwise.
+ * Types of the state that the modules of one shard share: its jobs, its machines, and the placements of its tasks.
+ * `ShardState` holds this state. Times are monotonic milliseconds unless a name or comment says otherwise.
  */
 import type {
   Command,
@@ -22,19 +22,19 @@
   delete(task: number): boolean;
 }
 
-/** A stop that a task has been or is to be sent. */
+/** A stop that has been or will be sent to a task. */
 export interface StopRequest {
   readonly requestedAt: number;
-  /** seconds that the task has to save its progress */
+  /** time that the task has to save its progress */
   readonly graceS: number;
-  /** a direct command has carried it; heartbeat answers repeat it in any case */
+  /** whether a direct command has carried the stop; heartbeat answers repeat it in any case */
   sentDirectly: boolean;
 }
 
 /**
- * A task on a machine, from the decision to start it until it is proven gone. How far its start has come is
- * told by `observed`, `directStartUnsettled` and `startSentCounter`, which do not exclude each other: a start
- * may travel by direct command and by heartbeat answer at once. See `isUndispatched`.
+ * A task on a machine, from the decision to start it until it is proven gone. `observed`, `directStartUnsettled` and
+ * `startSentCounter` show how far the start has come. They do not exclude each other, since a start may be in flight
+ * in a direct command and in a heartbeat answer at the same time. See `isUndispatched`.
  */
 export interface Placement {
   readonly job: JobState;
@@ -43,91 +43,103 @@
   readonly machine: MachineState;
   state: 'placed' | 'fetching' | 'waiting' | 'running' | 'saving';
   readonly placedAt: number;
-  /** counter of the heartbeat whose answer carried the start; null: in no answer, or that answer was lost */
+  /** counter of the heartbeat whose answer carried the start; null if no answer did, or that answer was lost */
   startSentCounter: number | null;
-  /** the worker has listed this attempt */
+  /** whether the worker has listed this attempt */
   observed: boolean;
-  /** a start was sent by direct command and may be carried out at any time until the agent epoch ends */
+  /** whether a start sent by direct command may still be executed, at any time until the agent epoch ends */
   directStartUnsettled: boolean;
   runningSince: number | null;
   stop: StopRequest | null;
 }
 
-/** The tasks of one job that belong to this shard. */
+/** The state of one job in this shard, which may have only some of the job's tasks. */
 export interface JobState {
   readonly spec: JobSpec;
   readonly priorityRank: number;
-  /** demand as a share of the largest capacity (C' of the paper), and its dominant resource */
+  /** demand as a share of the largest capacity of each resource on any machine type (C' of the paper) */
   readonly demandShare: Resources;
+  /** the resource with the largest value in `demandShare` */
   readonly dominantResource: ResourceKind;
-  /** equal for jobs whose placement constraints, besides size, are equal */
+  /** equal for jobs with the same placement constraints, apart from the amounts of resources */
   readonly constraintKey: string;
-  /** time of day, ms */
+  /** wall-clock time of acceptance, ms */
   readonly acceptedAt: number;
-  /** the same moment by the monotonic clock */
+  /** the time of acceptance by the monotonic clock */
   readonly acceptedAtMonotonic: number;
-  /** tasks of this shard that are neither completed nor placed, in the order in which they are placed */
+  /** tasks of this shard that are neither completed nor placed, in the order in which they will be placed */
   waitingTasks: number[];
+  /** all tasks of the job that belong to this shard */
   readonly ownTasks: TaskNumbers;
-  /** tasks that an earlier owner of the shard may have started */
+  /** tasks of this shard that an earlier owner of the shard may have started */
   readonly inheritedTasks: TaskNumbers;
+  /** by task number */
   readonly placements: Map<number, Placement>;
-  /** completed tasks, as far as the store shows them */
+  /** completed tasks whose completion is saved in the store */
   readonly savedCompletions: TaskNumbers;
-  /** completed tasks that the store does not show yet */
+  /** completed tasks whose completion is not yet saved in the store */
   readonly unsavedCompletions: Set<number>;
-  /** completed or cancelled: nothing starts, what runs is stopped */
+  /** whether the job is completed or cancelled: none of its tasks starts, and running ones are stopped */
   ended: boolean;
-  /** end of the backoff after failures */
+  /** end of the backoff after failures; until then no task of the job is placed */
   backoffUntil: number;
   consecutiveFailures: number;
   lastFailureAt: number;
-  /** by machine name: until when the job is not placed there */
+  /** by machine name, the time until which no task of the job is placed on that machine */
   readonly avoidedMachines: Map<string, number>;
-  /** by when its tasks should start, as of the last look at the queue */
+  /** time by which its tasks should start, as computed when the queue was last sorted */
   startDeadline: number;
-  /** a gang that lost a task: nothing of it starts before all of it is gone */
+  /** whether the gang has lost a task: none of its tasks starts before all the others are gone, too */
   gangBroken: boolean;
-  /** since when its tasks wait without finding capacity */
+  /** time since which its tasks have waited without finding capacity; null if they do not wait */
   unschedulableSince: number | null;
-  /** tasks of a migration under way: they start nowhere until it is settled */
+  /** tasks in a migration whose outcome is not known yet; they start nowhere until it is */
   migratingTasks: number[];
+  /** time before which no further tasks of the job migrate */
   nextMigrationAt: number;
 }
 
-/** By which messages of its worker a machine is known, and which of them are out of date. */
+/** Identity of a machine's worker, and the newest messages from it, by which outdated ones are recognised. */
 export interface AgentContact {
+  /** where the worker takes direct commands; null before its first message */
   address: string | null;
-  /** one life of the worker process: its tasks end with it */
+  /** number of the present life of the worker process, whose tasks end with it; 0 before its first message */
   agentEpoch: number;
-  /** agent epochs below this have ended, by the expiry of their lease */
+  /** agent epochs below this have ended by the expiry of their lease */
   minimumAgentEpoch: number;
-  /** counter and time of the newest task list, be it a heartbeat or the answer to a command */
+  /** counter of the newest task list, whether a heartbeat or the answer to a direct command */
   lastStatusCounter: number;
+  /** time at which that task list was received */
   lastStatusAt: number;
-  /** the same of the newest heartbeat: only its answer renews the worker's lease */
+  /** counter of the newest heartbeat; only answers to heartbeats renew the worker's lease */
   lastHeartbeatCounter: number;
+  /** time at which that heartbeat was received */
   lastHeartbeatAt: number;
+  /** time of the newest answer to a heartbeat */
   leaseRenewedAt: number;
 }
 
-/** What the messages of a machine show; the states that follow from it are defined in `MachineHealth`. */
+/** Inputs from which `MachineHealth` derives the reachability of a machine. */
 export interface MachineReachability {
-  /** since when the worker has acknowledged our term, so that its task list is complete; null: it has not */
+  /**
+   * time since which the worker has confirmed this shard's term, so that its task lists are complete; null if it has
+   * not, or if its lease has expired since
+   */
   confirmedSince: number | null;
-  /** it had acknowledged our term at some time, even if its lease has expired since */
+  /** whether the worker has ever confirmed this shard's term, even if its lease has expired since */
   everConfirmed: boolean;
-  /** since when commands have shown no effect although heartbeats arrive; null: they arrive */
+  /** time since which commands have had no effect although heartbeats arrive; null while commands arrive */
   commandsLostSince: number | null;
+  /** commands without effect since the last one that is known to have arrived */
   consecutiveLostCommands: number;
 }
 
 /**
- * Whether failed tasks are the machine's fault, as `FailureTracker` judges it.
+ * Whether the failures of tasks are attributed to the machine; set by `FailureTracker`.
  *
  * - `healthy`: no credible failure since the last task that completed there;
  * - `probation`: may be faulty, so it gets one task at a time until one completes;
- * - `quarantined`: taken for faulty, nothing starts there and it is returned to the cloud.
+ * - `quarantined`: considered faulty, so no task starts there and it is returned to the cloud.
  */
 export type FaultStatus = 'healthy' | 'probation' | 'quarantined';
 
@@ -135,8 +147,9 @@
  * Whether the shard wants to keep a machine.
  *
  * - `in-service`: yes;
- * - `draining`: it is to be emptied and returned, since it is quarantined;
- * - `orphaned`: its record is gone or another shard's although this shard has not returned it. Final.
+ * - `draining`: it is to be emptied and returned to the cloud, since it is quarantined;
+ * - `orphaned`: its record was deleted or now belongs to another shard, although this shard has not returned the
+ *   machine to the cloud. This state is final.
  */
 export type MachineLifecycle = 'in-service' | 'draining' | 'orphaned';
 
@@ -144,87 +157,104 @@
 export interface Reservation {
   readonly uid: string;
   readonly until: number;
-  /** the job is a gang that has not enough machines in sight yet */
+  /** whether the job is a gang that does not have enough machines for all of its tasks yet */
   readonly partial: boolean;
 }
 
-/** What runs on a machine and what else its worker lists. */
+/** The tasks and images on a machine, and its free capacity. */
 export interface MachineWorkload {
-  /** by `taskKey` */
+  /** placements on the machine by `taskKey` */
   readonly tasks: Map<string, Placement>;
-  /** capacity without the demand of `tasks` */
+  /** capacity minus the demand of `tasks` */
   free: Resources;
+  /** time of the last change of the placements that left some; an empty machine counts as idle since then */
   idleSince: number;
   reservation: Reservation | null;
-  /** tasks in the newest list, ended ones included */
+  /** number of tasks in the newest task list, ended ones included */
   reportedTaskCount: number;
-  /** listed tasks that have no placement here and are being stopped */
+  /** number of listed, running tasks that have no placement in this shard and are being stopped */
   unknownTaskCount: number;
+  /** time since which `unknownTaskCount` has been above 0 */
   unknownTasksSince: number | null;
-  /** since when the worker lists completed tasks that it could forget */
+  /** time since which the worker has listed completed tasks that it may forget; null if it lists none */
   forgettableSince: number | null;
-  /** by `attemptKey`: attempts whose direct start may still arrive; a worker that forgot one could rerun it */
+  /**
+   * attempts, by `attemptKey`, whose direct start may still arrive; if the worker forgot such an attempt, it could run
+   * it again
+   */
   readonly unsettledDirectStarts: Set<string>;
-  /** images in the worker's cache with their size in GB, the one used last at the end */
+  /** images in the worker's cache with their sizes in GB, ordered from the least to the most recently used */
   readonly images: Map<string, number>;
 }
 
 /** One machine of the shard. */
 export interface MachineState extends AgentContact, MachineReachability, MachineWorkload {
   record: MachineRecord;
+  /** null if the settings do not know the type */
   readonly type: MachineType | null;
-  /** since when this shard, under this term, has had the machine */
+  /** time since which this shard has had the machine under this term */
   readonly trackedSince: number;
   faultStatus: FaultStatus;
   /** jobs that failed here since the last task that completed here, by uid */
   readonly failedJobs: Map<string, JobState>;
   lifecycle: MachineLifecycle;
-  /** the cloud was asked to end it. May hold in any lifecycle state: the record goes before or after. */
+  /**
+   * whether the cloud was asked to end the machine; possible in any lifecycle state, since the record may be deleted
+   * before or after
+   */
   terminating: boolean;
-  /** chosen to move to another shard: no starts, what runs goes on. Set and lifted by shard rebalancing. */
+  /**
+   * whether the machine is chosen to move to another shard: no task starts there, and running ones go on. Set and
+   * lifted by shard rebalancing.
+   */
   cordoned: boolean;
+  /** time at which the machine reported a preemption notice of the cloud; null if it has none */
   preemptionNoticeAt: number | null;
-  /** a start was refused for want of capacity; no further one until then */
+  /** time before which nothing is started there, after a start was refused for lack of capacity */
   backoffUntil: number;
 }
 
-/** Settings and look-ups that the shard takes from the service. */
+/** Settings and look-ups that the service passes to the shard. */
 export interface ShardSettings {
   readonly heartbeatIntervalMs: number;
   readonly leaseMs: number;
+  /** time within which the tasks of a cancelled job must have ended */
   readonly cancelMs: number;
   readonly teams: ReadonlyMap<string, Team>;
   readonly types: ReadonlyMap<string, MachineType>;
+  /** whether tasks may be stopped to make room for jobs of a higher rank */
   readonly preempt: boolean;
-  /** images that an earlier owner knew on a machine, with their sizes in GB */
+  /** returns the images that an earlier owner of the shard knew on a machine, with their sizes in GB */
   readonly imagesOf: (machine: string) => ReadonlyMap<string, number>;
-  /** seconds from acceptance by which tasks of a class should start, the earliest first */
+  /** returns the times from acceptance, in seconds, by which tasks of a class should start, in ascending order */
   readonly startObjectives: (jobClass: string) => readonly number[];
 }
 
-/** How much the scheduler has looked at since the shard was built: it must not grow with the fleet. */
+/** Counts the scheduler's steps since the shard was created. Their number per round must not grow with the fleet. */
 export interface WorkCounters {
-  /** machines tried for a task or a pair */
+  /** machines tried for a task or a pair of tasks */
   machinesVisited: number;
-  /** waiting jobs compared with another one */
+  /** waiting jobs compared with another waiting job */
   jobsCompared: number;
 }
 
-/** Records that have changed in the store since the last synchronisation. */
+/** The records that have changed in the store since the last synchronisation. */
 export interface ChangedRecords {
+  /** uids of changed jobs */
   readonly jobs: ReadonlySet<string>;
+  /** whether any machine record has changed */
   readonly machines: boolean;
 }
 
 /** The records of the store that concern this shard. */
 export interface StoredRecords {
   readonly jobs: ReadonlyMap<string, { readonly value: JobRecord }>;
-  /** bitmap of the completed tasks of the range that begins at `from`, as saved */
+  /** returns the saved bitmap of completed tasks of the range that begins at `from`, if there is one */
   done(uid: string, from: number): string | undefined;
   readonly machines: ReadonlyMap<string, { readonly value: MachineRecord }>;
 }
 
-/** Something that happened to a task, for the log. */
+/** A change in the state of a task, for the log. */
 export interface TaskEvent {
   readonly type: 'placed' | 'running' | 'ended' | 'released' | 'adopted' | 'stopping';
   readonly uid: string;
@@ -236,31 +266,31 @@
   readonly detail?: string;
 }
 
-/** How long a completed task ran, for the estimates of its class. */
+/** The run time of a completed task, for the run time estimates of its class. */
 export interface FinishedRun {
   readonly jobClass: string;
   readonly runS: number;
 }
 
-/** A machine on which a job of `rank` or a higher one could preempt everything. */
+/** A machine all of whose tasks a job of `rank`, or of a higher rank, could preempt. */
 export interface PreemptibleMachine {
   readonly machine: MachineState;
   readonly rank: number;
 }
 
-/** Tasks of one class, waiting or placed. */
+/** The number of waiting and placed tasks of one class. */
 export interface ClassActivity {
   readonly jobClass: string;
   readonly tasks: number;
 }
 
-/** Tasks at the end of `range`, from number `from` on, that may pass to another shard. */
+/** The tasks from number `from` to the end of `range`, which may migrate to another shard. */
 export interface MigratableTasks {
   readonly range: TaskRange;
   readonly from: number;
 }
 
-/** Commands to one machine that should not wait for its next heartbeat. */
+/** Commands to one machine that are sent at once rather than with the answer to its next heartbeat. */
 export interface DirectCommandBatch {
   readonly machine: MachineState;
   readonly commands: Command[];
