--- a/src/core/capacity/allocation-ratio.ts
+++ b/src/core/capacity/allocation-ratio.ts
@@ -34,7 +34,7 @@
 }
 
 const countsForRouting = (state: ShardState, m: MachineState, now: number): boolean => {
-  const goes = isLeaving(m) || m.preemptionNoticeAt !== null;
+  const goes = isLeaving(m) || m.preemptionAt !== null;
   return !goes && (!m.everConfirmed || state.health.isFresh(m, now));
 };
 
--- a/src/core/capacity/capacity-planner.ts
+++ b/src/core/capacity/capacity-planner.ts
@@ -135,7 +135,7 @@
     const reason = this.#faultOf(m);
     if (reason !== null) this.#return(m, reason);
     else if (m.faultStatus === 'quarantined') this.#empty(m);
-    else if (m.preemptionNoticeAt === null && !m.cordoned) this.#staying.push(m);
+    else if (m.preemptionAt === null && !m.cordoned) this.#staying.push(m);
   }
 
   #faultOf(m: MachineState): ReturnReason | null {
--- a/src/core/shard/command-planner.ts
+++ b/src/core/shard/command-planner.ts
@@ -148,4 +148,4 @@
   !machine.terminating &&
   machine.lifecycle === 'in-service' &&
   !machine.cordoned &&
-  machine.preemptionNoticeAt === null;
+  machine.preemptionAt === null;
--- a/src/core/shard/heartbeat-reconciler.ts
+++ b/src/core/shard/heartbeat-reconciler.ts
@@ -37,7 +37,7 @@
     const listed = this.#reconcileListed(machine, heartbeat.tasks, now, complete);
     if (!complete) return;
     this.#reconcileUnlisted(machine, listed, heartbeat.counter, now, source);
-    if (machine.preemptionNoticeAt !== null) this.#saveBeforePreemption(machine, now);
+    if (machine.preemptionAt !== null) this.#saveBeforePreemption(machine, now);
   }
 
   /** The worker's lease ran out: it killed everything it had. */
@@ -200,8 +200,8 @@
   machine.reportedTaskCount = heartbeat.tasks.length;
   machine.lastStatusAt = now;
   const { preemptionNoticeS } = heartbeat;
-  if (preemptionNoticeS === null) machine.preemptionNoticeAt = null;
-  else machine.preemptionNoticeAt ??= now + preemptionNoticeS * 1000;
+  if (preemptionNoticeS === null) machine.preemptionAt = null;
+  else machine.preemptionAt ??= now + preemptionNoticeS * 1000;
 };
 
 /** The worker has acknowledged our term. */
--- a/src/core/shard/store-synchronizer.ts
+++ b/src/core/shard/store-synchronizer.ts
@@ -111,7 +111,7 @@
       lifecycle: 'in-service',
       terminating: false,
       cordoned: false,
-      preemptionNoticeAt: null,
+      preemptionAt: null,
       backoffUntil: -Infinity,
     });
   }
--- a/src/core/shard/types.ts
+++ b/src/core/shard/types.ts
@@ -209,7 +209,7 @@
    */
   cordoned: boolean;
   /** time at which the machine reported a preemption notice of the cloud; null if it has none */
-  preemptionNoticeAt: number | null;
+  preemptionAt: number | null;
   /** time before which nothing is started there, after a start was refused for lack of capacity */
   backoffUntil: number;
 }
