--- a/src/core/shard/command-planner.ts
+++ b/src/core/shard/command-planner.ts
@@ -1,15 +1,15 @@
-/** The commands that make workers do what the state of a shard says. */
+/** Computes the commands that bring workers in line with the state of a shard. */
 import type { Command, Heartbeat, ReportedTask } from '../model.js';
 import { FORGET_BATCH_LIMIT, FORGET_DELAY_MAX_MS, STOP_OVERDUE_MARGIN_S } from './constants.js';
 import { attemptKey, isUndispatched, placementKey, taskKey } from './placements.js';
 import type { ShardState } from './shard-state.js';
 import type { DirectCommandBatch, MachineState, Placement } from './types.js';
 
-/** Finds the commands for heartbeat answers and for direct calls to workers. */
+/** Computes the commands for heartbeat answers and for direct calls to workers. */
 export class CommandPlanner {
   constructor(private readonly state: ShardState) {}
 
-  /** The commands of the answer to a heartbeat. Without `mayStart` nothing new begins. */
+  /** Returns the commands of the answer to a heartbeat. If `mayStart` is false, no starts are among them. */
   answerHeartbeat(
     machine: MachineState,
     heartbeat: Heartbeat,
@@ -17,7 +17,7 @@
     mayStart: boolean,
   ): Command[] {
     const commands: Command[] = [];
-    /** nothing depends on these soon: a completed task is never started again */
+    // Forgets of completed tasks may wait, since a completed task is never started again.
     const completedForgets: Command[] = [];
     for (const task of heartbeat.tasks) {
       if (task.state !== 'exited') this.#stopUnwanted(machine, task, now, commands);
@@ -27,13 +27,13 @@
         forgets.push({ op: 'forget', uid, index, attempt });
       }
     }
-    if (mayStart) this.#startPlaced(machine, heartbeat.counter, commands);
-    return this.#forgetsDue(machine, completedForgets, commands.length > 0, now)
+    if (mayStart) this.#startUnlisted(machine, heartbeat.counter, commands);
+    return this.#shouldSendForgets(machine, completedForgets, commands.length > 0, now)
       ? [...commands, ...completedForgets]
       : commands;
   }
 
-  /** Stops a listed task that has no placement here, or whose placement is to be stopped. */
+  /** Stops a listed task that has no placement in this shard, or whose placement is to be stopped. */
   #stopUnwanted(machine: MachineState, task: ReportedTask, now: number, commands: Command[]): void {
     const { uid, index, attempt } = task;
     const placement = machine.tasks.get(taskKey(uid, index));
@@ -44,50 +44,51 @@
     }
   }
 
-  /** Whether its worker may drop an ended task from its list. */
+  /** Whether the worker may drop an ended task from its list. */
   #mayForget(machine: MachineState, task: ReportedTask): boolean {
-    // A completion is forgotten by its worker only once it is saved.
+    // A worker may forget a completion only once it is saved in the store.
     const unsaved =
       task.why === 'done' &&
       this.state.jobs.get(task.uid)?.unsavedCompletions.has(task.index) === true;
-    // A direct start that may still arrive must find its attempt known and ended.
+    // If a direct start that may still arrive found its attempt forgotten, the worker would run it again.
     return !unsaved && !machine.unsettledDirectStarts.has(attemptKey(task));
   }
 
-  /** Starts what is placed and not listed yet. */
-  #startPlaced(machine: MachineState, counter: number, commands: Command[]): void {
+  /** Adds starts for placements that the worker has not listed yet. */
+  #startUnlisted(machine: MachineState, counter: number, commands: Command[]): void {
     for (const placement of machine.tasks.values()) {
       if (placement.observed) continue;
       if (isStartable(placement)) {
         placement.startSentCounter = counter;
         commands.push(startCommand(placement));
       } else if (placement.directStartUnsettled && placement.stop !== null) {
-        // A direct start that may yet arrive must find its attempt known and ended.
+        // A direct start for an attempt to be stopped may still arrive, and must then find the attempt known and ended.
         commands.push(startCommand(placement), stopCommand(placement, 0));
       }
     }
   }
 
   /**
-   * A worker sends a heartbeat whenever its list has changed, so being told to forget costs one of its own: a
-   * quarter of all of them at the fleet's size. Told along with other commands it costs none.
+   * Whether this answer should tell the worker to forget completed tasks. A worker sends a heartbeat whenever its task
+   * list has changed, so a forget on its own costs an extra heartbeat: a quarter of all heartbeats at the fleet's size.
+   * Together with other commands it costs none. Updates `forgettableSince`.
    */
-  #forgetsDue(
+  #shouldSendForgets(
     machine: MachineState,
     forgets: readonly Command[],
-    withOthers: boolean,
+    withOtherCommands: boolean,
     now: number,
   ): boolean {
     machine.forgettableSince = forgets.length === 0 ? null : (machine.forgettableSince ?? now);
     if (machine.forgettableSince === null) return false;
-    // A machine that is to move has to be empty in its worker's eyes, too.
-    const atOnce = withOthers || machine.cordoned || forgets.length >= FORGET_BATCH_LIMIT;
-    const due = atOnce || now - machine.forgettableSince >= FORGET_DELAY_MAX_MS;
+    // A machine moves to another shard only once its worker lists no tasks.
+    const immediate = withOtherCommands || machine.cordoned || forgets.length >= FORGET_BATCH_LIMIT;
+    const due = immediate || now - machine.forgettableSince >= FORGET_DELAY_MAX_MS;
     if (due) machine.forgettableSince = null;
     return due;
   }
 
-  /** Starts and stops that should not wait for the next heartbeat, of at most `maxMachines` machines. */
+  /** Returns the starts and stops to send without waiting for a heartbeat, for at most `maxMachines` machines. */
   directCommands(now: number, maxMachines: number, mayStart: boolean): DirectCommandBatch[] {
     const batches: DirectCommandBatch[] = [];
     for (const machine of this.state.machines.values()) {
@@ -111,7 +112,7 @@
     return batches;
   }
 
-  /** The outcome of direct starts is known: they were carried out, or never will be. */
+  /** Records that direct starts were executed, or that they never will be. */
   settleDirectStarts(starts: readonly Placement[], executed: boolean): void {
     for (const placement of starts) {
       placement.machine.unsettledDirectStarts.delete(placementKey(placement));
@@ -135,13 +136,14 @@
   graceS,
 });
 
-/** The grace of a requested stop; none once the task should have ended long ago. */
+/** Returns the grace of a requested stop, or 0 once the stop is overdue by more than `STOP_OVERDUE_MARGIN_S`. */
 const remainingGraceS = ({ stop }: Placement, now: number): number => {
   if (stop === null) return 0;
   const overdue = now - stop.requestedAt > (stop.graceS + STOP_OVERDUE_MARGIN_S) * 1000;
   return overdue ? 0 : stop.graceS;
 };
 
+/** Whether the placement's start may be sent. */
 const isStartable = ({ job, machine, stop }: Placement): boolean =>
   !job.ended &&
   stop === null &&
--- a/src/core/shard/heartbeat-reconciler.ts
+++ b/src/core/shard/heartbeat-reconciler.ts
@@ -1,4 +1,4 @@
-/** Reconciles the state of a shard with the task lists of its workers. */
+/** Reconciles the state of a shard with the task lists that its workers report. */
 import type { Heartbeat, JobSpec, ReportedTask } from '../model.js';
 import { FailureTracker } from '../reachability/failure-tracker.js';
 import { LOST_COMMANDS_LIMIT, NO_ROOM_BACKOFF_MS } from './constants.js';
@@ -6,10 +6,10 @@
 import type { ShardState } from './shard-state.js';
 import type { JobState, MachineState, Placement } from './types.js';
 
-/** Whether a task list came by itself or as the answer to direct commands. */
+/** Whether a task list is a heartbeat or the answer to direct commands. */
 export type StatusSource = 'heartbeat' | 'command';
 
-/** Takes in what workers list: tasks that began, ended, were lost, or are unknown here. */
+/** Applies task lists of workers: tasks that began or ended, lost starts, and tasks unknown to the shard. */
 export class HeartbeatReconciler {
   readonly #failures: FailureTracker;
 
@@ -18,8 +18,8 @@
   }
 
   /**
-   * Reconciles one machine with its newest task list. Only a list under our term is complete: what an earlier
-   * one lacks may still be started by an earlier owner's command.
+   * Reconciles one machine with its newest task list. Only a list under this shard's term is complete: a task that is
+   * missing from a list under an earlier term may still be started by an earlier owner's command.
    */
   reconcile(
     machine: MachineState,
@@ -30,28 +30,28 @@
     if (heartbeat.agentEpoch > machine.agentEpoch && machine.agentEpoch > 0) {
       this.#endAgentEpoch(machine, now);
     }
-    noteContact(machine, heartbeat, now);
+    recordStatus(machine, heartbeat, now);
     const complete = heartbeat.fencingToken === this.state.term;
-    if (complete) confirm(machine, now);
-    if (source === 'command') commandArrived(machine);
+    if (complete) confirmTerm(machine, now);
+    if (source === 'command') recordCommandArrived(machine);
     const listed = this.#reconcileListed(machine, heartbeat.tasks, now, complete);
     if (!complete) return;
     this.#reconcileUnlisted(machine, listed, heartbeat.counter, now, source);
-    if (machine.preemptionAt !== null) this.#saveBeforePreemption(machine, now);
+    if (machine.preemptionAt !== null) this.#stopBeforePreemption(machine, now);
   }
 
-  /** The worker's lease ran out: it killed everything it had. */
+  /** Releases all tasks of the machine: its worker's lease expired, so the worker killed them. */
   #endAgentEpoch(machine: MachineState, now: number): void {
     const { leaseMs } = this.state.settings;
-    // If that happened although we have answered all the time, our answers do not arrive.
+    // If the lease expired although this shard answered all heartbeats, the answers do not arrive.
     const { confirmedSince } = machine;
     const answered = confirmedSince !== null && now - machine.leaseRenewedAt < leaseMs / 2;
-    if (answered && now - confirmedSince > leaseMs) this.#commandLost(machine, now);
+    if (answered && now - confirmedSince > leaseMs) this.#recordLostCommand(machine, now);
     for (const placement of [...machine.tasks.values()]) this.state.release(placement, now);
     machine.unsettledDirectStarts.clear();
   }
 
-  /** Reconciles the listed tasks; returns the keys of their attempts. */
+  /** Reconciles the listed tasks, and returns the keys of their attempts. */
   #reconcileListed(
     machine: MachineState,
     tasks: readonly ReportedTask[],
@@ -84,8 +84,8 @@
       }
       placement = this.state.adopt(job, task.index, task.attempt, machine, now);
     } else if (!placement.observed) {
-      // A start has had its effect: commands arrive.
-      commandArrived(machine);
+      // The start took effect, so commands arrive.
+      recordCommandArrived(machine);
       placement.observed = true;
     }
     const before = placement.state;
@@ -93,11 +93,11 @@
     if (task.state === 'running' && before !== 'running') {
       placement.runningSince ??= now;
       this.state.recordEvent('running', placement, now);
-      noteImage(machine, placement.job.spec);
-    } else if (task.state === 'waiting') noteImage(machine, placement.job.spec);
+      recordCachedImage(machine, placement.job.spec);
+    } else if (task.state === 'waiting') recordCachedImage(machine, placement.job.spec);
   }
 
-  /** Placements that a complete list lacks have ended, or their start was lost. */
+  /** Handles placements that are missing from a complete list: they have ended, or their start was lost. */
   #reconcileUnlisted(
     machine: MachineState,
     listed: ReadonlySet<string>,
@@ -110,19 +110,19 @@
       if (placement.observed) this.state.release(placement, now);
       else if (source === 'heartbeat' && hasLostStart(placement, counter)) {
         placement.startSentCounter = null;
-        this.#commandLost(machine, now);
+        this.#recordLostCommand(machine, now);
         const unwanted = placement.stop !== null || placement.job.ended;
         if (!placement.directStartUnsettled && unwanted) this.state.release(placement, now);
       }
     }
   }
 
-  /** One lost answer is nothing; several in a row mean that none arrives. */
-  #commandLost(machine: MachineState, now: number): void {
+  /** Counts a lost command. Only `LOST_COMMANDS_LIMIT` in a row show that commands do not arrive. */
+  #recordLostCommand(machine: MachineState, now: number): void {
     machine.consecutiveLostCommands += 1;
     if (machine.consecutiveLostCommands < LOST_COMMANDS_LIMIT) return;
     machine.commandsLostSince ??= now;
-    // Nothing more is to be started there; what never left us goes elsewhere.
+    // Nothing more is started on this machine, so tasks whose start was never sent are placed elsewhere.
     for (const placement of [...machine.tasks.values()]) {
       if (isUndispatched(placement)) this.state.release(placement, now);
     }
@@ -157,11 +157,11 @@
     const newlyCompleted = completed.filter(
       (task) => !job.savedCompletions.has(task) && !job.unsavedCompletions.has(task),
     );
-    // Completed tasks stay in the list for a while. Counted as a success each time, they would make a
-    // machine that fails everything look healthy.
+    // Completed tasks stay in the list for a while. If each listing counted as a success, a machine that fails all of
+    // its tasks would look healthy.
     if (newlyCompleted.length === 0 && placement === undefined) return;
     for (const task of newlyCompleted) job.unsavedCompletions.add(task);
-    // A placed task is not in the queue, and looking through a queue of 100,000 for it is expensive.
+    // A placed task is not in the queue, and searching a queue of 100,000 tasks for it is expensive.
     if (placement === undefined || job.spec.kind === 'gang') {
       job.waitingTasks = job.waitingTasks.filter((task) => !job.unsavedCompletions.has(task));
     }
@@ -174,15 +174,16 @@
 
   #recordFailure(machine: MachineState, job: JobState, { why }: ReportedTask, now: number): void {
     if (why === 'error') this.#failures.recordTaskFailure(machine, job, now);
-    // A replica that ends by itself starts again; one that does so at once, ever more slowly.
+    // A replica that ends by itself is started again, with a growing backoff if that happens soon after each start.
     if (why === 'done' && job.spec.kind === 'service') this.#failures.countFailure(job, now);
     if (why === 'unknown') this.#failures.startBackoff(job, now);
   }
 
-  #saveBeforePreemption(machine: MachineState, now: number): void {
+  /** Stops replicas, and tasks that can save their progress, in time before the cloud takes the machine back. */
+  #stopBeforePreemption(machine: MachineState, now: number): void {
     for (const placement of machine.tasks.values()) {
       const { checkpointS, saveS, kind } = placement.job.spec;
-      // A replica loses nothing by being stopped; the sooner it is gone, the sooner it runs elsewhere.
+      // A replica has no progress to lose, and the sooner it is stopped, the sooner it runs on another machine.
       if (placement.stop === null && kind === 'service') {
         this.state.requestStop(placement, 0, now);
       } else if (placement.stop === null && checkpointS > 0) {
@@ -193,7 +194,8 @@
   }
 }
 
-const noteContact = (machine: MachineState, heartbeat: Heartbeat, now: number): void => {
+/** Records the counter, the time and the sender's address of a task list, and a preemption notice in it. */
+const recordStatus = (machine: MachineState, heartbeat: Heartbeat, now: number): void => {
   machine.agentEpoch = heartbeat.agentEpoch;
   machine.lastStatusCounter = heartbeat.counter;
   machine.address = heartbeat.address;
@@ -204,22 +206,23 @@
   else machine.preemptionAt ??= now + preemptionNoticeS * 1000;
 };
 
-/** The worker has acknowledged our term. */
-const confirm = (machine: MachineState, now: number): void => {
+/** Records that the worker has confirmed this shard's term. */
+const confirmTerm = (machine: MachineState, now: number): void => {
   if (machine.confirmedSince === null) {
-    // Whoever renewed this worker's lease under a lower term did so before it saw our token.
+    // Earlier owners can have renewed the worker's lease only before it saw this shard's fencing token.
     machine.leaseRenewedAt = Math.max(machine.leaseRenewedAt, now);
     machine.confirmedSince = now;
   }
   machine.everConfirmed = true;
 };
 
-const commandArrived = (machine: MachineState): void => {
+/** Records that the machine has received a command. */
+const recordCommandArrived = (machine: MachineState): void => {
   machine.consecutiveLostCommands = 0;
   machine.commandsLostSince = null;
 };
 
-/** The job has the task, and it neither runs elsewhere nor is completed. */
+/** Whether a task that the worker lists belongs to the job, is not completed, and has no placement yet. */
 const isAdoptable = (machine: MachineState, job: JobState, { uid, index }: ReportedTask): boolean =>
   !job.ended &&
   job.ownTasks.has(index) &&
@@ -228,18 +231,20 @@
   !job.unsavedCompletions.has(index) &&
   !machine.tasks.has(taskKey(uid, index));
 
-/** A service is never completed: its replicas run until it is cancelled. */
+/** Whether the task can complete. A service never does: its replicas run until the job is cancelled. */
 const isCompletable = (job: JobState, index: number): boolean =>
   job.spec.kind !== 'service' && !job.ended && job.ownTasks.has(index);
 
 /**
- * One heartbeat is in flight at a time: this one left after the answer with the start was taken or given up,
- * and the task is not there. The start is lost and may be sent again.
+ * Whether the start of a placement that is missing from the heartbeat with this `counter` was lost, so that it may be
+ * sent again. Only one heartbeat of a worker is in flight at a time, so a later heartbeat than the one whose answer
+ * carried the start was sent after that answer had arrived or had been given up.
  */
 const hasLostStart = ({ startSentCounter }: Placement, counter: number): boolean =>
   startSentCounter !== null && counter > startSentCounter;
 
-const noteImage = (machine: MachineState, spec: JobSpec): void => {
+/** Marks the image as the last used one of the machine's cache, and drops the least recently used beyond its size. */
+const recordCachedImage = (machine: MachineState, spec: JobSpec): void => {
   const { images, type } = machine;
   images.delete(spec.image);
   images.set(spec.image, spec.imageGb);
--- a/src/core/shard/lease-expiry.ts
+++ b/src/core/shard/lease-expiry.ts
@@ -1,4 +1,4 @@
-/** What ends by the passing of time alone. */
+/** Timeouts of a shard: leases, unsent starts and reservations. */
 import { CLOCK_DRIFT } from '../../constants.js';
 import { UNDISPATCHED_START_TIMEOUT_MS, WORKER_LEASE_MARGIN_MS } from './constants.js';
 import { isUndispatched } from './placements.js';
@@ -6,8 +6,8 @@
 import type { MachineState } from './types.js';
 
 /**
- * Ends leases that ran out with all that ran under them, starts that were never sent, reservations that nobody
- * used, and orphaned machines that are empty by then.
+ * Ends expired worker leases and releases the tasks on those machines. Also releases placements whose start was not
+ * sent in time, clears expired reservations, and removes orphaned machines that are empty.
  */
 export const expireLeases = (state: ShardState, now: number): void => {
   const leaseMs = state.settings.leaseMs * (1 + CLOCK_DRIFT) + WORKER_LEASE_MARGIN_MS;
@@ -27,8 +27,8 @@
 };
 
 /**
- * Only our answers renew a lease under our term, and the last is too old: the worker has killed its tasks,
- * whether or not it can be reached.
+ * Releases all tasks of a machine whose lease has expired. Under this shard's term only this shard's answers renew the
+ * lease, and the last one is too old, so the worker has killed its tasks, whether or not it is reachable.
  */
 const endLease = (state: ShardState, machine: MachineState, now: number): void => {
   machine.confirmedSince = null;
--- a/src/core/shard/placements.ts
+++ b/src/core/shard/placements.ts
@@ -1,22 +1,22 @@
-/** What placements are keyed by, and what can be told from one alone. */
+/** Keys of tasks and attempts, and properties that follow from placements alone. */
 import type { MachineState, Placement } from './types.js';
 
-/** Key of a task on its machine, whatever the attempt. */
+/** Returns the key of a task, which is the same for all of its attempts. */
 export const taskKey = (uid: string, index: number): string => `${uid}/${index}`;
 
-/** Key of one attempt of a task. */
+/** Returns the key of one attempt of a task. */
 export const attemptKey = (task: { uid: string; index: number; attempt: number }): string =>
   `${task.uid}/${task.index}@${task.attempt}`;
 
-/** The key of the placement's attempt. */
+/** Returns the key of the placement's attempt, equal to its `attemptKey`. */
 export const placementKey = ({ job, index, attempt }: Placement): string =>
   `${job.spec.uid}/${index}@${attempt}`;
 
-/** No command to start it has left, so it can be released at once. */
+/** Whether no start has been sent that could still take effect, so that the placement can be released at once. */
 export const isUndispatched = (placement: Placement): boolean =>
   !placement.observed && !placement.directStartUnsettled && placement.startSentCounter === null;
 
-/** Replicas of services run on the machine. */
+/** Whether the machine's worker has listed a service replica that is placed there. */
 export const hostsServiceReplicas = (machine: MachineState): boolean => {
   for (const { job, observed } of machine.tasks.values()) {
     if (job.spec.kind === 'service' && observed) return true;
--- a/src/core/shard/range-migration.ts
+++ b/src/core/shard/range-migration.ts
@@ -1,7 +1,6 @@
 /**
- * The part of a task migration that concerns the losing shard's state. Between `beginMigration` and
- * `endMigration` the tasks are in no queue, so they start nowhere until the transaction that passes them is
- * known to have succeeded or failed.
+ * Task migration in the state of the source shard. Between `beginMigration` and `endMigration` the tasks are in no
+ * queue, so they start nowhere until the transaction that migrates them is known to have succeeded or failed.
  */
 import type { JobRecord } from '../model.js';
 import { MIGRATION_COOLDOWN_MS } from './constants.js';
@@ -9,9 +8,10 @@
 import type { JobState, MigratableTasks } from './types.js';
 
 /**
- * Tasks at the end of a range that may pass to another shard: all of a job that stays whole, else as many as
- * have never been placed since the range's last placed task. Nothing of them may be running, so an inherited
- * range must be recovered first.
+ * Returns tasks at the end of a range that may migrate to another shard, or null if there are none. A gang, or a job
+ * with a constraint on zones, migrates only in whole ranges and before any of its tasks is placed. Of other jobs all
+ * tasks behind the last one of the range that does not wait may migrate. None of these tasks may be running, so
+ * the shard must have recovered if it inherited tasks of the job.
  */
 export const migratableTasks = (
   state: ShardState,
@@ -30,28 +30,29 @@
   return null;
 };
 
+/** Whether any tasks of the job may migrate now. */
 const mayMigrate = (state: ShardState, job: JobState): boolean =>
   !job.ended &&
   job.migratingTasks.length === 0 &&
   (job.inheritedTasks.size === 0 || state.recovered);
 
-/** Some task of it is or was on a machine. */
+/** Whether some task of the job is placed or completed. */
 const hasBegun = (job: JobState): boolean =>
   job.placements.size + job.savedCompletions.size + job.unsavedCompletions.size > 0;
 
-/** Takes the tasks from..to-1 out of the queue, before the transaction that passes them is sent. */
+/** Takes the tasks from..to-1 out of the queue. Called before the transaction that migrates them is sent. */
 export const beginMigration = (job: JobState, from: number, to: number): void => {
   job.migratingTasks = job.waitingTasks.filter((task) => task >= from && task < to);
   job.waitingTasks = job.waitingTasks.filter((task) => task < from || task >= to);
 };
 
-/** The outcome is known: the tasks belong to the other shard now if they passed, else they wait here again. */
-export const endMigration = (job: JobState, passed: boolean, now: number): void => {
+/** Applies the outcome: after a success the tasks belong to the other shard, after a failure they wait here again. */
+export const endMigration = (job: JobState, succeeded: boolean, now: number): void => {
   const tasks = job.migratingTasks;
   job.migratingTasks = [];
   job.nextMigrationAt = now + MIGRATION_COOLDOWN_MS;
   job.unschedulableSince = null;
-  if (!passed) {
+  if (!succeeded) {
     if (!job.ended) job.waitingTasks = [...job.waitingTasks, ...tasks].sort((a, b) => a - b);
     return;
   }
--- a/src/core/shard/shard-queries.ts
+++ b/src/core/shard/shard-queries.ts
@@ -1,11 +1,11 @@
-/** What other modules ask of a shard's state: none of these changes it. */
+/** Read-only queries on a shard's state for other modules. */
 import { ROUNDING } from '../constants.js';
 import { PRIORITY_RANK } from '../model.js';
 import { tasksNeedingCapacity } from '../reachability/failure-tracker.js';
 import type { ShardState } from './shard-state.js';
 import type { ClassActivity, MachineState, PreemptibleMachine } from './types.js';
 
-/** Tasks of this priority rank or a higher one that wait for capacity. */
+/** Returns the number of tasks of this priority rank or a higher one that wait for capacity. */
 export const waitingTasks = (state: ShardState, rank: number, now: number): number => {
   let count = 0;
   for (const job of state.jobs.values()) {
@@ -14,7 +14,7 @@
   return count;
 };
 
-/** Tasks of each class, waiting or placed. */
+/** Returns the number of waiting and placed tasks of each class. */
 export const activeTasksByClass = (state: ShardState, now: number): ClassActivity[] => {
   const tasksOf = new Map<string, number>();
   for (const job of state.jobs.values()) {
@@ -26,7 +26,7 @@
   return [...tasksOf].map(([jobClass, tasks]) => ({ jobClass, tasks }));
 };
 
-/** Machines on which a job of some rank could preempt everything, with the least such rank. */
+/** Returns the machines whose tasks could all be preempted, each with the lowest rank that could do so. */
 export const preemptibleMachines = (state: ShardState, now: number): PreemptibleMachine[] => {
   if (!state.settings.preempt) return [];
   const preemptible: PreemptibleMachine[] = [];
@@ -40,29 +40,35 @@
   return preemptible;
 };
 
-/** Machines that could take a task now. */
+/** Returns the machines that could take a task now. */
 export const machinesWithFreeCapacity = (state: ShardState, now: number): MachineState[] => {
-  // Every task takes some CPU and memory, so a machine without either has no room.
-  const hasRoom = ({ free }: MachineState) => free.cpus > ROUNDING && free.memoryGb > ROUNDING;
+  // Every task takes some CPU and memory, so a machine without either can't take any.
+  const hasFreeCapacity = ({ free }: MachineState) =>
+    free.cpus > ROUNDING && free.memoryGb > ROUNDING;
   return [...state.machines.values()].filter(
     (machine) =>
-      hasRoom(machine) && state.health.isSchedulable(machine, now) && machine.reservation === null,
+      hasFreeCapacity(machine) &&
+      state.health.isSchedulable(machine, now) &&
+      machine.reservation === null,
   );
 };
 
-/** Machines that have acknowledged our term but whose record does not say so yet: nothing may start there. */
+/**
+ * Returns the machines that have confirmed this shard's term, but whose record is not marked as up yet. No task may
+ * start there before it is.
+ */
 export const newlyReadyMachines = (state: ShardState): MachineState[] =>
   [...state.machines.values()].filter(
     (machine) => machine.confirmedSince !== null && !machine.record.up && !machine.terminating,
   );
 
-/** Machines that should be asked for their tasks by direct command. */
+/** Returns the machines that should be asked for their task list by direct command. */
 export const machinesToProbe = (state: ShardState): MachineState[] =>
   [...state.machines.values()].filter((machine) => state.health.needsProbe(machine));
 
 /**
- * Machines should send heartbeats, and none has done so for `forMs`: the fault is likely on our side. Answers
- * to direct commands do not count.
+ * Whether some machines should send heartbeats, but none of them has done so for `forMs`. If so, the fault is likely
+ * on this node's side. Answers to direct commands do not count as heartbeats.
  */
 export const allHeartbeatsLost = (state: ShardState, now: number, forMs: number): boolean => {
   let expected = 0;
--- a/src/core/shard/shard-state.ts
+++ b/src/core/shard/shard-state.ts
@@ -1,6 +1,6 @@
 /**
- * The state of one shard under one term: its jobs, its machines, and which task is placed where. Placements are
- * added, released and stopped here only; which task should run where is decided elsewhere.
+ * Holds the state of one shard under one term: its jobs, its machines and the placements of tasks on them. Placements
+ * are added, released and stopped only here; the scheduler decides which tasks to place where.
  */
 import { add, largestCapacity, ZERO, type Resources } from '../model.js';
 import { MachineHealth } from '../reachability/machine-health.js';
@@ -20,18 +20,18 @@
 export class ShardState {
   readonly jobs = new Map<string, JobState>();
   readonly machines = new Map<string, MachineState>();
-  /** what happened to tasks, until the log takes it */
+  /** task events that have not been logged yet */
   readonly events: TaskEvent[] = [];
-  /** run times of completed tasks, until the estimates take them */
+  /** run times of completed tasks that have not been added to the estimates yet */
   readonly finishedRuns: FinishedRun[] = [];
-  /** machines that are surely gone but whose record is not dropped yet */
+  /** machines that are proven gone, but whose record may not be deleted yet */
   readonly terminatedMachines = new Set<string>();
   readonly health: MachineHealth;
   readonly workCounters: WorkCounters = { machinesVisited: 0, jobsCompared: 0 };
   /** the largest capacity of each resource on any machine type */
   readonly largestCapacity: Resources;
-  #attempts = 0;
-  /** kept, since it is asked for every waiting job; see `machinesChanged` */
+  #attemptCount = 0;
+  /** cached value of `recovered`, which is read for every waiting job; see `invalidateRecovered` */
   #recovered = false;
 
   constructor(
@@ -46,15 +46,15 @@
   // --- recovery from an earlier owner ------------------------------------------------------------
 
   /**
-   * True once every machine that an earlier owner could have used has acknowledged our term or is gone: no task
-   * can run anywhere without a placement here.
+   * Whether every machine that an earlier owner could have used has confirmed this shard's term or is gone. If so, no
+   * task of this shard runs anywhere without a placement here.
    */
   get recovered(): boolean {
     this.#recovered ||= this.#everyInheritedMachineConfirmed();
     return this.#recovered;
   }
 
-  /** A machine was added, or another owner's record of one was taken over: `recovered` has to be found anew. */
+  /** Makes `recovered` be computed again, after a machine was added or another owner's record of it was applied. */
   invalidateRecovered(): void {
     this.#recovered = false;
   }
@@ -68,13 +68,13 @@
 
   // --- placements --------------------------------------------------------------------------------
 
-  /** A number that no other attempt of a task in this shard has, under any term. */
+  /** Returns an attempt number that is unique within this shard, across all terms. */
   nextAttempt(): number {
-    this.#attempts += 1;
-    return this.term * ATTEMPTS_PER_TERM + this.#attempts;
+    this.#attemptCount += 1;
+    return this.term * ATTEMPTS_PER_TERM + this.#attemptCount;
   }
 
-  /** Puts a waiting task on a machine; its start is sent by the commands that follow. */
+  /** Places a waiting task on a machine. `CommandPlanner` sends the start. */
   place(
     job: JobState,
     index: number,
@@ -87,7 +87,7 @@
     return placement;
   }
 
-  /** Takes in a task that its worker lists and that was started under an earlier term. */
+  /** Adds a placement for a task that was started under an earlier term and that its worker lists. */
   adopt(
     job: JobState,
     index: number,
@@ -131,15 +131,15 @@
   }
 
   /**
-   * The placement is proven gone, or its start never left: the task waits again unless it is completed or its
-   * job has ended. A gang that loses a task is stopped as a whole.
+   * Removes a placement whose task is proven gone, or whose start was never sent. The task waits again unless it is
+   * completed or its job has ended. A gang that loses a task is stopped as a whole.
    */
-  release(placement: Placement, now: number, why = 'gone'): void {
+  release(placement: Placement, now: number, reason = 'gone'): void {
     const { job, index, machine } = placement;
-    // Stopping one task of a gang may release others that were to be stopped next: a task released
-    // twice would wait twice, and start on two machines.
+    // Stopping one task of a gang may release other tasks of it that the caller is about to stop or release, too. A
+    // task that is released twice would be queued twice, and start on two machines.
     if (job.placements.get(index) !== placement) return;
-    this.recordEvent(placement.observed ? 'ended' : 'released', placement, now, why);
+    this.recordEvent(placement.observed ? 'ended' : 'released', placement, now, reason);
     machine.tasks.delete(taskKey(job.spec.uid, index));
     job.placements.delete(index);
     this.updateFreeCapacity(machine, now);
@@ -162,7 +162,7 @@
     }
   }
 
-  /** Finds the machine's free capacity from its placements. */
+  /** Computes the machine's free capacity from its placements. */
   updateFreeCapacity(machine: MachineState, now: number): void {
     let free: Resources = machine.type ?? ZERO;
     for (const { job } of machine.tasks.values()) free = add(free, job.spec.demand, -1);
@@ -171,14 +171,14 @@
   }
 
   /**
-   * Stops a task, or releases it at once if its start never left. A task of a gang that may save its progress
-   * takes all of its gang along: only if all are told at the same time is their progress saved.
+   * Stops a task, or releases it at once if its start was never sent. If a task of a gang gets a grace period to save
+   * its progress, all tasks of the gang are stopped: a gang saves its progress only if they all stop at the same time.
    */
   requestStop(placement: Placement, graceS: number, now: number): void {
     const { job } = placement;
     const wholeGang = job.spec.kind === 'gang' && graceS > 0;
-    for (const one of wholeGang ? [...job.placements.values()] : [placement]) {
-      this.#stop(one, graceS, now);
+    for (const target of wholeGang ? [...job.placements.values()] : [placement]) {
+      this.#stop(target, graceS, now);
     }
   }
 
@@ -192,7 +192,7 @@
     this.recordEvent('stopping', placement, now, `grace ${graceS} s`);
   }
 
-  /** The job is completed or cancelled: nothing of it starts, and what runs is stopped without grace. */
+  /** Ends a completed or cancelled job: none of its tasks starts, and running ones are stopped without grace. */
   endJob(job: JobState, now: number): void {
     job.ended = true;
     job.waitingTasks = [];
@@ -201,7 +201,7 @@
     if (job.placements.size === 0) this.jobs.delete(job.spec.uid);
   }
 
-  /** The store shows these completions now. */
+  /** Marks completed tasks as saved in the store. */
   markCompletionsSaved(uid: string, indexes: Iterable<number>): void {
     const job = this.jobs.get(uid);
     if (job === undefined) return;
@@ -211,7 +211,7 @@
     }
   }
 
-  /** The machine is proven gone, or its record was taken over while it was empty: nothing of ours runs there. */
+  /** Removes a machine that is proven gone, or that is empty and whose record is no longer this shard's. */
   removeMachine(name: string, now: number): void {
     const machine = this.machines.get(name);
     if (machine === undefined) return;
@@ -220,7 +220,7 @@
     this.machines.delete(name);
   }
 
-  /** Notes for the log what happened to a task. */
+  /** Adds an event for the log. */
   recordEvent(type: TaskEvent['type'], placement: Placement, now: number, detail?: string): void {
     const { job, index, attempt, machine } = placement;
     this.events.push({
--- a/src/core/shard/shard.ts
+++ b/src/core/shard/shard.ts
@@ -1,6 +1,6 @@
 /**
- * One shard under one term, as its owner uses it: records and heartbeats come in, commands go out. Time is passed
- * in, in monotonic milliseconds; nothing here does input or output.
+ * The interface of one shard under one term to its owner, which passes in records and heartbeats and sends the
+ * resulting commands. The caller passes the time in monotonic milliseconds. Nothing here does input or output.
  */
 import { allocationRatios } from '../capacity/allocation-ratio.js';
 import type { Command, Heartbeat, JobRecord, ReportedTask } from '../model.js';
@@ -34,13 +34,13 @@
 export type { JobState, MachineState, ShardSettings, StoredRecords, Placement } from './types.js';
 
 /**
- * What became of a heartbeat.
+ * The outcome of handling a heartbeat.
  *
- * - `answer`: it is to be answered with these commands, which renews the worker's lease;
- * - `superseded`: the worker obeys a higher term, so this shard has another owner;
- * - `old`: a newer one has been taken in;
- * - `unanswered`: taken in, but the lease is withheld;
- * - `unknown`: the machine is not one of this shard.
+ * - `answer`: the caller answers with these commands, which renews the worker's lease;
+ * - `superseded`: the worker has seen a higher term, so this shard has another owner;
+ * - `old`: ignored, since a newer heartbeat has been handled;
+ * - `unanswered`: handled, but not to be answered, so that the worker's lease is not renewed;
+ * - `unknown`: the machine does not belong to this shard.
  */
 export type HeartbeatResult =
   | { readonly kind: 'answer'; readonly commands: Command[] }
@@ -49,7 +49,7 @@
   | { readonly kind: 'unanswered' }
   | { readonly kind: 'unknown' };
 
-/** One shard under one term. */
+/** The scheduling of one shard's jobs on its machines, under one term. */
 export class Shard {
   readonly state: ShardState;
   readonly #synchronizer: StoreSynchronizer;
@@ -73,8 +73,8 @@
   // --- records of the store ----------------------------------------------------------------------
 
   /**
-   * Takes over the records of the store. With `changes` only what has changed since the last time is looked at.
-   * `nowOfDay` is the time of day in ms.
+   * Applies the records of the store. If `changes` is given, only the records named there are looked at.
+   * `timeOfDayMs` is the wall-clock time.
    */
   sync(
     records: StoredRecords,
@@ -85,17 +85,17 @@
     this.#synchronizer.sync(records, now, timeOfDayMs, changes);
   }
 
-  /** Some record waits for a migration to end, so that `sync` is due without any change. */
+  /** Whether a job record waits for a migration to end, so that `sync` is due even without changed records. */
   get hasDeferredJobs(): boolean {
     return this.#synchronizer.hasDeferredJobs;
   }
 
-  /** The store shows these completions now. */
+  /** Marks completed tasks as saved in the store. */
   markCompletionsSaved(uid: string, indexes: Iterable<number>): void {
     this.state.markCompletionsSaved(uid, indexes);
   }
 
-  /** The machine is proven gone: what it ran may start elsewhere. */
+  /** Removes a machine that is proven gone. Its tasks may start elsewhere. */
   removeMachine(name: string, now: number): void {
     this.state.removeMachine(name, now);
   }
@@ -103,9 +103,9 @@
   // --- heartbeats and commands -------------------------------------------------------------------
 
   /**
-   * Takes in a worker's heartbeat and finds its answer. `mayStart` is false while our authority is not proven:
-   * running work then keeps its lease by the answer, but nothing new begins. With `mayRenew` false what it says
-   * is taken in, but it gets no answer, so that its lease ends.
+   * Applies a worker's heartbeat and returns the answer to it. If `mayStart` is false, because this node has not proven
+   * that it still owns the shard, the answer renews the lease of running tasks but starts none. If `mayRenew` is false,
+   * a worker that may have tasks gets no answer, so that its lease ends.
    */
   handleHeartbeat(
     heartbeat: Heartbeat,
@@ -120,27 +120,27 @@
     machine.lastHeartbeatCounter = heartbeat.counter;
     machine.lastHeartbeatAt = now;
     if (!isNewerStatus(machine, heartbeat)) {
-      // Its answer to a direct command overtook this heartbeat. Leaving it unanswered would cost the worker
-      // its lease, and an answer without commands does no harm.
+      // The worker's answer to a direct command overtook this heartbeat. Without an answer the worker would lose its
+      // lease, and an answer without commands does no harm.
       if (!mayRenew) return { kind: 'unanswered' };
       machine.leaseRenewedAt = now;
       return { kind: 'answer', commands: [] };
     }
     this.#reconciler.reconcile(machine, heartbeat, now);
-    if (!mayRenew && mayRunTasks(machine, heartbeat)) return { kind: 'unanswered' };
+    if (!mayRenew && mayHaveLiveTasks(machine, heartbeat)) return { kind: 'unanswered' };
     machine.leaseRenewedAt = now;
     if (heartbeat.fencingToken !== this.state.term) {
-      // Commands of an earlier term may still reach this worker: its list is not complete yet. The
-      // answer raises its fencing token, and the next heartbeat counts.
+      // Commands of an earlier term may still reach this worker, so its task list is not complete yet. This answer
+      // raises the worker's fencing token, and the list in its next heartbeat is complete.
       return { kind: 'answer', commands: [] };
     }
-    // Capacity that this heartbeat shows is used in its own answer.
+    // Tasks placed on capacity that this heartbeat shows as free are started by the answer to it.
     if (mayStart) this.#scheduler.placeOn(machine, now);
     const commands = this.#commands.answerHeartbeat(machine, heartbeat, now, mayStart);
     return { kind: 'answer', commands };
   }
 
-  /** Takes in a task list that came as the answer to direct commands; it renews no lease. */
+  /** Applies a task list that came as the answer to direct commands. This renews no lease. */
   handleCommandStatus(heartbeat: Heartbeat, now: number): void {
     const machine = this.state.machines.get(heartbeat.machine);
     if (machine === undefined || heartbeat.fencingToken > this.state.term) return;
@@ -151,55 +151,55 @@
   }
 
   /**
-   * Starts and stops that should not wait for the next heartbeat, of at most `maxMachines` machines. The caller
-   * tells the outcome of the starts to `directStartsSettled`, or nothing while it is in doubt.
+   * Returns the starts and stops to send at once rather than with the next heartbeat answer, for at most `maxMachines`
+   * machines. The caller passes the outcome of the starts to `settleDirectStarts` once it is known.
    */
   directCommands(now: number, maxMachines = Infinity, mayStart = true): DirectCommandBatch[] {
     return this.#commands.directCommands(now, maxMachines, mayStart);
   }
 
-  /** Direct starts were carried out, or never will be. */
+  /** Records that direct starts were executed, or that they never will be. */
   settleDirectStarts(starts: readonly Placement[], executed: boolean): void {
     this.#commands.settleDirectStarts(starts, executed);
   }
 
-  /** Stops a task, with seconds of grace to save its progress. */
+  /** Stops a task, which has `graceS` to save its progress. With a grace period the whole gang of a task is stopped. */
   requestStop(placement: Placement, graceS: number, now: number): void {
     this.state.requestStop(placement, graceS, now);
   }
 
   // --- placement ---------------------------------------------------------------------------------
 
-  /** Places what fits, in order. Returns the jobs that found no capacity. */
+  /** Places waiting tasks where they fit, most urgent jobs first. Returns the jobs that found no capacity. */
   placeAll(now: number): JobState[] {
     return this.#scheduler.placeAll(now);
   }
 
-  /** Jobs with tasks to place, most urgent first. */
+  /** Returns the jobs with tasks to place, most urgent first. */
   queue(now: number): JobState[] {
     return this.#scheduler.queue(now);
   }
 
-  /** Ends leases that ran out with what ran under them, and whatever else ends by time alone. */
+  /** Applies expired leases and other timeouts; see `lease-expiry.ts`. */
   expireLeases(now: number): void {
     expireLeases(this.state, now);
   }
 
   // --- task migration to other shards ------------------------------------------------------------
 
-  /** Tasks of the job that may pass to another shard, if there are any. */
+  /** Returns tasks of the job that may migrate to another shard, or null if there are none. */
   migratableTasks(job: JobState, record: JobRecord): MigratableTasks | null {
     return migratableTasks(this.state, job, record);
   }
 
-  /** Takes the tasks from..to-1 out of the queue, before the transaction that passes them is sent. */
+  /** Takes the tasks from..to-1 out of the queue. Called before the transaction that migrates them is sent. */
   beginMigration(job: JobState, from: number, to: number): void {
     beginMigration(job, from, to);
   }
 
-  /** The outcome of the transaction is known. */
-  endMigration(job: JobState, passed: boolean, now: number): void {
-    endMigration(job, passed, now);
+  /** Applies the outcome of the migration's transaction. */
+  endMigration(job: JobState, succeeded: boolean, now: number): void {
+    endMigration(job, succeeded, now);
   }
 
   // --- state -------------------------------------------------------------------------------------
@@ -212,17 +212,17 @@
     return this.state.machines;
   }
 
-  /** What happened to tasks; the caller removes what it has logged. */
+  /** Task events that have not been logged yet; the caller removes those that it has logged. */
   get events(): TaskEvent[] {
     return this.state.events;
   }
 
-  /** Run times of completed tasks; the caller removes what it has counted. */
+  /** Run times of completed tasks; the caller removes those that it has added to its estimates. */
   get finishedRuns(): FinishedRun[] {
     return this.state.finishedRuns;
   }
 
-  /** No task can run anywhere by an earlier owner's command without a placement here. */
+  /** Whether every task that an earlier owner of the shard started and that still runs has a placement here. */
   get recovered(): boolean {
     return this.state.recovered;
   }
@@ -233,79 +233,82 @@
 
   // --- reachability ------------------------------------------------------------------------------
 
-  /** See the table of `MachineHealth`. */
+  /** See the table in `machine-health.ts`. */
   isFresh(machine: MachineState, now: number): boolean {
     return this.state.health.isFresh(machine, now);
   }
 
-  /** See the table of `MachineHealth`. */
+  /** See the table in `machine-health.ts`. */
   heartbeatsLost(machine: MachineState, now: number): boolean {
     return this.state.health.heartbeatsLost(machine, now);
   }
 
-  /** See the table of `MachineHealth`. */
+  /** See the table in `machine-health.ts`. */
   commandsLost(machine: MachineState, now: number): boolean {
     return this.state.health.commandsLost(machine, now);
   }
 
-  /** Machines should send heartbeats, and none has done so for `forMs`. */
+  /** Whether some machines should send heartbeats, but none of them has done so for `forMs`. */
   allHeartbeatsLost(now: number, forMs: number): boolean {
     return queries.allHeartbeatsLost(this.state, now, forMs);
   }
 
-  /** Machines that have acknowledged our term but whose record does not say so yet. */
+  /** Returns the machines that have confirmed this shard's term, but whose record is not marked as up yet. */
   newlyReadyMachines(): MachineState[] {
     return queries.newlyReadyMachines(this.state);
   }
 
-  /** Machines that should be asked for their tasks by direct command. */
+  /** Returns the machines that should be asked for their task list by direct command. */
   machinesToProbe(): MachineState[] {
     return queries.machinesToProbe(this.state);
   }
 
-  // --- load, for routing and for other shards ----------------------------------------------------
+  // --- load and capacity, for routing and for other shards ---------------------------------------
 
-  /** Allocated share of the shard by rank and kind of machine, as `loadIndex` numbers them. */
+  /** Returns the allocated share of the shard by rank and kind of machine, indexed by `loadIndex`. */
   allocationRatios(now: number): number[] {
     return allocationRatios(this.state, now);
   }
 
-  /** Tasks of this priority rank or a higher one that wait for capacity. */
+  /** Returns the number of tasks of this priority rank or a higher one that wait for capacity. */
   waitingTasks(rank: number, now: number): number {
     return queries.waitingTasks(this.state, rank, now);
   }
 
-  /** Tasks of each class, waiting or placed. */
+  /** Returns the number of waiting and placed tasks of each class. */
   activeTasksByClass(now: number): ClassActivity[] {
     return queries.activeTasksByClass(this.state, now);
   }
 
-  /** Machines on which a job of some rank could preempt everything, with the least such rank. */
+  /** Returns the machines whose tasks could all be preempted, each with the lowest rank that could do so. */
   preemptibleMachines(now: number): PreemptibleMachine[] {
     return queries.preemptibleMachines(this.state, now);
   }
 
-  /** Machines that could take a task now. */
+  /** Returns the machines that could take a task now. */
   machinesWithFreeCapacity(now: number): MachineState[] {
     return queries.machinesWithFreeCapacity(this.state, now);
   }
 }
 
 /**
- * Packets held back by a partition come late, and so do copies of heartbeats. What was made before the newest
- * heartbeat says nothing new, and the worker does not wait for its answer any more.
+ * Whether a heartbeat is not newer than the newest one. After a partition, delayed packets and copies of heartbeats
+ * may arrive; they contain nothing new, and the worker no longer waits for an answer to them.
  */
 const isOutdated = (machine: MachineState, { agentEpoch, counter }: Heartbeat): boolean =>
   agentEpoch < Math.max(machine.agentEpoch, machine.minimumAgentEpoch) ||
   (agentEpoch === machine.agentEpoch && counter <= machine.lastHeartbeatCounter);
 
-/** Made after the newest task list that was taken in. */
+/** Whether a task list is newer than the newest one that was applied. */
 const isNewerStatus = (machine: MachineState, { agentEpoch, counter }: Heartbeat): boolean =>
   agentEpoch > machine.agentEpoch ||
   (agentEpoch === machine.agentEpoch && counter > machine.lastStatusCounter);
 
-/** An empty machine's lease is renewed in any case: there is nothing on it that could go on too long. */
-const mayRunTasks = (machine: MachineState, { tasks }: Heartbeat): boolean =>
+/**
+ * Whether tasks may run on the machine. If none can, the lease is renewed even when `mayRenew` is false, since nothing
+ * there could run for too long.
+ */
+const mayHaveLiveTasks = (machine: MachineState, { tasks }: Heartbeat): boolean =>
   machine.tasks.size + machine.unsettledDirectStarts.size > 0 || tasks.some(isLive);
 
 const isLive = ({ state }: ReportedTask): boolean => state !== 'exited';
--- a/src/core/shard/store-synchronizer.ts
+++ b/src/core/shard/store-synchronizer.ts
@@ -14,19 +14,19 @@
 import type { ShardState } from './shard-state.js';
 import type { ChangedRecords, JobState, MachineState, StoredRecords } from './types.js';
 
-/** Takes over what the store says about a shard: its jobs and machines come and go by it. */
+/** Adds, updates and removes the jobs and machines of a shard according to the records of the store. */
 export class StoreSynchronizer {
-  /** jobs with a migration under way, whose records are applied once it is settled */
+  /** uids of jobs with a migration in flight, whose records are applied once its outcome is known */
   readonly #deferredJobs = new Set<string>();
 
   constructor(private readonly state: ShardState) {}
 
-  /** Some record could not be applied yet, so that another synchronisation is due without any change. */
+  /** Whether some job record could not be applied yet, so that `sync` is due even without changed records. */
   get hasDeferredJobs(): boolean {
     return this.#deferredJobs.size > 0;
   }
 
-  /** With `changes` only what has changed since the last time is looked at. `nowOfDay` is in ms. */
+  /** Applies the records. If `changes` is given, only the records named there. `timeOfDayMs` is the wall-clock time. */
   sync(
     records: StoredRecords,
     now: number,
@@ -42,8 +42,8 @@
       const record = records.jobs.get(uid)?.value;
       if (record !== undefined) this.#syncJob(record, records, now, timeOfDayMs);
       const job = jobs.get(uid);
-      const stays = record?.ranges.some((range) => range.shard === index) ?? false;
-      if (job !== undefined && !stays) this.state.endJob(job, now);
+      const hasRange = record?.ranges.some((range) => range.shard === index) ?? false;
+      if (job !== undefined && !hasRange) this.state.endJob(job, now);
     }
   }
 
@@ -53,19 +53,19 @@
     const { state } = this;
     for (const { value: record } of records.machines.values()) {
       if (record.shard !== state.index) {
-        // It may come back when machines are rebalanced.
+        // The machine may return to this shard when machines are rebalanced.
         state.terminatedMachines.delete(record.name);
         continue;
       }
-      const present = state.machines.get(record.name);
-      if (present !== undefined) this.#updateRecord(present, record);
+      const known = state.machines.get(record.name);
+      if (known !== undefined) this.#updateRecord(known, record);
       else if (!state.terminatedMachines.has(record.name)) this.#addMachine(record, now);
     }
     for (const machine of [...state.machines.values()]) {
       const record = records.machines.get(machine.record.name)?.value;
       if (record !== undefined && record.shard === state.index) continue;
-      // A record that goes without our having returned the machine says nothing of the machine: what runs
-      // there is gone only when the lease that we renewed last has run out.
+      // If a record disappears although this shard has not returned the machine, the machine may still run. Its tasks
+      // are gone only when the lease that this shard renewed last has expired.
       machine.lifecycle = 'orphaned';
       if (machine.tasks.size === 0) state.removeMachine(machine.record.name, now);
     }
@@ -141,7 +141,7 @@
       dominantResource: dominant(demandShare),
       constraintKey: constraintKey(spec),
       acceptedAt: at,
-      // A new owner counts a job's age on, rather than anew.
+      // A job's age counts from its acceptance, also after a change of the shard's owner.
       acceptedAtMonotonic: now - Math.max(0, timeOfDayMs - at),
       waitingTasks: [],
       ownTasks: new TaskSet(),
@@ -169,7 +169,7 @@
     for (let task = range.from; task < range.to; task++) {
       job.ownTasks.add(task);
       if (range.term !== this.state.term) job.inheritedTasks.add(task);
-      // A service is never done, whatever somebody may have saved of it.
+      // A service never completes, so completions that were saved for it are ignored.
       if (done.has(task) && job.spec.kind !== 'service') job.savedCompletions.add(task);
       else job.waitingTasks.push(task);
     }
--- a/src/core/shard/types.ts
+++ b/src/core/shard/types.ts
@@ -208,7 +208,7 @@
    * lifted by shard rebalancing.
    */
   cordoned: boolean;
-  /** time at which the machine reported a preemption notice of the cloud; null if it has none */
+  /** time at which the cloud will take the machine back, by its preemption notice; null without a notice */
   preemptionAt: number | null;
   /** time before which nothing is started there, after a start was refused for lack of capacity */
   backoffUntil: number;
