--- a/src/core/reachability/machine-health.ts
+++ b/src/core/reachability/machine-health.ts
@@ -11,8 +11,8 @@
  * |                 | of the worker has expired                            |                                       |
  * | fresh           | confirmed, and a task list within 2.2 intervals      | may get tasks                         |
  * | stale           | confirmed, but no task list for 2.2 intervals        | gets no new tasks                     |
- * | heartbeats lost | no heartbeat for 4.5 intervals; on a machine with    | returned to the cloud                 |
- * |                 | service replicas also no task list for 3 intervals   |                                       |
+ * | heartbeats lost | no heartbeat for 4.5 intervals or, on a machine with | returned to the cloud                 |
+ * |                 | service replicas, no task list for 3 intervals       |                                       |
  * | commands lost   | heartbeats arrive, but commands have no effect       | probed, gets no new tasks; returned   |
  * |                 |                                                      | if this lasts or a stop is overdue    |
  *
@@ -30,7 +30,7 @@
   STOP_TIMEOUT_SHARE,
 } from './constants.js';
 
-/** Whether the machine is to be returned to the cloud, or belongs to this shard no longer: no task starts there. */
+/** Whether the machine is to be returned to the cloud or no longer belongs to this shard: no task may start there. */
 export const isLeaving = (machine: MachineState): boolean =>
   machine.terminating ||
   machine.lifecycle !== 'in-service' ||
@@ -74,7 +74,7 @@
     );
   }
 
-  /** Whether heartbeats are overdue. If so, its lease ends with all tasks, even if the worker answers commands. */
+  /** Whether heartbeats are overdue. The worker's lease then ends with all its tasks, even if it answers commands. */
   #sendsNoHeartbeats({ lastHeartbeatAt, trackedSince }: MachineState, now: number): boolean {
     const limitMs = this.settings.heartbeatIntervalMs * HEARTBEATS_LOST_INTERVALS;
     return now - Math.max(lastHeartbeatAt, trackedSince) > limitMs;
--- a/src/core/shard/types.ts
+++ b/src/core/shard/types.ts
@@ -89,7 +89,7 @@
   readonly avoidedMachines: Map<string, number>;
   /** time by which its tasks should start, as computed when the queue was last sorted */
   startDeadline: number;
-  /** whether the gang has lost a task: none of its tasks starts before all the others are gone, too */
+  /** whether the gang has lost a task: no task of the gang starts before all of its tasks are gone */
   gangBroken: boolean;
   /** time since which its tasks have waited without finding capacity; null if they do not wait */
   unschedulableSince: number | null;
@@ -176,7 +176,7 @@
   unknownTaskCount: number;
   /** time since which `unknownTaskCount` has been above 0 */
   unknownTasksSince: number | null;
-  /** time since which the worker has listed completed tasks that it may forget; null if it lists none */
+  /** time since which the worker has listed completed tasks that it may forget; null if it has none or was told to */
   forgettableSince: number | null;
   /**
    * attempts, by `attemptKey`, whose direct start may still arrive; if the worker forgot such an attempt, it could run
