--- a/test/failing-jobs.test.ts
+++ b/test/failing-jobs.test.ts
@@ -1,3 +1,8 @@
+/**
+ * Tests with jobs that were submitted with a mistake, which fail on every machine until their users cancel them
+ * (docs/incidents/2026-12-02-faulty-jobs.md). They must not cause healthy machines to be quarantined, must take
+ * little capacity, and must not keep a faulty machine from being quarantined.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { planCapacity, type CapacityInput } from '../src/core/capacity/capacity-planner.js';
@@ -6,17 +11,11 @@
 import { wantedMachines } from '../src/core/capacity/wanted-machines.js';
 import { job, machine, machineType, shardWith, Store } from './helpers.js';
 
-/**
- * Jobs that were submitted with a mistake fail on every machine until their users cancel them
- * (docs/incidents/2026-12-02-faulty-jobs.md). No healthy machine is quarantined for them, they take little
- * room, and a machine that is really faulty is still found among them.
- */
-
 const STEP_MS = 500;
 const RUN_MS = 30_000;
 const FAIL_MS = 3000;
 
-interface Running {
+interface SimulatedTask {
   readonly uid: string;
   readonly index: number;
   readonly attempt: number;
@@ -24,15 +23,20 @@
   readonly why: 'done' | 'error';
 }
 
-/** Machines with workers that execute commands at once; faulty jobs fail everywhere, faulty machines everything. */
+/**
+ * Simulates machines whose workers execute commands at once. Faulty jobs fail on every machine, and faulty machines
+ * fail every task.
+ */
 class Fleet {
   readonly store = new Store();
   readonly shard: Shard;
+  /** names of machines that have been quarantined at any time */
   readonly quarantined = new Set<string>();
-  /** starts by job */
+  /** number of starts by job uid */
   readonly starts = new Map<string, number>();
+  /** time at which a completed task was last listed, by `<uid>/<index>` */
   readonly done = new Map<string, number>();
-  readonly #tasks = new Map<string, Running[]>();
+  readonly #tasks = new Map<string, SimulatedTask[]>();
   readonly #counters = new Map<string, number>();
   now = 0;
 
@@ -47,8 +51,8 @@
     this.shard = shardWith(this.store);
   }
 
-  submit(over: Partial<JobSpec>): void {
-    this.store.add(job(over));
+  submit(overrides: Partial<JobSpec>): void {
+    this.store.add(job(overrides));
     this.shard.sync(this.store, this.now, this.now);
   }
 
@@ -69,12 +73,12 @@
     if (result.kind !== 'answer') return;
     let tasks = this.#tasks.get(name) ?? [];
     for (const command of result.commands) {
-      const same = (task: Running) =>
+      const isSameAttempt = (task: SimulatedTask) =>
         task.uid === command.uid &&
         task.index === command.index &&
         task.attempt === command.attempt;
-      if (command.op !== 'start') tasks = tasks.filter((task) => !same(task));
-      else if (!tasks.some(same)) {
+      if (command.op !== 'start') tasks = tasks.filter((task) => !isSameAttempt(task));
+      else if (!tasks.some(isSameAttempt)) {
         const fails = this.faultyMachines.has(name) || this.faultyJobs.has(command.uid);
         const endsAt = this.now + (fails ? FAIL_MS : RUN_MS);
         const { uid, index, attempt } = command;
@@ -89,10 +93,10 @@
     const counter = (this.#counters.get(name) ?? 0) + 1;
     this.#counters.set(name, counter);
     const tasks = (this.#tasks.get(name) ?? []).map((task) => {
-      const over = task.endsAt <= this.now;
-      if (over && task.why === 'done') this.shard.markCompletionsSaved(task.uid, [task.index]);
-      const state = over ? ('exited' as const) : ('running' as const);
-      return { ...task, state, why: over ? task.why : null, saved: false };
+      const ended = task.endsAt <= this.now;
+      if (ended && task.why === 'done') this.shard.markCompletionsSaved(task.uid, [task.index]);
+      const state = ended ? ('exited' as const) : ('running' as const);
+      return { ...task, state, why: ended ? task.why : null, saved: false };
     });
     for (const task of tasks)
       if (task.why === 'done') this.done.set(`${task.uid}/${task.index}`, this.now);
@@ -133,65 +137,69 @@
   now: fleet.now,
 });
 
-test('no healthy machine is quarantined for faulty jobs, faulty machines are found: table', () => {
-  const cases: { name: string; faulty: string[]; broken: number }[] = [
-    { name: 'faulty jobs alone', faulty: [], broken: 6 },
-    { name: 'one faulty machine among them', faulty: ['m003'], broken: 6 },
-    { name: 'several faulty machines among them', faulty: ['m001', 'm004', 'm007'], broken: 6 },
-    { name: 'faulty machines alone', faulty: ['m001', 'm004'], broken: 0 },
+test('faulty jobs cause no quarantine of healthy machines, and faulty machines are quarantined', () => {
+  const cases: { name: string; faultyMachines: string[]; faultyJobCount: number }[] = [
+    { name: 'only faulty jobs', faultyMachines: [], faultyJobCount: 6 },
+    { name: 'faulty jobs and one faulty machine', faultyMachines: ['m003'], faultyJobCount: 6 },
+    {
+      name: 'faulty jobs and several faulty machines',
+      faultyMachines: ['m001', 'm004', 'm007'],
+      faultyJobCount: 6,
+    },
+    { name: 'only faulty machines', faultyMachines: ['m001', 'm004'], faultyJobCount: 0 },
   ];
-  for (const { name, faulty, broken } of cases) {
-    const brokenJobs = Array.from({ length: broken }, (_, i) => `job-9${i}`);
-    const fleet = new Fleet(20, new Set(faulty), new Set(brokenJobs));
+  for (const { name, faultyMachines, faultyJobCount } of cases) {
+    const faultyJobs = Array.from({ length: faultyJobCount }, (_, i) => `job-9${i}`);
+    const fleet = new Fleet(20, new Set(faultyMachines), new Set(faultyJobs));
     for (let i = 0; i < 6; i++) {
-      if (i < broken) {
+      if (i < faultyJobCount) {
         const kind = i % 2 === 0 ? 'array' : 'gang';
         fleet.submit({ uid: `job-9${i}`, kind, tasks: kind === 'array' ? 16 : 1 });
       }
       for (let k = 0; k < 5; k++) fleet.submit({ uid: `job-${i}${k}`, tasks: 4 });
       fleet.run((i + 1) * 20_000);
     }
-    assert.deepEqual([...fleet.quarantined].sort(), faulty, name);
+    assert.deepEqual([...fleet.quarantined].sort(), faultyMachines, name);
   }
 });
 
-test('a faulty array takes one slot at a time and pauses ever longer; a healthy one is not held up', () => {
+test('a faulty array runs one task at a time with growing backoff, and does not delay a healthy array', () => {
   const fleet = new Fleet(10, new Set(), new Set(['job-90']));
   fleet.submit({ uid: 'job-90', tasks: 40 });
   fleet.run(10_000);
-  const atFirst = fleet.starts.get('job-90') ?? 0;
+  const initialStarts = fleet.starts.get('job-90') ?? 0;
   fleet.submit({ uid: 'job-10', tasks: 20 });
   fleet.run(130_000);
-  const later = (fleet.starts.get('job-90') ?? 0) - atFirst;
-  assert.ok(later >= 1, 'it is tried again');
-  assert.ok(later <= 7, `${later} starts in two minutes`);
+  const laterStarts = (fleet.starts.get('job-90') ?? 0) - initialStarts;
+  assert.ok(laterStarts >= 1, 'the array is retried');
+  assert.ok(laterStarts <= 7, `${laterStarts} starts in two minutes`);
   assert.equal(fleet.completed('job-10'), 20);
 });
 
-test('a task that runs long enough shows that a suspect array can run: the rest follows', () => {
+test('once a task of a suspect array has run for long enough, the other tasks are placed', () => {
   const fleet = new Fleet(10, new Set(['m000', 'm001']), new Set());
   fleet.submit({ uid: 'job-10', tasks: 60 });
   fleet.run(5 * RUN_MS);
   assert.equal(fleet.completed('job-10'), 60);
 });
 
-test('paused faulty jobs ask for no machines, and do not keep other shards from passing work', () => {
+test('faulty jobs in backoff request no machines and do not keep other shards from migrating tasks', () => {
   const fleet = new Fleet(4, new Set(), new Set(['job-90', 'job-91']));
   fleet.submit({ uid: 'job-90', tasks: 400 });
   fleet.submit({ uid: 'job-91', kind: 'gang', tasks: 2 });
-  const allPaused = () =>
+  const allInBackoff = () =>
     [...fleet.shard.jobs.values()].every(
       (jobState) => jobState.backoffUntil > fleet.now && jobState.placements.size === 0,
     );
   do fleet.run(fleet.now + STEP_MS);
-  while (!allPaused() && fleet.now < 120_000);
-  assert.ok(allPaused(), 'both pause at some time');
+  while (!allInBackoff() && fleet.now < 120_000);
+  assert.ok(allInBackoff(), 'both jobs are in backoff at some time');
   assert.equal(fleet.shard.waitingTasks(0, fleet.now), 0);
   const wanted = wantedMachines(capacityInput(fleet));
   assert.deepEqual(wanted.get('m'), { ordinary: 0, spot: 0, instead: 0 });
 });
 
-test('a machine stays quarantined while older tasks complete there and other ones fail: any order', () => {
+test('a quarantined machine stays quarantined, in whichever order an older task completes and others fail', () => {
   const small = { demand: { cpus: 1, gpus: 0, memoryGb: 1 } };
   for (let offset = 2000; offset <= 6000; offset += STEP_MS) {
     const fleet = new Fleet(1, new Set(), new Set(['job-20', 'job-21', 'job-22']));
@@ -201,35 +209,35 @@
     fleet.run(RUN_MS - offset + 2 * STEP_MS);
     fleet.submit({ uid: 'job-22', ...small });
     const machineState = fleet.shard.machines.get('m000')!;
-    const verdicts: boolean[] = [];
+    const quarantinedAt: boolean[] = [];
     for (let at = fleet.now + STEP_MS; at < 2 * RUN_MS; at += STEP_MS) {
       fleet.run(at);
-      verdicts.push(machineState.faultStatus === 'quarantined');
+      quarantinedAt.push(machineState.faultStatus === 'quarantined');
     }
     assert.equal(fleet.completed('job-10'), 1);
-    const first = verdicts.indexOf(true);
-    assert.ok(first >= 0, `found, ${offset} ms before`);
-    assert.ok(!verdicts.slice(first).includes(false), `and stays so, ${offset} ms before`);
+    const first = quarantinedAt.indexOf(true);
+    assert.ok(first >= 0, `quarantined, with jobs submitted ${offset} ms before the completion`);
+    assert.ok(
+      !quarantinedAt.slice(first).includes(false),
+      `stays quarantined, with jobs submitted ${offset} ms before the completion`,
+    );
   }
 });
 
-test('a machine in use that was quarantined for jobs that turn out faulty is used again', () => {
-  const faulty = new Set(['job-90', 'job-91']);
-  const fleet = new Fleet(1, new Set(), faulty);
+test('a machine quarantined because of jobs that also fail on other machines returns to service', () => {
+  const faultyJobs = new Set(['job-90', 'job-91']);
+  const fleet = new Fleet(1, new Set(), faultyJobs);
   fleet.submit({ uid: 'job-10', demand: { cpus: 1, gpus: 0, memoryGb: 1 } });
   fleet.run(2000);
-  for (const uid of faulty) fleet.submit({ uid, demand: { cpus: 1, gpus: 0, memoryGb: 1 } });
+  for (const uid of faultyJobs) fleet.submit({ uid, demand: { cpus: 1, gpus: 0, memoryGb: 1 } });
   fleet.run(12_000);
   const machineState = fleet.shard.machines.get('m000')!;
   const isQuarantined = () => machineState.faultStatus === 'quarantined';
   const isInService = () => machineState.lifecycle === 'in-service';
   planCapacity(capacityInput(fleet));
-  assert.ok(
-    isQuarantined() && !isInService(),
-    'two jobs failed there, and there is no other machine yet',
-  );
+  assert.ok(isQuarantined() && !isInService(), 'two jobs failed on the only machine');
   for (let i = 1; i < 4; i++) fleet.store.add(machine(`m00${i}`));
   fleet.shard.sync(fleet.store, fleet.now);
   fleet.run(25_000);
-  assert.ok(!isQuarantined() && isInService(), 'they fail elsewhere, too');
+  assert.ok(!isQuarantined() && isInService(), 'the jobs fail on other machines, too');
 });
--- a/test/helpers.ts
+++ b/test/helpers.ts
@@ -1,10 +1,11 @@
+/** Factories for records, settings and shards that several tests share. */
 import { Authorization, fencingToken, FencingRejections } from '@sumacstep/leader-election';
 import pino from 'pino';
 import type { JobRecord, JobSpec, MachineRecord, MachineType, Team } from '../src/core/model.js';
 import { Shard, type ShardSettings } from '../src/core/shard/shard.js';
 import { OwnedShard } from '../src/shards/owned-shard.js';
 
-export const machineType = (over: Partial<MachineType> = {}): MachineType => ({
+export const machineType = (overrides: Partial<MachineType> = {}): MachineType => ({
   name: 'm',
   cpus: 8,
   gpus: 2,
@@ -15,10 +16,10 @@
   spotPrice: 1,
   bootS: 50,
   zones: ['z', 'y'],
-  ...over,
+  ...overrides,
 });
 
-export const spec = (over: Partial<JobSpec> = {}): JobSpec => ({
+export const spec = (overrides: Partial<JobSpec> = {}): JobSpec => ({
   uid: 'job-000001',
   jobClass: 'c',
   team: 't',
@@ -37,15 +38,15 @@
   checkpointS: 0,
   saveS: 0,
   deadlineS: null,
-  ...over,
+  ...overrides,
 });
 
-export const job = (over: Partial<JobSpec> = {}, term = 1, shard = 0): JobRecord => {
-  const s = spec(over);
-  return { spec: s, at: 0, ranges: [{ from: 0, to: s.tasks, shard, term }] };
+export const job = (overrides: Partial<JobSpec> = {}, term = 1, shard = 0): JobRecord => {
+  const jobSpec = spec(overrides);
+  return { spec: jobSpec, at: 0, ranges: [{ from: 0, to: jobSpec.tasks, shard, term }] };
 };
 
-export const machine = (name: string, over: Partial<MachineRecord> = {}): MachineRecord => ({
+export const machine = (name: string, overrides: Partial<MachineRecord> = {}): MachineRecord => ({
   name,
   shard: 0,
   term: 1,
@@ -53,31 +54,31 @@
   zone: 'z',
   spot: false,
   up: true,
-  ...over,
+  ...overrides,
 });
 
 export const LEASE_MS = 18_000;
 
-export const settings = (over: Partial<ShardSettings> = {}): ShardSettings => ({
+export const settings = (overrides: Partial<ShardSettings> = {}): ShardSettings => ({
   heartbeatIntervalMs: 3000,
   leaseMs: LEASE_MS,
   cancelMs: 38_000,
   teams: new Map<string, Team>([
     ['t', { name: 't', cpus: 0, gpus: 0, cpusMax: 0, gpusMax: 0 }],
     ['limited', { name: 'limited', cpus: 0, gpus: 0, cpusMax: 8, gpusMax: 0 }],
-    ['owed', { name: 'owed', cpus: 8, gpus: 2, cpusMax: 0, gpusMax: 0 }],
+    ['guaranteed', { name: 'guaranteed', cpus: 8, gpus: 2, cpusMax: 0, gpusMax: 0 }],
   ]),
   types: new Map([['m', machineType()]]),
   preempt: true,
   startObjectives: () => [],
   imagesOf: () => new Map(),
-  ...over,
+  ...overrides,
 });
 
-/** The store's records as a shard sees them. */
+/** In-memory records of the store, as they are passed to `Shard.sync`. */
 export class Store {
   readonly jobs = new Map<string, { value: JobRecord }>();
-  /** bitmaps by `<uid>/<first task>` */
+  /** bitmaps of completed tasks by `<uid>/<first task of the range>` */
   readonly doneBitmaps = new Map<string, string>();
   readonly machines = new Map<string, { value: MachineRecord }>();
 
@@ -86,9 +87,9 @@
   }
 
   add(...records: (JobRecord | MachineRecord)[]): this {
-    for (const r of records) {
-      if ('spec' in r) this.jobs.set(r.spec.uid, { value: r });
-      else this.machines.set(r.name, { value: r });
+    for (const record of records) {
+      if ('spec' in record) this.jobs.set(record.spec.uid, { value: record });
+      else this.machines.set(record.name, { value: record });
     }
     return this;
   }
@@ -97,15 +98,15 @@
 export const shardWith = (
   store: Store,
   term = 1,
-  over: Partial<ShardSettings> = {},
+  overrides: Partial<ShardSettings> = {},
   now = 0,
 ): Shard => {
-  const shard = new Shard(0, term, settings(over));
+  const shard = new Shard(0, term, settings(overrides));
   shard.sync(store, now);
   return shard;
 };
 
-/** The platform's file, as small as it may be. */
+/** A platform file with only the required settings, and one unknown field. */
 export const PLATFORM = `
 node = "n-0"
 site = "z"
@@ -138,24 +139,24 @@
 max_sockets = 1500
 `;
 
-/** Counts refusals, and logs nowhere. */
+/** Returns a counter of fencing rejections that neither reads the store nor logs. */
 export const silentRejections = (): FencingRejections =>
   new FencingRejections(() => Promise.resolve(null), pino({ level: 'silent' }));
 
-/** The right to act under a token, as long as `holds` says. */
+/** Returns the authorization of `duty` under a fencing token, which is current as long as `isCurrent` returns true. */
 export const authorization = (
   duty: string,
   token: number,
   revision: number,
-  holds: () => boolean = () => true,
+  isCurrent: () => boolean = () => true,
 ): Authorization => {
   const condition = { key: duty, revision };
   return new Authorization(
-    { role: duty, fencingToken: fencingToken(token), guard: condition, isCurrent: holds },
+    { role: duty, fencingToken: fencingToken(token), guard: condition, isCurrent },
     silentRejections(),
   );
 };
 
-/** A shard as its controller holds it, whose record has revision 1. */
+/** Wraps a shard as its controller does, with revision 1 of the shard's ownership record. */
 export const ownedShard = (shard: Shard): OwnedShard =>
   new OwnedShard(shard, authorization(`parts/${shard.index}`, shard.term, 1), 0);
--- a/test/machine-faults.test.ts
+++ b/test/machine-faults.test.ts
@@ -1,3 +1,4 @@
+/** Tests of a shard whose machines lose heartbeats or commands, and of gangs and queues in their presence. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { planCapacity, type CapacityInput } from '../src/core/capacity/capacity-planner.js';
@@ -9,7 +10,7 @@
 const RUN_MS = 20_000;
 const HEARTBEAT_MS = settings().heartbeatIntervalMs;
 
-/** What the shard would return to the cloud now. */
+/** Returns the names of the machines that the shard would return to the cloud now. */
 const returns = (shard: Shard, now: number): string[] => {
   const input: CapacityInput = {
     shard,
@@ -28,10 +29,10 @@
     maxMachines: 100,
     now,
   };
-  return planCapacity(input).returns.map((g) => g.name);
+  return planCapacity(input).returns.map(({ name }) => name);
 };
 
-/** A heartbeat and its answer, which reaches the worker or not. */
+/** Passes one heartbeat to the shard, and its answer to the worker unless it is lost. Returns the commands. */
 const exchangeHeartbeat = (
   shard: Shard,
   worker: FakeWorker,
@@ -49,7 +50,7 @@
 };
 const runsOn = (world: World, task: string): string[] => [...(world.on.get(task) ?? [])];
 
-test('heartbeats arrive but commands are lost: its work goes elsewhere, it is returned', () => {
+test('heartbeats arrive but commands are lost: tasks start elsewhere, and the machine is returned', () => {
   const cases: { name: string; direct: boolean }[] = [
     { name: 'starts in answers are lost', direct: false },
     { name: 'direct starts have no answer either', direct: true },
@@ -57,29 +58,29 @@
   for (const { name, direct } of cases) {
     const world = new World();
     const shard = shardWith(new Store().add(machine('a'), machine('b'), job()));
-    const a = new FakeWorker('a', world, RUN_MS, LEASE_MS, 0);
-    const b = new FakeWorker('b', world, RUN_MS, LEASE_MS, 0);
-    exchangeHeartbeat(shard, a, 0);
-    shard.handleCommandStatus(a.heartbeat(), 100);
+    const workerA = new FakeWorker('a', world, RUN_MS, LEASE_MS, 0);
+    const workerB = new FakeWorker('b', world, RUN_MS, LEASE_MS, 0);
+    exchangeHeartbeat(shard, workerA, 0);
+    shard.handleCommandStatus(workerA.heartbeat(), 100);
     if (direct) {
       shard.placeAll(200);
       assert.equal(shard.directCommands(200).length, 1, name);
     }
-    exchangeHeartbeat(shard, b, 300);
+    exchangeHeartbeat(shard, workerB, 300);
     let now = HEARTBEAT_MS;
     for (; now < 2 * LEASE_MS && runsOn(world, 'job-000001/0').length === 0; now += HEARTBEAT_MS) {
-      exchangeHeartbeat(shard, a, now, false);
+      exchangeHeartbeat(shard, workerA, now, false);
       if (returns(shard, now).includes('a')) {
-        a.vanish();
+        workerA.vanish();
         shard.removeMachine('a', now);
       }
-      exchangeHeartbeat(shard, b, now + 1);
-      exchangeHeartbeat(shard, b, now + 600);
+      exchangeHeartbeat(shard, workerB, now + 1);
+      exchangeHeartbeat(shard, workerB, now + 600);
     }
     assert.deepEqual(
       runsOn(world, 'job-000001/0'),
       ['b'],
-      `${name}: it runs where commands arrive`,
+      `${name}: the task runs on the machine that receives commands`,
     );
     assert.ok(now <= 8 * HEARTBEAT_MS, `${name}: after ${now} ms`);
     assert.ok(
@@ -90,42 +91,42 @@
   }
 });
 
-test('one lost answer is no reason to return a machine', () => {
+test('a machine is not returned for one lost answer', () => {
   const world = new World();
   const shard = shardWith(new Store().add(machine('a'), job()));
-  const a = new FakeWorker('a', world, RUN_MS, LEASE_MS, 0);
-  exchangeHeartbeat(shard, a, 0);
-  exchangeHeartbeat(shard, a, HEARTBEAT_MS, false);
-  exchangeHeartbeat(shard, a, 2 * HEARTBEAT_MS);
-  exchangeHeartbeat(shard, a, 3 * HEARTBEAT_MS);
+  const workerA = new FakeWorker('a', world, RUN_MS, LEASE_MS, 0);
+  exchangeHeartbeat(shard, workerA, 0);
+  exchangeHeartbeat(shard, workerA, HEARTBEAT_MS, false);
+  exchangeHeartbeat(shard, workerA, 2 * HEARTBEAT_MS);
+  exchangeHeartbeat(shard, workerA, 3 * HEARTBEAT_MS);
   assert.deepEqual(runsOn(world, 'job-000001/0'), ['a']);
   assert.deepEqual(returns(shard, 6 * HEARTBEAT_MS), []);
 });
 
-test('a cancelled task on a machine that ignores commands is gone in time: the machine is returned', () => {
+test('a machine that ignores the stop of a cancelled task is returned in time', () => {
   const world = new World();
   const store = new Store().add(machine('a'), job());
-  // A lease longer than the time for cancellations: it does not end the task in time by itself.
+  // The lease is longer than the time for cancellations, so its expiry does not end the task in time.
   const shard = shardWith(store, 1, { leaseMs: 10 * CANCEL_MS });
-  const a = new FakeWorker('a', world, 10 * CANCEL_MS, 10 * CANCEL_MS, 0);
-  exchangeHeartbeat(shard, a, 0);
-  exchangeHeartbeat(shard, a, 600);
+  const workerA = new FakeWorker('a', world, 10 * CANCEL_MS, 10 * CANCEL_MS, 0);
+  exchangeHeartbeat(shard, workerA, 0);
+  exchangeHeartbeat(shard, workerA, 600);
   assert.deepEqual(runsOn(world, 'job-000001/0'), ['a']);
   store.jobs.delete('job-000001');
   shard.sync(store, 1000);
   world.cancelledAt.set('job-000001', 1000);
   let now = 1000;
   while (!returns(shard, now).includes('a')) {
-    exchangeHeartbeat(shard, a, now, false);
+    exchangeHeartbeat(shard, workerA, now, false);
     now += HEARTBEAT_MS;
-    assert.ok(now < 1000 + CANCEL_MS, 'too late for the cloud to answer in time');
+    assert.ok(now < 1000 + CANCEL_MS, 'returned too late for the cloud to end the machine in time');
   }
-  assert.ok(now < 1000 + 0.75 * CANCEL_MS, `given back after ${now} ms`);
+  assert.ok(now < 1000 + 0.75 * CANCEL_MS, `returned after ${now} ms`);
 });
 
-test('late copies of heartbeats change nothing: table', () => {
-  /** Everything about a machine that a heartbeat could change. */
-  const knows = (shard: Shard) => {
+test('delayed copies of heartbeats change nothing', () => {
+  /** Returns the state of the machine and the job that a heartbeat could change. */
+  const snapshot = (shard: Shard) => {
     const machineState = shard.machines.get('a');
     const jobState = shard.jobs.get('job-000001');
     return {
@@ -147,96 +148,96 @@
       ],
     };
   };
-  const scene = () => {
+  const startCluster = () => {
     const world = new World();
     const store = new Store().add(machine('a'), job());
     const shard = shardWith(store);
-    const a = new FakeWorker('a', world, RUN_MS, LEASE_MS, 0);
+    const workerA = new FakeWorker('a', world, RUN_MS, LEASE_MS, 0);
     const sent: Heartbeat[] = [];
-    const say = (now: number) => {
-      exchangeHeartbeat(shard, a, now);
-      sent.push({ ...a.heartbeat(), counter: a.counter - 1 });
+    const exchange = (now: number) => {
+      exchangeHeartbeat(shard, workerA, now);
+      sent.push({ ...workerA.heartbeat(), counter: workerA.counter - 1 });
     };
-    return { world, store, shard, a, sent, say };
+    return { world, store, shard, worker: workerA, sent, exchange };
   };
-  type Scene = ReturnType<typeof scene>;
-  const cases: [string, (cluster: Scene) => Shard, (cluster: Scene) => void][] = [
+  type Cluster = ReturnType<typeof startCluster>;
+  const cases: [string, (cluster: Cluster) => Shard, (cluster: Cluster) => void][] = [
     [
-      'of the same agent epoch, by seconds',
+      'within the same agent epoch',
       (cluster) => cluster.shard,
-      (cluster) => cluster.say(4000),
+      (cluster) => cluster.exchange(4000),
     ],
     [
-      'of a task that has completed since',
+      'with a task that has completed since',
       (cluster) => cluster.shard,
       (cluster) => {
-        for (let now = 3000; now <= 27_000; now += 3000) cluster.say(now);
+        for (let now = 3000; now <= 27_000; now += 3000) cluster.exchange(now);
         cluster.shard.markCompletionsSaved('job-000001', [0]);
-        cluster.say(28_000);
-        cluster.say(29_000);
+        cluster.exchange(28_000);
+        cluster.exchange(29_000);
       },
     ],
     [
-      'of an earlier agent epoch',
+      'from an earlier agent epoch',
       (cluster) => cluster.shard,
       (cluster) => {
-        cluster.a.advance(5 * LEASE_MS);
-        cluster.say(5 * LEASE_MS);
-        cluster.say(5 * LEASE_MS + 600);
+        cluster.worker.advance(5 * LEASE_MS);
+        cluster.exchange(5 * LEASE_MS);
+        cluster.exchange(5 * LEASE_MS + 600);
       },
     ],
     [
       'after the machine was returned',
       (cluster) => cluster.shard,
       (cluster) => {
-        cluster.a.vanish();
+        cluster.worker.vanish();
         cluster.shard.removeMachine('a', 2000);
       },
     ],
   ];
   for (const [name, owner, since] of cases) {
-    const cluster = scene();
-    for (const now of [0, 600, 1200]) cluster.say(now);
+    const cluster = startCluster();
+    for (const now of [0, 600, 1200]) cluster.exchange(now);
     const copies = [...cluster.sent];
     since(cluster);
     const shard = owner(cluster);
-    const before = knows(shard);
+    const before = snapshot(shard);
     const at = 20 * LEASE_MS;
     for (const copy of copies)
       assert.notEqual(shard.handleHeartbeat(copy, at, true).kind, 'answer', name);
-    assert.deepEqual(knows(shard), before, name);
+    assert.deepEqual(snapshot(shard), before, name);
     assert.deepEqual(cluster.world.broken, [], name);
   }
 });
 
-test('a copy from before a takeover does not count as an answer to the new owner', () => {
+test('a delayed heartbeat from before a takeover does not confirm the term of the new owner', () => {
   const world = new World();
   const store = new Store().add(machine('a'), machine('b'), job());
   const old = shardWith(store, 1);
-  const a = new FakeWorker('a', world, RUN_MS, LEASE_MS, 0);
-  const b = new FakeWorker('b', world, RUN_MS, LEASE_MS, 0);
-  exchangeHeartbeat(old, a, 0);
-  const idle = a.heartbeat();
-  exchangeHeartbeat(old, a, 600);
+  const workerA = new FakeWorker('a', world, RUN_MS, LEASE_MS, 0);
+  const workerB = new FakeWorker('b', world, RUN_MS, LEASE_MS, 0);
+  exchangeHeartbeat(old, workerA, 0);
+  const delayed = workerA.heartbeat();
+  exchangeHeartbeat(old, workerA, 600);
   assert.deepEqual(runsOn(world, 'job-000001/0'), ['a']);
   const shard = shardWith(store, 2, {}, 1000);
-  exchangeHeartbeat(shard, b, 1000);
-  exchangeHeartbeat(shard, b, 1600);
-  shard.handleHeartbeat(idle, 1700, true);
-  assert.equal(shard.recovered, false, 'it was made before our term');
-  exchangeHeartbeat(shard, b, 2200);
+  exchangeHeartbeat(shard, workerB, 1000);
+  exchangeHeartbeat(shard, workerB, 1600);
+  shard.handleHeartbeat(delayed, 1700, true);
+  assert.equal(shard.recovered, false, 'the heartbeat was sent before the new term');
+  exchangeHeartbeat(shard, workerB, 2200);
   assert.deepEqual(runsOn(world, 'job-000001/0'), ['a']);
-  exchangeHeartbeat(shard, a, 2300);
-  exchangeHeartbeat(shard, a, 2900);
+  exchangeHeartbeat(shard, workerA, 2300);
+  exchangeHeartbeat(shard, workerA, 2900);
   assert.equal(shard.recovered, true);
   assert.equal(shard.jobs.get('job-000001')?.placements.get(0)?.machine.record.name, 'a');
   assert.deepEqual(world.broken, []);
 });
 
-test('nobody starves: with a steady stream of newer small jobs, the large ones get their turn', () => {
+test('no starvation: large jobs start despite a steady stream of newer small jobs', () => {
   const whole = { cpus: 8, gpus: 2, memoryGb: 8 };
   const cases: { name: string; large: Parameters<typeof job>[0]; withinS: number }[] = [
-    // Three run times: those before it, those beside it, and collecting the machines.
+    // 60 s are three run times: tasks before the job, tasks beside it, and collecting machines for it.
     {
       name: 'a gang of four machines',
       large: { kind: 'gang', tasks: 4, demand: whole },
@@ -256,7 +257,7 @@
     const started = new Set<string>();
     let now = 0;
     for (; now < withinS * 1000; now += 600) {
-      // The queue of small jobs never runs dry.
+      // The queue always has small jobs.
       while (
         [...shard.jobs.values()].filter((jobState) => jobState.waitingTasks.length > 0).length < 8
       ) {
@@ -285,7 +286,7 @@
   }
 });
 
-test('a gang that was only noted down and is stopped waits once, not twice', () => {
+test('a gang that is stopped before any start was sent is queued once, not twice', () => {
   const store = new Store().add(
     machine('a', { spot: true }),
     machine('b', { spot: true }),
@@ -302,9 +303,9 @@
   assert.deepEqual(shard.jobs.get('job-000001')?.waitingTasks, [0, 1, 2, 3]);
 });
 
-test('a job that missed an aim is not passed over by newer ones until it has begun', () => {
+test('a job that missed a start objective stays ahead of newer jobs until it has begun', () => {
   const store = new Store().add(machine('a'));
-  // Room for one job at a time; the aims are 60 s and 300 s after acceptance.
+  // The machine fits one job at a time. The start objectives are 60 s and 300 s after acceptance.
   const whole = { cpus: 8, gpus: 2, memoryGb: 8 };
   const shard = shardWith(store, 1, { startObjectives: () => [60, 300] });
   store.add(job({ uid: 'job-000001', demand: whole }));
@@ -315,11 +316,11 @@
   }
   const first = (now: number) => shard.queue(now)[0]?.spec.uid;
   assert.equal(first(50_000), 'job-000001');
-  // Its next aim is at 300 s, those of the others at 160 s and later: but it has not begun.
+  // Its next objective is at 300 s, those of the newer jobs are at 160 s and later, but it has not begun.
   assert.equal(first(121_000), 'job-000001');
 });
 
-test('a gang that is stopped to save is told as a whole', () => {
+test('all tasks of a gang are stopped together when one of them has to save its progress', () => {
   const world = new World();
   const store = new Store().add(
     machine('a', { spot: true }),
@@ -327,60 +328,60 @@
     job({ kind: 'gang', tasks: 4, checkpointS: 5, saveS: 2 }),
   );
   const shard = shardWith(store);
-  const a = new FakeWorker('a', world, RUN_MS, LEASE_MS, 0);
-  const b = new FakeWorker('b', world, RUN_MS, LEASE_MS, 0);
+  const workerA = new FakeWorker('a', world, RUN_MS, LEASE_MS, 0);
+  const workerB = new FakeWorker('b', world, RUN_MS, LEASE_MS, 0);
   for (const now of [0, 600, 1200])
-    for (const worker of [a, b]) exchangeHeartbeat(shard, worker, now);
+    for (const worker of [workerA, workerB]) exchangeHeartbeat(shard, worker, now);
   assert.equal(shard.jobs.get('job-000001')?.placements.size, 4);
-  a.noticeS = 10;
-  shard.handleHeartbeat(a.heartbeat(), 2000, true);
-  const told = shard.directCommands(2000).flatMap((d) => d.commands);
+  workerA.noticeS = 10;
+  shard.handleHeartbeat(workerA.heartbeat(), 2000, true);
+  const commands = shard.directCommands(2000).flatMap((batch) => batch.commands);
   assert.equal(
-    told.filter((copy) => copy.op === 'stop' && copy.graceS >= 2).length,
+    commands.filter((command) => command.op === 'stop' && command.graceS >= 2).length,
     4,
-    'also on machine b',
+    'including those on machine b',
   );
 });
 
-test('a machine that only answers commands gets nothing new, and is returned', () => {
+test('a machine that answers commands but sends no heartbeats gets no new tasks, and is returned', () => {
   const world = new World();
   const shard = shardWith(new Store().add(machine('a'), job({ tasks: 1 })));
-  const a = new FakeWorker('a', world, RUN_MS, LEASE_MS, 0);
-  exchangeHeartbeat(shard, a, 0);
-  // Answers to commands look like heartbeats, but they renew no lease: all that starts is killed by it.
-  const answers = (now: number) => {
-    a.advance(now);
+  const workerA = new FakeWorker('a', world, RUN_MS, LEASE_MS, 0);
+  exchangeHeartbeat(shard, workerA, 0);
+  // Answers to commands contain task lists like heartbeats, but renew no lease, so its expiry would kill any new task.
+  const answerCommand = (now: number) => {
+    workerA.advance(now);
     shard.expireLeases(now);
-    shard.handleCommandStatus(a.heartbeat(), now);
+    shard.handleCommandStatus(workerA.heartbeat(), now);
   };
-  for (let now = HEARTBEAT_MS; now <= 4 * HEARTBEAT_MS; now += HEARTBEAT_MS) answers(now);
+  for (let now = HEARTBEAT_MS; now <= 4 * HEARTBEAT_MS; now += HEARTBEAT_MS) answerCommand(now);
   assert.deepEqual(returns(shard, 4 * HEARTBEAT_MS), [], 'a few heartbeats may be lost');
   const now = 5 * HEARTBEAT_MS;
-  answers(now);
+  answerCommand(now);
   assert.ok(returns(shard, now).includes('a'));
   assert.equal(shard.isFresh(shard.machines.get('a')!, now), false);
 });
 
-test('a record that goes without a return: what runs there is not started elsewhere before its lease ends', () => {
+test('tasks on a machine whose record disappears without a return start elsewhere only after its lease ends', () => {
   for (const moved of [true, false]) {
     const world = new World();
     const store = new Store().add(machine('a'), machine('b'), job());
     const shard = shardWith(store);
-    const a = new FakeWorker('a', world, 10 * LEASE_MS, LEASE_MS, 0);
-    const b = new FakeWorker('b', world, 10 * LEASE_MS, LEASE_MS, 0);
+    const workerA = new FakeWorker('a', world, 10 * LEASE_MS, LEASE_MS, 0);
+    const workerB = new FakeWorker('b', world, 10 * LEASE_MS, LEASE_MS, 0);
     for (let now = 0; now < 2 * HEARTBEAT_MS; now += HEARTBEAT_MS / 2)
-      exchangeHeartbeat(shard, a, now);
+      exchangeHeartbeat(shard, workerA, now);
     assert.deepEqual(runsOn(world, 'job-000001/0'), ['a']);
     if (moved) store.add(machine('a', { shard: 1 }));
     else store.machines.delete('a');
     const from = 2 * HEARTBEAT_MS;
     shard.sync(store, from);
     for (let now = from; now < from + 2 * LEASE_MS; now += HEARTBEAT_MS / 2) {
-      a.advance(now);
-      exchangeHeartbeat(shard, b, now);
+      workerA.advance(now);
+      exchangeHeartbeat(shard, workerB, now);
       assert.deepEqual(world.broken, []);
     }
-    assert.deepEqual(runsOn(world, 'job-000001/0'), ['b'], 'in the end it runs again');
+    assert.deepEqual(runsOn(world, 'job-000001/0'), ['b'], 'the task runs again in the end');
     assert.equal(shard.machines.has('a'), false);
   }
 });
--- a/test/shard.test.ts
+++ b/test/shard.test.ts
@@ -1,3 +1,4 @@
+/** Tests of a shard against simulated workers: placement, heartbeats, commands, leases and changes of owner. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { FORGET_DELAY_MAX_MS } from '../src/core/shard/constants.js';
@@ -7,10 +8,10 @@
 import { FakeWorker, World } from './standins/worker.js';
 
 const RUN_MS = 60_000;
-const workers = (names: string[], world = new World(), over: { zone?: string }[] = []) =>
-  names.map((n, i) => new FakeWorker(n, world, RUN_MS, LEASE_MS, 0, over[i]?.zone));
+const createWorkers = (names: string[], world = new World(), options: { zone?: string }[] = []) =>
+  names.map((n, i) => new FakeWorker(n, world, RUN_MS, LEASE_MS, 0, options[i]?.zone));
 
-/** One heartbeat and its answer, which the worker obeys; returns the commands. */
+/** Passes one heartbeat to the shard and its answer to the worker. Returns the commands of the answer. */
 const exchangeHeartbeat = (
   shard: Shard,
   worker: FakeWorker,
@@ -19,7 +20,7 @@
 ): readonly Command[] => {
   worker.advance(now);
   const heartbeat = worker.heartbeat();
-  // The loop of the service, which runs several times in a second.
+  // The service's control loop places tasks several times per second.
   if (mayStart) shard.placeAll(now);
   const result = shard.handleHeartbeat(heartbeat, now, mayStart);
   if (result.kind !== 'answer') return [];
@@ -33,208 +34,232 @@
     .filter((task) => task.state === 'running')
     .map((task) => `${task.uid}/${task.index}`);
 
-test('nothing starts before a heartbeat has come under our term, nor without authority', () => {
+test('no task starts before the worker has confirmed the term, nor while `mayStart` is false', () => {
   const shard = shardWith(new Store().add(machine('a'), job()));
-  const [a] = workers(['a']);
+  const [workerA] = createWorkers(['a']);
   assert.deepEqual(
-    starts(exchangeHeartbeat(shard, a!, 1000)),
+    starts(exchangeHeartbeat(shard, workerA!, 1000)),
     [],
-    'the first answer only brings our term',
+    'the first answer only carries the term',
+  );
+  assert.deepEqual(
+    starts(exchangeHeartbeat(shard, workerA!, 1500, false)),
+    [],
+    'mayStart is false',
+  );
+  assert.deepEqual(starts(exchangeHeartbeat(shard, workerA!, 2000)), ['job-000001/0']);
+  assert.deepEqual(
+    starts(exchangeHeartbeat(shard, workerA!, 2500)),
+    [],
+    'the task is listed, so it is not started again',
   );
-  assert.deepEqual(starts(exchangeHeartbeat(shard, a!, 1500, false)), [], 'no authority');
-  assert.deepEqual(starts(exchangeHeartbeat(shard, a!, 2000)), ['job-000001/0']);
-  assert.deepEqual(starts(exchangeHeartbeat(shard, a!, 2500)), [], 'it is there: no second start');
 });
 
-test('nothing starts on a machine whose record does not say that it is up', () => {
+test('no task starts on a machine whose record is not marked as up', () => {
   const store = new Store().add(machine('a', { up: false }), job());
   const shard = shardWith(store);
-  const [a] = workers(['a']);
-  exchangeHeartbeat(shard, a!, 0);
-  assert.deepEqual(starts(exchangeHeartbeat(shard, a!, 600)), []);
+  const [workerA] = createWorkers(['a']);
+  exchangeHeartbeat(shard, workerA!, 0);
+  assert.deepEqual(starts(exchangeHeartbeat(shard, workerA!, 600)), []);
   assert.deepEqual(
     shard.newlyReadyMachines().map((m) => m.record.name),
     ['a'],
   );
   store.add(machine('a'));
   shard.sync(store, 700);
-  assert.deepEqual(starts(exchangeHeartbeat(shard, a!, 1200)), ['job-000001/0']);
+  assert.deepEqual(starts(exchangeHeartbeat(shard, workerA!, 1200)), ['job-000001/0']);
 });
 
-test('an answer that the worker dropped: the same attempt is given again', () => {
+test('a start in an answer that was lost is sent again with the same attempt number', () => {
   const shard = shardWith(new Store().add(machine('a'), job()));
-  const [a] = workers(['a']);
-  exchangeHeartbeat(shard, a!, 0);
-  const lost = shard.handleHeartbeat(a!.heartbeat(), 600, true);
+  const [workerA] = createWorkers(['a']);
+  exchangeHeartbeat(shard, workerA!, 0);
+  const lost = shard.handleHeartbeat(workerA!.heartbeat(), 600, true);
   assert.equal(lost.kind, 'answer');
-  const again = exchangeHeartbeat(shard, a!, 4600);
+  const again = exchangeHeartbeat(shard, workerA!, 4600);
   assert.deepEqual(starts(again), ['job-000001/0']);
   assert.deepEqual(lost.kind === 'answer' ? lost.commands : [], again);
 });
 
-test('a completion is forgotten by its worker only once it is saved', () => {
+test('a worker is told to forget a completion only after it is saved', () => {
   const shard = shardWith(new Store().add(machine('a'), job()));
-  const [a] = workers(['a']);
-  exchangeHeartbeat(shard, a!, 0);
-  exchangeHeartbeat(shard, a!, 600);
-  const before = exchangeHeartbeat(shard, a!, 600 + RUN_MS / 6);
+  const [workerA] = createWorkers(['a']);
+  exchangeHeartbeat(shard, workerA!, 0);
+  exchangeHeartbeat(shard, workerA!, 600);
+  const before = exchangeHeartbeat(shard, workerA!, 600 + RUN_MS / 6);
   assert.deepEqual(before, []);
-  for (let now = 12_000; now <= 63_000; now += 3000) exchangeHeartbeat(shard, a!, now);
-  const [task] = [...a!.tasks.values()];
+  for (let now = 12_000; now <= 63_000; now += 3000) exchangeHeartbeat(shard, workerA!, now);
+  const [task] = [...workerA!.tasks.values()];
   assert.equal(task?.why, 'done');
-  assert.deepEqual(exchangeHeartbeat(shard, a!, 65_000), [], 'not saved yet');
+  assert.deepEqual(exchangeHeartbeat(shard, workerA!, 65_000), [], 'not saved yet');
   shard.markCompletionsSaved('job-000001', [0]);
-  const told: number[] = [];
+  const forgetTimes: number[] = [];
   for (let now = 66_000; now <= 90_000; now += 2000)
-    if (exchangeHeartbeat(shard, a!, now).length > 0) told.push(now);
-  assert.deepEqual(told, [66_000 + FORGET_DELAY_MAX_MS], 'a command of its own costs a heartbeat');
+    if (exchangeHeartbeat(shard, workerA!, now).length > 0) forgetTimes.push(now);
+  assert.deepEqual(
+    forgetTimes,
+    [66_000 + FORGET_DELAY_MAX_MS],
+    'a forget on its own costs a heartbeat, so it is delayed',
+  );
 });
 
-test('workers forget completed tasks along with other commands', () => {
+test('forgets of completed tasks are sent along with other commands', () => {
   const store = new Store().add(machine('a'), job({ tasks: 2 }));
   const shard = shardWith(store);
-  const [a] = workers(['a']);
-  exchangeHeartbeat(shard, a!, 0);
-  exchangeHeartbeat(shard, a!, 600);
-  for (let now = 3000; now <= RUN_MS + 3000; now += 3000) exchangeHeartbeat(shard, a!, now);
+  const [workerA] = createWorkers(['a']);
+  exchangeHeartbeat(shard, workerA!, 0);
+  exchangeHeartbeat(shard, workerA!, 600);
+  for (let now = 3000; now <= RUN_MS + 3000; now += 3000) exchangeHeartbeat(shard, workerA!, now);
   shard.markCompletionsSaved('job-000001', [0, 1]);
   const at = RUN_MS + 6000;
-  assert.deepEqual(exchangeHeartbeat(shard, a!, at), []);
+  assert.deepEqual(exchangeHeartbeat(shard, workerA!, at), []);
   store.add(job({ uid: 'job-000002' }));
   shard.sync(store, at + 500);
   assert.deepEqual(
-    exchangeHeartbeat(shard, a!, at + 1000).map((c) => c.op),
+    exchangeHeartbeat(shard, workerA!, at + 1000).map((c) => c.op),
     ['start', 'forget', 'forget'],
   );
 });
 
-test('a completion that stays listed counts once: a machine that fails everything is quarantined', () => {
+test('a machine that fails all tasks is quarantined although a completion stays listed', () => {
   const store = new Store().add(machine('a'), job());
   const shard = shardWith(store);
-  const [a] = workers(['a']);
-  exchangeHeartbeat(shard, a!, 0);
-  exchangeHeartbeat(shard, a!, 600);
-  for (let now = 3000; now <= RUN_MS + 3000; now += 3000) exchangeHeartbeat(shard, a!, now);
-  assert.equal([...a!.tasks.values()][0]?.why, 'done');
-  a!.faulty = true;
+  const [workerA] = createWorkers(['a']);
+  exchangeHeartbeat(shard, workerA!, 0);
+  exchangeHeartbeat(shard, workerA!, 600);
+  for (let now = 3000; now <= RUN_MS + 3000; now += 3000) exchangeHeartbeat(shard, workerA!, now);
+  assert.equal([...workerA!.tasks.values()][0]?.why, 'done');
+  workerA!.faulty = true;
   const at = RUN_MS + 6000;
   ['job-000002', 'job-000003'].forEach((uid, i) => {
     const from = at + i * 5000;
     shard.sync(store.add(job({ uid })), from);
-    for (let now = from; now < from + 5000; now += 500) exchangeHeartbeat(shard, a!, now);
+    for (let now = from; now < from + 5000; now += 500) exchangeHeartbeat(shard, workerA!, now);
   });
   assert.ok(
-    [...a!.tasks.values()].some((task) => task.why === 'done'),
-    'not saved, so still listed',
+    [...workerA!.tasks.values()].some((task) => task.why === 'done'),
+    'the completion is not saved, so it is still listed',
   );
   assert.equal(shard.machines.get('a')?.faultStatus, 'quarantined');
 });
 
-test('heartbeats lost: tasks of the machine go elsewhere only when its lease has surely run out', () => {
+test('heartbeats lost: tasks of the machine start elsewhere only after its lease has expired', () => {
   const world = new World();
   const shard = shardWith(new Store().add(machine('a'), machine('b'), job()));
-  const [a, b] = workers(['a', 'b'], world);
-  exchangeHeartbeat(shard, a!, 0);
-  exchangeHeartbeat(shard, a!, 600);
-  exchangeHeartbeat(shard, b!, 600);
-  assert.deepEqual(running(a!), ['job-000001/0']);
+  const [workerA, workerB] = createWorkers(['a', 'b'], world);
+  exchangeHeartbeat(shard, workerA!, 0);
+  exchangeHeartbeat(shard, workerA!, 600);
+  exchangeHeartbeat(shard, workerB!, 600);
+  assert.deepEqual(running(workerA!), ['job-000001/0']);
   for (let now = 3000; now < LEASE_MS; now += 3000) {
     shard.expireLeases(now);
     assert.deepEqual(
-      starts(exchangeHeartbeat(shard, b!, now)),
+      starts(exchangeHeartbeat(shard, workerB!, now)),
       [],
-      `at ${now} the task may still run`,
+      `at ${now} ms the task may still run`,
     );
   }
   const late = LEASE_MS + 3000;
-  a!.advance(late);
+  workerA!.advance(late);
   shard.expireLeases(late);
-  assert.deepEqual(starts(exchangeHeartbeat(shard, b!, late)), ['job-000001/0']);
+  assert.deepEqual(starts(exchangeHeartbeat(shard, workerB!, late)), ['job-000001/0']);
   assert.deepEqual(world.broken, []);
 });
 
-test('a new owner starts nothing inherited before every machine answered or was returned', () => {
+test('a new owner starts no inherited task before every machine has answered or was returned', () => {
   const world = new World();
   const store = new Store().add(machine('a'), machine('b'), job());
   const old = shardWith(store, 1);
-  const [a, b] = workers(['a', 'b'], world);
-  exchangeHeartbeat(old, a!, 0);
-  exchangeHeartbeat(old, a!, 600);
-  assert.deepEqual(running(a!), ['job-000001/0']);
+  const [workerA, workerB] = createWorkers(['a', 'b'], world);
+  exchangeHeartbeat(old, workerA!, 0);
+  exchangeHeartbeat(old, workerA!, 600);
+  assert.deepEqual(running(workerA!), ['job-000001/0']);
   const shard = shardWith(store.add(job({ uid: 'job-000002' }, 2)), 2, {}, 5000);
-  exchangeHeartbeat(shard, b!, 5000);
-  const given = starts(exchangeHeartbeat(shard, b!, 5600));
-  assert.deepEqual(given, ['job-000002/0'], 'a job of our own term may start, an old one not');
+  exchangeHeartbeat(shard, workerB!, 5000);
+  const started = starts(exchangeHeartbeat(shard, workerB!, 5600));
+  assert.deepEqual(
+    started,
+    ['job-000002/0'],
+    'a job of the new term may start, an inherited one may not',
+  );
   const returned = shardWith(store, 3, {}, 9000);
-  exchangeHeartbeat(returned, b!, 9000);
-  assert.deepEqual(starts(exchangeHeartbeat(returned, b!, 9600)), []);
-  a!.vanish();
+  exchangeHeartbeat(returned, workerB!, 9000);
+  assert.deepEqual(starts(exchangeHeartbeat(returned, workerB!, 9600)), []);
+  workerA!.vanish();
   returned.removeMachine('a', 9700);
-  assert.deepEqual(starts(exchangeHeartbeat(returned, b!, 10_200)), ['job-000001/0']);
+  assert.deepEqual(starts(exchangeHeartbeat(returned, workerB!, 10_200)), ['job-000001/0']);
   assert.deepEqual(world.broken, []);
 });
 
-test('a new owner takes running tasks into its state instead of starting them again', () => {
+test('a new owner adopts running tasks instead of starting them again', () => {
   const store = new Store().add(machine('a'), machine('b'), job());
   const old = shardWith(store, 1);
-  const [a, b] = workers(['a', 'b']);
-  exchangeHeartbeat(old, a!, 0);
-  exchangeHeartbeat(old, a!, 600);
+  const [workerA, workerB] = createWorkers(['a', 'b']);
+  exchangeHeartbeat(old, workerA!, 0);
+  exchangeHeartbeat(old, workerA!, 600);
   const shard = shardWith(store, 2, {}, 5000);
-  for (const worker of [a!, b!]) exchangeHeartbeat(shard, worker, 5000);
-  for (const worker of [a!, b!])
+  for (const worker of [workerA!, workerB!]) exchangeHeartbeat(shard, worker, 5000);
+  for (const worker of [workerA!, workerB!])
     assert.deepEqual(starts(exchangeHeartbeat(shard, worker, 5600)), []);
   assert.equal(shard.jobs.get('job-000001')?.placements.size, 1);
   assert.equal(
-    old.handleHeartbeat(a!.heartbeat(), 6000, true).kind,
+    old.handleHeartbeat(workerA!.heartbeat(), 6000, true).kind,
     'superseded',
-    'the old owner learns of it',
+    'the old owner learns that it has a successor',
   );
 });
 
-test('late and repeated messages', () => {
+test('a heartbeat that arrives after a newer one is ignored', () => {
   const shard = shardWith(new Store().add(machine('a'), job()));
-  const [a] = workers(['a']);
-  exchangeHeartbeat(shard, a!, 0);
-  const held = a!.heartbeat();
-  exchangeHeartbeat(shard, a!, 600);
-  const result = shard.handleHeartbeat(held, 5000, true);
-  assert.deepEqual(result, { kind: 'old' }, 'an older heartbeat changes nothing');
+  const [workerA] = createWorkers(['a']);
+  exchangeHeartbeat(shard, workerA!, 0);
+  const delayed = workerA!.heartbeat();
+  exchangeHeartbeat(shard, workerA!, 600);
+  const result = shard.handleHeartbeat(delayed, 5000, true);
+  assert.deepEqual(result, { kind: 'old' }, 'the older heartbeat is reported as old');
   assert.equal(shard.jobs.get('job-000001')?.placements.size, 1);
 });
 
-test('a direct start without an answer is never given elsewhere, nor forgotten by its worker', () => {
+test('a task whose direct start is in doubt starts on no other machine, and its attempt is not forgotten', () => {
   const world = new World();
   const shard = shardWith(new Store().add(machine('a'), machine('b'), job()));
-  const [a, b] = workers(['a', 'b'], world);
-  for (const worker of [a!, b!]) exchangeHeartbeat(shard, worker, 0);
-  for (const worker of [a!, b!]) shard.handleCommandStatus(worker.heartbeat(), 100);
+  const [workerA, workerB] = createWorkers(['a', 'b'], world);
+  for (const worker of [workerA!, workerB!]) exchangeHeartbeat(shard, worker, 0);
+  for (const worker of [workerA!, workerB!]) shard.handleCommandStatus(worker.heartbeat(), 100);
   shard.placeAll(200);
   const [direct] = shard.directCommands(200);
-  const target = direct!.machine.record.name === 'a' ? a! : b!;
-  const other = target === a ? b! : a!;
+  const target = direct!.machine.record.name === 'a' ? workerA! : workerB!;
+  const other = target === workerA ? workerB! : workerA!;
   assert.deepEqual(starts(direct!.commands), ['job-000001/0']);
-  assert.deepEqual(starts(exchangeHeartbeat(shard, other, 1000)), [], 'in doubt: not elsewhere');
+  assert.deepEqual(
+    starts(exchangeHeartbeat(shard, other, 1000)),
+    [],
+    'no start elsewhere while the direct start is in doubt',
+  );
   assert.deepEqual(
     starts(exchangeHeartbeat(shard, target, 1000)),
     ['job-000001/0'],
-    'same attempt by heartbeat answer',
+    'the same attempt by heartbeat answer',
   );
   shard.jobs.get('job-000001')!.ended = true;
-  const stop = shard.jobs.get('job-000001')!.placements.get(0)!;
-  shard.requestStop(stop, 0, 2000);
+  const placement = shard.jobs.get('job-000001')!.placements.get(0)!;
+  shard.requestStop(placement, 0, 2000);
   for (let now = 3000; now < 12_000; now += 3000) exchangeHeartbeat(shard, target, now);
   assert.equal(target.tasks.size, 1, 'the ended attempt stays listed');
   target.direct(shard.term, target.agentEpoch, direct!.commands);
-  assert.deepEqual(running(target), [], 'so the late command finds it and does nothing');
+  assert.deepEqual(
+    running(target),
+    [],
+    'the late command finds the ended attempt and starts nothing',
+  );
   assert.deepEqual(world.broken, []);
 });
 
-test('a direct start that surely never left may be given elsewhere', () => {
+test('a placement whose direct start was never sent is released', () => {
   const shard = shardWith(new Store().add(machine('a'), job()));
-  const [a] = workers(['a']);
-  exchangeHeartbeat(shard, a!, 0);
-  shard.handleCommandStatus(a!.heartbeat(), 100);
+  const [workerA] = createWorkers(['a']);
+  exchangeHeartbeat(shard, workerA!, 0);
+  shard.handleCommandStatus(workerA!.heartbeat(), 100);
   shard.placeAll(200);
   const [direct] = shard.directCommands(200);
   shard.settleDirectStarts(direct!.starts, false);
@@ -242,52 +267,52 @@
   assert.equal(shard.jobs.get('job-000001')?.placements.size, 0);
 });
 
-test('a cancelled job is stopped, and what waits of it never starts', () => {
+test('running tasks of a cancelled job are stopped, and its waiting tasks never start', () => {
   const store = new Store().add(machine('a'), job({ tasks: 5 }));
   const shard = shardWith(store);
-  const [a] = workers(['a']);
-  exchangeHeartbeat(shard, a!, 0);
-  exchangeHeartbeat(shard, a!, 600);
-  assert.equal(running(a!).length, 2);
+  const [workerA] = createWorkers(['a']);
+  exchangeHeartbeat(shard, workerA!, 0);
+  exchangeHeartbeat(shard, workerA!, 600);
+  assert.equal(running(workerA!).length, 2);
   store.jobs.clear();
   shard.sync(store, 1000);
   const [direct] = shard.directCommands(1000);
   assert.deepEqual(
     direct?.commands.map((c) => c.op),
     ['stop', 'stop'],
-    'without waiting',
+    'stopped without waiting for the heartbeat',
   );
-  exchangeHeartbeat(shard, a!, 1500);
-  assert.deepEqual(running(a!), []);
-  assert.deepEqual(starts(exchangeHeartbeat(shard, a!, 2000)), []);
+  exchangeHeartbeat(shard, workerA!, 1500);
+  assert.deepEqual(running(workerA!), []);
+  assert.deepEqual(starts(exchangeHeartbeat(shard, workerA!, 2000)), []);
   assert.equal(shard.jobs.size, 0);
 });
 
-test('every start passes one check of place: table', () => {
-  const z = machine('a');
+test('tasks start only where constraints, capacity and team limits allow', () => {
+  const machineRecord = machine('a');
   const cases: [string, Parameters<typeof job>[0], Parameters<typeof machine>[1], number][] = [
     ['allowed', {}, {}, 1],
     ['type', { types: ['other'] }, {}, 0],
     ['zone', { zone: 'y' }, {}, 0],
-    ['kind', { spot: false }, { spot: true }, 0],
+    ['spot is not allowed', { spot: false }, { spot: true }, 0],
     ['spot is allowed', { spot: true }, { spot: true }, 1],
-    ['room', { demand: { cpus: 9, gpus: 0, memoryGb: 1 } }, {}, 0],
+    ['too little capacity', { demand: { cpus: 9, gpus: 0, memoryGb: 1 } }, {}, 0],
     ['as many as fit', { tasks: 5 }, {}, 2],
     ['team limit', { tasks: 5, team: 'limited', demand: { cpus: 3, gpus: 0, memoryGb: 1 } }, {}, 2],
-    ['half of a spread job in a zone', { tasks: 2, spread: true }, {}, 1],
-    ['half rounded up', { tasks: 3, spread: true }, {}, 2],
-    ['a gang needs room for all', { tasks: 3, kind: 'gang' }, {}, 0],
+    ['half of a spread job in one zone', { tasks: 2, spread: true }, {}, 1],
+    ['half of a spread job, rounded up', { tasks: 3, spread: true }, {}, 2],
+    ['a gang that does not fit as a whole', { tasks: 3, kind: 'gang' }, {}, 0],
     ['a gang that fits', { tasks: 2, kind: 'gang' }, {}, 2],
   ];
-  for (const [name, spec, over, want] of cases) {
-    const shard = shardWith(new Store().add({ ...z, ...over }, job(spec)));
-    const [a] = workers(['a']);
-    exchangeHeartbeat(shard, a!, 0);
-    assert.equal(starts(exchangeHeartbeat(shard, a!, 600)).length, want, name);
+  for (const [name, spec, machineOverrides, want] of cases) {
+    const shard = shardWith(new Store().add({ ...machineRecord, ...machineOverrides }, job(spec)));
+    const [workerA] = createWorkers(['a']);
+    exchangeHeartbeat(shard, workerA!, 0);
+    assert.equal(starts(exchangeHeartbeat(shard, workerA!, 600)).length, want, name);
   }
 });
 
-test('a gang in one zone, with one attempt number', () => {
+test('a gang bound to one zone starts there with a single attempt number', () => {
   const store = new Store().add(
     machine('a', { zone: 'y' }),
     machine('b', { zone: 'z' }),
@@ -295,18 +320,26 @@
     job({ kind: 'gang', tasks: 4, oneZone: true }),
   );
   const shard = shardWith(store);
-  const [a, b, c] = workers(['a', 'b', 'c'], new World(), [{ zone: 'y' }, {}, {}]);
-  for (const worker of [a!, b!, c!]) exchangeHeartbeat(shard, worker, 0);
-  const given = [a!, b!, c!].flatMap((worker) => exchangeHeartbeat(shard, worker, 600));
-  const more = [a!, b!, c!].flatMap((worker) => exchangeHeartbeat(shard, worker, 1200));
-  assert.equal(new Set([...given, ...more].map((g) => g.attempt)).size, 1);
+  const [workerA, workerB, workerC] = createWorkers(['a', 'b', 'c'], new World(), [
+    { zone: 'y' },
+    {},
+    {},
+  ]);
+  for (const worker of [workerA!, workerB!, workerC!]) exchangeHeartbeat(shard, worker, 0);
+  const firstCommands = [workerA!, workerB!, workerC!].flatMap((worker) =>
+    exchangeHeartbeat(shard, worker, 600),
+  );
+  const laterCommands = [workerA!, workerB!, workerC!].flatMap((worker) =>
+    exchangeHeartbeat(shard, worker, 1200),
+  );
+  assert.equal(new Set([...firstCommands, ...laterCommands].map((c) => c.attempt)).size, 1);
   assert.deepEqual(
-    [a!, b!, c!].map((worker) => running(worker).length),
+    [workerA!, workerB!, workerC!].map((worker) => running(worker).length),
     [0, 2, 2],
   );
 });
 
-test('a gang that lost a task restarts only when all of it is gone', () => {
+test('a gang that lost a task restarts only after all of its tasks are gone', () => {
   const world = new World();
   const store = new Store().add(
     machine('a'),
@@ -315,55 +348,65 @@
     job({ kind: 'gang', tasks: 4 }),
   );
   const shard = shardWith(store);
-  const [a, b, c] = workers(['a', 'b', 'c'], world);
-  for (const worker of [a!, b!]) exchangeHeartbeat(shard, worker, 0);
-  for (const worker of [a!, b!]) exchangeHeartbeat(shard, worker, 600);
-  for (const worker of [a!, b!]) exchangeHeartbeat(shard, worker, 1200);
-  assert.equal(running(a!).length + running(b!).length, 4);
-  exchangeHeartbeat(shard, c!, 1200);
-  b!.vanish();
+  const [workerA, workerB, workerC] = createWorkers(['a', 'b', 'c'], world);
+  for (const worker of [workerA!, workerB!]) exchangeHeartbeat(shard, worker, 0);
+  for (const worker of [workerA!, workerB!]) exchangeHeartbeat(shard, worker, 600);
+  for (const worker of [workerA!, workerB!]) exchangeHeartbeat(shard, worker, 1200);
+  assert.equal(running(workerA!).length + running(workerB!).length, 4);
+  exchangeHeartbeat(shard, workerC!, 1200);
+  workerB!.vanish();
   shard.removeMachine('b', 2000);
   assert.deepEqual(
-    starts(exchangeHeartbeat(shard, c!, 2500)),
+    starts(exchangeHeartbeat(shard, workerC!, 2500)),
     [],
-    'half of the old attempt is still there',
+    'half of the old attempt still runs',
   );
-  exchangeHeartbeat(shard, a!, 3000);
-  exchangeHeartbeat(shard, a!, 3600);
-  const again = [...starts(exchangeHeartbeat(shard, c!, 4200)), ...running(a!)];
+  exchangeHeartbeat(shard, workerA!, 3000);
+  exchangeHeartbeat(shard, workerA!, 3600);
+  const again = [...starts(exchangeHeartbeat(shard, workerC!, 4200)), ...running(workerA!)];
   assert.ok(again.length >= 2);
   assert.deepEqual(world.broken, []);
 });
 
-test('preemption: lower rank makes room, equal rank does not', () => {
+test('preemption stops tasks of a lower rank or beyond a guarantee, but no equal ones', () => {
   const whole = { cpus: 8, gpus: 2, memoryGb: 8 };
   const cases: [string, Parameters<typeof job>[0], Parameters<typeof job>[0], boolean][] = [
     ['lower rank', { priority: 'low' }, { priority: 'normal' }, true],
     ['equal rank', { priority: 'normal' }, { priority: 'normal' }, false],
     ['higher rank', { priority: 'high' }, { priority: 'normal' }, false],
-    ['for a guarantee', { priority: 'normal' }, { priority: 'normal', team: 'owed' }, true],
-    ['owed, but not a guest', { team: 'owed' }, { team: 'owed' }, false],
+    [
+      'equal rank, for a guaranteed team',
+      { priority: 'normal' },
+      { priority: 'normal', team: 'guaranteed' },
+      true,
+    ],
+    [
+      'equal rank, both of the guaranteed team',
+      { team: 'guaranteed' },
+      { team: 'guaranteed' },
+      false,
+    ],
   ];
-  for (const [name, victim, guest, want] of cases) {
+  for (const [name, victim, preemptor, want] of cases) {
     const store = new Store().add(machine('a'), job({ ...victim, tasks: 2 }));
     const shard = shardWith(store);
-    const [a] = workers(['a']);
-    exchangeHeartbeat(shard, a!, 0);
-    exchangeHeartbeat(shard, a!, 600);
-    exchangeHeartbeat(shard, a!, 1200);
-    assert.equal(running(a!).length, 2);
-    store.add(job({ ...guest, uid: 'job-000002', demand: whole }));
+    const [workerA] = createWorkers(['a']);
+    exchangeHeartbeat(shard, workerA!, 0);
+    exchangeHeartbeat(shard, workerA!, 600);
+    exchangeHeartbeat(shard, workerA!, 1200);
+    assert.equal(running(workerA!).length, 2);
+    store.add(job({ ...preemptor, uid: 'job-000002', demand: whole }));
     shard.sync(store, 2000);
-    const stops = exchangeHeartbeat(shard, a!, 2000).filter((c) => c.op === 'stop');
+    const stops = exchangeHeartbeat(shard, workerA!, 2000).filter((c) => c.op === 'stop');
     assert.equal(stops.length > 0, want, name);
     if (!want) continue;
-    exchangeHeartbeat(shard, a!, 2600);
-    exchangeHeartbeat(shard, a!, 3200);
-    assert.deepEqual(running(a!), ['job-000002/0'], name);
+    exchangeHeartbeat(shard, workerA!, 2600);
+    exchangeHeartbeat(shard, workerA!, 3200);
+    assert.deepEqual(running(workerA!), ['job-000002/0'], name);
   }
 });
 
-test('a machine that fails tasks of different jobs is quarantined, a failing job is paused', () => {
+test('a machine that fails tasks of different jobs is quarantined, a job that fails everywhere backs off', () => {
   const store = new Store().add(
     machine('a'),
     machine('b'),
@@ -371,71 +414,75 @@
     job({ uid: 'job-000002' }),
   );
   const shard = shardWith(store);
-  const [a] = workers(['a']);
-  a!.faulty = true;
-  exchangeHeartbeat(shard, a!, 0);
-  for (let now = 600; now < 6000; now += 600) exchangeHeartbeat(shard, a!, now);
+  const [workerA] = createWorkers(['a']);
+  workerA!.faulty = true;
+  exchangeHeartbeat(shard, workerA!, 0);
+  for (let now = 600; now < 6000; now += 600) exchangeHeartbeat(shard, workerA!, now);
   assert.equal(shard.machines.get('a')?.faultStatus, 'quarantined');
-  const bad = shardWith(new Store().add(machine('a'), machine('b'), machine('c'), job()));
-  const all = workers(['a', 'b', 'c']);
-  let given = 0;
+  const otherShard = shardWith(new Store().add(machine('a'), machine('b'), machine('c'), job()));
+  const all = createWorkers(['a', 'b', 'c']);
+  let startCount = 0;
   for (const worker of all) worker.faulty = true;
   for (let now = 0; now < 30_000; now += 600)
-    for (const worker of all) given += starts(exchangeHeartbeat(bad, worker, now)).length;
-  assert.equal(given, 3, 'tried on each machine once, not again and again');
-  assert.equal([...bad.machines.values()].filter((m) => m.faultStatus === 'quarantined').length, 0);
+    for (const worker of all)
+      startCount += starts(exchangeHeartbeat(otherShard, worker, now)).length;
+  assert.equal(startCount, 3, 'started once on each machine');
+  assert.equal(
+    [...otherShard.machines.values()].filter((m) => m.faultStatus === 'quarantined').length,
+    0,
+  );
 });
 
-test('on notice nothing starts, and what can save is stopped in time to', () => {
+test('after a preemption notice no task starts, and tasks that can save their progress are stopped', () => {
   const store = new Store().add(
     machine('a', { spot: true }),
     job({ checkpointS: 10, saveS: 2 }),
     job({ uid: 'job-000002' }),
   );
   const shard = shardWith(store);
-  const [a] = workers(['a']);
-  exchangeHeartbeat(shard, a!, 0);
-  exchangeHeartbeat(shard, a!, 600);
-  exchangeHeartbeat(shard, a!, 1200);
-  assert.equal(running(a!).length, 2);
-  a!.noticeS = 8;
+  const [workerA] = createWorkers(['a']);
+  exchangeHeartbeat(shard, workerA!, 0);
+  exchangeHeartbeat(shard, workerA!, 600);
+  exchangeHeartbeat(shard, workerA!, 1200);
+  assert.equal(running(workerA!).length, 2);
+  workerA!.noticeS = 8;
   store.add(job({ uid: 'job-000003' }));
   shard.sync(store, 2000);
-  const commands = exchangeHeartbeat(shard, a!, 2000);
+  const commands = exchangeHeartbeat(shard, workerA!, 2000);
   assert.deepEqual(
     commands.map((c) => `${c.op} ${c.uid}`),
     ['stop job-000001'],
   );
 });
 
-test('what may pass to another shard: table', () => {
+test('only tasks that have not begun may migrate to another shard', () => {
   const cases: [string, Parameters<typeof job>[0], number, [number, number] | null][] = [
-    ['all of an array that never ran', { tasks: 5 }, 0, [0, 5]],
-    ['the end behind the last placed task', { tasks: 5 }, 1, [2, 5]],
+    ['all tasks of an array that never ran', { tasks: 5 }, 0, [0, 5]],
+    ['the tasks behind the last placed one', { tasks: 5 }, 1, [2, 5]],
     ['a gang that runs stays', { tasks: 2, kind: 'gang' }, 1, null],
-    ['a gang that waits goes whole', { tasks: 5, kind: 'gang' }, 1, [0, 5]],
+    ['a waiting gang migrates as a whole', { tasks: 5, kind: 'gang' }, 1, [0, 5]],
     ['a job bound to a zone stays once it runs', { tasks: 5, oneZone: true }, 1, null],
   ];
-  for (const [name, over, machines, want] of cases) {
-    const record = job(over);
+  for (const [name, overrides, machines, want] of cases) {
+    const record = job(overrides);
     const store = new Store().add(record);
     if (machines > 0) store.add(machine('a'));
     const shard = shardWith(store);
-    const [a] = workers(['a']);
-    if (machines > 0) for (const now of [0, 600, 1200]) exchangeHeartbeat(shard, a!, now);
+    const [workerA] = createWorkers(['a']);
+    if (machines > 0) for (const now of [0, 600, 1200]) exchangeHeartbeat(shard, workerA!, now);
     const state = shard.jobs.get('job-000001')!;
     const found = shard.migratableTasks(state, record);
     assert.deepEqual(found === null ? null : [found.from, found.range.to], want, name);
     if (found === null) continue;
     shard.beginMigration(state, found.from, found.range.to);
     shard.placeAll(2000);
-    assert.equal(state.waitingTasks.length, 0, 'nothing of it starts meanwhile');
-    assert.equal(shard.migratableTasks(state, record), null, 'nor passes twice');
+    assert.equal(state.waitingTasks.length, 0, 'its tasks start nowhere meanwhile');
+    assert.equal(shard.migratableTasks(state, record), null, 'no second migration meanwhile');
     shard.endMigration(state, false, 3000);
     assert.equal(
       state.waitingTasks.length,
       found.range.to - found.from,
-      'a refusal brings it back',
+      'after a failed migration the tasks wait again',
     );
   }
   const inherited = job({ tasks: 2 }, 1);
@@ -444,30 +491,32 @@
   assert.equal(
     later.migratableTasks(state, inherited),
     null,
-    'it may be running on a machine without heartbeats',
+    'an inherited task may run on a machine that has not answered',
   );
 });
 
-// A machine emptied for a gang stood idle for 24 s after the gang had found room elsewhere.
-test('a machine held for a job is free again once the job has found room elsewhere', () => {
+// Guards against reservations that outlast their purpose: a machine emptied for a gang once stood idle for 24 s after
+// the gang had been placed elsewhere.
+test('a reservation ends once its job has been placed elsewhere', () => {
   const whole = { cpus: 8, gpus: 2, memoryGb: 8 };
   const store = new Store().add(machine('a'), job({ priority: 'low', tasks: 2 }));
   const shard = shardWith(store);
-  const [a, b] = workers(['a', 'b']);
-  for (const now of [0, 600, 1200]) exchangeHeartbeat(shard, a!, now);
+  const [workerA, workerB] = createWorkers(['a', 'b']);
+  for (const now of [0, 600, 1200]) exchangeHeartbeat(shard, workerA!, now);
   store.add(job({ uid: 'job-000002', priority: 'high', demand: whole }), machine('b'));
   shard.sync(store, 2000);
   shard.placeAll(2000);
   assert.equal(shard.machines.get('a')?.reservation?.uid, 'job-000002');
-  for (const now of [2000, 2600]) exchangeHeartbeat(shard, b!, now);
-  assert.deepEqual(running(b!), ['job-000002/0']);
+  for (const now of [2000, 2600]) exchangeHeartbeat(shard, workerB!, now);
+  assert.deepEqual(running(workerB!), ['job-000002/0']);
   shard.placeAll(3000);
   assert.equal(shard.machines.get('a')?.reservation, null);
 });
 
-// Two gangs of Dublin missed their aim by a fetch of 15 s, though a machine with the image was full of
-// small tasks that save in 6 s: their losses were added up as if each took a whole machine.
-test('room is made where the image is, if that costs less than the fetch', () => {
+// Guards against overestimating the cost of preemption. Two gangs of Dublin missed their start objective by an image
+// fetch of 15 s, although a machine with the image was full of small tasks that save their progress in 6 s: the losses
+// of these tasks were added up as if each of them took a whole machine.
+test('preemption picks the machine with the image if that costs less than a fetch of the image', () => {
   const whole = { cpus: 8, gpus: 2, memoryGb: 8 };
   const low = { priority: 'low' as const, checkpointS: 5, saveS: 6 };
   const store = new Store().add(
@@ -478,10 +527,10 @@
   const shard = shardWith(store, 1, {
     imagesOf: (m) => (m === 'b' ? new Map([['big', 10]]) : new Map<string, number>()),
   });
-  const [a, b] = workers(['a', 'b']);
+  const [workerA, workerB] = createWorkers(['a', 'b']);
   for (const now of [0, 600, 1200])
-    for (const worker of [a!, b!]) exchangeHeartbeat(shard, worker, now);
-  const full = [a!, b!].map((worker) => running(worker).length);
+    for (const worker of [workerA!, workerB!]) exchangeHeartbeat(shard, worker, now);
+  const full = [workerA!, workerB!].map((worker) => running(worker).length);
   assert.deepEqual([...full].sort(), [1, 2]);
   const gang = { uid: 'job-000002', kind: 'gang' as const, demand: whole };
   store.add(job({ ...gang, image: 'big', imageGb: 10 }));
@@ -490,21 +539,33 @@
   assert.equal(shard.machines.get('b')?.reservation?.uid, 'job-000002');
 });
 
-test('a team with a limit starts nothing while what runs for it is not all known', () => {
+test('a team with a limit starts no tasks while some of its running tasks may be unknown', () => {
   const small = { team: 'limited', demand: { cpus: 4, gpus: 0, memoryGb: 1 }, tasks: 2 };
   const store = new Store().add(machine('a'), machine('b'), job(small));
   const old = shardWith(store, 1);
-  const [a, b] = workers(['a', 'b']);
-  for (const now of [0, 600, 1200]) exchangeHeartbeat(old, a!, now);
-  assert.equal(running(a!).length, 2);
-  // Its job is cancelled while the shard changes hands; its tasks still run for a moment.
+  const [workerA, workerB] = createWorkers(['a', 'b']);
+  for (const now of [0, 600, 1200]) exchangeHeartbeat(old, workerA!, now);
+  assert.equal(running(workerA!).length, 2);
+  // The job is cancelled while the shard changes its owner, and its tasks still run for a moment.
   store.jobs.clear();
   const shard = shardWith(store.add(job({ ...small, uid: 'job-000002' }, 2)), 2, {}, 5000);
   for (const now of [5000, 5600])
-    assert.deepEqual(starts(exchangeHeartbeat(shard, b!, now)), [], 'a is not known');
-  exchangeHeartbeat(shard, a!, 5700);
-  shard.handleCommandStatus(a!.heartbeat(), 6000);
-  assert.deepEqual(starts(exchangeHeartbeat(shard, b!, 6200)), [], 'and then being stopped');
-  for (const now of [6300, 6900]) exchangeHeartbeat(shard, a!, now);
-  assert.equal(running(a!).length + running(b!).length > 0, true, 'then it goes on');
+    assert.deepEqual(
+      starts(exchangeHeartbeat(shard, workerB!, now)),
+      [],
+      'the tasks on a are not known',
+    );
+  exchangeHeartbeat(shard, workerA!, 5700);
+  shard.handleCommandStatus(workerA!.heartbeat(), 6000);
+  assert.deepEqual(
+    starts(exchangeHeartbeat(shard, workerB!, 6200)),
+    [],
+    'the tasks on a are being stopped',
+  );
+  for (const now of [6300, 6900]) exchangeHeartbeat(shard, workerA!, now);
+  assert.equal(
+    running(workerA!).length + running(workerB!).length > 0,
+    true,
+    'the team starts tasks again',
+  );
 });
