--- a/test/machine-faults.test.ts
+++ b/test/machine-faults.test.ts
@@ -29,7 +29,7 @@
     maxMachines: 100,
     now,
   };
-  return planCapacity(input).returns.map(({ name }) => name);
+  return planCapacity(input).returns.map((returned) => returned.name);
 };
 
 /** Passes one heartbeat to the shard, and its answer to the worker unless it is lost. Returns the commands. */
