--- a/src/shards/completions/completion-collector.ts
+++ b/src/shards/completions/completion-collector.ts
@@ -3,7 +3,7 @@
 import { allDone, encodeDone } from '../../core/jobs/jobs.js';
 import type { JobRecord, TaskRange } from '../../core/model.js';
 import type { JobState } from '../../core/shard/types.js';
-import { key } from '../../store/keys.js';
+import { storeKey } from '../../store/keys.js';
 import { type FinalState } from '../../store/codecs/final-state.js';
 import type { Cached } from '../../store/watch-cache.js';
 import type { Write } from '@sumacstep/leader-election';
@@ -50,14 +50,14 @@
   const { uid, tasks } = job.spec;
   const finalState: FinalState = { status: 'done', tasks, done: tasks };
   const writes: Write[] = [
-    { drop: key.activeJob(uid) },
-    { put: key.finalState(uid), value: encodeFinalState(finalState) },
+    { drop: storeKey.activeJob(uid) },
+    { put: storeKey.finalState(uid), value: encodeFinalState(finalState) },
   ];
   const bytes = JSON.stringify(writes).length;
   if (!batch.isEmpty && !batch.fits(writes.length, bytes)) return;
   batch.reserve(bytes);
   batch.writes.push(...writes);
-  batch.guards.push({ key: key.activeJob(uid), revision });
+  batch.guards.push({ key: storeKey.activeJob(uid), revision });
   batch.finishedJobs.push(uid);
   batch.savedTasks.push({ uid, indexes: [...job.unsavedCompletions] });
 };
--- a/src/shards/completions/range-splitting.ts
+++ b/src/shards/completions/range-splitting.ts
@@ -6,7 +6,7 @@
 import type { JobRecord, TaskRange } from '../../core/model.js';
 import type { Shard } from '../../core/shard/shard.js';
 import { encodeJob } from '../../store/codecs/job.js';
-import { key } from '../../store/keys.js';
+import { storeKey } from '../../store/keys.js';
 import type { Cached } from '../../store/watch-cache.js';
 import { CompletionBatch } from './completion-batch.js';
 import type { CompletionContext } from './completion-context.js';
@@ -39,7 +39,7 @@
   const value = encodeJob({ ...job.value, ranges: cutRange(job.value.ranges, long, cut) });
   if (JSON.stringify(value).length > valueBytes) return null;
   const batch = new CompletionBatch(transactionOps);
-  batch.add({ put: key.activeJob(uid), value }, job.revision);
+  batch.add({ put: storeKey.activeJob(uid), value }, job.revision);
   // The value may still hold the bitmap of an earlier, longer cut.
   const bitmap = cache
     .completedTasks(shard, uid, long.from)
--- a/src/shards/task-migration.ts
+++ b/src/shards/task-migration.ts
@@ -16,7 +16,7 @@
 import { StoreRequestError } from '../store/errors.js';
 import { type StoreClient } from '../store/store-client.js';
 import { decodeJob, encodeJob } from '../store/codecs/job.js';
-import { key } from '../store/keys.js';
+import { storeKey } from '../store/keys.js';
 import type { Cached, WatchCache } from '../store/watch-cache.js';
 import {
   BALANCING_DELAY_MS,
@@ -142,7 +142,7 @@
     const value = encodeJob({ ...record.value, ranges: rangesAfter(migration) });
     const maxBytes = config.storeLimits.valueBytes * RECORD_FILL_LIMIT;
     if (JSON.stringify(value).length > maxBytes) return;
-    const writes: Write[] = [{ put: key.activeJob(job.spec.uid), value }];
+    const writes: Write[] = [{ put: storeKey.activeJob(job.spec.uid), value }];
     owned.shard.beginMigration(job, from, range.to);
     for (;;) {
       try {
@@ -165,7 +165,7 @@
     const { job, record, range, from, target } = migration;
     const { uid } = job.spec;
     // Completions of the range may be saved for its old end; what a bitmap has too much is cut off.
-    const guards: Guard[] = [{ key: key.activeJob(uid), revision: record.revision }];
+    const guards: Guard[] = [{ key: storeKey.activeJob(uid), revision: record.revision }];
     const { authorization, shard } = owned;
     const priority = CALL_PRIORITY.completion;
     const result = await fencedCompareAndSwap(client, authorization, priority, guards, writes);
@@ -186,10 +186,10 @@
   async #settleConflict({ shard }: OwnedShard, { job, from }: Migration): Promise<void> {
     const { client, cache, now } = this.dependencies;
     const { uid } = job.spec;
-    const found = await client.get(key.activeJob(uid), CALL_PRIORITY.completion);
+    const found = await client.get(storeKey.activeJob(uid), CALL_PRIORITY.completion);
     let migrated = false;
     if (!('missing' in found)) {
-      cache.applyOwn([{ put: key.activeJob(uid), value: found.value }], found.revision);
+      cache.applyOwn([{ put: storeKey.activeJob(uid), value: found.value }], found.revision);
       const { ranges } = decodeJob(uid, found.value);
       migrated = !ranges.some(
         (range) => range.shard === shard.index && range.from <= from && range.to > from,
--- a/test/budget.test.ts
+++ b/test/budget.test.ts
@@ -8,7 +8,7 @@
   PROGRESS_SAVE_INTERVAL_MS,
   COMPLETION_SAVE_INTERVAL_MS,
 } from '../src/shards/completions/constants.js';
-import { HELD_WATCH_MS } from '../src/store/constants.js';
+import { WATCH_PROBE_DELAY_MS } from '../src/store/constants.js';
 import { MachineRecords } from '../src/shards/machine-records/machine-records.js';
 import { encodeDone } from '../src/core/jobs/jobs.js';
 import { StoreRequestError } from '../src/store/errors.js';
@@ -157,9 +157,9 @@
   assert.deepEqual([early(), late(), reads], [200, 0, 0]);
   // While the feed's read is held one small read tells the epoch; the cache must then reach it.
   linearizable.onReadState(10);
-  now = 10 + HELD_WATCH_MS;
+  now = 10 + WATCH_PROBE_DELAY_MS;
   present = 12;
-  await sleep(3 * HELD_WATCH_MS);
+  await sleep(3 * WATCH_PROBE_DELAY_MS);
   assert.deepEqual([late(), reads], [0, 1], 'the cache is behind');
   cache.apply({ isListing: false, revision: 12, changes: [], readStartedAt: 0 });
   await sleep(0);
@@ -182,7 +182,7 @@
   const record = job({ tasks: 3 });
   store.values.set('parts/0', { value: { owner: 'n', incarnation: 'a', term: 1 }, revision: 1 });
   store.values.set('active/job-000001', { value: encodeJob(record), revision: 2 });
-  store.show(cache, 'changes');
+  store.applyTo(cache, 'changes');
   const shard = shardWith(new Store().add(record));
   const state = shard.jobs.get('job-000001')!;
   const owned = ownedShard(shard);
@@ -211,9 +211,9 @@
   await saveWithoutAnswer();
   complete(1);
   await save();
-  store.show(cache, 'changes');
+  store.applyTo(cache, 'changes');
   for (const carryOut of unanswered) carryOut();
-  store.show(cache, 'changes');
+  store.applyTo(cache, 'changes');
   assert.equal(
     cache.completedTasks(0, 'job-000001', 0),
     encodeDone({ from: 0, to: 3 }, new Set([0, 1])),
@@ -224,7 +224,7 @@
   state.waitingTasks = [0];
   for (const carryOut of unanswered.splice(1)) assert.equal(carryOut().ok, true);
   await save();
-  store.show(cache, 'changes');
+  store.applyTo(cache, 'changes');
   await save();
   assert.deepEqual([...state.unsavedCompletions], [], 'saved once the cache shows the late one');
 });
--- a/test/quotas.test.ts
+++ b/test/quotas.test.ts
@@ -95,7 +95,7 @@
   };
   const config = { storeLimits: { valueBytes, transactionOps } };
   const saver = new CompletionSaver({ config, client, cache, now: () => now, log: LOG });
-  const show = () => store.show(cache, 'listing');
+  const show = () => store.applyTo(cache, 'listing');
   const save = async (shard: Shard) => {
     now += PROGRESS_SAVE_INTERVAL_MS + COMPLETION_SAVE_INTERVAL_MS;
     await saver.save(ownedShard(shard), now);
@@ -104,7 +104,7 @@
   /** What a node that starts now knows to be done, whichever of two copies it meets first. */
   const known = (uid: string): Set<number> => {
     const fresh = new WatchCache();
-    store.show(fresh, 'listing');
+    store.applyTo(fresh, 'listing');
     const done = new Set<number>();
     for (const range of fresh.tables.activeJobs.get(uid)!.value.ranges) {
       const bitmap = fresh.completedTasks(range.shard, uid, range.from);
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -6,7 +6,7 @@
 import { unusedVolume } from '../src/core/placement/unused-volume.js';
 import { UnusedVolumeIndex } from '../src/core/placement/unused-volume-index.js';
 import { randomFrom } from '../src/random.js';
-import { FIRST_SPAN_S, SEEN_JOBS_LIMIT } from '../src/core/capacity/constants.js';
+import { MIN_ARRIVAL_WINDOW_S, COUNTED_JOBS_LIMIT } from '../src/core/capacity/constants.js';
 import { countDone, decodeDone, encodeDone } from '../src/core/jobs/jobs.js';
 import { WorkloadStatistics } from '../src/core/capacity/workload-statistics.js';
 import { TaskSet } from '../src/core/jobs/task-set.js';
@@ -153,15 +153,15 @@
   }
   const input: CapacityInput = {
     shard,
-    shards: 1,
+    shardCount: 1,
     types: new Map([['m', machineType()]]),
     zones: ['y', 'z'],
     objectives: [],
-    stats: new Map(),
-    elsewhere: new Map(),
-    expected: [],
-    pending: [],
-    refused: () => false,
+    classStats: new Map(),
+    activeTasksElsewhere: new Map(),
+    expectedJobs: [],
+    pendingRentals: [],
+    inBackoff: () => false,
     reserveSigma: 0,
     drainS: 45,
     idleKeepMs: 1000,
@@ -209,13 +209,13 @@
 
 test('more jobs that have not ended than are remembered: each counts once', () => {
   const workload = new WorkloadStatistics();
-  const active = new Set(Array.from({ length: SEEN_JOBS_LIMIT + 1000 }, (_, i) => `job-${i}`));
+  const active = new Set(Array.from({ length: COUNTED_JOBS_LIMIT + 1000 }, (_, i) => `job-${i}`));
   for (let look = 0; look < 3; look++) {
-    for (const uid of active) workload.arrived(spec({ uid }), 10);
-    workload.keepOnly(active);
+    for (const uid of active) workload.recordArrival(spec({ uid }), 10);
+    workload.forgetEndedJobs(active);
   }
   const { tasksPerS } = workload.stats(20).get('c')!;
-  assert.equal(Math.round(tasksPerS * FIRST_SPAN_S), active.size);
+  assert.equal(Math.round(tasksPerS * MIN_ARRIVAL_WINDOW_S), active.size);
 });
 
 test('an ordered search finds what a search through all machines finds, while they change', () => {
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -14,7 +14,7 @@
 import { decoders } from '../src/store/codecs/cached-values.js';
 import { encodeCompletions } from '../src/store/codecs/completions.js';
 import { encodeMachineGroup } from '../src/store/codecs/machine-group.js';
-import { prefixOf } from '../src/store/keys.js';
+import { cachedPrefixOf } from '../src/store/keys.js';
 import { WatchCache } from '../src/store/watch-cache.js';
 import { shardWith, Store } from './helpers.js';
 import { FakeWorker, World } from './standins/worker.js';
@@ -86,7 +86,7 @@
       assert.deepEqual(encodeFinalState(decodeFinalState(value)), value, key);
       continue;
     }
-    const prefix = prefixOf(key);
+    const prefix = cachedPrefixOf(key);
     assert.ok(prefix !== null, key);
     const id = key.slice(prefix.length);
     const known = decoders[prefix](id, value);
