--- a/src/service/peer-exchange.ts
+++ b/src/service/peer-exchange.ts
@@ -65,8 +65,8 @@
     return {
       reachablePeerWithStore: () => this.reachablePeerWithStore(),
       incarnationWithStore: (node) => this.#incarnationWithStore(node),
-      capacityElsewhere: (spec, excluded) => this.directory.capacityElsewhere(spec, excluded),
-      lessAllocated: (spec, shard) => this.directory.lessAllocated(spec, shard),
+      shardWithFreeCapacity: (spec, excluded) => this.directory.capacityElsewhere(spec, excluded),
+      lessAllocatedShard: (spec, shard) => this.directory.lessAllocated(spec, shard),
       imagesOf: (machine) => this.directory.imagesOf(machine),
       peerReceivingHeartbeats: (shard) => this.directory.nodeReachingMostWorkers(shard),
       cancellationsKnownUntil: () => this.#coverage.knownUntil(cache.currentAt),
--- a/src/shards/authority.ts
+++ b/src/shards/authority.ts
@@ -10,7 +10,7 @@
  *    acquired its shards (`Authority.holds`).
  * 3. What this node knows is recent enough: its watch cache shows its own registration and everything that was
  *    committed before the lease became valid, cancellations included (`Authority.holds`).
- * 4. No transfer of the shard is under way (`OwnedShard.isActive`; `OwnedShards.actsFor` checks all of this).
+ * 4. No transfer of the shard is under way (`OwnedShard.isActive`; `OwnedShards.mayActFor` checks all of this).
  * 5. The shard's state was built once under this term (owned-shards.ts), and a machine gets starts only when it is
  *    known what runs there.
  *
--- a/src/shards/lease-withholding.ts
+++ b/src/shards/lease-withholding.ts
@@ -4,7 +4,7 @@
  * as even the lease renewed last ends in time for whatever may be unknown here.
  */
 import type { Logger } from 'pino';
-import { renewableMs } from '../core/cancellation/lease-renewal.js';
+import { renewalWindowMs } from '../core/cancellation/lease-renewal.js';
 import type { PeerView } from './peer-view.js';
 
 /** Decides whether a worker's lease may be renewed without authority. */
@@ -17,7 +17,7 @@
     private readonly peers: Pick<PeerView, 'cancellationsKnownUntil'>,
     private readonly log: Logger,
   ) {
-    this.#renewableMs = renewableMs(cancelS * 1000, leaseS * 1000);
+    this.#renewableMs = renewalWindowMs(cancelS * 1000, leaseS * 1000);
   }
 
   /** Whether an answer may renew a worker's lease; logs when this changes. */
--- a/src/shards/owned-shards.ts
+++ b/src/shards/owned-shards.ts
@@ -43,7 +43,7 @@
   }
 
   /** Whether this node acts for the shard now, under the term that `owned` stands for. */
-  actsFor(owned: OwnedShard): boolean {
+  mayActFor(owned: OwnedShard): boolean {
     const { authority, now } = this.dependencies;
     return this.isCurrent(owned) && owned.isActive && authority.holds(now());
   }
@@ -134,7 +134,7 @@
   #authorization(shard: Shard, revision: number): Authorization {
     const isCurrent = () => {
       const owned = this.#byIndex.get(shard.index);
-      return owned?.shard === shard && this.actsFor(owned);
+      return owned?.shard === shard && this.mayActFor(owned);
     };
     const role = key.shard(shard.index);
     const guard = { key: role, revision };
--- a/src/shards/shard-controller.ts
+++ b/src/shards/shard-controller.ts
@@ -114,13 +114,13 @@
   }
 
   /** Whether this node provably owns what the cache shows as its own. */
-  authority(now: number): boolean {
+  hasAuthority(now: number): boolean {
     return this.#authority.holds(now);
   }
 
   /** Whether this node acts for the shard now, under the term that `owned` stands for. */
-  actsFor(owned: OwnedShard): boolean {
-    return this.#shards.actsFor(owned);
+  mayActFor(owned: OwnedShard): boolean {
+    return this.#shards.mayActFor(owned);
   }
 
   /** Acts for no shard any more; what is repeated until its outcome is known ends, too. */
@@ -131,7 +131,7 @@
   /** Acquires an own shard under a higher term, so that workers take its commands after those of another shard. */
   renewTerm(index: number): void {
     const owned = this.owned.get(index);
-    if (owned !== undefined && this.actsFor(owned)) void this.#ownership.acquire(index);
+    if (owned !== undefined && this.mayActFor(owned)) void this.#ownership.acquire(index);
   }
 
   /** The shard's present term by what the cache shows; null if it never had an owner. */
@@ -140,7 +140,7 @@
   }
 
   /** How many nodes have a valid lease. */
-  aliveNodes(): number {
+  liveNodeCount(): number {
     return liveIncarnations(this.#cache).size;
   }
 
--- a/src/shards/task-migration.ts
+++ b/src/shards/task-migration.ts
@@ -112,7 +112,7 @@
     const { otherShards, cache } = this.dependencies;
     const { spec } = job;
     const destination =
-      otherShards.capacityElsewhere(spec, shard.index) ??
+      otherShards.shardWithFreeCapacity(spec, shard.index) ??
       this.#lessAllocated(job, shard.index, now);
     if (destination === null) return null;
     const migratable = shard.migratable(job, record.value);
@@ -131,7 +131,7 @@
     const since = job.unschedulableSince;
     if (since === null || now - since < BALANCING_DELAY_MS) return null;
     if (now - (this.#lastBalancedAt.get(index) ?? -Infinity) < BALANCING_INTERVAL_MS) return null;
-    const shard = this.dependencies.otherShards.lessAllocated(job.spec, index);
+    const shard = this.dependencies.otherShards.lessAllocatedShard(job.spec, index);
     return shard === null ? null : { shard, tasks: Infinity };
   }
 
--- a/test/random.test.ts
+++ b/test/random.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { renewableMs } from '../src/core/cancellation/lease-renewal.js';
+import { renewalWindowMs } from '../src/core/cancellation/lease-renewal.js';
 import { decodeDone, encodeDone } from '../src/core/jobs/jobs.js';
 import type { Command, Heartbeat } from '../src/core/model.js';
 import type { Shard } from '../src/core/shard/shard.js';
@@ -219,7 +219,7 @@
       }
       if (chance(5)) keptForNext.push(r);
       const owner = former !== null && chance(20) ? former : shard;
-      const renewable = now - formerSince <= renewableMs(CANCEL_MS, LEASE_MS);
+      const renewable = now - formerSince <= renewalWindowMs(CANCEL_MS, LEASE_MS);
       const result = owner.handleHeartbeat(r, now, owner === shard, owner === shard || renewable);
       if (result.kind !== 'answer') continue;
       // Some answers get lost on the way back, and all of those to a deaf machine.
--- a/test/shard-controller.test.ts
+++ b/test/shard-controller.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { renewableMs } from '../src/core/cancellation/lease-renewal.js';
+import { renewalWindowMs } from '../src/core/cancellation/lease-renewal.js';
 import { ATTEMPTS_PER_TERM } from '../src/core/shard/constants.js';
 import { TRANSFER_SETTLE_MS } from '../src/shards/constants.js';
 import { encodeJob } from '../src/store/codecs/job.js';
@@ -25,7 +25,7 @@
   scene.tick();
   assert.ok(scene.written.length > 0, 'it was tried');
   assert.equal(scene.owned(1)?.shard, before, 'the same object, never a second one');
-  assert.equal(scene.controller.actsFor(scene.owned(1)!), true, 'and the node acts for it again');
+  assert.equal(scene.controller.mayActFor(scene.owned(1)!), true, 'and the node acts for it again');
 });
 
 test('after a transfer without an answer the node acts again only under a new term', async () => {
@@ -35,7 +35,7 @@
   scene.tick();
   const transferring = scene.owned(1)!;
   assert.equal(transferring.state, 'transferring');
-  assert.equal(scene.controller.actsFor(transferring), false, 'the peer may own it by now');
+  assert.equal(scene.controller.mayActFor(transferring), false, 'the peer may own it by now');
   assert.equal(transferring.authorization.isValid(), false, 'no write or cloud call may leave');
   scene.outcome = () => ({ ok: true, epoch: 60 });
   await scene.tickAt(scene.now + TRANSFER_SETTLE_MS + 1);
@@ -85,7 +85,7 @@
   assert.equal(scene.heartbeat({ tasks }).kind, 'answer');
   scene.leaseValid = false;
   scene.cancellationsKnownUntil = 0;
-  scene.now = renewableMs(cancelS * 1000, leaseS * 1000);
+  scene.now = renewalWindowMs(cancelS * 1000, leaseS * 1000);
   assert.equal(scene.heartbeat({ tasks }).kind, 'answer');
   scene.now += 1;
   assert.equal(scene.heartbeat({ tasks }).kind, 'unavailable');
