--- a/src/core/cancellation/cancellation-broadcast.ts
+++ b/src/core/cancellation/cancellation-broadcast.ts
@@ -1,25 +1,29 @@
 /**
- * Gossip of confirmed cancellations, sending side. An owner whose requests the store refuses learns of
- * cancellations from its peers. Guards against this gap: the owner alone is refused, another node
- * confirms cancellations, then the store is out for all for longer than a cancellation may take, while
- * the workers keep sending heartbeats to the owner.
+ * The sending side of the gossip of confirmed cancellations. Through it, a shard owner whose requests the store
+ * refuses learns of cancellations from its peers.
+ *
+ * It guards against this sequence of events: the store refuses the requests of one owner only, another node confirms
+ * cancellations, and then the store is unavailable to all nodes for longer than a cancellation may take. Meanwhile
+ * the workers keep sending heartbeats to the owner that does not know of the cancellations.
  */
 import type { Cancellation } from './cancellation.js';
 import { GOSSIPED_CANCELLATIONS_LIMIT } from './constants.js';
 
+/** A cancellation that some peer has not acknowledged yet. Times are in monotonic ms. */
 interface PendingCancellation {
   readonly cancellation: Cancellation;
   readonly addedAt: number;
-  /** when the first message that names it was sent */
+  /** when the first message that names the cancellation was sent; null before that */
   firstSentAt: number | null;
 }
 
-/** Repeats every cancellation known here in each message until every peer has acknowledged it. */
+/** Names every added cancellation in each message until all peers have acknowledged one that names it. */
 export class CancellationBroadcast {
-  /** by uid */
+  /** by uid of the job */
   readonly #pending = new Map<string, PendingCancellation>();
-  /** by peer: send time of our newest message that it acknowledged */
+  /** by peer: send time of this node's newest message that the peer has acknowledged */
   readonly #acknowledged = new Map<string, number>();
+  /** when a cancellation was last left out because of the limit */
   #overflowAt = -Infinity;
 
   constructor(
@@ -27,7 +31,7 @@
     private readonly cancelMs: number,
   ) {}
 
-  /** Queues a cancellation for the coming messages; one that is queued already stays as it is. */
+  /** Adds a cancellation to all following messages; does nothing if it is pending already. */
   add(cancellation: Cancellation, now: number): void {
     if (this.peers.length === 0 || this.#pending.has(cancellation.uid)) return;
     if (this.#pending.size >= GOSSIPED_CANCELLATIONS_LIMIT) {
@@ -38,8 +42,8 @@
   }
 
   /**
-   * What the message that leaves at `sentAt` has to name. A peer that has not acknowledged a cancellation
-   * after twice the time for one has let its worker leases expire, so the cancellation is dropped.
+   * Returns the cancellations that the message sent at `sentAt` has to name. Cancellations added more than
+   * `2 * cancelMs` ago are dropped: a peer that has not acknowledged one by then has let its worker leases expire.
    */
   nextMessage(sentAt: number): Cancellation[] {
     for (const [uid, pending] of this.#pending) {
@@ -49,17 +53,20 @@
     return [...this.#pending.values()].map((pending) => pending.cancellation);
   }
 
-  /** Whether some peer has not acknowledged the cancellation yet. */
+  /** Returns whether some peer has not acknowledged the cancellation yet. */
   isPending(uid: string): boolean {
     return this.#pending.has(uid);
   }
 
-  /** Whether `nextMessage` names every cancellation that peers may not know yet. */
+  /**
+   * Returns whether `nextMessage` names every cancellation that peers may not know yet. False for `2 * cancelMs`
+   * after a cancellation was left out because of the limit.
+   */
   isComplete(now: number): boolean {
     return now - this.#overflowAt > 2 * this.cancelMs;
   }
 
-  /** The peer has received our message of `sentAt`, and with it all that it named. */
+  /** Records that the peer has received the message sent at `sentAt`, and so all cancellations named in it. */
   acknowledge(peer: string, sentAt: number): void {
     this.#acknowledged.set(peer, Math.max(sentAt, this.#acknowledged.get(peer) ?? -Infinity));
     const acknowledgedByAll = Math.min(
--- a/src/core/cancellation/cancellation-coverage.ts
+++ b/src/core/cancellation/cancellation-coverage.ts
@@ -1,42 +1,48 @@
-/** Gossip of confirmed cancellations, receiving side: up to when every cancellation is known here. */
+/**
+ * The receiving side of the gossip of confirmed cancellations: tracks the time up to which this node knows every
+ * cancellation. Times are in ms of this node's monotonic clock.
+ */
 
-/** What a peer's message says of the cancellations that it names. */
+/** The part of a peer's message that states how far its list of cancellations reaches. */
 export interface ReceivedBroadcast {
   readonly node: string;
   readonly incarnation: string;
   /** whether the message names every cancellation that this node may not know */
   readonly complete: boolean;
-  /** send time, by our clock, of our newest message that the peer had received when it sent this one */
+  /** send time of this node's newest message that the peer had received when it sent this one */
   readonly acknowledgedSentAt: number;
 }
 
+/** What is known of the cancellations that one peer confirmed. */
 interface PeerCoverage {
   readonly incarnation: string;
-  /** everything that this incarnation confirmed before is known by its messages (our clock) */
+  /** messages of this incarnation have named every cancellation that it confirmed before this time */
   coveredUntil: number;
   /**
-   * when a gap opened: earlier incarnations, or messages that did not name all, leave one that only a
-   * store read at or after this time closes
+   * when a gap opened because the peer restarted or sent an incomplete message; only a store read begun at or after
+   * this time closes the gap
    */
   readonly gapOpenedAt: number;
-  /** up to when everything was known before the gap opened */
+  /** time up to which the peer's cancellations were known when the gap opened */
   readonly coveredBeforeGap: number;
 }
 
+/** Returns the time up to which the peer's cancellations are known, given the time of the last store read. */
 const coveredUntil = (coverage: PeerCoverage, readAt: number): number =>
   readAt >= coverage.gapOpenedAt
     ? Math.max(coverage.coveredBeforeGap, coverage.coveredUntil)
     : coverage.coveredBeforeGap;
 
-/** Up to when every cancellation that any node confirmed is known here. */
+/** Computes the time up to which this node knows every cancellation that any node confirmed. */
 export class CancellationCoverage {
   readonly #byPeer = new Map<string, PeerCoverage>();
 
   constructor(private readonly peers: readonly string[]) {}
 
   /**
-   * Takes in a peer's message. It was sent after the peer had received ours of `acknowledgedSentAt`, so
-   * it names, or an earlier one named, everything that the peer had confirmed by then.
+   * Processes a peer's message, which arrives at `now`. The peer sent it after it had received the message that this
+   * node sent at `acknowledgedSentAt`. So this message or an earlier one names every cancellation that the peer had
+   * confirmed by that time.
    */
   receive(
     { node, incarnation, complete, acknowledgedSentAt }: ReceivedBroadcast,
@@ -45,7 +51,8 @@
   ): void {
     let coverage = this.#byPeer.get(node);
     if (coverage?.incarnation !== incarnation || !complete) {
-      // An earlier incarnation may have ended right after it confirmed something, before it told anybody.
+      // An earlier incarnation may have ended right after it confirmed a cancellation, before it sent a message
+      // that names it.
       coverage = {
         incarnation,
         coveredUntil: -Infinity,
@@ -58,8 +65,8 @@
   }
 
   /**
-   * The time, by our clock, up to which every confirmed cancellation is known here. `readAt`: everything
-   * that was committed before is known by a read of the store.
+   * Returns the time up to which this node knows every confirmed cancellation. `readAt` is the start of the last
+   * store read: everything committed before it is known from the store.
    */
   knownUntil(readAt: number): number {
     let coveredByAll = Infinity;
--- a/src/core/cancellation/cancellation.ts
+++ b/src/core/cancellation/cancellation.ts
@@ -1,10 +1,12 @@
-/** The record of a cancellation that the store and the gossip of the nodes share. */
+/** The record of a confirmed cancellation. */
 
-/** A confirmed cancellation, as the store holds it and as the nodes gossip it. */
+/** A confirmed cancellation of a job, in the form in which the store holds it and nodes send it to each other. */
 export interface Cancellation {
   readonly uid: string;
+  /** number of tasks of the job */
   readonly tasks: number;
+  /** number of tasks that were done when the job was cancelled */
   readonly done: number;
-  /** epoch of the transaction that confirmed it */
+  /** store epoch of the transaction that confirmed the cancellation */
   readonly epoch: number;
 }
--- a/src/core/cancellation/lease-renewal.ts
+++ b/src/core/cancellation/lease-renewal.ts
@@ -1,10 +1,11 @@
-/** How long worker leases may be renewed without knowing the cancellations of the time since. */
+/** Limits how long worker leases may be renewed without knowledge of recent cancellations. */
 import { CLOCK_DRIFT } from '../../constants.js';
 import { LEASE_WITHHOLDING_MARGIN_MS } from './constants.js';
 
 /**
- * For how many ms after `CancellationCoverage.knownUntil` heartbeats may still renew leases: a cancellation
- * confirmed right after it is not known, and the lease that is renewed must expire in time for it.
+ * Returns for how many ms after `CancellationCoverage.knownUntil` heartbeats may still renew leases. A cancellation
+ * confirmed right after that time is not known here, and even the lease that is renewed last must expire before the
+ * cancellation has to be complete.
  */
 export const renewalWindowMs = (cancelMs: number, leaseMs: number): number =>
   cancelMs * (1 - CLOCK_DRIFT) - leaseMs * (1 + CLOCK_DRIFT) - LEASE_WITHHOLDING_MARGIN_MS;
--- a/test/cancellations.test.ts
+++ b/test/cancellations.test.ts
@@ -1,4 +1,4 @@
-/** Gossip of confirmed cancellations: broadcast with acknowledgements, coverage, and lease renewals. */
+/** Gossip of confirmed cancellations: broadcast with acknowledgements, coverage, and the limit of lease renewals. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { CancellationBroadcast } from '../src/core/cancellation/cancellation-broadcast.js';
@@ -22,17 +22,17 @@
   type Step =
     | { add: number; at: number }
     | { acknowledgedBy: string; sentAt: number }
-    | { messageAt: number; names: string[]; why?: string };
+    | { messageAt: number; names: string[]; reason?: string };
   const steps: Step[] = [
     { add: 1, at: 0 },
-    // Messages from before it was added do not name it.
+    // Messages sent before the cancellation was added do not name it.
     { acknowledgedBy: 'b', sentAt: -5 },
     { acknowledgedBy: 'c', sentAt: -5 },
     { messageAt: 10, names: ['job-1'] },
     { add: 2, at: 11 },
     { messageAt: 20, names: ['job-1', 'job-2'] },
     { acknowledgedBy: 'b', sentAt: 20 },
-    { messageAt: 30, names: ['job-1', 'job-2'], why: 'c has acknowledged nothing' },
+    { messageAt: 30, names: ['job-1', 'job-2'], reason: 'c has not acknowledged any message' },
     { acknowledgedBy: 'c', sentAt: 10 },
     { messageAt: 40, names: ['job-2'] },
     { acknowledgedBy: 'c', sentAt: 40 },
@@ -42,7 +42,7 @@
     {
       messageAt: 60 + 2 * CANCEL_MS + 1,
       names: [],
-      why: 'peers that do not know it have let their leases expire',
+      reason: 'peers that do not know the cancellation have let their worker leases expire',
     },
   ];
   const broadcast = new CancellationBroadcast(['b', 'c'], CANCEL_MS);
@@ -51,12 +51,12 @@
     else if ('acknowledgedBy' in step) broadcast.acknowledge(step.acknowledgedBy, step.sentAt);
     else {
       const named = broadcast.nextMessage(step.messageAt).map(({ uid }) => uid);
-      assert.deepEqual(named, step.names, step.why ?? `the message at ${step.messageAt}`);
+      assert.deepEqual(named, step.names, step.reason ?? `the message at ${step.messageAt}`);
     }
   }
 });
 
-test('a broadcast that had to leave one out is incomplete for as long as it matters', () => {
+test('a broadcast that left a cancellation out is incomplete until the cancellation would have been dropped', () => {
   const broadcast = new CancellationBroadcast(['b'], CANCEL_MS);
   for (let number = 0; number < GOSSIPED_CANCELLATIONS_LIMIT; number++) {
     broadcast.add(cancellation(number), 0);
@@ -70,7 +70,7 @@
 
 type TimedBroadcast = ReceivedBroadcast & { at: number };
 
-/** A message received at `at` from a node's incarnation, e.g. `b/x`. */
+/** A message received at `at` from incarnation `x` of node `b`, given as `b/x`. */
 const message = (
   at: number,
   from: `${string}/${string}`,
@@ -81,31 +81,31 @@
   return { at, node, incarnation, acknowledgedSentAt, complete };
 };
 
-/** The first messages of both peers, which open a gap until the next read. */
+/** The first messages of both peers, which open a gap that the next store read closes. */
 const FIRST = [message(10, 'b/x', 9), message(11, 'c/y', 9)];
 
 const COVERAGE: { name: string; readAt: number; messages: TimedBroadcast[]; known: number }[] = [
   { name: 'no peer has sent anything', readAt: 50, messages: [], known: 50 },
   {
-    name: 'both in touch, first messages before the last read',
+    name: 'both peers send and receive messages, the first ones before the last read',
     readAt: 50,
     messages: [...FIRST, message(90, 'b/x', 88), message(91, 'c/y', 89)],
     known: 88,
   },
   {
-    name: 'one has sent nothing since',
+    name: 'one peer has sent nothing since its first message',
     readAt: 50,
     messages: [...FIRST, message(90, 'b/x', 88)],
     known: 50,
   },
   {
-    name: 'one receives nothing of ours',
+    name: 'one peer receives none of our messages',
     readAt: 50,
     messages: [...FIRST, message(90, 'b/x', 88), message(91, 'c/y', 9)],
     known: 50,
   },
   {
-    name: 'one restarted: what its earlier incarnation did last is not known',
+    name: 'one peer restarted, so the last cancellations of its earlier incarnation may be unknown',
     readAt: 50,
     messages: [
       ...FIRST,
@@ -118,13 +118,13 @@
     known: 72,
   },
   {
-    name: 'a read after the restart closes the gap',
+    name: 'a store read after the restart closes the gap',
     readAt: 92,
     messages: [...FIRST, message(90, 'c/z', 88), message(95, 'b/x', 94), message(99, 'c/z', 98)],
     known: 94,
   },
   {
-    name: 'a late message of the earlier incarnation opens it again',
+    name: 'a late message of the earlier incarnation opens the gap again',
     readAt: 92,
     messages: [
       message(10, 'b/x', 9),
@@ -137,7 +137,7 @@
     known: 94,
   },
   {
-    name: 'one does not broadcast cancellations, or left something out',
+    name: 'one peer does not broadcast cancellations, or left one out',
     readAt: 50,
     messages: [...FIRST, message(90, 'b/x', 88), message(91, 'c/y', 90, false)],
     known: 50,
@@ -154,7 +154,7 @@
   });
 }
 
-test('without peers nobody else can confirm a cancellation', () => {
+test('without peers every cancellation is known, since no other node can confirm one', () => {
   assert.equal(new CancellationCoverage([]).knownUntil(5), Infinity);
 });
 
