--- a/test/budget.test.ts
+++ b/test/budget.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Requests to the store: how many writes and reads completions, machine records and current reads need, since the
+ * store's limits are small and shared, and that late or outdated writes do no harm.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { setTimeout as sleep } from 'node:timers/promises';
@@ -21,10 +25,10 @@
 import { MemoryStore } from './standins/memory-store.js';
 import { FakeWorker, World } from './standins/worker.js';
 
-/** What the store is asked for, and how much of it: its limits are small and shared. */
 const CONFIG = { storeLimits: { valueBytes: 8192, transactionOps: 8 } };
 const LOG = pino({ level: 'silent' });
 
+/** A cache, a client that accepts and records all writes, and a function that shows a listing in the cache. */
 const scene = () => {
   const cache = new WatchCache();
   const written: (readonly Write[])[] = [];
@@ -51,9 +55,9 @@
   return { cache, written, client, show };
 };
 
-test('a wave of boots costs one write, and so does one of returns', async () => {
+test('50 machines that boot together are recorded with one write, and so are their returns', async () => {
   const { cache, written, client, show } = scene();
-  const names = Array.from({ length: 50 }, (_, i) => `m${i}`);
+  const names = Array.from({ length: 50 }, (_, index) => `m${index}`);
   const machines = new Map(names.map((n) => [n, false]));
   const group = { shard: 0, term: 1, type: 'm', zone: 'z', spot: false, machines };
   show([['machines/rental-1', encodeMachineGroup(group)]]);
@@ -83,14 +87,14 @@
   shard.sync({ jobs: store.jobs, done: () => undefined, machines: cache.machines }, now);
   records.returnedInstances.add(names);
   await records.reconcile(ownedShard(shard), now);
-  assert.equal(written.length, 1, 'not at once: more may come');
+  assert.equal(written.length, 1, 'returns are not recorded at once, since more may follow');
   now += MACHINE_RECORDS_INTERVAL_MS;
   await records.reconcile(ownedShard(shard), now);
   assert.deepEqual(written.slice(1), [[{ drop: 'machines/rental-1' }]]);
   assert.equal(cache.machines.size, 0);
 });
 
-test('completions of many arrays share a write, ends of jobs and ranges do not wait', async () => {
+test('completions of many array jobs share a write, and ends of jobs and ranges are saved at once', async () => {
   const { cache, written, client, show } = scene();
   const uids = Array.from({ length: 30 }, (_, i) => `job-${String(i).padStart(6, '0')}`);
   const records = uids.map((uid) => job({ uid, tasks: 4 }));
@@ -111,12 +115,16 @@
   };
   for (const uid of uids) finish(uid, 0);
   await saver.save(owned, COMPLETION_SAVE_INTERVAL_MS);
-  assert.equal(written.length, 0, 'nobody waits for a part of a range');
+  assert.equal(
+    written.length,
+    0,
+    'completions that do not end a range wait for the progress interval',
+  );
   await saver.save(owned, PROGRESS_SAVE_INTERVAL_MS);
   assert.deepEqual(
     written.map((w) => w.length),
     [1],
-    'one value for thirty ranges',
+    'the bitmaps of thirty ranges are stored in one value',
   );
   assert.ok(uids.every((uid) => cache.completedTasks(0, uid, 0) === '8'));
   assert.ok(uids.every((uid) => shard.jobs.get(uid)!.savedTasks.has(0)));
@@ -129,7 +137,7 @@
   ]);
 });
 
-test('current answers: all questions of a moment share one read, whatever job they are about', async () => {
+test('linearizable reads: all calls that wait at the same time share one read of the store', async () => {
   let now = 0;
   const { cache, show } = scene();
   show([]);
@@ -144,30 +152,30 @@
   const linearizable = new LinearizableReads(client, cache, () => now);
   const ask = (count: number) => {
     let answered = 0;
-    for (let i = 0; i < count; i++)
+    for (let call = 0; call < count; call++)
       void linearizable.waitUntilCurrent().then(() => (answered += 1));
     return () => answered;
   };
-  // The feed's next read serves everybody who asked before it began, and nobody else.
+  // The watch's next read serves all calls made before it began, and no others.
   const early = ask(200);
   now = 10;
   const late = ask(1);
   cache.apply({ isListing: false, revision: 10, changes: [], readStartedAt: 5 });
   await sleep(0);
   assert.deepEqual([early(), late(), reads], [200, 0, 0]);
-  // While the feed's read is held one small read tells the epoch; the cache must then reach it.
+  // While the watch's read is held open, one small read returns the epoch, which the cache must then reach.
   linearizable.onReadState(10);
   now = 10 + HELD_WATCH_MS;
   present = 12;
   await sleep(3 * HELD_WATCH_MS);
-  assert.deepEqual([late(), reads], [0, 1], 'the cache is behind');
+  assert.deepEqual([late(), reads], [0, 1], 'the cache has not reached the epoch yet');
   cache.apply({ isListing: false, revision: 12, changes: [], readStartedAt: 0 });
   await sleep(0);
   assert.deepEqual([late(), reads], [1, 1]);
   linearizable.close();
 });
 
-test('a write of completions that is carried out late does not undo what newer ones saved', async () => {
+test('a write of completions that is carried out late does not undo newer writes', async () => {
   const cache = new WatchCache();
   const store = new MemoryStore();
   const unanswered: (() => CompareAndSwapResult)[] = [];
@@ -218,7 +226,7 @@
     cache.completedTasks(0, 'job-000001', 0),
     encodeDone({ from: 0, to: 3 }, new Set([0, 1])),
   );
-  // The other way round: the late one comes first, and the newer one is repeated on what it left.
+  // In the opposite order, the late write is carried out first, and the newer one is repeated on top of its result.
   complete(2);
   await saveWithoutAnswer();
   state.waitingTasks = [0];
@@ -226,18 +234,22 @@
   await save();
   store.show(cache, 'changes');
   await save();
-  assert.deepEqual([...state.unsavedTasks], [], 'saved once the cache shows the late one');
+  assert.deepEqual(
+    [...state.unsavedTasks],
+    [],
+    'all completions are saved once the cache shows the late write',
+  );
 });
 
-test('a machine that nobody recorded is adopted only when no rental can still record it', async () => {
+test('an unrecorded machine is adopted only when no rental can still record it', async () => {
   const rental = { type: 'm', zone: 'z', spot: true, count: 1 };
   const group = { shard: 1, term: 1, type: 'm', zone: 'z', spot: true };
   const cases: [string, [string, unknown][], boolean][] = [
-    ['nothing else', [], true],
+    ['no rental is pending', [], true],
     ['a rental of its kind is pending', [['hires/1/n-1', rental]], false],
     ['a rental of another kind is pending', [['hires/1/n-1', { ...rental, zone: 'y' }]], true],
     [
-      'the rental has recorded it just now',
+      'its rental has recorded it just now',
       [['machines/n-1', encodeMachineGroup({ ...group, machines: new Map([['x', false]]) })]],
       false,
     ],
@@ -245,7 +257,7 @@
   for (const [name, found, adopted] of cases) {
     const { cache, written, client, show } = scene();
     show([]);
-    // What the cache shows before the read is old.
+    // The cache shows the rentals and records only after the read.
     const current = () => {
       show(found);
       return Promise.resolve();
--- a/test/cancellation-outage.test.ts
+++ b/test/cancellation-outage.test.ts
@@ -1,114 +1,130 @@
+/**
+ * Cancelled tasks end in time although their owner can't learn of the cancellation from the store.
+ *
+ * The store refuses one owner only, another controller confirms a cancellation, and then the store is unavailable
+ * to all controllers for longer than a cancellation may take. Meanwhile the workers keep sending heartbeats to the
+ * owner that does not know of it. Without gossip between controllers and withheld lease renewals, the tasks would run to their end.
+ */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { setTimeout as sleep } from 'node:timers/promises';
 import { Cluster } from './standins/cluster.js';
 
-/**
- * The state service refuses one owner alone, another controller confirms cancellations, then
- * the service is out for all for longer than a cancellation may take, while the workers go on reporting
- * to the owner that knows nothing of it. Without word between controllers, or leases that end, the
- * tasks run on to their end.
- */
 const OPTIONS = { runMs: 90_000, leaseS: 4, cancelS: 10 };
-/** cut into three ranges, one for each controller if they are alike */
+/** Split into three ranges, one for each controller if all are equally loaded. */
 const JOB = { Pieces: 48, Vcpus: 1, Cards: 0, MemGb: 1, GuessS: 200 };
 const TASKS = JOB.Pieces;
 
-interface Row {
+interface OutageCase {
   readonly name: string;
-  /** right after the confirmation */
-  readonly then: (c: Cluster) => Promise<void> | void;
-  /** refused before anybody cancels; the others hear of it by their feeds */
+  /** what happens right after the cancellation is confirmed */
+  readonly afterConfirmation: (cluster: Cluster) => Promise<void> | void;
+  /** controllers that the store refuses before the cancellation; all others learn of it by their watches */
   readonly refused: readonly string[];
-  /** the work that nobody cancelled runs on, or its leases end too */
+  /** whether tasks of the other job keep running; otherwise their leases expire too */
   readonly survives: boolean;
 }
 
-const ROWS: Row[] = [
+const CASES: OutageCase[] = [
   {
-    name: 'the controllers are in touch',
+    name: 'the controllers reach each other',
     refused: ['n0'],
-    then: () => undefined,
+    afterConfirmation: () => undefined,
     survives: true,
   },
   {
-    name: 'the confirming controller ends at once, before it tells anybody',
+    name: 'the confirming controller ends before it sends the cancellation to a peer',
     refused: ['n0', 'n2'],
-    then: (c) => c.kill('n1'),
+    afterConfirmation: (cluster) => cluster.kill('n1'),
     survives: false,
   },
   {
-    name: 'it ends and is back inside the outage',
+    name: 'the confirming controller ends and restarts during the outage',
     refused: ['n0', 'n2'],
-    then: async (c) => {
-      c.kill('n1');
+    afterConfirmation: async (cluster) => {
+      cluster.kill('n1');
       await sleep(300);
-      await c.start('n1');
+      await cluster.start('n1');
     },
     survives: false,
   },
   {
     name: 'connections between the controllers are refused',
     refused: ['n0', 'n2'],
-    then: (c) => c.cutPeers('n1', true),
+    afterConfirmation: (cluster) => cluster.cutPeers('n1', true),
     survives: false,
   },
 ];
 
-describe('the gap', { concurrency: true }, () => {
-  for (const row of ROWS) {
-    test(row.name, async () => {
-      const c = new Cluster(OPTIONS);
+describe('cancelled tasks end in time during a store outage', { concurrency: true }, () => {
+  for (const outage of CASES) {
+    test(outage.name, async () => {
+      const cluster = new Cluster(OPTIONS);
       try {
-        await c.open();
-        const doomed = await c.submit('n0', JOB);
-        const kept = await c.submit('n1', JOB);
-        await c.until(
-          'all of it runs',
+        await cluster.open();
+        const cancelledJob = await cluster.submit('n0', JOB);
+        const otherJob = await cluster.submit('n1', JOB);
+        await cluster.until(
+          'all tasks of both jobs run',
           30,
-          () => c.running(doomed) + c.running(kept) === 2 * TASKS,
+          () => cluster.running(cancelledJob) + cluster.running(otherJob) === 2 * TASKS,
         );
-        // Every shard has tasks of both jobs, so that whoever is refused has some.
-        for (const n of row.refused) c.doors.get(n)!.refusing = true;
+        // Every shard has tasks of both jobs, so each refused owner has some.
+        for (const node of outage.refused) cluster.doors.get(node)!.refusing = true;
         await sleep(300);
-        await c.cancel('n1', doomed);
-        c.state.unavailable = true;
-        await row.then(c);
-        await c.pass(OPTIONS.cancelS + 2);
-        assert.equal(c.running(doomed), 0, 'cancelled tasks are gone in time');
-        assert.deepEqual(c.world.broken, []);
-        assert.equal(c.running(kept) === TASKS, row.survives, `${c.running(kept)} others run`);
-        const status = await c.statusOf('n0', doomed);
-        assert.ok(['cancelled', '503'].includes(status), `no older answer: ${status}`);
-        c.cutPeers('n1', false);
-        for (const n of row.refused) c.doors.get(n)!.refusing = false;
-        c.state.recover();
-        await c.until('n0 knows', 20, async () => (await c.statusOf('n0', doomed)) === 'cancelled');
-        await c.until('the rest runs again', 40, () => c.running(kept) === TASKS);
-        assert.equal(c.running(doomed), 0);
-        assert.deepEqual(c.world.broken, []);
+        await cluster.cancel('n1', cancelledJob);
+        cluster.state.unavailable = true;
+        await outage.afterConfirmation(cluster);
+        await cluster.pass(OPTIONS.cancelS + 2);
+        assert.equal(cluster.running(cancelledJob), 0, 'cancelled tasks have ended in time');
+        assert.deepEqual(cluster.world.broken, []);
+        assert.equal(
+          cluster.running(otherJob) === TASKS,
+          outage.survives,
+          `${cluster.running(otherJob)} tasks of the other job run`,
+        );
+        const status = await cluster.statusOf('n0', cancelledJob);
+        assert.ok(
+          ['cancelled', '503'].includes(status),
+          `an outdated status was returned: ${status}`,
+        );
+        cluster.cutPeers('n1', false);
+        for (const node of outage.refused) cluster.doors.get(node)!.refusing = false;
+        cluster.state.recover();
+        await cluster.until(
+          'n0 returns the status cancelled',
+          20,
+          async () => (await cluster.statusOf('n0', cancelledJob)) === 'cancelled',
+        );
+        await cluster.until(
+          'all tasks of the other job run again',
+          40,
+          () => cluster.running(otherJob) === TASKS,
+        );
+        assert.equal(cluster.running(cancelledJob), 0);
+        assert.deepEqual(cluster.world.broken, []);
       } finally {
-        c.close();
+        cluster.close();
       }
     });
   }
 
-  test('a plain outage, longer than any lease and any cancellation, ends no running work', async () => {
-    const c = new Cluster(OPTIONS);
+  test('an outage without cancellations, longer than a lease and a cancellation, ends no running task', async () => {
+    const cluster = new Cluster(OPTIONS);
     try {
-      await c.open();
-      const uid = await c.submit('n0', JOB);
-      await c.until('all of it runs', 30, () => c.running(uid) === TASKS);
-      const { started } = c.world;
-      c.state.unavailable = true;
-      await c.pass(OPTIONS.cancelS + 2);
-      assert.equal(c.running(uid), TASKS);
-      c.state.recover();
-      await c.pass(3);
-      assert.equal(c.world.started, started, 'nothing had to start again');
-      assert.deepEqual(c.world.broken, []);
+      await cluster.open();
+      const uid = await cluster.submit('n0', JOB);
+      await cluster.until('all tasks run', 30, () => cluster.running(uid) === TASKS);
+      const { started } = cluster.world;
+      cluster.state.unavailable = true;
+      await cluster.pass(OPTIONS.cancelS + 2);
+      assert.equal(cluster.running(uid), TASKS);
+      cluster.state.recover();
+      await cluster.pass(3);
+      assert.equal(cluster.world.started, started, 'no task had to start again');
+      assert.deepEqual(cluster.world.broken, []);
     } finally {
-      c.close();
+      cluster.close();
     }
   });
 });
