--- a/src/core/ownership/ownership-policy.ts
+++ b/src/core/ownership/ownership-policy.ts
@@ -1,26 +1,31 @@
-/** Who should own which shard: decisions over what the store shows, without input or output. */
-import { FAILBACK_HOLD_MS, MAX_FAILBACK_MS, FAILBACK_MS, FAILOVER_GRACE_MS } from './constants.js';
-
-/** One life of a node that owns a shard. */
+/** Decides which node should own which shard, from the state that the store shows and without input or output. */
+import {
+  FAILBACK_HOLD_MS,
+  MAX_FAILBACK_DELAY_MS,
+  FAILBACK_DELAY_MS,
+  FAILOVER_GRACE_MS,
+} from './constants.js';
+
+/** The node that owns a shard, and its incarnation; every start of a node is a new incarnation. */
 export interface Owner {
   readonly owner: string;
   readonly incarnation: string;
 }
 
-/** Nodes and shards as the store shows them to one node. */
+/** The nodes and the owners of shards, as the store shows them to one node. */
 export interface OwnershipView {
-  /** the node that decides, and its life */
+  /** the node that decides */
   readonly node: string;
   readonly incarnation: string;
-  /** all nodes of the settings, in order of name */
+  /** all configured nodes, sorted by name */
   readonly nodes: readonly string[];
-  /** incarnations with a valid lease; a node restarted quickly has two for a while */
+  /** incarnations with a valid lease, by node; a node that restarts quickly has two for a while */
   readonly live: ReadonlyMap<string, ReadonlySet<string>>;
   readonly owners: ReadonlyMap<number, Owner>;
   readonly shardCount: number;
 }
 
-/** What the deciding node should do about a shard. */
+/** A change of ownership that the deciding node should carry out. */
 export type OwnershipStep =
   | { readonly kind: 'acquire'; readonly shard: number }
   | {
@@ -30,51 +35,54 @@
       readonly incarnation: string;
     };
 
-/** Since when a node has been fit to get a shard back. */
-interface FitSince {
+/** The time since which a node has been eligible to get a shard back. */
+interface EligibleSince {
   readonly incarnation: string;
-  /** steady ms */
+  /** monotonic ms */
   readonly at: number;
 }
 
-/** Transfers of one shard from its live preferred node to this one. */
+/** Transfers of one shard from its preferred node, while that was live, to the deciding node. */
 interface ReceivedTransfers {
-  /** when the last one was seen, steady ms */
+  /** when the last transfer was observed, monotonic ms */
   readonly at: number;
   readonly count: number;
 }
 
-/** The node that owns a shard while all nodes are live. */
+/** Returns the node that should own the shard while all nodes are live. */
 export const preferredNode = (shard: number, nodes: readonly string[]): string =>
   nodes[shard % nodes.length]!;
 
 const isLive = (view: OwnershipView, { owner, incarnation }: Owner): boolean =>
   view.live.get(owner)?.has(incarnation) ?? false;
 
-/** Delay that doubles with each repetition, up to `MAX_FAILBACK_MS`. */
+/** Returns a delay in ms that doubles with each repetition, up to `MAX_FAILBACK_DELAY_MS`. */
 const backoffMs = (firstMs: number, repetitions: number): number =>
-  Math.min(MAX_FAILBACK_MS, firstMs * 2 ** repetitions);
+  Math.min(MAX_FAILBACK_DELAY_MS, firstMs * 2 ** repetitions);
 
-/** Decides on failover and failback; remembers since when shards had no live owner and nodes were fit. */
+/** Decides on failover and failback. Tracks since when shards have had no live owner and nodes have been eligible. */
 export class OwnershipPolicy {
+  /** by shard, monotonic ms */
   readonly #ownerlessSince = new Map<number, number>();
-  readonly #fitSince = new Map<string, FitSince>();
-  /** how often each shard failed back from this node */
+  /** by node */
+  readonly #eligibleSince = new Map<string, EligibleSince>();
+  /** by shard: number of failbacks from this node */
   readonly #failbacks = new Map<number, number>();
-  /** the owner of each shard at the last decision */
+  /** by shard: its owner at the last decision */
   readonly #lastOwners = new Map<number, Owner>();
+  /** by shard */
   readonly #receivedTransfers = new Map<number, ReceivedTransfers>();
 
   /**
-   * The steps that are due. `fitIncarnation` tells the incarnation of a node that could get a shard, which is
-   * reachable and in contact with the store; else null.
+   * Returns the steps that are due. `eligibleIncarnation` returns the incarnation of a node that may get a shard,
+   * because it is reachable and connected to the store, and null for any other node.
    */
   decide(
     view: OwnershipView,
     now: number,
-    fitIncarnation: (node: string) => string | null,
+    eligibleIncarnation: (node: string) => string | null,
   ): OwnershipStep[] {
-    this.#observeFitNodes(view, now, fitIncarnation);
+    this.#observeEligibleNodes(view, now, eligibleIncarnation);
     const steps: OwnershipStep[] = [];
     for (let shard = 0; shard < view.shardCount; shard++) {
       const step = this.#decideShard(shard, view, now);
@@ -83,22 +91,22 @@
     return steps;
   }
 
-  /** Each failback of a shard doubles the delay before its next one. */
-  failedBack(shard: number): void {
+  /** Records a failback of the shard, which doubles the delay before its next failback. */
+  recordFailback(shard: number): void {
     this.#failbacks.set(shard, (this.#failbacks.get(shard) ?? 0) + 1);
   }
 
-  #observeFitNodes(
+  #observeEligibleNodes(
     view: OwnershipView,
     now: number,
-    fitIncarnation: (node: string) => string | null,
+    eligibleIncarnation: (node: string) => string | null,
   ): void {
     for (const node of view.nodes) {
-      const incarnation = fitIncarnation(node);
+      const incarnation = eligibleIncarnation(node);
       if (incarnation === null || !view.live.get(node)?.has(incarnation)) {
-        this.#fitSince.delete(node);
-      } else if (this.#fitSince.get(node)?.incarnation !== incarnation) {
-        this.#fitSince.set(node, { incarnation, at: now });
+        this.#eligibleSince.delete(node);
+      } else if (this.#eligibleSince.get(node)?.incarnation !== incarnation) {
+        this.#eligibleSince.set(node, { incarnation, at: now });
       }
     }
   }
@@ -112,23 +120,23 @@
     if (preferredNode(shard, view.nodes) !== view.node) {
       return this.#decideFailback(shard, view, now);
     }
-    // An older life of this node holds it: that process has ended.
+    // If the owner is an earlier incarnation of this node, its process has ended.
     return owner.incarnation === view.incarnation ? null : { kind: 'acquire', shard };
   }
 
-  /** A shard that this node holds for another one returns once that one has been fit for long enough. */
+  /** Returns a shard to its preferred node once that node has been eligible for long enough. */
   #decideFailback(shard: number, view: OwnershipView, now: number): OwnershipStep | null {
     const to = preferredNode(shard, view.nodes);
-    const fit = this.#fitSince.get(to);
-    if (fit === undefined) return null;
-    const delayMs = backoffMs(FAILBACK_MS, this.#failbacks.get(shard) ?? 0);
-    if (now - fit.at < delayMs || this.#failbackHeld(shard, now)) return null;
-    return { kind: 'transfer', shard, to, incarnation: fit.incarnation };
+    const eligible = this.#eligibleSince.get(to);
+    if (eligible === undefined) return null;
+    const delayMs = backoffMs(FAILBACK_DELAY_MS, this.#failbacks.get(shard) ?? 0);
+    if (now - eligible.at < delayMs || this.#isFailbackOnHold(shard, now)) return null;
+    return { kind: 'transfer', shard, to, incarnation: eligible.incarnation };
   }
 
   /**
-   * A shard without a live owner goes to its preferred node first, and to a restarted owner at once; then to the
-   * others one after another, those with fewer shards earlier, so that not all of them try in the same moment.
+   * Assigns a shard without a live owner. Its preferred node and a restarted owner may acquire it at once. All other
+   * nodes follow one after another, in the order of how many shards they own, so that they do not all try at once.
    */
   #decideFailover(shard: number, view: OwnershipView, now: number): OwnershipStep | null {
     const owner = view.owners.get(shard);
@@ -136,34 +144,35 @@
     const since = this.#ownerlessSince.get(shard) ?? now;
     this.#ownerlessSince.set(shard, since);
     if (preferred === view.node || owner?.owner === view.node) return { kind: 'acquire', shard };
-    const load = (node: string) =>
+    const shardsOwnedBy = (node: string) =>
       [...view.owners.values()].filter((other) => other.owner === node && isLive(view, other))
         .length;
     const candidates = [...view.live.keys()]
-      .sort((a, b) => load(a) - load(b) || (a < b ? -1 : 1))
+      .sort((a, b) => shardsOwnedBy(a) - shardsOwnedBy(b) || (a < b ? -1 : 1))
       .filter((node) => node !== preferred);
     const position = Math.max(0, candidates.indexOf(view.node));
-    const graces = (view.live.has(preferred) || owner === undefined ? 1 : 0) + position;
-    return now - since >= graces * FAILOVER_GRACE_MS ? { kind: 'acquire', shard } : null;
+    const gracePeriods = (view.live.has(preferred) || owner === undefined ? 1 : 0) + position;
+    return now - since >= gracePeriods * FAILOVER_GRACE_MS ? { kind: 'acquire', shard } : null;
   }
 
   /**
-   * A live node transfers its shard away only while it receives no heartbeats. With its shard back at once, it
-   * would own it under a new term, still receive none, and return every machine as lost
-   * (docs/incidents/2026-12-02-handed-back.md).
+   * Records when this node receives a shard from its live preferred node, which transfers it only while it receives
+   * no heartbeats. If the shard failed back at once, that node would own it under a new term, still receive no
+   * heartbeats, and return every machine as lost (docs/incidents/2026-12-02-handed-back.md).
    */
   #observeTransfer(shard: number, view: OwnershipView, now: number): void {
-    const before = this.#lastOwners.get(shard);
+    const previous = this.#lastOwners.get(shard);
     const owner = view.owners.get(shard);
     if (owner === undefined) return;
     this.#lastOwners.set(shard, owner);
-    if (before === undefined || before.owner === owner.owner || owner.owner !== view.node) return;
-    if (before.owner !== preferredNode(shard, view.nodes) || !isLive(view, before)) return;
+    if (previous === undefined || previous.owner === owner.owner || owner.owner !== view.node)
+      return;
+    if (previous.owner !== preferredNode(shard, view.nodes) || !isLive(view, previous)) return;
     const count = (this.#receivedTransfers.get(shard)?.count ?? 0) + 1;
     this.#receivedTransfers.set(shard, { at: now, count });
   }
 
-  #failbackHeld(shard: number, now: number): boolean {
+  #isFailbackOnHold(shard: number, now: number): boolean {
     const received = this.#receivedTransfers.get(shard);
     if (received === undefined) return false;
     return now - received.at < backoffMs(FAILBACK_HOLD_MS, received.count - 1);
--- a/src/shards/ownership-reconciler.ts
+++ b/src/shards/ownership-reconciler.ts
@@ -1,13 +1,13 @@
 /**
  * Reconciliation of shard ownership: acquires shards without a live owner, lets shards fail back to their preferred
- * nodes, and transfers those whose workers only a peer can reach. Every change is a compare-and-swap on the owner
- * record and the term counter, so of several nodes that try at once one succeeds.
+ * nodes, and transfers shards whose workers can reach only a peer. Every change is a compare-and-swap on the owner
+ * record and the term counter, so only one of several nodes that try at the same time succeeds.
  */
 import { encodeTerm } from '../store/codecs/term.js';
 import { encodeShard } from '../store/codecs/shard.js';
 import type { Logger } from 'pino';
 import type { PlatformConfig } from '../config/platform.js';
-import { FAILBACK_MS } from '../core/ownership/constants.js';
+import { FAILBACK_DELAY_MS } from '../core/ownership/constants.js';
 import {
   OwnershipPolicy,
   type OwnershipStep,
@@ -20,12 +20,12 @@
 import { type ShardRecord } from '../store/codecs/shard.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { Guard, Write } from '@sumacstep/leader-election';
-import { NO_HEARTBEATS_INTERVALS, NO_HEARTBEATS_MS, TRANSFER_SETTLE_MS } from './constants.js';
+import { HEARTBEAT_LOSS_INTERVALS, HEARTBEAT_LOSS_MS, TRANSFER_SETTLE_MS } from './constants.js';
 import { liveIncarnations } from './live-nodes.js';
 import type { OwnedShard } from './owned-shard.js';
 import type { PeerView } from './peer-view.js';
 
-/** What the reconciliation of ownership needs of the process. */
+/** The store client, cache, peers and clock that `OwnershipReconciler` uses. */
 export interface OwnershipReconcilerDependencies {
   readonly config: PlatformConfig;
   readonly incarnation: string;
@@ -33,54 +33,55 @@
   readonly cache: WatchCache;
   readonly owned: ReadonlyMap<number, OwnedShard>;
   readonly peers: Pick<PeerView, 'incarnationWithStore' | 'peerReceivingHeartbeats'>;
-  /** steady ms */
+  /** monotonic ms */
   readonly now: () => number;
   readonly log: Logger;
 }
 
-/** A transfer that has been sent and whose outcome is not known. */
+/** A transfer that has been sent and whose outcome is unknown. */
 interface PendingTransfer {
   readonly owned: OwnedShard;
-  /** steady ms */
+  /** monotonic ms */
   readonly sentAt: number;
 }
 
-/** One life of another node that a shard goes to. */
+/** The node and its incarnation to which a shard is transferred. */
 interface NewOwner {
   readonly node: string;
   readonly incarnation: string;
 }
 
+/** Writes that are carried out only if all guards hold. */
 interface Transaction {
   readonly guards: readonly Guard[];
   readonly writes: readonly Write[];
 }
 
-/** Decides on ownership and carries it out, one transaction per shard at a time. */
+/** Carries out the decisions of `OwnershipPolicy`, with at most one transaction per shard in flight. */
 export class OwnershipReconciler {
   readonly #policy = new OwnershipPolicy();
   readonly #pendingTransfers = new Map<number, PendingTransfer>();
-  /** shards with a transaction under way */
-  readonly #busy = new Set<number>();
-  /** steady ms; until then no other node's shard is acquired */
+  /** shards with a transaction in flight */
+  readonly #inFlight = new Set<number>();
+  /** monotonic ms; until this time, the policy's decisions to acquire apply only to shards that never had an owner */
   #acquisitionsSuspendedUntil = -Infinity;
 
   constructor(private readonly dependencies: OwnershipReconcilerDependencies) {}
 
-  /** One round over all shards; to be called with authority only. */
+  /** Runs one round over all shards. The caller must have authority. */
   reconcile(now: number): void {
     this.#dropPendingOfLostShards();
     const view = this.#observe();
     const { peers, owned } = this.dependencies;
     const steps = this.#policy.decide(view, now, (node) => peers.incarnationWithStore(node));
-    for (const step of steps) this.#carryOut(step, view, now);
+    for (const step of steps) this.#execute(step, view, now);
     this.#settleTransfers(now);
     for (const [index, shard] of owned) {
       if (shard.isActive) this.#transferIfWorkersUnreachable(index, shard, now);
     }
   }
 
-  /** Makes this node the owner under a new term, whether it owns the shard already or not. */
+  /** Makes this node the owner of the shard under a new term, also if it owns the shard already. */
   acquire(index: number): Promise<void> {
     return this.#exclusively(index, async () => {
       const { config, incarnation, client, cache, log } = this.dependencies;
@@ -103,17 +104,17 @@
         key: key.node(node, incarnation),
         revision: cache.tables.nodes.get(`${node}/${incarnation}`)?.revision ?? 0,
       };
-      // From here on this node acts for the shard no more, whatever becomes of the transaction.
+      // From here on this node does not act for the shard, unless the transaction is known to have failed.
       owned.suspend();
       this.#pendingTransfers.set(index, { owned, sentAt: now() });
-      const all = [...guards, registration];
-      const result = await client.compareAndSwap(CALL_PRIORITY.renew, all, writes);
+      const allGuards = [...guards, registration];
+      const result = await client.compareAndSwap(CALL_PRIORITY.renew, allGuards, writes);
       this.#pendingTransfers.delete(index);
       if (!result.ok) {
         owned.resume();
         return;
       }
-      this.#policy.failedBack(index);
+      this.#policy.recordFailback(index);
       cache.applyOwn(writes, result.epoch);
       log.info({ shard: index, to: node }, 'shard transferred');
     });
@@ -139,7 +140,7 @@
     };
   }
 
-  #carryOut(step: OwnershipStep, { owners }: OwnershipView, now: number): void {
+  #execute(step: OwnershipStep, { owners }: OwnershipView, now: number): void {
     if (step.kind === 'transfer') {
       if (this.#pendingTransfers.has(step.shard)) return;
       void this.#transfer(step.shard, { node: step.to, incarnation: step.incarnation });
@@ -149,8 +150,8 @@
   }
 
   /**
-   * The outcome of a transfer is not known: acquiring the shard under a new term settles it, because of the two
-   * transactions the one that comes second fails.
+   * Settles transfers whose outcome is still unknown by acquiring their shards under a new term. Of the two
+   * transactions only the one that is carried out first can succeed.
    */
   #settleTransfers(now: number): void {
     for (const [index, { sentAt }] of this.#pendingTransfers) {
@@ -158,35 +159,45 @@
     }
   }
 
-  /** Cut off from the workers alone: a peer that receives their heartbeats should own their shard. */
+  /**
+   * Transfers the shard if this node receives no heartbeats of its workers, and a peer receives them. Then only the
+   * connection between this node and the workers has failed.
+   */
   #transferIfWorkersUnreachable(index: number, { shard }: OwnedShard, now: number): void {
     const { config, peers, log } = this.dependencies;
     const heartbeatIntervalMs = config.workers.heartbeatIntervalS * 1000;
-    const silentMs = Math.min(NO_HEARTBEATS_MS, heartbeatIntervalMs * NO_HEARTBEATS_INTERVALS);
-    if (!shard.allHeartbeatsLost(now, silentMs)) return;
+    const heartbeatLossMs = Math.min(
+      HEARTBEAT_LOSS_MS,
+      heartbeatIntervalMs * HEARTBEAT_LOSS_INTERVALS,
+    );
+    if (!shard.allHeartbeatsLost(now, heartbeatLossMs)) return;
     const to = peers.peerReceivingHeartbeats(index);
     const incarnation = to === null ? null : peers.incarnationWithStore(to);
     if (to === null || to === config.node || incarnation === null) return;
-    this.#acquisitionsSuspendedUntil = now + FAILBACK_MS * 2;
+    this.#acquisitionsSuspendedUntil = now + FAILBACK_DELAY_MS * 2;
     log.info({ shard: index, to, reason: 'workers report to peer' }, 'shard transfer started');
     void this.#transfer(index, { node: to, incarnation });
   }
 
+  /** Runs `work` unless a transaction of the shard is in flight. Logs store errors; a later round tries again. */
   async #exclusively(index: number, work: () => Promise<void>): Promise<void> {
-    if (this.#busy.has(index)) return;
-    this.#busy.add(index);
+    if (this.#inFlight.has(index)) return;
+    this.#inFlight.add(index);
     try {
       await work();
     } catch (error) {
       if (!(error instanceof StoreRequestError)) throw error;
       const { log } = this.dependencies;
-      log.debug({ shard: index, error: error.message }, 'shard record not written');
+      log.debug({ shard: index, error: error.message }, 'writing shard record failed');
     } finally {
-      this.#busy.delete(index);
+      this.#inFlight.delete(index);
     }
   }
 
-  /** Raises the term and names a new owner; depends on the present record, and on the end of another owner's lease. */
+  /**
+   * Returns the transaction that raises the term and names a new owner. It is guarded by the current record and, if
+   * another node owns the shard, by the absence of that node's registration.
+   */
   #ownerChange(index: number, owner: string, incarnation: string): Transaction {
     const { config, cache } = this.dependencies;
     const term = cache.tables.term.get('');
--- a/src/shards/task-migration.ts
+++ b/src/shards/task-migration.ts
@@ -1,8 +1,10 @@
 /**
- * Task migration between shards: a task that fits nowhere in its shard moves, by compare-and-swap on its job's
- * record, to a shard where it fits. Exception: while no shard has free capacity, tasks that have waited for long
- * move to one that is allocated far less. A shard whose owner began to rent late may get no machines, and an array
- * has ranges in most shards.
+ * Migration of tasks between shards. A task that fits nowhere in its shard migrates to a shard where it fits, by
+ * compare-and-swap on its job's record.
+ *
+ * While no shard has free capacity, tasks that have waited for a long time are balanced: they migrate to a shard that
+ * is allocated far less. Otherwise tasks could be stuck in a shard whose owner began to rent late and so gets no
+ * machines; an array job has ranges in most shards.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { fencedCompareAndSwap, type Guard, type Write } from '@sumacstep/leader-election';
@@ -25,12 +27,12 @@
   MAX_RANGES_PER_JOB,
   MIGRATION_DELAY_MS,
   MIGRATION_INTERVAL_MS,
-  RECORD_FILL_LIMIT,
+  MAX_RECORD_FILL,
 } from './constants.js';
 import type { OwnedShard } from './owned-shard.js';
 import type { MigrationDestination, OtherShards } from './peer-view.js';
 
-/** What task migration needs of the process. */
+/** The store client, cache, other shards and clock that `TaskMigration` uses. */
 export interface TaskMigrationDependencies {
   readonly config: PlatformConfig;
   readonly client: Pick<StoreClient, 'compareAndSwap' | 'get'>;
@@ -38,23 +40,23 @@
   /** whether this node still owns the shard under the term of `owned` */
   readonly isOwned: (owned: OwnedShard) => boolean;
   readonly otherShards: OtherShards;
-  /** steady ms */
+  /** monotonic ms */
   readonly now: () => number;
   readonly log: Logger;
 }
 
-/** Tasks `from` to the end of `range`, and the shard that they move to. */
+/** A migration of the tasks from `from` to the end of `range`, and the shard to which they migrate. */
 interface Migration {
   readonly job: JobState;
   readonly record: Cached<JobRecord>;
   readonly range: TaskRange;
   readonly from: number;
   readonly target: { readonly shard: number; readonly term: number };
-  /** the target has no free capacity either, but is allocated less */
-  readonly balancing: boolean;
+  /** whether the target has no free capacity either, but is allocated less */
+  readonly isBalancing: boolean;
 }
 
-/** The record's ranges once the tasks have moved. */
+/** Returns the ranges of the job's record after the migration. */
 const rangesAfter = ({ record, range, from, target }: Migration): TaskRange[] =>
   record.value.ranges.flatMap((present) => {
     if (present.from !== range.from) return [present];
@@ -62,19 +64,19 @@
     return from > present.from ? [{ ...present, to: from }, moved] : [moved];
   });
 
-/** Moves tasks that fit nowhere in their shard to other shards. */
+/** Migrates tasks that fit nowhere in their shard to other shards. */
 export class TaskMigration {
-  /** when each shard last looked for tasks to move, steady ms */
-  readonly #lastTriedAt = new Map<number, number>();
-  /** when each shard last moved tasks to one without free capacity, steady ms */
+  /** by shard: when it last searched for tasks to migrate, monotonic ms */
+  readonly #lastSearchedAt = new Map<number, number>();
+  /** by shard: when tasks last migrated from it to a shard without free capacity, monotonic ms */
   readonly #lastBalancedAt = new Map<number, number>();
 
   constructor(private readonly dependencies: TaskMigrationDependencies) {}
 
-  /** Begins at most one migration, of the job that waits longest among those that can move. */
+  /** Begins at most one migration: of the job that has waited longest among those that can migrate. */
   migrateUnschedulable(index: number, owned: OwnedShard, now: number): void {
-    if (now - (this.#lastTriedAt.get(index) ?? -Infinity) < MIGRATION_INTERVAL_MS) return;
-    this.#lastTriedAt.set(index, now);
+    if (now - (this.#lastSearchedAt.get(index) ?? -Infinity) < MIGRATION_INTERVAL_MS) return;
+    this.#lastSearchedAt.set(index, now);
     let candidates = 0;
     for (const job of owned.shard.jobs.values()) {
       const record = this.#candidateRecord(job, now);
@@ -83,14 +85,14 @@
       if (candidates > MAX_MIGRATION_CANDIDATES) return;
       const migration = this.#plan(owned, job, record, now);
       if (migration === null) continue;
-      if (migration.balancing) this.#lastBalancedAt.set(index, now);
+      if (migration.isBalancing) this.#lastBalancedAt.set(index, now);
       void this.#migrate(owned, migration);
-      // The free capacity that another node told of is there once.
+      // The free capacity that another node announced can be used only once.
       return;
     }
   }
 
-  /** The record of a job whose tasks have waited for long enough and may move; else undefined. */
+  /** Returns the record of a job whose tasks have waited long enough and may migrate, else undefined. */
   #candidateRecord(job: JobState, now: number): Cached<JobRecord> | undefined {
     const { config, cache } = this.dependencies;
     const since = job.unschedulableSince;
@@ -103,6 +105,7 @@
     return record;
   }
 
+  /** Returns the migration of the job's tasks to another shard, or null if none is possible now. */
   #plan(
     { shard }: OwnedShard,
     job: JobState,
@@ -113,21 +116,22 @@
     const { spec } = job;
     const destination =
       otherShards.shardWithFreeCapacity(spec, shard.index) ??
-      this.#lessAllocated(job, shard.index, now);
+      this.#balancingDestination(job, shard.index, now);
     if (destination === null) return null;
     const migratable = shard.migratable(job, record.value);
     const term = cache.tables.shards.get(String(destination.shard))?.value.term;
     if (migratable === null || term === undefined) return null;
     const { range } = migratable;
-    const indivisible = spec.kind === 'gang' || spec.oneZone || spec.spread;
+    const isIndivisible = spec.kind === 'gang' || spec.oneZone || spec.spread;
     const count = Math.min(range.to - migratable.from, destination.tasks);
-    if (indivisible && count < range.to - range.from) return null;
+    if (isIndivisible && count < range.to - range.from) return null;
     const from = range.to - count;
     const target = { shard: destination.shard, term };
-    return { job, record, range, from, target, balancing: destination.tasks === Infinity };
+    return { job, record, range, from, target, isBalancing: destination.tasks === Infinity };
   }
 
-  #lessAllocated(job: JobState, index: number, now: number): MigrationDestination | null {
+  /** Returns a less allocated shard if tasks of the job may migrate there without free capacity, else null. */
+  #balancingDestination(job: JobState, index: number, now: number): MigrationDestination | null {
     const since = job.unschedulableSince;
     if (since === null || now - since < BALANCING_DELAY_MS) return null;
     if (now - (this.#lastBalancedAt.get(index) ?? -Infinity) < BALANCING_INTERVAL_MS) return null;
@@ -135,12 +139,12 @@
     return shard === null ? null : { shard, tasks: Infinity };
   }
 
-  /** Repeats the transaction until its outcome is known, or the shard is owned no more. */
+  /** Repeats the transaction until its outcome is known or this node no longer owns the shard. */
   async #migrate(owned: OwnedShard, migration: Migration): Promise<void> {
     const { config, now } = this.dependencies;
     const { job, record, range, from } = migration;
     const value = encodeJob({ ...record.value, ranges: rangesAfter(migration) });
-    const maxBytes = config.storeLimits.valueBytes * RECORD_FILL_LIMIT;
+    const maxBytes = config.storeLimits.valueBytes * MAX_RECORD_FILL;
     if (JSON.stringify(value).length > maxBytes) return;
     const writes: Write[] = [{ put: key.activeJob(job.spec.uid), value }];
     owned.shard.beginMigration(job, from, range.to);
@@ -164,7 +168,7 @@
     const { client, cache, now, log } = this.dependencies;
     const { job, record, range, from, target } = migration;
     const { uid } = job.spec;
-    // Completions of the range may be saved for its old end; what a bitmap has too much is cut off.
+    // Completions of the range may still be saved with its old end; readers cut off the excess of the bitmap.
     const guards: Guard[] = [{ key: key.activeJob(uid), revision: record.revision }];
     const { authorization, shard } = owned;
     const priority = CALL_PRIORITY.completion;
@@ -180,21 +184,22 @@
   }
 
   /**
-   * A conflict after a lost answer may be the own success: only the present record tells. The cache must show it
-   * too, or the old one would bring the tasks back as not started.
+   * Settles a conflict by the current record: after a lost answer, the conflict may result from the success of an
+   * earlier attempt. The cache must show the current record too, because the old one would bring the tasks back as not
+   * started.
    */
   async #settleConflict({ shard }: OwnedShard, { job, from }: Migration): Promise<void> {
     const { client, cache, now } = this.dependencies;
     const { uid } = job.spec;
-    const found = await client.get(key.activeJob(uid), CALL_PRIORITY.completion);
-    let migrated = false;
-    if (!('missing' in found)) {
-      cache.applyOwn([{ put: key.activeJob(uid), value: found.value }], found.revision);
-      const { ranges } = decodeJob(uid, found.value);
-      migrated = !ranges.some(
+    const result = await client.get(key.activeJob(uid), CALL_PRIORITY.completion);
+    let isMigrated = false;
+    if (!('missing' in result)) {
+      cache.applyOwn([{ put: key.activeJob(uid), value: result.value }], result.revision);
+      const { ranges } = decodeJob(uid, result.value);
+      isMigrated = !ranges.some(
         (range) => range.shard === shard.index && range.from <= from && range.to > from,
       );
     }
-    shard.endMigration(job, migrated, now());
+    shard.endMigration(job, isMigrated, now());
   }
 }
--- a/test/controller-scene.ts
+++ b/test/controller-scene.ts
@@ -1,7 +1,8 @@
+/** A controller of shards with a scripted store, and helpers for its tests. */
 import pino from 'pino';
 import { parseOperatorConfig } from '../src/config/operator.js';
 import type { PlatformConfig } from '../src/config/platform.js';
-import { FAILBACK_MS } from '../src/core/ownership/constants.js';
+import { FAILBACK_DELAY_MS } from '../src/core/ownership/constants.js';
 import type { Heartbeat, JobRecord, TaskRange } from '../src/core/model.js';
 import type { OwnedShard } from '../src/shards/owned-shard.js';
 import { ShardController } from '../src/shards/shard-controller.js';
@@ -13,7 +14,7 @@
 import type { Write } from '@sumacstep/leader-election';
 import { job, machine, machineType, settings, silentRejections } from './helpers.js';
 
-/** Platform settings of node n0, with the peer n1. */
+/** Platform settings of node n0, whose only peer is n1. */
 export const CONFIG = {
   node: 'n0',
   nodes: 2,
@@ -26,41 +27,43 @@
 export const JOB = 'job-000001';
 export const JOB_KEY = `active/${JOB}`;
 
-/** The term of shard 1, and its record. */
+/** The term and the owner record of shard 1. */
 export const TERM = 5;
 export const SHARD_1 = { owner: 'n0', incarnation: 'a', term: TERM };
 
 type Outcome = CompareAndSwapResult | StoreRequestError;
 
-/** A change of the watch: a value, or none for a removal. */
-export const changed = (key: string, value: unknown, revision: number) => ({
+/** Returns a change of a key as the watch shows it; an undefined value is a removal. */
+export const watchChange = (key: string, value: unknown, revision: number) => ({
   key,
   value,
   revision,
   removed: value === undefined,
 });
 
-export const jobChanged = (record: JobRecord, revision: number) =>
-  changed(`active/${record.spec.uid}`, encodeJob(record), revision);
+/** Returns the change of a job's record as the watch shows it. */
+export const jobChange = (record: JobRecord, revision: number) =>
+  watchChange(`active/${record.spec.uid}`, encodeJob(record), revision);
 
-/** A call without an answer. */
+/** Returns the error of a call whose answer was lost. */
 export const noAnswer = () => new StoreRequestError('no_response', 'lost');
 
-/** Lets calls to the store return. */
-export const settle = () => new Promise((resolve) => setImmediate(resolve));
+/** Lets pending calls to the store return. */
+export const flushStoreCalls = () => new Promise((resolve) => setImmediate(resolve));
 
 /**
- * A controller that owns shard 1, whose preferred node n1 is back, with machine x and a job of one task. Calls to the
- * store can be made to fail.
+ * A controller on node n0 that owns both shards. Shard 1, whose preferred node n1 is live again, has machine x and a
+ * job with one task. Calls to the store can be made to fail.
  */
 export class ControllerScene {
   now = 0;
   leaseValid = true;
   cancellationsKnownUntil = Infinity;
-  /** what a linearizable read of the job finds; null: what the cache shows */
+  /** the result of a linearizable read of the job; null: the record that the cache shows */
   stored: { key: string; value: unknown; revision: number } | null = null;
-  capacityElsewhere: { shard: number; tasks: number } | null = null;
-  lessAllocated: number | null = null;
+  shardWithFreeCapacity: { shard: number; tasks: number } | null = null;
+  lessAllocatedShard: number | null = null;
+  /** returns the result of a compare-and-swap with these writes */
   outcome: (writes: readonly Write[]) => Outcome = () => ({ ok: true, epoch: 50 });
   readonly written: Write[][] = [];
   readonly cache = new WatchCache();
@@ -83,8 +86,8 @@
         reachablePeerWithStore: () => null,
         incarnationWithStore: (node) => (node === 'n1' ? 'b' : null),
         peerReceivingHeartbeats: () => null,
-        shardWithFreeCapacity: () => this.capacityElsewhere,
-        lessAllocatedShard: () => this.lessAllocated,
+        shardWithFreeCapacity: () => this.shardWithFreeCapacity,
+        lessAllocatedShard: () => this.lessAllocatedShard,
         imagesOf: () => new Map(),
         cancellationsKnownUntil: () => this.cancellationsKnownUntil,
       },
@@ -101,13 +104,13 @@
       revision: 20,
       consistentFrom: 20,
       changes: [
-        changed('term', TERM, 10),
-        changed('parts/0', { owner: 'n0', incarnation: 'a', term: 4 }, 9),
-        changed('parts/1', SHARD_1, 10),
-        changed('nodes/n0/a', { incarnation: 'a' }, 2),
-        changed('nodes/n1/b', { incarnation: 'b' }, 11),
-        changed('machines/g', encodeMachineGroup(group), 12),
-        jobChanged(job({}, TERM, 1), 13),
+        watchChange('term', TERM, 10),
+        watchChange('parts/0', { owner: 'n0', incarnation: 'a', term: 4 }, 9),
+        watchChange('parts/1', SHARD_1, 10),
+        watchChange('nodes/n0/a', { incarnation: 'a' }, 2),
+        watchChange('nodes/n1/b', { incarnation: 'b' }, 11),
+        watchChange('machines/g', encodeMachineGroup(group), 12),
+        jobChange(job({}, TERM, 1), 13),
       ],
     });
     this.tick();
@@ -126,43 +129,44 @@
     return result instanceof StoreRequestError ? Promise.reject(result) : Promise.resolve(result);
   }
 
+  /** Runs one round of the controller. */
   tick(): void {
     this.controller.tick();
   }
 
-  /** A round at that time, and what it sent to the store. */
+  /** Runs a round at that time, and lets its calls to the store return. */
   async tickAt(now: number): Promise<void> {
     this.now = now;
     this.tick();
-    await settle();
+    await flushStoreCalls();
   }
 
-  /** The watch shows nothing new up to a revision, or some changes. */
-  watched(revision: number, changes: readonly ReturnType<typeof changed>[] = []): void {
+  /** Lets the watch show the changes, if any, up to a revision. */
+  showChanges(revision: number, changes: readonly ReturnType<typeof watchChange>[] = []): void {
     this.cache.apply({ isListing: false, revision, changes: [...changes] });
   }
 
-  /** The round in which shard 1 fails back to its preferred node. */
+  /** Runs the round in which shard 1 fails back to its preferred node. */
   failback(): Promise<void> {
-    return this.tickAt(FAILBACK_MS);
+    return this.tickAt(FAILBACK_DELAY_MS);
   }
 
   owned(index: number): OwnedShard | undefined {
     return this.controller.owned.get(index);
   }
 
-  /** The term of a shard by what the cache shows. */
+  /** Returns the term of a shard according to the cache. */
   termOf(index: number): number | undefined {
     return this.cache.tables.shards.get(String(index))?.value.term;
   }
 
-  /** The ranges of the job by what the cache shows. */
+  /** Returns the ranges of the job according to the cache. */
   ranges(): readonly TaskRange[] | undefined {
     return this.cache.tables.activeJobs.get(JOB)?.value.ranges;
   }
 
-  /** The next heartbeat of machine x, which has seen the shard's term. */
-  heartbeat(over: Partial<Heartbeat> = {}) {
+  /** Sends the next heartbeat of machine x, which has seen the shard's term, and returns the response. */
+  heartbeat(overrides: Partial<Heartbeat> = {}) {
     this.#counter += 1;
     return this.controller.handleHeartbeat({
       machine: 'x',
@@ -175,7 +179,7 @@
       fencingToken: TERM,
       preemptionNoticeS: null,
       tasks: [],
-      ...over,
+      ...overrides,
     });
   }
 }
--- a/test/shard-controller.test.ts
+++ b/test/shard-controller.test.ts
@@ -1,3 +1,4 @@
+/** The shard controller: transfers with unknown outcome, lost shards, and heartbeats without authority. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { renewalWindowMs } from '../src/core/cancellation/lease-renewal.js';
@@ -5,27 +6,31 @@
 import { TRANSFER_SETTLE_MS } from '../src/shards/constants.js';
 import { encodeJob } from '../src/store/codecs/job.js';
 import {
-  changed,
+  watchChange,
   CONFIG,
   ControllerScene,
   JOB,
-  jobChanged,
+  jobChange,
   noAnswer,
-  settle,
+  flushStoreCalls,
   SHARD_1,
   TERM,
 } from './controller-scene.js';
 import { job } from './helpers.js';
 
-test('a transfer that fails leaves the shard as it was, with what it knows', async () => {
+test('a transfer that fails leaves the shard and its state unchanged', async () => {
   const scene = new ControllerScene();
   const before = scene.owned(1)!.shard;
   scene.outcome = () => ({ ok: false, failed: ['term'] });
   await scene.failback();
   scene.tick();
-  assert.ok(scene.written.length > 0, 'it was tried');
-  assert.equal(scene.owned(1)?.shard, before, 'the same object, never a second one');
-  assert.equal(scene.controller.mayActFor(scene.owned(1)!), true, 'and the node acts for it again');
+  assert.ok(scene.written.length > 0, 'the transfer was attempted');
+  assert.equal(scene.owned(1)?.shard, before, 'the state object is the same one');
+  assert.equal(
+    scene.controller.mayActFor(scene.owned(1)!),
+    true,
+    'the node acts for the shard again',
+  );
 });
 
 test('after a transfer without an answer the node acts again only under a new term', async () => {
@@ -35,31 +40,39 @@
   scene.tick();
   const transferring = scene.owned(1)!;
   assert.equal(transferring.state, 'transferring');
-  assert.equal(scene.controller.mayActFor(transferring), false, 'the peer may own it by now');
-  assert.equal(transferring.authorization.isValid(), false, 'no write or cloud call may leave');
+  assert.equal(
+    scene.controller.mayActFor(transferring),
+    false,
+    'the peer may own the shard by now',
+  );
+  assert.equal(
+    transferring.authorization.isValid(),
+    false,
+    'no write and no cloud call may be sent',
+  );
   scene.outcome = () => ({ ok: true, epoch: 60 });
   await scene.tickAt(scene.now + TRANSFER_SETTLE_MS + 1);
   assert.equal(scene.termOf(1), TERM + 1);
-  scene.watched(60);
+  scene.showChanges(60);
   scene.tick();
   const { shard } = scene.owned(1)!;
   assert.equal(shard.term, TERM + 1);
-  assert.equal(shard.recovered, false, 'and every machine has to send a heartbeat first');
+  assert.equal(shard.recovered, false, 'every machine has to send a heartbeat first');
 });
 
-test('a shard that was lost and shows up again is not built again under its term', async () => {
+test('a shard that was lost and appears again under the same term is acquired under a new term', async () => {
   const scene = new ControllerScene();
   scene.cache.tables.shards.delete('1');
   scene.tick();
   assert.equal(scene.owned(1), undefined);
-  scene.watched(21, [changed('parts/1', SHARD_1, 10)]);
+  scene.showChanges(21, [watchChange('parts/1', SHARD_1, 10)]);
   scene.tick();
   assert.equal(scene.owned(1), undefined);
-  await settle();
-  assert.equal(scene.termOf(1), TERM + 1, 'acquired under a new term instead');
+  await flushStoreCalls();
+  assert.equal(scene.termOf(1), TERM + 1, 'the shard is acquired under a new term');
 });
 
-test('a heartbeat is not answered, so renews no lease, once its shard is transferring or unknown', async () => {
+test('a heartbeat for a transferring shard or an unknown machine is not answered and renews no lease', async () => {
   const scene = new ControllerScene();
   assert.equal(scene.heartbeat({ fencingToken: 0 }).kind, 'answer');
   scene.outcome = noAnswer;
@@ -68,7 +81,7 @@
   assert.equal(scene.heartbeat({ fencingToken: 0, machine: 'unknown' }).kind, 'unavailable');
 });
 
-test('without authority running work keeps its lease, and nothing starts', () => {
+test('without authority running tasks keep their lease, and no task starts', () => {
   const scene = new ControllerScene();
   scene.leaseValid = false;
   assert.deepEqual(scene.heartbeat(), { kind: 'answer', fencingToken: TERM, commands: [] });
@@ -77,7 +90,7 @@
   assert.equal(reply.kind === 'answer' ? reply.commands.length : 0, 1);
 });
 
-test('without authority leases are renewed only while no unknown cancellation can be overdue', () => {
+test('without authority leases are renewed only while they expire in time for any unknown cancellation', () => {
   const scene = new ControllerScene();
   const attempt = { uid: JOB, index: 0, attempt: TERM * ATTEMPTS_PER_TERM + 1 };
   const tasks = [{ ...attempt, state: 'running' as const, why: null, saved: false }];
@@ -90,7 +103,7 @@
   scene.now += 1;
   assert.equal(scene.heartbeat({ tasks }).kind, 'unavailable');
   const machine = scene.owned(1)!.shard.machines.get('x')!;
-  assert.equal(machine.lastStatusAt, scene.now, 'the heartbeat counts as received all the same');
+  assert.equal(machine.lastStatusAt, scene.now, 'the heartbeat still counts as received');
   scene.cache.learnCancelled({ uid: JOB, tasks: 1, done: 0, epoch: 40 });
   scene.cancellationsKnownUntil = scene.now;
   scene.tick();
@@ -98,27 +111,27 @@
   assert.deepEqual(reply.kind === 'answer' && reply.commands, [
     { op: 'stop', ...attempt, graceS: 0 },
   ]);
-  // A listing or a change from before the cancellation does not bring the job back.
-  const changes = [jobChanged(job({}, TERM, 1), 13)];
+  // A listing or a change from before the cancellation must not bring the job back.
+  const changes = [jobChange(job({}, TERM, 1), 13)];
   scene.cache.apply({ isListing: true, revision: 30, consistentFrom: 30, changes });
   assert.equal(scene.cache.tables.activeJobs.has(JOB), false);
   assert.equal(scene.cache.finalStates.get(JOB)?.status, 'cancelled');
 });
 
-test('an own write shown late does not bring a cancelled job back to its shard', () => {
-  // The shard would have started the tasks of a job whose user was told that it is cancelled
+test('an own write whose answer comes late does not bring a cancelled job back to its shard', () => {
+  // Otherwise the shard starts tasks of a job that its user was told is cancelled
   // (docs/incidents/2026-12-02-went-back.md).
   const scene = new ControllerScene();
   const uid = 'job-000002';
   const record = job({ uid }, TERM, 1);
-  scene.watched(22, [
-    jobChanged(record, 21),
-    changed(`active/${uid}`, undefined, 22),
-    changed(`final/${uid}`, { status: 'cancelled', tasks: 1, done: 0 }, 22),
+  scene.showChanges(22, [
+    jobChange(record, 21),
+    watchChange(`active/${uid}`, undefined, 22),
+    watchChange(`final/${uid}`, { status: 'cancelled', tasks: 1, done: 0 }, 22),
   ]);
   scene.cache.applyOwn([{ put: `active/${uid}`, value: encodeJob(record) }], 21);
   scene.tick();
   const { shard } = scene.owned(1)!;
-  assert.ok(shard.jobs.has(JOB), 'the shard has its other job');
+  assert.ok(shard.jobs.has(JOB), 'the shard still has its other job');
   assert.ok(!shard.jobs.has(uid));
 });
