--- a/src/shards/completions/completion-batch.ts
+++ b/src/shards/completions/completion-batch.ts
@@ -1,20 +1,20 @@
-/** One transaction of completions, and what it saves if it is committed. */
+/** A transaction that saves completions, and the tasks and jobs that it saves if it is committed. */
 import type { Guard, Write } from '@sumacstep/leader-election';
 import { MAX_BATCH_BYTES } from './constants.js';
 import type { Transaction } from '../transaction.js';
 
-/** Tasks of one job that count as saved once the batch is committed. */
+/** Indexes of a job's tasks whose completion is saved once the batch is committed. */
 export interface SavedTasks {
   readonly uid: string;
   readonly indexes: readonly number[];
 }
 
-/** Collects writes up to the limits of a transaction. */
+/** Collects guarded writes up to the limits of one store transaction. */
 export class CompletionBatch implements Transaction {
   readonly guards: Guard[] = [];
   readonly writes: Write[] = [];
   readonly savedTasks: SavedTasks[] = [];
-  /** jobs that move to their final state */
+  /** uids of the jobs that get their final state */
   readonly finishedJobs: string[] = [];
   #bytes = 0;
 
@@ -24,19 +24,19 @@
     return this.writes.length === 0;
   }
 
-  /** Whether so many further writes of so many bytes fit. */
+  /** Returns whether that many more writes, with that many bytes in total, fit into the transaction. */
   fits(writes: number, bytes: number): boolean {
     return (
       this.writes.length + writes <= this.transactionOps && this.#bytes + bytes <= MAX_BATCH_BYTES
     );
   }
 
-  /** Counts bytes of writes that are added, or will be. */
+  /** Counts the bytes of writes that have been or will be added. */
   reserve(bytes: number): void {
     this.#bytes += bytes;
   }
 
-  /** Adds a write of one key that is carried out only if the key is still at the revision. */
+  /** Adds a write of one key, guarded by the key's revision. */
   add(write: Write, revision: number): void {
     this.writes.push(write);
     this.guards.push({ key: 'put' in write ? write.put : write.drop, revision });
--- a/src/shards/completions/completion-collector.ts
+++ b/src/shards/completions/completion-collector.ts
@@ -1,4 +1,4 @@
-/** Collects the completions of a shard that are due to be saved. */
+/** Collects the completions of a shard that are due to be saved into one transaction. */
 import { encodeFinalState } from '../../store/codecs/final-state.js';
 import { allDone, encodeDone } from '../../core/jobs/jobs.js';
 import type { JobRecord, TaskRange } from '../../core/model.js';
@@ -12,11 +12,11 @@
 import type { CompletionContext } from './completion-context.js';
 import { CompletionSlots, rangeName, slotBytes } from './completion-slots.js';
 
-/** A range of an unfinished job with completions that are not saved yet. */
+/** A range of an unfinished job that has unsaved completions. */
 interface RangeProgress {
   readonly job: JobState;
   readonly range: TaskRange;
-  /** the job has no open task left in this shard: somebody may wait for the end of this range */
+  /** whether the job has no open task left in this shard, so that the end of the job may depend on this range */
   readonly isUrgent: boolean;
 }
 
@@ -30,7 +30,10 @@
 const unsavedIn = (job: JobState, { from, to }: TaskRange): number[] =>
   [...job.unsavedTasks].filter((index) => index >= from && index < to);
 
-/** Whether every task is done: those of this shard by its own state, those of others by what they saved. */
+/**
+ * Returns whether every task of the job is done. For tasks of this shard its own state decides, for tasks of other
+ * shards the bitmaps that those have saved.
+ */
 const isFinished = (
   { cache }: CompletionContext,
   job: JobState,
@@ -46,6 +49,10 @@
   );
 };
 
+/**
+ * Adds the writes that replace the job's record by its final state. Leaves them to a later batch if they do not fit;
+ * an empty batch takes them regardless of their size.
+ */
 const addFinishedJob = (batch: CompletionBatch, job: JobState, revision: number): void => {
   const { uid, tasks } = job.spec;
   const finalState: FinalState = { status: 'done', tasks, done: tasks };
@@ -62,6 +69,7 @@
   batch.savedTasks.push({ uid, indexes: [...job.unsavedTasks] });
 };
 
+/** Adds the bitmaps of the ranges to the batch. Ranges whose slot does not fit are left to a later batch. */
 const addProgress = (
   { cache, storeLimits }: CompletionContext,
   batch: CompletionBatch,
@@ -84,10 +92,13 @@
     slots.get(slot).set(name, bitmap);
     batch.savedTasks.push({ uid, indexes: unsavedIn(job, range) });
   }
-  for (const slot of changed) slots.write(batch, slot);
+  for (const slot of changed) slots.addWrite(batch, slot);
 };
 
-/** Adds the job's end to the batch, or returns its ranges with unsaved completions. */
+/**
+ * Adds the job's final state to the batch if all its tasks are done, else returns its ranges with unsaved
+ * completions.
+ */
 const collectJob = (
   context: CompletionContext,
   batch: CompletionBatch,
@@ -107,8 +118,8 @@
 };
 
 /**
- * One batch: ended jobs move to their final state at once, completed tasks of the others go into bitmaps when
- * that is due. What has no room waits for the next batch.
+ * Collects one batch. Finished jobs get their final state at once; completed tasks of other jobs are recorded in
+ * bitmaps when that is due. Writes that do not fit are left to the next batch.
  */
 export const collectCompletions = (
   context: CompletionContext,
@@ -125,10 +136,10 @@
     if (active === undefined) continue;
     progress.push(...collectJob(context, batch, index, job, active));
   }
-  const isDue = owned.progressDue(now) || progress.some(({ isUrgent }) => isUrgent);
+  const isDue = owned.isProgressSaveDue(now) || progress.some(({ isUrgent }) => isUrgent);
   if (isDue && progress.length > 0) {
     addProgress(context, batch, index, progress);
-    owned.noteProgress(now);
+    owned.recordProgressSave(now);
   }
   return batch;
 };
--- a/src/shards/completions/completion-context.ts
+++ b/src/shards/completions/completion-context.ts
@@ -1,8 +1,8 @@
-/** The input that collecting and splitting of completions share. */
+/** The input shared by the modules that collect completions and split their ranges and slots. */
 import type { WatchCache } from '../../store/watch-cache.js';
 import type { StoreSizeLimits } from '../transaction.js';
 
-/** What decisions on completions are made from. */
+/** The cached store state and the store limits from which batches of completions are computed. */
 export interface CompletionContext {
   readonly cache: WatchCache;
   readonly storeLimits: StoreSizeLimits;
--- a/src/shards/completions/completion-saver.ts
+++ b/src/shards/completions/completion-saver.ts
@@ -1,4 +1,4 @@
-/** Saves completions of the shards that this node owns. */
+/** Saves the completions of the shards that this node owns to the store. */
 import { fencedCompareAndSwap } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import { CALL_PRIORITY } from '../../store/call-priority.js';
@@ -13,19 +13,19 @@
 import { splitLongRange } from './range-splitting.js';
 import { SlotSplitter } from './slot-splitting.js';
 
-/** What saving completions needs of the process. */
+/** The store client, cache, limits and clock that `CompletionSaver` uses. */
 export interface CompletionSaverDependencies {
   readonly config: { readonly storeLimits: StoreSizeLimits };
   readonly client: Pick<StoreClient, 'compareAndSwap'>;
   readonly cache: WatchCache;
-  /** steady ms */
+  /** monotonic ms */
   readonly now: () => number;
   readonly log: Logger;
 }
 
 /**
- * Moves ended jobs to their final state, and records completed tasks of the others. Values and ranges that are
- * too large for the store's present limits are split first.
+ * Writes the final states of finished jobs and the completed tasks of other jobs. First splits slots and ranges that
+ * are too large for the store's current limits.
  */
 export class CompletionSaver {
   readonly #context: CompletionContext;
@@ -37,9 +37,9 @@
     this.#splitter = new SlotSplitter(this.#context);
   }
 
-  /** Saves one batch of the shard if that is due; one that fails is collected anew in a later round. */
+  /** Saves one batch of the shard if that is due. After a failure the batch is collected anew in a later round. */
   async save(owned: OwnedShard, now: number): Promise<void> {
-    if (!owned.saveDue(now)) return;
+    if (!owned.isSaveDue(now)) return;
     const { shard } = owned;
     const batch =
       splitLongRange(this.#context, shard) ??
@@ -52,7 +52,7 @@
     } catch (error) {
       if (!(error instanceof StoreRequestError)) throw error;
       const { log } = this.dependencies;
-      log.debug({ shard: shard.index, error: error.message }, 'completions save failed');
+      log.debug({ shard: shard.index, error: error.message }, 'saving completions failed');
     } finally {
       owned.endSave(this.dependencies.now());
     }
@@ -63,7 +63,7 @@
     const { guards, writes } = batch;
     const priority = CALL_PRIORITY.completion;
     const result = await fencedCompareAndSwap(client, authorization, priority, guards, writes);
-    // On a conflict the cache is behind, and will show what has changed.
+    // On a conflict the cache is behind the store, and a later round sees the change.
     if (!result.ok) return;
     for (const { uid, indexes } of batch.savedTasks) shard.completionsSaved(uid, indexes);
     for (const uid of batch.finishedJobs) {
--- a/src/shards/completions/completion-slots.ts
+++ b/src/shards/completions/completion-slots.ts
@@ -1,6 +1,6 @@
 /**
- * Packing of completion bitmaps into slots. A slot is one stored value with the bitmaps of many ranges of a
- * shard, so that a shard costs about one write in a while, however many arrays it runs.
+ * Packing of completion bitmaps into slots. A slot is one stored value that holds the bitmaps of many ranges of a
+ * shard, so a shard needs about one write per save interval, however many array jobs it runs.
  */
 import { SLOT_FILL } from '../../core/jobs/constants.js';
 import { encodeCompletions, type CompletionBitmaps } from '../../store/codecs/completions.js';
@@ -8,14 +8,14 @@
 import type { WatchCache } from '../../store/watch-cache.js';
 import type { CompletionBatch } from './completion-batch.js';
 
-/** Bytes of a slot's stored value. */
+/** Returns the size of a slot's stored value in bytes. */
 export const slotBytes = (slot: CompletionBitmaps): number =>
   JSON.stringify(encodeCompletions(slot)).length;
 
-/** Hex characters of a bitmap that covers so many tasks. */
+/** Returns the number of hex characters of a bitmap that covers that many tasks. */
 export const bitmapLength = (tasks: number): number => Math.ceil(tasks / 4);
 
-/** The name of a range within a slot. */
+/** Returns the name of a range within a slot. */
 export const rangeName = (uid: string, from: number): string => `${uid}/${from}`;
 
 const parseRangeName = (name: string): { readonly uid: string; readonly from: number } => {
@@ -23,7 +23,7 @@
   return { uid: name.slice(0, separator), from: Number(name.slice(separator + 1)) };
 };
 
-/** The shard's part of the cached slots, with their numbers. */
+/** Yields the number and value of each cached slot of the shard. */
 export function* storedSlots(
   cache: WatchCache,
   shard: number,
@@ -35,8 +35,8 @@
 }
 
 /**
- * The bitmaps of a slot without those of ended jobs, cut to the present ends of their ranges. A range that
- * stands in two slots is done where either says so, whichever copy an owner went on with.
+ * Returns the bitmaps of a slot without those of ended jobs, cut to the current ends of their ranges. A range may be
+ * in two slots, and owners may have updated either copy: a task is done if one of them says so.
  */
 const liveBitmaps = (
   cache: WatchCache,
@@ -47,7 +47,9 @@
   for (const name of slot.keys()) {
     const { uid, from } = parseRangeName(name);
     const job = cache.tables.activeJobs.get(uid);
-    const range = job?.value.ranges.find((each) => each.shard === shard && each.from === from);
+    const range = job?.value.ranges.find(
+      (candidate) => candidate.shard === shard && candidate.from === from,
+    );
     const bitmap = cache.completedTasks(shard, uid, from);
     if (range === undefined || bitmap === undefined) continue;
     live.set(name, bitmap.slice(0, bitmapLength(range.to - from)));
@@ -55,18 +57,18 @@
   return live;
 };
 
-/** Working copies of a shard's slots, into which bitmaps are put before they are written. */
+/** Working copies of a shard's slots, which are updated before they are written. */
 export class CompletionSlots {
   private constructor(
     private readonly cache: WatchCache,
     private readonly shard: number,
     private readonly valueBytes: number,
     private readonly slots: Map<number, Map<string, string>>,
-    /** a slot that takes no bitmaps */
+    /** number of a slot that takes no bitmaps */
     private readonly excluded: number | null,
   ) {}
 
-  /** The live bitmaps of all slots that the cache shows. */
+  /** Returns working copies of all cached slots of the shard, without the bitmaps of ended jobs. */
   static load(cache: WatchCache, shard: number, valueBytes: number): CompletionSlots {
     const slots = new Map<number, Map<string, string>>();
     for (const [slot, value] of storedSlots(cache, shard)) {
@@ -75,7 +77,7 @@
     return new CompletionSlots(cache, shard, valueBytes, slots, null);
   }
 
-  /** The same copies without one slot, which also gets no new bitmaps. */
+  /** Returns the same copies without one slot, whose number is also not used for new bitmaps. */
   without(excluded: number): CompletionSlots {
     const others = new Map([...this.slots].filter(([slot]) => slot !== excluded));
     return new CompletionSlots(this.cache, this.shard, this.valueBytes, others, excluded);
@@ -89,15 +91,15 @@
     return this.slots.get(slot)!;
   }
 
-  /** The slot that holds the range, if any does. */
-  find(range: string): number | null {
+  /** Returns the slot that holds the range, or null if none does. */
+  findSlot(range: string): number | null {
     for (const [slot, bitmaps] of this.slots) if (bitmaps.has(range)) return slot;
     return null;
   }
 
-  /** The slot that holds the range already, else the first one with room, else a new one. */
+  /** Returns the slot that holds the range already, else the first one with enough space, else a new one. */
   slotFor(range: string, bitmap: string): number {
-    const present = this.find(range);
+    const present = this.findSlot(range);
     if (present !== null) return present;
     const maxBytes = this.valueBytes * SLOT_FILL - bitmap.length;
     let slot = 0;
@@ -108,23 +110,27 @@
     return slot;
   }
 
-  /** Puts a bitmap into the slot that suits it, and says which one that is. */
+  /** Puts a bitmap into the slot that `slotFor` selects, and returns that slot. */
   place(range: string, bitmap: string): number {
     const slot = this.slotFor(range, bitmap);
     this.get(slot).set(range, bitmap);
     return slot;
   }
 
-  /** The bitmap that the store is known to hold in this slot. */
-  stored(slot: number, range: string): string | undefined {
+  /** Returns the range's bitmap in this slot as the cache shows it. */
+  storedBitmap(slot: number, range: string): string | undefined {
     return this.cache.tables.completions.get(`${this.shard}/${slot}`)?.value.get(range);
   }
 
   /**
-   * Adds the write of a slot to the batch. A write without an answer may be carried out after newer ones and
-   * would undo what those saved, so it depends on the slot's revision.
+   * Adds the write of a slot to the batch. The write is guarded by the slot's revision, because a write whose answer
+   * was lost may be carried out after newer ones and would otherwise undo them.
    */
-  write(batch: CompletionBatch, slot: number, bitmaps: CompletionBitmaps = this.get(slot)): void {
+  addWrite(
+    batch: CompletionBatch,
+    slot: number,
+    bitmaps: CompletionBitmaps = this.get(slot),
+  ): void {
     const revision = this.cache.tables.completions.get(`${this.shard}/${slot}`)?.revision ?? 0;
     const value = encodeCompletions(bitmaps);
     batch.add({ put: key.completions(this.shard, slot), value }, revision);
--- a/src/shards/completions/range-splitting.ts
+++ b/src/shards/completions/range-splitting.ts
@@ -1,5 +1,6 @@
 /**
- * Splitting of ranges that were cut when values of the store could be larger, and whose bitmaps fit none now.
+ * Splitting of ranges that were created while the store allowed larger values, and whose bitmaps no longer fit into
+ * one value.
  */
 import { MAX_RANGE_TASKS } from '../../core/jobs/constants.js';
 import { maxRangeTasks } from '../../core/jobs/jobs.js';
@@ -12,48 +13,59 @@
 import type { CompletionContext } from './completion-context.js';
 import { bitmapLength, CompletionSlots, rangeName } from './completion-slots.js';
 
-/** Where a range is cut: its end becomes as long as a range may be, on a full character of the bitmap. */
-const cutPoint = ({ from, to }: TaskRange, maxTasks: number): number =>
+/**
+ * Returns the index of the task at which to split a range. The second part becomes at most as long as a range may be,
+ * and begins at a full character of the bitmap.
+ */
+const splitIndex = ({ from, to }: TaskRange, maxTasks: number): number =>
   from + Math.ceil((to - from - maxTasks) / 4) * 4;
 
-const cutRange = (ranges: readonly TaskRange[], long: TaskRange, cut: number): TaskRange[] =>
+const rangesAfterSplit = (
+  ranges: readonly TaskRange[],
+  longRange: TaskRange,
+  splitAt: number,
+): TaskRange[] =>
   ranges.flatMap((range) =>
-    range === long
+    range === longRange
       ? [
-          { ...range, to: cut },
-          { ...range, from: cut },
+          { ...range, to: splitAt },
+          { ...range, from: splitAt },
         ]
       : [range],
   );
 
-/** Null if the job's record would not fit a value with one more range. */
+/** Returns the batch that splits the range, or null if the job's record with one more range would not fit a value. */
 const splitRange = (
   { cache, storeLimits }: CompletionContext,
   shard: number,
   job: Cached<JobRecord>,
-  long: TaskRange,
+  longRange: TaskRange,
 ): CompletionBatch | null => {
   const { valueBytes, transactionOps } = storeLimits;
   const { uid } = job.value.spec;
-  const cut = cutPoint(long, maxRangeTasks(valueBytes));
-  const value = encodeJob({ ...job.value, ranges: cutRange(job.value.ranges, long, cut) });
+  const splitAt = splitIndex(longRange, maxRangeTasks(valueBytes));
+  const value = encodeJob({
+    ...job.value,
+    ranges: rangesAfterSplit(job.value.ranges, longRange, splitAt),
+  });
   if (JSON.stringify(value).length > valueBytes) return null;
   const batch = new CompletionBatch(transactionOps);
   batch.add({ put: key.activeJob(uid), value }, job.revision);
-  // The value may still hold the bitmap of an earlier, longer cut.
+  // The stored bitmap may still be that of the range before an earlier split, and so longer than the range.
   const bitmap = cache
-    .completedTasks(shard, uid, long.from)
-    ?.slice(bitmapLength(cut - long.from), bitmapLength(long.to - long.from));
+    .completedTasks(shard, uid, longRange.from)
+    ?.slice(bitmapLength(splitAt - longRange.from), bitmapLength(longRange.to - longRange.from));
   if (bitmap !== undefined && bitmap.length > 0) {
     const slots = CompletionSlots.load(cache, shard, valueBytes);
-    slots.write(batch, slots.place(rangeName(uid, cut), bitmap));
+    slots.addWrite(batch, slots.place(rangeName(uid, splitAt), bitmap));
   }
   return batch;
 };
 
 /**
- * Cuts the end off one range of the shard that is too long: it becomes a range of its own, with its part of
- * the bitmap, in one transaction. Whoever reads before or after sees all of it. Null if no range is too long.
+ * Returns a batch that splits one range of the shard that is too long, or null if there is none that can be split.
+ * The end of the range becomes a range of its own. Its part of the bitmap moves in the same transaction, so a reader
+ * sees all completed tasks before and after the split.
  */
 export const splitLongRange = (
   context: CompletionContext,
@@ -63,11 +75,11 @@
   if (maxTasks >= MAX_RANGE_TASKS) return null;
   for (const { spec, ended } of jobs.values()) {
     const job = ended ? undefined : context.cache.tables.activeJobs.get(spec.uid);
-    const long = job?.value.ranges.find(
+    const longRange = job?.value.ranges.find(
       (range) => range.shard === index && range.to - range.from > maxTasks,
     );
-    if (job === undefined || long === undefined) continue;
-    const batch = splitRange(context, index, job, long);
+    if (job === undefined || longRange === undefined) continue;
+    const batch = splitRange(context, index, job, longRange);
     if (batch !== null) return batch;
   }
   return null;
--- a/src/shards/owned-shard.ts
+++ b/src/shards/owned-shard.ts
@@ -1,101 +1,106 @@
 /**
- * A shard that this node owns under one term, with the state of the work that the control loops do for it.
- * Built once per term; the controller drops it when the store shows another owner or a higher term.
+ * A shard that this node owns under one term, and the progress of its transfer, saves and probes. It is built once per
+ * term, and dropped when the store shows another owner or a higher term.
  */
 import type { Authorization } from '@sumacstep/leader-election';
 import type { Shard } from '../core/shard/shard.js';
 import { PROGRESS_SAVE_INTERVAL_MS, COMPLETION_SAVE_INTERVAL_MS } from './completions/constants.js';
 
 /**
- * `transferring`: a transaction that names another owner has been sent and its outcome is not known, so this
- * node must not act for the shard, whatever becomes of the transaction.
+ * The state of an owned shard. `transferring` means that a transaction that names another owner has been sent and its
+ * outcome is unknown, so this node must not act for the shard.
  */
 export type OwnedShardState = 'active' | 'transferring';
 
-/** Guards the transitions of an owned shard: transfer, saving of completions, probes of workers. */
+/** An owned shard; tracks whether a transfer, a save of completions or a probe of a worker is in progress. */
 export class OwnedShard {
   #state: OwnedShardState = 'active';
   #saving = false;
   #lastSaveAt: number;
-  #lastProgressAt: number;
-  #needsFullSync = true;
+  #lastProgressSaveAt: number;
+  #fullSyncRequested = true;
+  /** machines with a probe in progress or in the pause after one */
   readonly #probing = new Set<string>();
 
   constructor(
     readonly shard: Shard,
-    /** the right to act for the shard under its term */
+    /** authorizes writes and calls for the shard under its term */
     readonly authorization: Authorization,
-    /** steady ms */
+    /** monotonic ms */
     createdAt: number,
   ) {
     this.#lastSaveAt = createdAt;
-    this.#lastProgressAt = createdAt;
+    this.#lastProgressSaveAt = createdAt;
   }
 
   get state(): OwnedShardState {
     return this.#state;
   }
 
-  /** Whether no transfer is under way. It does not prove ownership: that is what the authority is for. */
+  /** Whether no transfer is in progress. This does not prove that this node owns the shard; `Authority` does. */
   get isActive(): boolean {
     return this.#state === 'active';
   }
 
-  /** Ends all acting for the shard; called before a transaction that names another owner is sent. */
+  /** Stops this node from acting for the shard. Called before a transaction that names another owner is sent. */
   suspend(): void {
     this.#state = 'transferring';
   }
 
-  /** Goes on, once the transfer is known to have failed. */
+  /** Lets this node act for the shard again, once the transfer is known to have failed. */
   resume(): void {
     this.#state = 'active';
   }
 
-  /** Changes of the cache pass by while the shard is not synchronized: the next time it takes in everything. */
-  requireFullSync(): void {
-    this.#needsFullSync = true;
+  /** Requests a full synchronization from the cache, because the shard missed changes while it was not active. */
+  requestFullSync(): void {
+    this.#fullSyncRequested = true;
   }
 
-  /** Whether the shard has to take in everything, which the caller then does. */
-  takeFullSync(): boolean {
-    const needed = this.#needsFullSync;
-    this.#needsFullSync = false;
+  /** Returns whether a full synchronization is requested, and clears the request: the caller has to carry it out. */
+  consumeFullSyncRequest(): boolean {
+    const needed = this.#fullSyncRequested;
+    this.#fullSyncRequested = false;
     return needed;
   }
 
-  /** Whether completions may be saved now: one write at a time, at least `COMPLETION_SAVE_INTERVAL_MS` after the last one. */
-  saveDue(now: number): boolean {
+  /**
+   * Returns whether completions may be saved now: no save is in progress, and the last one ended at least
+   * `COMPLETION_SAVE_INTERVAL_MS` ago.
+   */
+  isSaveDue(now: number): boolean {
     return !this.#saving && now - this.#lastSaveAt >= COMPLETION_SAVE_INTERVAL_MS;
   }
 
+  /** Marks a save as in progress. */
   beginSave(): void {
     this.#saving = true;
   }
 
-  /** Ends a save, whatever its outcome. */
+  /** Marks the save as ended, whether it succeeded or failed. */
   endSave(now: number): void {
     this.#saving = false;
     this.#lastSaveAt = now;
   }
 
-  /** Whether completions that end neither a job nor a range are due. */
-  progressDue(now: number): boolean {
-    return now - this.#lastProgressAt >= PROGRESS_SAVE_INTERVAL_MS;
+  /** Returns whether completions that end neither a job nor a range are due to be saved. */
+  isProgressSaveDue(now: number): boolean {
+    return now - this.#lastProgressSaveAt >= PROGRESS_SAVE_INTERVAL_MS;
   }
 
-  /** Progress is part of a save that is about to be sent. */
-  noteProgress(now: number): void {
-    this.#lastProgressAt = now;
+  /** Records that a save that is about to be sent contains such completions. */
+  recordProgressSave(now: number): void {
+    this.#lastProgressSaveAt = now;
   }
 
-  /** Claims the probe of a worker; false if one is under way, or has ended just now. */
+  /** Starts a probe of a worker. Returns false if one is in progress or has ended just now. */
   beginProbe(machine: string): boolean {
     if (this.#probing.has(machine)) return false;
     this.#probing.add(machine);
     return true;
   }
 
-  /** Allows the next probe of the worker. */
+  /** Allows the next probe of the worker; called after the pause that follows a probe. */
   endProbe(machine: string): void {
     this.#probing.delete(machine);
   }
--- a/src/shards/owned-shards.ts
+++ b/src/shards/owned-shards.ts
@@ -1,6 +1,6 @@
 /**
- * The shards that this node owns by what the watch cache shows (*observe*): builds the state of an acquired shard,
- * drops that of a lost one, and keeps the rest in step with the cache.
+ * The shards that this node owns according to the watch cache. Builds the state of an acquired shard, drops the state
+ * of a lost one, and updates the state of all others from the cache. This is the *observe* step of each round.
  */
 import { Authorization, fencingToken, type FencingRejections } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
@@ -13,27 +13,27 @@
 import type { Authority } from './authority.js';
 import { OwnedShard } from './owned-shard.js';
 
-/** What building and updating owned shards needs of the process. */
+/** The settings, cache and clocks that `OwnedShards` uses to build and update the state of shards. */
 export interface OwnedShardsDependencies {
   readonly config: PlatformConfig;
   readonly incarnation: string;
   readonly cache: WatchCache;
   readonly authority: Authority;
   readonly fencingRejections: FencingRejections;
-  /** null until the cloud has told them */
+  /** machine types by name; null until the cloud has returned them */
   readonly machineTypes: () => ReadonlyMap<string, MachineType> | null;
   readonly shardOptions: Pick<ShardSettings, 'preempt' | 'startObjectives' | 'imagesOf'>;
-  /** steady ms */
+  /** monotonic ms */
   readonly now: () => number;
-  /** ms */
+  /** wall clock, ms */
   readonly timeOfDay: () => number;
   readonly log: Logger;
 }
 
-/** Owned shards by index, each built at most once per term. */
+/** Holds the owned shards by index; the state of each is built at most once per term. */
 export class OwnedShards {
   readonly #byIndex = new Map<number, OwnedShard>();
-  /** the newest term under which each shard was built here */
+  /** by shard: the last term under which its state was built here */
   readonly #builtTerms = new Map<number, number>();
 
   constructor(private readonly dependencies: OwnedShardsDependencies) {}
@@ -42,63 +42,63 @@
     return this.#byIndex;
   }
 
-  /** Whether this node acts for the shard now, under the term that `owned` stands for. */
+  /** Returns whether this node may act for the shard now, under the term of `owned`. */
   mayActFor(owned: OwnedShard): boolean {
     const { authority, now } = this.dependencies;
     return this.isCurrent(owned) && owned.isActive && authority.holds(now());
   }
 
-  /** Whether `owned` has not been dropped or replaced. */
+  /** Returns whether `owned` has not been dropped or replaced. */
   isCurrent(owned: OwnedShard): boolean {
     return this.#byIndex.get(owned.shard.index) === owned;
   }
 
-  /** Whether `shard` is the state of a shard that is owned still. */
+  /** Returns whether `shard` is the current state of an owned shard. */
   isCurrentState(shard: Shard): boolean {
     return this.#byIndex.get(shard.index)?.shard === shard;
   }
 
-  /** Drops all of them. */
+  /** Drops all owned shards. */
   clear(): void {
     this.#byIndex.clear();
   }
 
   /**
-   * Takes in what the cache has changed. Returns the shards that the store shows as owned by this node but that
-   * must not be built again under their term: they have to be acquired under a new one.
+   * Updates the owned shards from the changes of the cache. Returns the shards that the store shows as owned by this
+   * node but whose state must not be built again under their term: they have to be acquired under a new term.
    */
   refresh(now: number): number[] {
     const { cache, config, machineTypes } = this.dependencies;
     const types = machineTypes();
     const changes = cache.takeChanges();
-    const toReacquire: number[] = [];
+    const shardsToReacquire: number[] = [];
     for (let index = 0; index < config.nodes; index++) {
       const record = this.#ownRecord(index);
       this.#dropIfLost(index, record);
       if (record === undefined) continue;
       if (!this.#byIndex.has(index)) {
-        // What was started under a term is known only to the object that started it. Built a second
-        // time under the same term, it would regard everything as not started and start tasks twice
+        // Only the state object that started tasks under a term knows of these starts. A state built a
+        // second time under the same term would regard all tasks as not started and start them twice
         // (docs/incidents/2026-12-01-handover-conflict.md). So the shard is acquired under a new term.
         if (this.#builtTerms.get(index) === record.value.term) {
-          toReacquire.push(index);
+          shardsToReacquire.push(index);
           continue;
         }
-        // Everything that earlier owners knew must be known here first.
+        // The cache must first show everything that earlier owners knew.
         if (types === null || cache.revision < record.revision) continue;
         this.#build(index, record, types, now);
       }
       this.#sync(index, this.#byIndex.get(index)!, changes, now);
     }
-    return toReacquire;
+    return shardsToReacquire;
   }
 
-  /** The shard's record, if it names this life of this node. */
+  /** Returns the shard's record if it names this incarnation of this node. */
   #ownRecord(index: number): Cached<ShardRecord> | undefined {
     const { cache, config, incarnation } = this.dependencies;
     const record = cache.tables.shards.get(String(index));
-    const own = record?.value.owner === config.node && record.value.incarnation === incarnation;
-    return own ? record : undefined;
+    const isOwn = record?.value.owner === config.node && record.value.incarnation === incarnation;
+    return isOwn ? record : undefined;
   }
 
   #dropIfLost(index: number, record: Cached<ShardRecord> | undefined): void {
@@ -130,7 +130,7 @@
     log.info({ shard: index, term }, 'shard activated');
   }
 
-  /** The right to act for a shard under its term, which is its fencing token. */
+  /** Returns the authorization for a shard under its term, which is its fencing token. */
   #authorization(shard: Shard, revision: number): Authorization {
     const isCurrent = () => {
       const owned = this.#byIndex.get(shard.index);
@@ -144,10 +144,10 @@
 
   #sync(index: number, owned: OwnedShard, changes: CacheChanges, now: number): void {
     if (!owned.isActive) {
-      owned.requireFullSync();
+      owned.requestFullSync();
       return;
     }
-    const full = owned.takeFullSync() || changes.everything;
+    const full = owned.consumeFullSyncRequest() || changes.everything;
     const changed = changes.machines || changes.jobs.size > 0 || owned.shard.hasDeferredJobs;
     if (!full && !changed) return;
     const { cache, timeOfDay } = this.dependencies;
--- a/test/owned-shard.test.ts
+++ b/test/owned-shard.test.ts
@@ -1,3 +1,4 @@
+/** The state of an owned shard: transfer, full synchronization, saves of completions, and probes. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -8,7 +9,7 @@
 
 const owned = () => ownedShard(shardWith(new Store()));
 
-test('an owned shard is active until a transfer begins, and again once that has failed', () => {
+test('an owned shard is inactive from the start of a transfer until the transfer has failed', () => {
   const shard = owned();
   assert.equal(shard.isActive, true);
   shard.suspend();
@@ -17,35 +18,35 @@
   assert.deepEqual([shard.state, shard.isActive], ['active', true]);
 });
 
-test('a new shard takes in everything once, and again when changes passed it by', () => {
+test('a full synchronization is due once for a new shard, and once after each request', () => {
   const shard = owned();
-  assert.equal(shard.takeFullSync(), true);
-  assert.equal(shard.takeFullSync(), false);
-  shard.requireFullSync();
-  assert.equal(shard.takeFullSync(), true);
-  assert.equal(shard.takeFullSync(), false);
+  assert.equal(shard.consumeFullSyncRequest(), true);
+  assert.equal(shard.consumeFullSyncRequest(), false);
+  shard.requestFullSync();
+  assert.equal(shard.consumeFullSyncRequest(), true);
+  assert.equal(shard.consumeFullSyncRequest(), false);
 });
 
-test('completions are saved one write at a time, with a pause that counts from its end', () => {
+test('completions are saved one write at a time, with a pause from the end of the last write', () => {
   const shard = owned();
-  assert.equal(shard.saveDue(COMPLETION_SAVE_INTERVAL_MS - 1), false);
-  assert.equal(shard.saveDue(COMPLETION_SAVE_INTERVAL_MS), true);
+  assert.equal(shard.isSaveDue(COMPLETION_SAVE_INTERVAL_MS - 1), false);
+  assert.equal(shard.isSaveDue(COMPLETION_SAVE_INTERVAL_MS), true);
   shard.beginSave();
-  assert.equal(shard.saveDue(10 * COMPLETION_SAVE_INTERVAL_MS), false, 'one is under way');
+  assert.equal(shard.isSaveDue(10 * COMPLETION_SAVE_INTERVAL_MS), false, 'a save is in progress');
   shard.endSave(10 * COMPLETION_SAVE_INTERVAL_MS);
-  assert.equal(shard.saveDue(11 * COMPLETION_SAVE_INTERVAL_MS - 1), false);
-  assert.equal(shard.saveDue(11 * COMPLETION_SAVE_INTERVAL_MS), true);
+  assert.equal(shard.isSaveDue(11 * COMPLETION_SAVE_INTERVAL_MS - 1), false);
+  assert.equal(shard.isSaveDue(11 * COMPLETION_SAVE_INTERVAL_MS), true);
 });
 
-test('progress is due a while after the last one', () => {
+test('a save of progress is due one interval after the last one', () => {
   const shard = owned();
-  assert.equal(shard.progressDue(PROGRESS_SAVE_INTERVAL_MS - 1), false);
-  assert.equal(shard.progressDue(PROGRESS_SAVE_INTERVAL_MS), true);
-  shard.noteProgress(PROGRESS_SAVE_INTERVAL_MS);
-  assert.equal(shard.progressDue(2 * PROGRESS_SAVE_INTERVAL_MS - 1), false);
+  assert.equal(shard.isProgressSaveDue(PROGRESS_SAVE_INTERVAL_MS - 1), false);
+  assert.equal(shard.isProgressSaveDue(PROGRESS_SAVE_INTERVAL_MS), true);
+  shard.recordProgressSave(PROGRESS_SAVE_INTERVAL_MS);
+  assert.equal(shard.isProgressSaveDue(2 * PROGRESS_SAVE_INTERVAL_MS - 1), false);
 });
 
-test('a worker is probed once at a time', () => {
+test('a worker gets only one probe at a time', () => {
   const shard = owned();
   assert.equal(shard.beginProbe('x'), true);
   assert.equal(shard.beginProbe('x'), false);
