--- a/src/shards/direct-commands.ts
+++ b/src/shards/direct-commands.ts
@@ -1,7 +1,7 @@
 /**
- * Commands that should not wait for a worker's next heartbeat: stops, starts, and probes that tell a worker of the
- * shard's term. Each has a socket of its own while it is in flight, so their number is limited; the rest goes out in
- * the next round, or with the answer to the worker's heartbeat.
+ * Commands that are sent to workers directly instead of with the answer to their next heartbeat: stops, starts, and
+ * probes that tell a worker the shard's term. Each message uses a socket of its own while it is in flight, so the
+ * number in flight is limited. The remaining commands are sent in a later round, or with the answer to a heartbeat.
  */
 import type { Command } from '../core/model.js';
 import type { MachineState, Placement, Shard } from '../core/shard/shard.js';
@@ -9,55 +9,55 @@
 import { PROBE_PAUSE_MS } from './constants.js';
 import type { OwnedShard } from './owned-shard.js';
 
-/** attempts for a worker whose agent epoch turns out to be another one */
+/** Maximum number of attempts to send a message to a worker whose agent epoch differs from the known one. */
 const MAX_ATTEMPTS = 2;
 
-/** What direct commands need of the process. */
+/** The socket limit, ownership check and clock that `DirectCommands` uses. */
 export interface DirectCommandsDependencies {
-  /** sockets that direct commands may use at a time */
+  /** maximum number of sockets that direct commands use at a time */
   readonly maxInFlight: number;
-  /** whether this node still owns the shard under the term of this object */
+  /** whether this node still owns the shard under the term of this state */
   readonly isOwned: (shard: Shard) => boolean;
-  /** steady ms */
+  /** monotonic ms */
   readonly now: () => number;
 }
 
-/** One message to a worker, and the placements that its starts stand for. */
+/** A message to a worker, and the placements to which its start commands belong. */
 interface Message {
   readonly machine: MachineState;
   readonly commands: readonly Command[];
   readonly starts: readonly Placement[];
 }
 
-/** Sends commands to workers directly. */
+/** Sends commands to workers without waiting for a heartbeat. */
 export class DirectCommands {
   #inFlight = 0;
 
   constructor(private readonly dependencies: DirectCommandsDependencies) {}
 
-  /** Sends stops alone: under the shard's own term they are safe whatever else is known, so need no authority. */
+  /** Sends only stops. They need no authority, since they are always safe under the shard's own term. */
   sendStops(owned: OwnedShard, now: number): void {
-    for (const message of owned.shard.directCommands(now, this.#free, false)) {
+    for (const message of owned.shard.directCommands(now, this.#freeSockets, false)) {
       void this.#send(owned, message);
     }
   }
 
-  /** Sends starts and stops, and probes workers that may not know the term; to be called with authority only. */
+  /** Sends starts and stops, and probes workers that may not know the term. The caller must have authority. */
   sendAll(owned: OwnedShard, now: number): void {
-    for (const message of owned.shard.directCommands(now, this.#free, true)) {
+    for (const message of owned.shard.directCommands(now, this.#freeSockets, true)) {
       void this.#send(owned, message);
     }
     this.#probe(owned);
   }
 
-  get #free(): number {
+  get #freeSockets(): number {
     return this.dependencies.maxInFlight - this.#inFlight;
   }
 
   #probe(owned: OwnedShard): void {
     for (const machine of owned.shard.machinesToProbe()) {
       const { name } = machine.record;
-      if (this.#free <= 0) return;
+      if (this.#freeSockets <= 0) return;
       if (machine.address === null || !owned.beginProbe(name)) continue;
       void this.#send(owned, { machine, commands: [], starts: [] }).finally(() => {
         setTimeout(() => {
@@ -71,7 +71,7 @@
     for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       const agentEpoch = Math.max(1, message.machine.agentEpoch);
       const result = await this.#sendOnce(owned.shard, message, agentEpoch);
-      const retry = this.#settle(owned, message, agentEpoch, result);
+      const retry = this.#handleResult(owned, message, agentEpoch, result);
       if (!retry) return;
     }
   }
@@ -84,8 +84,11 @@
     });
   }
 
-  /** Takes in the outcome; true if the worker refused an agent epoch that is known to be outdated now. */
-  #settle(
+  /**
+   * Processes the result of a message. Returns whether to retry, because the worker refused an agent epoch that is now
+   * known to be outdated.
+   */
+  #handleResult(
     { shard, authorization }: OwnedShard,
     { machine, starts }: Message,
     agentEpoch: number,
@@ -104,7 +107,7 @@
     shard.handleCommandStatus(heartbeat, this.dependencies.now());
     shard.directStartsSettled(starts, executed);
     if (executed || starts.length > 0) return false;
-    // 409: the worker's agent epoch was another one, which its heartbeat has told now.
+    // The worker answered 409 because its agent epoch is a different one, which its heartbeat states.
     if (heartbeat.agentEpoch === agentEpoch || heartbeat.fencingToken > shard.term) return false;
     machine.agentEpoch = Math.max(machine.agentEpoch, heartbeat.agentEpoch);
     return true;
--- a/src/shards/heartbeat-router.ts
+++ b/src/shards/heartbeat-router.ts
@@ -1,6 +1,7 @@
 /**
- * Routing of worker heartbeats: the owner of the machine's shard answers, with commands while it has authority;
- * every other node redirects the worker to the owner, or to a peer that is better placed.
+ * Routing of worker heartbeats. The owner of the machine's shard answers, with commands while it has authority. Every
+ * other node redirects the worker to the owner. An owner without authority redirects it to a peer that is connected to
+ * the store, if one is reachable.
  */
 import type { Logger } from 'pino';
 import type { PlatformConfig } from '../config/platform.js';
@@ -13,25 +14,25 @@
 import type { OwnedShard } from './owned-shard.js';
 import type { PeerView } from './peer-view.js';
 
-/** What the routing of heartbeats needs of the process. */
+/** The cluster state from which `HeartbeatRouter` chooses a response, and the checks that it applies. */
 export interface HeartbeatRouterDependencies {
   readonly config: Pick<PlatformConfig, 'node'>;
   readonly cache: WatchCache;
   readonly owned: ReadonlyMap<number, OwnedShard>;
   readonly authority: Authority;
-  readonly leases: LeaseWithholding;
+  readonly leaseWithholding: LeaseWithholding;
   readonly peers: Pick<PeerView, 'reachablePeerWithStore'>;
-  /** brings the owned shards up to date with the cache */
+  /** updates the owned shards from the cache */
   readonly refresh: (now: number) => void;
-  /** steady ms */
+  /** monotonic ms */
   readonly now: () => number;
   readonly log: Logger;
 }
 
-/** A worker of another node's shard that sent its heartbeat here. */
+/** A worker that sent a heartbeat to this node although another node owns its shard. */
 export interface ObservedWorker {
   readonly shard: number;
-  /** steady ms */
+  /** time of its last heartbeat, monotonic ms */
   readonly at: number;
 }
 
@@ -39,12 +40,15 @@
 
 /** Answers or redirects heartbeats. */
 export class HeartbeatRouter {
-  /** by machine; whoever reads it drops what is too old */
+  /** workers of shards that other nodes own, by machine; the reader of the map removes outdated entries */
   readonly observedElsewhere = new Map<string, ObservedWorker>();
 
   constructor(private readonly dependencies: HeartbeatRouterDependencies) {}
 
-  /** The reply to a heartbeat; `unavailable` lets the worker try another node, and does not renew its lease. */
+  /**
+   * Returns the response to a heartbeat. `unavailable` makes the worker try another node, and does not renew its
+   * lease.
+   */
   handle(heartbeat: Heartbeat): HeartbeatResponse {
     const { cache, owned: ownedShards, authority, peers } = this.dependencies;
     const now = this.dependencies.now();
@@ -57,8 +61,8 @@
     }
     const authorized = authority.holds(now);
     if (!authorized) {
-      // Running work must survive an outage of the store, so its leases are kept. But if a peer is in contact
-      // with the store, the fault is on this side, and the workers are better off there.
+      // Running tasks must survive an outage of the store, so their leases are still renewed. But if a peer is
+      // connected to the store, the fault is local to this node, and the workers are better served by that peer.
       const peer = peers.reachablePeerWithStore();
       if (peer !== null) return { kind: 'redirect', node: peer };
     }
@@ -71,10 +75,10 @@
     authorized: boolean,
     now: number,
   ): HeartbeatResponse {
-    const { leases, peers, refresh, log } = this.dependencies;
+    const { leaseWithholding, peers, refresh, log } = this.dependencies;
     const { shard } = owned;
     if (!shard.machines.has(heartbeat.machine)) refresh(now);
-    const mayRenew = authorized || leases.mayRenew(now);
+    const mayRenew = authorized || leaseWithholding.mayRenew(now);
     const result = shard.handleHeartbeat(heartbeat, now, authorized, mayRenew);
     if (result.kind === 'answer') {
       return { kind: 'answer', fencingToken: shard.term, commands: result.commands };
@@ -94,10 +98,10 @@
     const { cache, config } = this.dependencies;
     const record = cache.tables.shards.get(String(shard))?.value;
     if (record === undefined) return UNAVAILABLE;
-    const own = record.owner === config.node;
-    if (!own) this.observedElsewhere.set(heartbeat.machine, { shard, at: now });
-    const live = liveIncarnations(cache).get(record.owner)?.has(record.incarnation) ?? false;
-    if (own || !live) return UNAVAILABLE;
+    const isOwn = record.owner === config.node;
+    if (!isOwn) this.observedElsewhere.set(heartbeat.machine, { shard, at: now });
+    const isLive = liveIncarnations(cache).get(record.owner)?.has(record.incarnation) ?? false;
+    if (isOwn || !isLive) return UNAVAILABLE;
     return { kind: 'redirect', node: record.owner };
   }
 }
--- a/src/shards/lease-withholding.ts
+++ b/src/shards/lease-withholding.ts
@@ -1,7 +1,7 @@
 /**
- * Withholding of worker leases. While this node lacks current state, a cancellation may have been confirmed that it
- * has not heard of. The job's tasks must have ended in time all the same, so worker leases are renewed only as long
- * as even the lease renewed last ends in time for whatever may be unknown here.
+ * Withholding of worker lease renewals. While the state that this node knows is not current, a cancellation may have
+ * been confirmed that it does not know. The tasks of that job must nevertheless end in time. So worker leases are
+ * renewed only as long as even the lease that is renewed last expires in time for any unknown cancellation.
  */
 import type { Logger } from 'pino';
 import { renewalWindowMs } from '../core/cancellation/lease-renewal.js';
@@ -9,7 +9,7 @@
 
 /** Decides whether a worker's lease may be renewed without authority. */
 export class LeaseWithholding {
-  readonly #renewableMs: number;
+  readonly #renewalWindowMs: number;
   #withholding = false;
 
   constructor(
@@ -17,20 +17,20 @@
     private readonly peers: Pick<PeerView, 'cancellationsKnownUntil'>,
     private readonly log: Logger,
   ) {
-    this.#renewableMs = renewalWindowMs(cancelS * 1000, leaseS * 1000);
+    this.#renewalWindowMs = renewalWindowMs(cancelS * 1000, leaseS * 1000);
   }
 
-  /** Whether an answer may renew a worker's lease; logs when this changes. */
+  /** Returns whether an answer to a heartbeat may renew the worker's lease. Logs when the result changes. */
   mayRenew(now: number): boolean {
     const unknownMs = now - this.peers.cancellationsKnownUntil();
-    const may = unknownMs <= this.#renewableMs;
-    if (may !== this.#withholding) return may;
-    this.#withholding = !may;
-    if (may) this.log.info('worker lease renewal resumed');
+    const mayRenewNow = unknownMs <= this.#renewalWindowMs;
+    if (mayRenewNow !== this.#withholding) return mayRenewNow;
+    this.#withholding = !mayRenewNow;
+    if (mayRenewNow) this.log.info('worker lease renewal resumed');
     else {
       const unknownS = Math.round(unknownMs / 1000);
       this.log.info({ unknownS }, 'worker lease renewal suspended');
     }
-    return may;
+    return mayRenewNow;
   }
 }
--- a/src/shards/peer-view.ts
+++ b/src/shards/peer-view.ts
@@ -1,30 +1,35 @@
-/** What the other controllers have told that matters to the control loops of this node's shards. */
+/** The state of the other nodes and their shards, as far as the control loops of this node's shards use it. */
 import type { JobSpec } from '../core/model.js';
 
-/** Another shard that takes tasks, and how many of them. */
+/** Another shard to which tasks may migrate, and how many it takes. */
 export interface MigrationDestination {
   readonly shard: number;
   readonly tasks: number;
 }
 
-/** What is known of the capacity of the other shards. */
+/** The capacity of the other shards. */
 export interface OtherShards {
-  /** a shard other than `excluded` with free capacity for tasks of the job, and for how many; null if none */
+  /**
+   * Returns a shard other than `excluded` with free capacity for tasks of the job, and the number of tasks; null if
+   * there is none.
+   */
   shardWithFreeCapacity(spec: JobSpec, excluded: number): MigrationDestination | null;
-  /** a shard that is allocated much less than `shard` for the job; null if none */
+  /**
+   * Returns a shard whose capacity for such jobs is allocated much less than that of `shard`; null if there is none.
+   */
   lessAllocatedShard(spec: JobSpec, shard: number): number | null;
 }
 
-/** The other controllers, as this node heard of them lately. */
+/** The other nodes, according to their latest messages. */
 export interface PeerView extends OtherShards {
-  /** a reachable peer that is in contact with the store; null if none */
+  /** Returns a reachable peer that is connected to the store; null if there is none. */
   reachablePeerWithStore(): string | null;
-  /** the incarnation of that peer, if it is reachable and in contact with the store; else null */
+  /** Returns the incarnation of the peer if it is reachable and connected to the store, else null. */
   incarnationWithStore(node: string): string | null;
-  /** images, with their sizes in GB, that another owner knew on a machine */
+  /** Returns the images that another owner knew on the machine, with their sizes in GB. */
   imagesOf(machine: string): ReadonlyMap<string, number>;
-  /** the reachable peer that receives heartbeats of most workers of the shard; null if none does */
+  /** Returns the reachable peer that receives heartbeats of most workers of the shard; null if there is none. */
   peerReceivingHeartbeats(shard: number): string | null;
-  /** up to when every cancellation that any controller has confirmed is known here, steady ms */
+  /** Returns the time, monotonic ms, up to which this node knows every cancellation that any node has confirmed. */
   cancellationsKnownUntil(): number;
 }
--- a/src/shards/retryable-errors.ts
+++ b/src/shards/retryable-errors.ts
@@ -1,16 +1,19 @@
-/** Errors after which a control loop simply tries again in a later round. */
+/** Errors after which a control loop tries again in a later round. */
 import { NotLeaderError } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import { CloudRequestError } from '../cloud/errors.js';
 import { StoreRequestError } from '../store/errors.js';
 
-/** Whether a call was not carried out, or has no outcome: it is repeated while it is still wanted. */
+/** Returns whether the error means that a call was not carried out or its outcome is unknown, so it may be repeated. */
 export const isRetryable = (error: unknown): error is Error =>
   error instanceof StoreRequestError ||
   error instanceof CloudRequestError ||
   error instanceof NotLeaderError;
 
-/** Runs one attempt of work that is repeated anyway: a retryable error is logged as `failure`, others pass. */
+/**
+ * Runs one attempt of work that a later round repeats if necessary. Logs a retryable error with the message `failure`,
+ * and rethrows any other error.
+ */
 export const attempt = async (
   log: Logger,
   failure: string,
--- a/src/shards/shard-controller.ts
+++ b/src/shards/shard-controller.ts
@@ -1,7 +1,8 @@
 /**
- * The controller of the shards that this node owns. Each round it observes (owned-shards.ts), decides on ownership
- * and carries that out (ownership-reconciler.ts), and runs the control loops of each owned shard: placement, direct
- * commands, machine records, task migration, completions. Who may start a task, and why: authority.ts.
+ * The controller of the shards that this node owns. In each round it updates the owned shards from the watch cache
+ * (owned-shards.ts), reconciles ownership (ownership-reconciler.ts), and runs the control loops of each owned shard:
+ * placement, direct commands, machine records, task migration, completions. The conditions under which tasks may be
+ * started are described in authority.ts.
  */
 import type { FencingRejections, SessionLease } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
@@ -27,11 +28,11 @@
 import type { PeerView } from './peer-view.js';
 import { TaskMigration } from './task-migration.js';
 
-/** What the controller of shards needs of the process. */
+/** The settings, clients, caches and clocks that `ShardController` passes to its control loops. */
 export interface ShardControllerDependencies {
   readonly config: PlatformConfig;
   readonly operator: OperatorConfig;
-  /** this life of the node */
+  /** identifies this run of the node's process */
   readonly incarnation: string;
   readonly client: Pick<StoreClient, 'compareAndSwap' | 'get'>;
   readonly cache: WatchCache;
@@ -40,17 +41,17 @@
   readonly waitForCurrentCache: () => Promise<unknown>;
   readonly peers: PeerView;
   readonly fencingRejections: FencingRejections;
-  /** null until the cloud has told them */
+  /** machine types by name; null until the cloud has returned them */
   readonly machineTypes: () => ReadonlyMap<string, MachineType> | null;
   readonly startObjectives: ShardSettings['startObjectives'];
-  /** steady ms */
+  /** monotonic ms */
   readonly now: () => number;
-  /** ms */
+  /** wall clock, ms */
   readonly timeOfDay: () => number;
   readonly log: Logger;
 }
 
-/** Acquires and transfers shards, and runs the control loops of those that this node owns. */
+/** Acquires and transfers shards, and runs the control loops of the shards that this node owns. */
 export class ShardController {
   readonly machines: MachineRecords;
   readonly #cache: WatchCache;
@@ -59,7 +60,7 @@
   readonly #shards: OwnedShards;
   readonly #ownership: OwnershipReconciler;
   readonly #heartbeats: HeartbeatRouter;
-  readonly #direct: DirectCommands;
+  readonly #directCommands: DirectCommands;
   readonly #completions: CompletionSaver;
   readonly #migration: TaskMigration;
   #reconciledAt = -Infinity;
@@ -84,12 +85,12 @@
       ...dependencies,
       owned,
       authority: this.#authority,
-      leases: new LeaseWithholding(config.workers, peers, log),
+      leaseWithholding: new LeaseWithholding(config.workers, peers, log),
       refresh: (at) => {
         this.#refresh(at);
       },
     });
-    this.#direct = new DirectCommands({
+    this.#directCommands = new DirectCommands({
       maxInFlight: socketBudget(config.sockets, config.peers.length).direct,
       isOwned: (shard) => this.#shards.isCurrentState(shard),
       now,
@@ -103,48 +104,51 @@
     });
   }
 
-  /** The shards that this node owns by what the cache shows, by index. */
+  /** The shards that this node owns according to the cache, by index. */
   get owned(): ReadonlyMap<number, OwnedShard> {
     return this.#shards.byIndex;
   }
 
-  /** Workers of other nodes' shards that sent a heartbeat here, by machine. */
+  /** Workers of other nodes' shards that sent a heartbeat to this node, by machine. */
   get observedElsewhere(): Map<string, ObservedWorker> {
     return this.#heartbeats.observedElsewhere;
   }
 
-  /** Whether this node provably owns what the cache shows as its own. */
+  /** Returns whether this node provably owns the shards that the cache shows as its own. */
   hasAuthority(now: number): boolean {
     return this.#authority.holds(now);
   }
 
-  /** Whether this node acts for the shard now, under the term that `owned` stands for. */
+  /** Returns whether this node may act for the shard now, under the term of `owned`. */
   mayActFor(owned: OwnedShard): boolean {
     return this.#shards.mayActFor(owned);
   }
 
-  /** Acts for no shard any more; what is repeated until its outcome is known ends, too. */
+  /** Drops all owned shards. This also ends transactions that are repeated until their outcome is known. */
   close(): void {
     this.#shards.clear();
   }
 
-  /** Acquires an own shard under a higher term, so that workers take its commands after those of another shard. */
+  /**
+   * Acquires an owned shard under a higher term, so that workers that followed commands of another shard accept
+   * commands of this one.
+   */
   renewTerm(index: number): void {
     const owned = this.owned.get(index);
     if (owned !== undefined && this.mayActFor(owned)) void this.#ownership.acquire(index);
   }
 
-  /** The shard's present term by what the cache shows; null if it never had an owner. */
+  /** Returns the shard's current term according to the cache; null if the shard never had an owner. */
   termOf(shard: number): number | null {
     return this.#cache.tables.shards.get(String(shard))?.value.term ?? null;
   }
 
-  /** How many nodes have a valid lease. */
+  /** Returns the number of nodes with a valid lease. */
   liveNodeCount(): number {
     return liveIncarnations(this.#cache).size;
   }
 
-  /** One round: observes, reconciles ownership, and runs the control loops of the owned shards. */
+  /** Runs one round: updates the owned shards, reconciles ownership, and runs the control loops. */
   tick(): void {
     const now = this.#now();
     if (!this.#cache.ready) return;
@@ -158,18 +162,18 @@
       if (!owned.isActive) continue;
       owned.shard.expireLeases(now);
       if (authorized) this.#runLoops(index, owned, now);
-      else this.#direct.sendStops(owned, now);
+      else this.#directCommands.sendStops(owned, now);
     }
   }
 
-  /** The reply to a worker's heartbeat. */
+  /** Returns the response to a worker's heartbeat. */
   handleHeartbeat(heartbeat: Heartbeat): HeartbeatResponse {
     return this.#heartbeats.handle(heartbeat);
   }
 
   #runLoops(index: number, owned: OwnedShard, now: number): void {
     owned.shard.placeAll(now);
-    this.#direct.sendAll(owned, now);
+    this.#directCommands.sendAll(owned, now);
     void this.machines.reconcile(owned, now);
     this.#migration.migrateUnschedulable(index, owned, now);
     void this.#completions.save(owned, now);
--- a/src/shards/transaction.ts
+++ b/src/shards/transaction.ts
@@ -1,4 +1,4 @@
-/** Store transactions of an owned shard, fenced by its term. */
+/** Store transactions of an owned shard, which are fenced by its term. */
 import { fencedCompareAndSwap, type Authorization } from '@sumacstep/leader-election';
 import type { PlatformConfig } from '../config/platform.js';
 import type { CallPriority } from '../store/call-priority.js';
@@ -12,15 +12,16 @@
   readonly writes: readonly Write[];
 }
 
-/** Where transactions are committed, and where their writes are shown ahead of the watch. */
+/** The client that commits transactions, and the cache that shows their writes before the watch does. */
 export interface CommitDependencies {
   readonly client: Pick<StoreClient, 'compareAndSwap'>;
   readonly cache: Pick<WatchCache, 'applyOwn'>;
 }
 
 /**
- * Commits under the authorization and shows the writes in the cache at once. Resolves with false if a guard
- * failed: the cache is behind then, and will show what has changed. Rejects like the store client.
+ * Commits a transaction under the authorization and shows its writes in the cache at once. Resolves to false if a
+ * guard failed: the cache is behind the store then, and will show the change later. Rejects with the errors of the
+ * store client.
  */
 export const commit = async (
   { client, cache }: CommitDependencies,
@@ -33,5 +34,5 @@
   return result.ok;
 };
 
-/** What one value and one transaction of the store may hold. */
+/** The store's size limits of a value and of a transaction. */
 export type StoreSizeLimits = Pick<PlatformConfig['storeLimits'], 'valueBytes' | 'transactionOps'>;
