--- a/src/core/cancellation/cancellation-coverage.ts
+++ b/src/core/cancellation/cancellation-coverage.ts
@@ -13,7 +13,7 @@
   readonly acknowledgedSentAt: number;
 }
 
-/** What is known of the cancellations that one peer confirmed. */
+/** How far the cancellations confirmed by one peer are known to this node. */
 interface PeerCoverage {
   readonly incarnation: string;
   /** messages of this incarnation have named every cancellation that it confirmed before this time */
