--- a/src/core/placement/candidates.ts
+++ b/src/core/placement/candidates.ts
@@ -40,7 +40,7 @@
       zones.add(m.record.zone);
     }
     this.zones = [...zones].sort();
-    this.#machines = new UnusedVolumeIndex(usable, state.largest);
+    this.#machines = new UnusedVolumeIndex(usable, state.largestCapacity);
   }
 
   get empty(): boolean {
@@ -71,7 +71,7 @@
     const { demand } = job.spec;
     let slots = 0;
     for (const m of this.#machines.emptiestFirst(demand)) {
-      this.state.work.machinesVisited += 1;
+      this.state.workCounters.machinesVisited += 1;
       if (zone !== null && m.record.zone !== zone) continue;
       if (!fits(demand, m.free) || !satisfiesConstraints(m, job, this.now)) continue;
       slots += timesIn(demand, m.free);
@@ -93,7 +93,7 @@
     zone: string | null = null,
   ): MachineState | null {
     const takes = (m: MachineState): boolean => {
-      this.state.work.machinesVisited += 1;
+      this.state.workCounters.machinesVisited += 1;
       if (zone !== null && m.record.zone !== zone) return false;
       if (!fits(demand, m.free) || !satisfiesConstraints(m, job, this.now)) return false;
       return partner === null || satisfiesConstraints(m, partner, this.now);
@@ -115,7 +115,7 @@
     let holding = this.#holding.get(image);
     if (holding === undefined) {
       const machines = [...this.#machines.machines()].filter((m) => m.images.has(image));
-      holding = new UnusedVolumeIndex(machines, this.state.largest);
+      holding = new UnusedVolumeIndex(machines, this.state.largestCapacity);
       this.#holding.set(image, holding);
     }
     return holding;
@@ -139,7 +139,7 @@
       else if (order === 0) ranked.machines.push(m);
     }
     if (ranked === null) return null;
-    return new UnusedVolumeIndex(ranked.machines, this.state.largest).leastUnused(
+    return new UnusedVolumeIndex(ranked.machines, this.state.largestCapacity).leastUnused(
       demand,
       () => true,
     );
--- a/src/core/placement/scheduler.ts
+++ b/src/core/placement/scheduler.ts
@@ -23,12 +23,12 @@
   /** Steady ms by which the job's tasks should start: its first aim that can still be met. */
   #due(job: JobState, aims: readonly number[], now: number): number {
     for (const within of aims) {
-      const due = job.acceptedAtSteady + within * 1000;
+      const due = job.acceptedAtMonotonic + within * 1000;
       if (due >= now) return due;
     }
     const { deadlineS, estimateS } = job.spec;
     const last = aims.at(-1) ?? (deadlineS === null ? NO_AIM_S : deadlineS - estimateS);
-    return job.acceptedAtSteady + last * 1000;
+    return job.acceptedAtMonotonic + last * 1000;
   }
 
   /**
@@ -50,7 +50,7 @@
       }
       // Whoever has begun may wait for the next aim after one is missed; whoever has not keeps its
       // place, or newer work would pass it over again and again.
-      const latest = hasBegun(job) ? Infinity : job.acceptedAtSteady + BEGIN_MS;
+      const latest = hasBegun(job) ? Infinity : job.acceptedAtMonotonic + BEGIN_MS;
       const due = Math.min(this.#due(job, aims, now), latest);
       job.startDeadline = due;
       open.push({ job, guaranteed: this.limits.guaranteed(job), due });
@@ -129,7 +129,7 @@
 
   #place(queue: readonly JobState[], rooms: Candidates): JobState[] {
     const stuck: JobState[] = [];
-    const partners = new Partners(queue, rooms.now, this.state.work);
+    const partners = new Partners(queue, rooms.now, this.state.workCounters);
     queue.forEach((job, position) => {
       if (job.spec.kind === 'gang') {
         if (!this.#placeGang(job, rooms)) stuck.push(job);
@@ -212,7 +212,7 @@
       p.machine.tasks.delete(taskKey(job.spec.uid, p.index));
       job.placements.delete(p.index);
       job.waitingTasks.push(p.index);
-      this.state.recount(p.machine, p.machine.idleSince);
+      this.state.updateFreeCapacity(p.machine, p.machine.idleSince);
       rooms.givenBack(p.machine);
     }
     job.waitingTasks.sort((a, b) => a - b);
@@ -225,7 +225,7 @@
 
 /** Some task of it is or was on a machine. */
 const hasBegun = (job: JobState): boolean =>
-  job.placements.size + job.savedTasks.size + job.unsavedTasks.size > 0;
+  job.placements.size + job.savedCompletions.size + job.unsavedCompletions.size > 0;
 
 /** What every job of the queue asks for at least. */
 const leastOf = (queue: readonly JobState[]): Resources => {
--- a/src/core/preemption/preemption.ts
+++ b/src/core/preemption/preemption.ts
@@ -190,7 +190,9 @@
       if (p.stop === null) {
         victims.push(p);
         // In seconds of the whole machine, like the fetch that it is weighed against.
-        loss += this.#loss(p, now) * dominantShare(p.job.spec.demand, m.type ?? this.state.largest);
+        loss +=
+          this.#loss(p, now) *
+          dominantShare(p.job.spec.demand, m.type ?? this.state.largestCapacity);
       }
     }
     return fits(demand, free) ? { m, slots: 1, victims, loss } : null;
--- a/src/shards/completions/completion-saver.ts
+++ b/src/shards/completions/completion-saver.ts
@@ -65,7 +65,7 @@
     const result = await fencedCompareAndSwap(client, authorization, priority, guards, writes);
     // On a conflict the cache is behind the store, and a later round sees the change.
     if (!result.ok) return;
-    for (const { uid, indexes } of batch.savedTasks) shard.completionsSaved(uid, indexes);
+    for (const { uid, indexes } of batch.savedTasks) shard.markCompletionsSaved(uid, indexes);
     for (const uid of batch.finishedJobs) {
       log.info({ job: uid, shard: shard.index }, 'job completed');
     }
--- a/src/shards/completions/completion-slots.ts
+++ b/src/shards/completions/completion-slots.ts
@@ -4,7 +4,7 @@
  */
 import { SLOT_FILL } from '../../core/jobs/constants.js';
 import { encodeCompletions, type CompletionBitmaps } from '../../store/codecs/completions.js';
-import { key } from '../../store/keys.js';
+import { storeKey } from '../../store/keys.js';
 import type { WatchCache } from '../../store/watch-cache.js';
 import type { CompletionBatch } from './completion-batch.js';
 
@@ -133,6 +133,6 @@
   ): void {
     const revision = this.cache.tables.completions.get(`${this.shard}/${slot}`)?.revision ?? 0;
     const value = encodeCompletions(bitmaps);
-    batch.add({ put: key.completions(this.shard, slot), value }, revision);
+    batch.add({ put: storeKey.completions(this.shard, slot), value }, revision);
   }
 }
--- a/src/shards/completions/range-splitting.ts
+++ b/src/shards/completions/range-splitting.ts
@@ -7,7 +7,7 @@
 import type { JobRecord, TaskRange } from '../../core/model.js';
 import type { Shard } from '../../core/shard/shard.js';
 import { encodeJob } from '../../store/codecs/job.js';
-import { key } from '../../store/keys.js';
+import { storeKey } from '../../store/keys.js';
 import type { Cached } from '../../store/watch-cache.js';
 import { CompletionBatch } from './completion-batch.js';
 import type { CompletionContext } from './completion-context.js';
@@ -50,7 +50,7 @@
   });
   if (JSON.stringify(value).length > valueBytes) return null;
   const batch = new CompletionBatch(transactionOps);
-  batch.add({ put: key.activeJob(uid), value }, job.revision);
+  batch.add({ put: storeKey.activeJob(uid), value }, job.revision);
   // The stored bitmap may still be that of the range before an earlier split, and so longer than the range.
   const bitmap = cache
     .completedTasks(shard, uid, longRange.from)
--- a/src/shards/direct-commands.ts
+++ b/src/shards/direct-commands.ts
@@ -100,12 +100,12 @@
     }
     if (result.kind === 'in_doubt' || !this.dependencies.isOwned(shard)) return false;
     if (result.kind === 'not_sent') {
-      shard.directStartsSettled(starts, false);
+      shard.settleDirectStarts(starts, false);
       return false;
     }
     const { executed, heartbeat } = result;
     shard.handleCommandStatus(heartbeat, this.dependencies.now());
-    shard.directStartsSettled(starts, executed);
+    shard.settleDirectStarts(starts, executed);
     if (executed || starts.length > 0) return false;
     // The worker answered 409 because its agent epoch is a different one, which its heartbeat states.
     if (heartbeat.agentEpoch === agentEpoch || heartbeat.fencingToken > shard.term) return false;
--- a/src/shards/owned-shards.ts
+++ b/src/shards/owned-shards.ts
@@ -7,7 +7,7 @@
 import type { PlatformConfig } from '../config/platform.js';
 import type { MachineType } from '../core/model.js';
 import { Shard, type ShardSettings } from '../core/shard/shard.js';
-import { key } from '../store/keys.js';
+import { storeKey } from '../store/keys.js';
 import { type ShardRecord } from '../store/codecs/shard.js';
 import type { CacheChanges, Cached, WatchCache } from '../store/watch-cache.js';
 import type { Authority } from './authority.js';
@@ -136,7 +136,7 @@
       const owned = this.#byIndex.get(shard.index);
       return owned?.shard === shard && this.mayActFor(owned);
     };
-    const role = key.shard(shard.index);
+    const role = storeKey.shard(shard.index);
     const guard = { key: role, revision };
     const leadership = { role, fencingToken: fencingToken(shard.term), guard, isCurrent };
     return new Authorization(leadership, this.dependencies.fencingRejections);
@@ -147,7 +147,7 @@
       owned.requestFullSync();
       return;
     }
-    const full = owned.consumeFullSyncRequest() || changes.everything;
+    const full = owned.consumeFullSyncRequest() || changes.allTables;
     const changed = changes.machines || changes.jobs.size > 0 || owned.shard.hasDeferredJobs;
     if (!full && !changed) return;
     const { cache, timeOfDay } = this.dependencies;
--- a/src/shards/ownership-reconciler.ts
+++ b/src/shards/ownership-reconciler.ts
@@ -16,7 +16,7 @@
 import { CALL_PRIORITY } from '../store/call-priority.js';
 import { StoreRequestError } from '../store/errors.js';
 import { type StoreClient } from '../store/store-client.js';
-import { key } from '../store/keys.js';
+import { storeKey } from '../store/keys.js';
 import { type ShardRecord } from '../store/codecs/shard.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { Guard, Write } from '@sumacstep/leader-election';
@@ -101,7 +101,7 @@
       if (owned === undefined || !owned.isActive) return;
       const { guards, writes } = this.#ownerChange(index, node, incarnation);
       const registration = {
-        key: key.node(node, incarnation),
+        key: storeKey.node(node, incarnation),
         revision: cache.tables.nodes.get(`${node}/${incarnation}`)?.revision ?? 0,
       };
       // From here on this node does not act for the shard, unless the transaction is known to have failed.
@@ -204,17 +204,17 @@
     const present = cache.tables.shards.get(String(index));
     const nextTerm = (term?.value ?? 0) + 1;
     const guards: Guard[] = [
-      { key: key.term, revision: term?.revision ?? 0 },
-      { key: key.shard(index), revision: present?.revision ?? 0 },
+      { key: storeKey.term, revision: term?.revision ?? 0 },
+      { key: storeKey.shard(index), revision: present?.revision ?? 0 },
     ];
     if (present !== undefined && present.value.owner !== config.node) {
       const { value } = present;
-      guards.push({ key: key.node(value.owner, value.incarnation), revision: 0 });
+      guards.push({ key: storeKey.node(value.owner, value.incarnation), revision: 0 });
     }
     const value: ShardRecord = { owner, incarnation, term: nextTerm };
     const writes = [
-      { put: key.term, value: encodeTerm(nextTerm) },
-      { put: key.shard(index), value: encodeShard(value) },
+      { put: storeKey.term, value: encodeTerm(nextTerm) },
+      { put: storeKey.shard(index), value: encodeShard(value) },
     ];
     return { guards, writes };
   }
--- a/src/shards/task-migration.ts
+++ b/src/shards/task-migration.ts
@@ -18,7 +18,7 @@
 import { StoreRequestError } from '../store/errors.js';
 import { type StoreClient } from '../store/store-client.js';
 import { decodeJob, encodeJob } from '../store/codecs/job.js';
-import { key } from '../store/keys.js';
+import { storeKey } from '../store/keys.js';
 import type { Cached, WatchCache } from '../store/watch-cache.js';
 import {
   BALANCING_DELAY_MS,
@@ -118,7 +118,7 @@
       otherShards.shardWithFreeCapacity(spec, shard.index) ??
       this.#balancingDestination(job, shard.index, now);
     if (destination === null) return null;
-    const migratable = shard.migratable(job, record.value);
+    const migratable = shard.migratableTasks(job, record.value);
     const term = cache.tables.shards.get(String(destination.shard))?.value.term;
     if (migratable === null || term === undefined) return null;
     const { range } = migratable;
@@ -146,7 +146,7 @@
     const value = encodeJob({ ...record.value, ranges: rangesAfter(migration) });
     const maxBytes = config.storeLimits.valueBytes * MAX_RECORD_FILL;
     if (JSON.stringify(value).length > maxBytes) return;
-    const writes: Write[] = [{ put: key.activeJob(job.spec.uid), value }];
+    const writes: Write[] = [{ put: storeKey.activeJob(job.spec.uid), value }];
     owned.shard.beginMigration(job, from, range.to);
     for (;;) {
       try {
@@ -169,7 +169,7 @@
     const { job, record, range, from, target } = migration;
     const { uid } = job.spec;
     // Completions of the range may still be saved with its old end; readers cut off the excess of the bitmap.
-    const guards: Guard[] = [{ key: key.activeJob(uid), revision: record.revision }];
+    const guards: Guard[] = [{ key: storeKey.activeJob(uid), revision: record.revision }];
     const { authorization, shard } = owned;
     const priority = CALL_PRIORITY.completion;
     const result = await fencedCompareAndSwap(client, authorization, priority, guards, writes);
@@ -191,10 +191,10 @@
   async #settleConflict({ shard }: OwnedShard, { job, from }: Migration): Promise<void> {
     const { client, cache, now } = this.dependencies;
     const { uid } = job.spec;
-    const result = await client.get(key.activeJob(uid), CALL_PRIORITY.completion);
+    const result = await client.get(storeKey.activeJob(uid), CALL_PRIORITY.completion);
     let isMigrated = false;
     if (!('missing' in result)) {
-      cache.applyOwn([{ put: key.activeJob(uid), value: result.value }], result.revision);
+      cache.applyOwn([{ put: storeKey.activeJob(uid), value: result.value }], result.revision);
       const { ranges } = decodeJob(uid, result.value);
       isMigrated = !ranges.some(
         (range) => range.shard === shard.index && range.from <= from && range.to > from,
--- a/test/candidates.test.ts
+++ b/test/candidates.test.ts
@@ -59,7 +59,8 @@
       .filter((m) => fits(demand, m.free) && isFeasible(state, m, guest, 3))
       .map((m) => ({ name: m.record.name, free: m.free, hasImage: m.images.has(more.image) }));
     const held = candidates.filter((c) => c.hasImage);
-    const plain = mostMatched(held.length > 0 ? held : candidates, state.largest)?.name ?? null;
+    const plain =
+      mostMatched(held.length > 0 ? held : candidates, state.largestCapacity)?.name ?? null;
     const rooms = new Candidates(state, demand, 3);
     const chosen = rooms.best(guest, demand)?.record.name ?? null;
     assert.equal(chosen, plain, `seed ${seed}`);
--- a/test/quotas.test.ts
+++ b/test/quotas.test.ts
@@ -95,7 +95,7 @@
   };
   const config = { storeLimits: { valueBytes, transactionOps } };
   const saver = new CompletionSaver({ config, client, cache, now: () => now, log: LOG });
-  const show = () => store.show(cache, 'listing');
+  const show = () => store.applyTo(cache, 'listing');
   const save = async (shard: Shard) => {
     now += PROGRESS_SAVE_INTERVAL_MS + COMPLETION_SAVE_INTERVAL_MS;
     await saver.save(ownedShard(shard), now);
@@ -104,7 +104,7 @@
   /** What a node that starts now knows to be done, whichever of two copies it meets first. */
   const known = (uid: string): Set<number> => {
     const fresh = new WatchCache();
-    store.show(fresh, 'listing');
+    store.applyTo(fresh, 'listing');
     const done = new Set<number>();
     for (const range of fresh.tables.activeJobs.get(uid)!.value.ranges) {
       const bitmap = fresh.completedTasks(range.shard, uid, range.from);
@@ -236,7 +236,7 @@
   });
   fixture.show();
   const store = new Store().add(record);
-  store.bits.set('job-1/0', encodeDone({ from: 0, to: 6000 }, done));
+  store.doneBitmaps.set('job-1/0', encodeDone({ from: 0, to: 6000 }, done));
   const shard = shardWith(store);
   const ranges = () => fixture.cache.tables.activeJobs.get('job-1')!.value.ranges;
   for (let step = 0; step < 12; step++) {
@@ -253,7 +253,7 @@
     6000,
   );
   // What ends now is saved in the new cut.
-  shard.jobs.get('job-1')!.unsavedTasks.add(0);
+  shard.jobs.get('job-1')!.unsavedCompletions.add(0);
   await fixture.save(shard);
   assert.ok(fixture.known('job-1').has(0));
 });
--- a/test/shard-controller.test.ts
+++ b/test/shard-controller.test.ts
@@ -104,7 +104,7 @@
   assert.equal(scene.heartbeat({ tasks }).kind, 'unavailable');
   const machine = scene.owned(1)!.shard.machines.get('x')!;
   assert.equal(machine.lastStatusAt, scene.now, 'the heartbeat still counts as received');
-  scene.cache.learnCancelled({ uid: JOB, tasks: 1, done: 0, epoch: 40 });
+  scene.cache.applyCancellation({ uid: JOB, tasks: 1, done: 0, epoch: 40 });
   scene.cancellationsKnownUntil = scene.now;
   scene.tick();
   const reply = scene.heartbeat({ tasks });
