--- a/src/shards/completions/completion-slots.ts
+++ b/src/shards/completions/completion-slots.ts
@@ -2,7 +2,7 @@
  * Packing of completion bitmaps into slots. A slot is one stored value that holds the bitmaps of many ranges of a
  * shard, so a shard needs about one write per save interval, however many array jobs it runs.
  */
-import { SLOT_FILL } from '../../core/jobs/constants.js';
+import { SLOT_FILL_RATIO } from '../../core/jobs/constants.js';
 import { encodeCompletions, type CompletionBitmaps } from '../../store/codecs/completions.js';
 import { storeKey } from '../../store/keys.js';
 import type { WatchCache } from '../../store/watch-cache.js';
@@ -101,7 +101,7 @@
   slotFor(range: string, bitmap: string): number {
     const present = this.findSlot(range);
     if (present !== null) return present;
-    const maxBytes = this.valueBytes * SLOT_FILL - bitmap.length;
+    const maxBytes = this.valueBytes * SLOT_FILL_RATIO - bitmap.length;
     let slot = 0;
     for (; this.slots.has(slot) || slot === this.excluded; slot++) {
       if (slot !== this.excluded && slotBytes(this.get(slot)) <= maxBytes) return slot;
--- a/src/shards/completions/slot-splitting.ts
+++ b/src/shards/completions/slot-splitting.ts
@@ -2,7 +2,7 @@
  * Splitting of slots that were written while the store allowed larger values, and which are now too large to be
  * written again as they are.
  */
-import { SLOT_FILL } from '../../core/jobs/constants.js';
+import { SLOT_FILL_RATIO } from '../../core/jobs/constants.js';
 import type { CompletionBitmaps } from '../../store/codecs/completions.js';
 import { CompletionBatch } from './completion-batch.js';
 import { CompletionSlots, slotBytes, storedSlots } from './completion-slots.js';
@@ -58,7 +58,7 @@
     if (!this.#hasOversizedSlot(shard)) return null;
     const { cache, storeLimits } = this.context;
     const { valueBytes, transactionOps } = storeLimits;
-    const maxBytes = valueBytes * SLOT_FILL;
+    const maxBytes = valueBytes * SLOT_FILL_RATIO;
     const slots = CompletionSlots.load(cache, shard, valueBytes);
     for (const [slot, bitmaps] of slots.entries()) {
       // A slot that is too large because of a range that can't be split stays as it is, and remains readable.
