--- a/src/core/capacity/capacity-planner.ts
+++ b/src/core/capacity/capacity-planner.ts
@@ -1,6 +1,6 @@
 import { BOOT_GIVE_UP } from './constants.js';
 import { tasksNeedingCapacity } from '../reachability/failure-tracker.js';
-import { timesIn, type JobSpec, type MachineType } from '../model.js';
+import { fitCount, type JobSpec, type MachineType } from '../model.js';
 import type { JobState, MachineState } from '../shard/shard.js';
 import { ReachableCapacity, zoneToGrow } from './reachable-capacity.js';
 import {
@@ -283,7 +283,7 @@
     const { spec } = job;
     const type = cheapest(spec, this.input.types.values());
     if (type === null) return;
-    const count = Math.ceil(tasks / Math.max(1, timesIn(spec.demand, type)));
+    const count = Math.ceil(tasks / Math.max(1, fitCount(spec.demand, type)));
     const zone = zoneToGrow(job, type, this.#staying);
     const got = spec.spot ? this.#wish(type, true, count, zone) : 0;
     if (got < count) this.#wish(type, false, count - got, zone);
--- a/src/core/capacity/wanted-machines.ts
+++ b/src/core/capacity/wanted-machines.ts
@@ -1,10 +1,10 @@
 import { CEIL_SLACK, RUN_UNKNOWN_S } from './constants.js';
-import { typesFor } from '../jobs/admission.js';
+import { feasibleTypes } from '../jobs/admission.js';
 import { tasksNeedingCapacity } from '../reachability/failure-tracker.js';
 import type { ClassStats } from './workload-statistics.js';
 import {
   dominantShare,
-  timesIn,
+  fitCount,
   type JobSpec,
   type MachineType,
   type Objective,
@@ -56,7 +56,7 @@
 export const cheapest = (spec: JobSpec, types: Iterable<MachineType>): MachineType | null => {
   let best: MachineType | null = null;
   let bestPrice = Infinity;
-  for (const t of typesFor(spec, types)) {
+  for (const t of feasibleTypes(spec, types)) {
     const price = (spec.spot ? t.spotPrice : t.price) * dominantShare(spec.demand, t);
     if (price < bestPrice) {
       best = t;
@@ -119,7 +119,7 @@
   for (const [name, need] of needsByClass(input)) {
     const s = input.stats.get(name);
     const runS = s?.runS ?? (need.spec.estimateS > 0 ? need.spec.estimateS : RUN_UNKNOWN_S);
-    const perMachine = Math.max(1, timesIn(need.spec.demand, need.type));
+    const perMachine = Math.max(1, fitCount(need.spec.demand, need.type));
     // Replicas never end, so their run time says nothing: what may arrive while a machine boots counts.
     const service = need.spec.kind === 'service';
     const whole = (s?.tasksPerS ?? 0) * (service ? need.type.bootS : runS);
--- a/src/core/placement/candidates.ts
+++ b/src/core/placement/candidates.ts
@@ -1,7 +1,7 @@
 import { satisfiesConstraints } from './constraints.js';
 import type { JobState, MachineState } from '../shard/types.js';
 import type { ShardState } from '../shard/shard-state.js';
-import { fits, timesIn, type Resources } from '../model.js';
+import { fits, fitCount, type Resources } from '../model.js';
 import { UnusedVolumeIndex } from './unused-volume-index.js';
 
 const replicasOn = (m: MachineState, job: JobState): number => {
@@ -74,7 +74,7 @@
       this.state.work.machinesVisited += 1;
       if (zone !== null && m.record.zone !== zone) continue;
       if (!fits(demand, m.free) || !satisfiesConstraints(m, job, this.now)) continue;
-      slots += timesIn(demand, m.free);
+      slots += fitCount(demand, m.free);
       if (slots >= tasks) return true;
     }
     return false;
--- a/src/core/placement/pairing.ts
+++ b/src/core/placement/pairing.ts
@@ -1,7 +1,7 @@
 import { RESOURCE_KINDS, type ResourceKind, type Resources } from '../model.js';
 
 /** The resource of which a demand takes the largest share; the first of equals. */
-export const dominant = (share: Resources): ResourceKind => {
+export const dominantResource = (share: Resources): ResourceKind => {
   let best: ResourceKind = RESOURCE_KINDS[0];
   for (const k of RESOURCE_KINDS) if (share[k] > share[best]) best = k;
   return best;
@@ -33,11 +33,11 @@
   share: Resources,
   waiting: Iterable<TaskGroup<T>>,
 ): TaskGroup<T> | null => {
-  const own = dominant(share);
+  const own = dominantResource(share);
   let best: TaskGroup<T> | null = null;
   let bestDeviation = -1;
   for (const group of waiting) {
-    if (group.count <= 0 || dominant(group.share) === own) continue;
+    if (group.count <= 0 || dominantResource(group.share) === own) continue;
     const d = deviation(share, group.share);
     if (d > bestDeviation) {
       best = group;
--- a/src/core/placement/quotas.ts
+++ b/src/core/placement/quotas.ts
@@ -1,6 +1,6 @@
 import type { JobState } from '../shard/types.js';
 import type { ShardState } from '../shard/shard-state.js';
-import { add, ZERO, type Resources } from '../model.js';
+import { add, ZERO_RESOURCES, type Resources } from '../model.js';
 
 /** Limits and guarantees of teams, by what their placed tasks use. */
 export class Quotas {
@@ -26,7 +26,7 @@
   }
 
   used(team: string): Resources {
-    let used = ZERO;
+    let used = ZERO_RESOURCES;
     for (const job of this.state.jobs.values()) {
       if (job.spec.team === team) used = add(used, job.spec.demand, job.placements.size);
     }
--- a/src/core/placement/unused-volume-index.ts
+++ b/src/core/placement/unused-volume-index.ts
@@ -1,4 +1,4 @@
-import { ROUNDING } from '../constants.js';
+import { ROUNDING_TOLERANCE } from '../constants.js';
 import { EQUAL_VOLUME, ORDER_BLOCK, VOLUME_SLACK } from './constants.js';
 import { unusedVolume } from './unused-volume.js';
 import type { MachineState } from '../shard/types.js';
@@ -47,9 +47,9 @@
   /** False if the demand surely fits none of them. */
   mayFit(demand: Resources): boolean {
     return (
-      demand.cpus <= this.#cpus + ROUNDING &&
-      demand.gpus <= this.#gpus + ROUNDING &&
-      demand.memoryGb <= this.#memoryGb + ROUNDING
+      demand.cpus <= this.#cpus + ROUNDING_TOLERANCE &&
+      demand.gpus <= this.#gpus + ROUNDING_TOLERANCE &&
+      demand.memoryGb <= this.#memoryGb + ROUNDING_TOLERANCE
     );
   }
 
--- a/src/core/preemption/preemption.ts
+++ b/src/core/preemption/preemption.ts
@@ -3,7 +3,7 @@
 import type { JobState, MachineState, Placement } from '../shard/types.js';
 import type { ShardState } from '../shard/shard-state.js';
 import type { Quotas } from '../placement/quotas.js';
-import { add, dominantShare, fits, timesIn, type JobSpec, type Resources } from '../model.js';
+import { add, dominantShare, fits, fitCount, type JobSpec, type Resources } from '../model.js';
 
 /** A machine that could take tasks of a job, at once or after stopping others. */
 interface Option {
@@ -92,7 +92,7 @@
     const held = [...this.state.machines.values()].filter((m) => m.reservation?.uid === uid);
     const firm = held.filter((m) => m.reservation?.partial !== true);
     let open = tasks;
-    for (const m of firm) open -= timesIn(job.spec.demand, this.#freeAfterStops(m));
+    for (const m of firm) open -= fitCount(job.spec.demand, this.#freeAfterStops(m));
     if (open <= 0) return true;
     const zone = job.spec.oneZone ? (firm[0]?.record.zone ?? null) : null;
     const options: Option[] = [];
@@ -126,7 +126,7 @@
       if (m.type === null || !fits(demand, m.type) || !isFeasible(this.state, m, job, now))
         continue;
       const free = fits(demand, m.free);
-      const slots = timesIn(demand, free ? m.free : m.type);
+      const slots = fitCount(demand, free ? m.free : m.type);
       const loss = free ? 0 : this.#busyS(m, now);
       options.push({ m, slots, victims: [], loss, held: m.reservation?.uid === uid });
     }
@@ -175,7 +175,7 @@
     const { demand } = job.spec;
     const fetchS = this.#fetchS(m, job.spec);
     if (fits(demand, m.free)) {
-      return { m, slots: timesIn(demand, m.free), victims: [], loss: fetchS };
+      return { m, slots: fitCount(demand, m.free), victims: [], loss: fetchS };
     }
     if (!mayStop) return null;
     let free = m.free;
--- a/src/shards/completions/completion-slots.ts
+++ b/src/shards/completions/completion-slots.ts
@@ -2,7 +2,7 @@
  * Packing of completion bitmaps into slots. A slot is one stored value with the bitmaps of many ranges of a
  * shard, so that a shard costs about one write in a while, however many arrays it runs.
  */
-import { SLOT_FILL } from '../../core/jobs/constants.js';
+import { SLOT_FILL_RATIO } from '../../core/jobs/constants.js';
 import { encodeCompletions, type CompletionBitmaps } from '../../store/codecs/completions.js';
 import { key } from '../../store/keys.js';
 import type { WatchCache } from '../../store/watch-cache.js';
@@ -99,7 +99,7 @@
   slotFor(range: string, bitmap: string): number {
     const present = this.find(range);
     if (present !== null) return present;
-    const maxBytes = this.valueBytes * SLOT_FILL - bitmap.length;
+    const maxBytes = this.valueBytes * SLOT_FILL_RATIO - bitmap.length;
     let slot = 0;
     for (; this.slots.has(slot) || slot === this.excluded; slot++) {
       if (slot !== this.excluded && slotBytes(this.get(slot)) <= maxBytes) return slot;
--- a/src/shards/completions/slot-splitting.ts
+++ b/src/shards/completions/slot-splitting.ts
@@ -2,7 +2,7 @@
  * Splitting of slots that were written when values of the store could be larger: they can't be rewritten as
  * they are.
  */
-import { SLOT_FILL } from '../../core/jobs/constants.js';
+import { SLOT_FILL_RATIO } from '../../core/jobs/constants.js';
 import type { CompletionBitmaps } from '../../store/codecs/completions.js';
 import { CompletionBatch } from './completion-batch.js';
 import { CompletionSlots, slotBytes, storedSlots } from './completion-slots.js';
@@ -55,7 +55,7 @@
     if (!this.#anyTooLarge(shard)) return null;
     const { cache, storeLimits } = this.context;
     const { valueBytes, transactionOps } = storeLimits;
-    const maxBytes = valueBytes * SLOT_FILL;
+    const maxBytes = valueBytes * SLOT_FILL_RATIO;
     const slots = CompletionSlots.load(cache, shard, valueBytes);
     for (const [slot, bitmaps] of slots.entries()) {
       // What a range that can't be cut leaves too large stays as it is, readable.
--- a/src/store/watch-cache.ts
+++ b/src/store/watch-cache.ts
@@ -5,7 +5,7 @@
 import type { WatchBatch } from './watch.js';
 import type { Write } from '@sumacstep/leader-election';
 import type { Cancellation } from '../core/cancellation/cancellation.js';
-import { eitherDone } from '../core/jobs/jobs.js';
+import { mergeDone } from '../core/jobs/jobs.js';
 import type { MachineRecord } from '../core/model.js';
 import { FINAL_STATE_PREFIX, key, prefixOf, TABLE_OF_PREFIX, type CachedPrefix } from './keys.js';
 import { encodeFinalState, decodeFinalState, type FinalState } from './codecs/final-state.js';
@@ -193,7 +193,7 @@
       if (!id.startsWith(`${shard}/`)) continue;
       const bits = value.get(range);
       if (bits === undefined) continue;
-      found = found === undefined ? bits : eitherDone(found, bits);
+      found = found === undefined ? bits : mergeDone(found, bits);
     }
     return found;
   }
--- a/src/users/job-service.ts
+++ b/src/users/job-service.ts
@@ -11,10 +11,10 @@
 import { admit } from '../core/jobs/admission.js';
 import {
   chooseShard,
-  cutRanges,
+  splitIntoRanges,
   shardOfTeam,
   maxRangeTasks,
-  staysWhole,
+  requiresSingleShard,
   hasLimit,
   hasGuarantee,
   type ShardLoad,
@@ -202,14 +202,19 @@
   #route(spec: JobSpec): TaskRange[] | null {
     const { teams, shards, valueBytes, loadThreshold } = this.settings;
     const team = teams.get(spec.team);
-    const whole = staysWhole(spec, team);
+    const whole = requiresSingleShard(spec, team);
     const hasQuota = hasLimit(team) || hasGuarantee(team);
     const loads = [...this.dependencies.routing.loads(spec)];
     const choose = () =>
       chooseShard(loads, loadThreshold, (below) => this.dependencies.routing.random(below));
     const home = hasQuota ? shardOfTeam(spec.team, shards) : choose();
     const out: TaskRange[] = [];
-    for (const [from, to] of cutRanges(spec.tasks, shards, whole, maxRangeTasks(valueBytes))) {
+    for (const [from, to] of splitIntoRanges(
+      spec.tasks,
+      shards,
+      whole,
+      maxRangeTasks(valueBytes),
+    )) {
       const shard = whole ? home : choose();
       const term = this.dependencies.routing.termOf(shard);
       if (term === null) return null;
--- a/test/design.test.ts
+++ b/test/design.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { admit } from '../src/core/jobs/admission.js';
-import { chooseShard, cutRanges, decodeDone, encodeDone } from '../src/core/jobs/jobs.js';
+import { chooseShard, splitIntoRanges, decodeDone, encodeDone } from '../src/core/jobs/jobs.js';
 import { shareOf, type Resources } from '../src/core/model.js';
-import { complement, deviation, dominant } from '../src/core/placement/pairing.js';
+import { complement, deviation, dominantResource } from '../src/core/placement/pairing.js';
 import { mostMatched, unusedVolume } from '../src/core/placement/unused-volume.js';
 import { randomFrom } from '../src/random.js';
 import { machineType, settings, spec } from './helpers.js';
@@ -40,7 +40,7 @@
   // Equation (1): two gaps from the mean for each resource.
   assert.equal(deviation(r(6, 0, 0), r(2, 0, 0)), 8);
   assert.equal(deviation(r(1, 2, 3), r(1, 2, 3)), 0);
-  assert.equal(dominant(r(0.2, 0.5, 0.1)), 'gpus');
+  assert.equal(dominantResource(r(0.2, 0.5, 0.1)), 'gpus');
   const g = (item: string, share: Resources, count = 1) => ({ item, share, count });
   const cpu = r(0.9, 0.1, 0.1);
   const cases: [string, ReturnType<typeof g>[], string | null][] = [
@@ -101,7 +101,7 @@
     [100_000, 3, false, 13],
   ];
   for (const [tasks, shards, whole, count] of cases) {
-    const ranges = cutRanges(tasks, shards, whole);
+    const ranges = splitIntoRanges(tasks, shards, whole);
     assert.equal(ranges.length, count, `${tasks} tasks`);
     let at = 0;
     for (const [from, to] of ranges) {
