--- a/src/core/constants.ts
+++ b/src/core/constants.ts
@@ -4,4 +4,4 @@
 export const ROUNDING_TOLERANCE = 1e-6;
 
 /** A task that asks for nothing still costs its worker something. */
-export const TASKS_WITHOUT_DEMAND = 64;
+export const ZERO_DEMAND_TASKS_PER_MACHINE = 64;
--- a/src/core/jobs/admission.ts
+++ b/src/core/jobs/admission.ts
@@ -2,7 +2,7 @@
 import { fits, type JobSpec, type MachineType, type Team } from '../model.js';
 
 /** Why a job is admitted or can never run. */
-export type Verdict = 'accept' | 'unknown_team' | 'no_machine_type' | 'over_team_limit';
+export type AdmissionResult = 'accept' | 'unknown_team' | 'no_machine_type' | 'over_team_limit';
 
 /** Machine types on which one task of the job may run. */
 export const feasibleTypes = (spec: JobSpec, types: Iterable<MachineType>): MachineType[] =>
@@ -18,7 +18,7 @@
   spec: JobSpec,
   types: Iterable<MachineType>,
   teams: ReadonlyMap<string, Team>,
-): Verdict => {
+): AdmissionResult => {
   const team = teams.get(spec.team);
   if (team === undefined) return 'unknown_team';
   if (feasibleTypes(spec, types).length === 0) return 'no_machine_type';
--- a/src/core/model.ts
+++ b/src/core/model.ts
@@ -1,5 +1,5 @@
 /** The vocabulary of the scheduler: jobs, machines, heartbeats, commands and resources. Nothing here does input or output. */
-import { ROUNDING_TOLERANCE, TASKS_WITHOUT_DEMAND } from './constants.js';
+import { ROUNDING_TOLERANCE, ZERO_DEMAND_TASKS_PER_MACHINE } from './constants.js';
 
 /** Amounts of each resource: demand, capacity, or shares of either. */
 export interface Resources {
@@ -184,7 +184,7 @@
     if (demand[kind] <= 0) continue;
     times = Math.min(times, Math.floor((room[kind] + ROUNDING_TOLERANCE) / demand[kind]));
   }
-  return Number.isFinite(times) ? times : TASKS_WITHOUT_DEMAND;
+  return Number.isFinite(times) ? times : ZERO_DEMAND_TASKS_PER_MACHINE;
 };
 
 /** C' of the paper: each resource's largest capacity on any machine. */
--- a/src/core/placement/pairing.ts
+++ b/src/core/placement/pairing.ts
@@ -8,7 +8,7 @@
 };
 
 /** Demand deviation, equation (1) of the paper: squared gaps of both tasks from their mean. */
-export const deviation = (a: Resources, b: Resources): number => {
+export const demandDeviation = (a: Resources, b: Resources): number => {
   let sum = 0;
   for (const k of RESOURCE_KINDS) {
     const mean = (a[k] + b[k]) / 2;
@@ -29,7 +29,7 @@
  * largest deviation, the earliest of equals. Looking at one member of each group gives the same
  * answer as comparing with every task, in time that grows with the number of jobs only.
  */
-export const complement = <T>(
+export const findComplement = <T>(
   share: Resources,
   waiting: Iterable<TaskGroup<T>>,
 ): TaskGroup<T> | null => {
@@ -38,7 +38,7 @@
   let bestDeviation = -1;
   for (const group of waiting) {
     if (group.count <= 0 || dominantResource(group.share) === own) continue;
-    const d = deviation(share, group.share);
+    const d = demandDeviation(share, group.share);
     if (d > bestDeviation) {
       best = group;
       bestDeviation = d;
