--- a/src/core/jobs/constants.ts
+++ b/src/core/jobs/constants.ts
@@ -1,14 +1,16 @@
-/** Sizes of task ranges and of their records, and routing. */
+/** Sizes of task ranges and of the stored values that hold their completion bitmaps. */
 
-/** share of a value's limit up to which completions of ranges are put together in it */
+/** Share of the size limit of a value up to which it is filled with the completion bitmaps of several ranges. */
 export const SLOT_FILL_RATIO = 0.6;
 
-/** tasks; a range is not cut smaller than this, since each range costs writes of its own. */
+/** Smallest size to which ranges are split, in tasks: each range costs writes of its own. */
 export const MIN_RANGE_TASKS = 16;
 
-/** tasks; a range's completion bitmap (4 per character) must fit one value of the state service, which
- * may allow less than this. */
+/**
+ * Largest size of a range, in tasks. The completion bitmap of a range (4 tasks per character) has to fit one value of
+ * the store; where values may be smaller, `maxRangeTasks` sets a lower limit.
+ */
 export const MAX_RANGE_TASKS = 8192;
 
-/** bytes beside a bitmap in a value that holds one range: its name and the quotes. */
+/** Bytes that a value with the bitmap of one range needs besides the bitmap: for the name of the range and quotes. */
 export const RANGE_NAME_BYTES = 100;
--- a/src/core/jobs/jobs.ts
+++ b/src/core/jobs/jobs.ts
@@ -1,3 +1,4 @@
+/** Completion bitmaps of task ranges, splitting of jobs into ranges, and routing of ranges to shards. */
 import {
   MIN_RANGE_TASKS,
   MAX_RANGE_TASKS,
@@ -6,135 +7,158 @@
 } from './constants.js';
 import type { JobRecord, JobSpec, TaskRange, Team } from '../model.js';
 
-/** Completed tasks of a range as a bitmap in hex, four tasks a character, first task first. */
+/**
+ * Encodes the completed tasks of a range as a bitmap in hexadecimal: four tasks per character, the first task in the
+ * highest bit.
+ */
 export const encodeDone = (
   range: { from: number; to: number },
   done: { has(task: number): boolean },
 ): string => {
-  let out = '';
-  for (let i = range.from; i < range.to; i += 4) {
+  let bitmap = '';
+  for (let first = range.from; first < range.to; first += 4) {
     let nibble = 0;
-    for (let b = 0; b < 4; b++) if (i + b < range.to && done.has(i + b)) nibble |= 8 >> b;
-    out += nibble.toString(16);
+    for (let bit = 0; bit < 4; bit++) {
+      if (first + bit < range.to && done.has(first + bit)) nibble |= 8 >> bit;
+    }
+    bitmap += nibble.toString(16);
   }
-  return out;
+  return bitmap;
 };
 
-/** The done tasks of a range, by its bitmap. */
-export const decodeDone = (range: { from: number; to: number }, bits: string): Set<number> => {
+/** Returns the completed tasks of a range, decoded from its bitmap. */
+export const decodeDone = (range: { from: number; to: number }, bitmap: string): Set<number> => {
   const done = new Set<number>();
-  for (let c = 0; c < bits.length; c++) {
-    const nibble = Number.parseInt(bits[c]!, 16);
-    for (let b = 0; b < 4; b++) {
-      const index = range.from + c * 4 + b;
-      if ((nibble & (8 >> b)) !== 0 && index < range.to) done.add(index);
+  for (let position = 0; position < bitmap.length; position++) {
+    const nibble = Number.parseInt(bitmap[position]!, 16);
+    for (let bit = 0; bit < 4; bit++) {
+      const task = range.from + position * 4 + bit;
+      if ((nibble & (8 >> bit)) !== 0 && task < range.to) done.add(task);
     }
   }
   return done;
 };
 
-/** How many tasks of the range a bitmap shows as done. */
-export const countDone = (range: { from: number; to: number }, bits: string): number => {
+/** Counts the completed tasks of a range in its bitmap. */
+export const countDone = (range: { from: number; to: number }, bitmap: string): number => {
   let count = 0;
-  for (let c = 0; c < bits.length; c++) {
-    let nibble = Number.parseInt(bits[c]!, 16);
-    const left = range.to - range.from - c * 4;
-    // The bitmap of an earlier, longer cut says more than is asked.
-    if (left < 4) nibble &= 0xf << (4 - Math.max(0, left));
+  for (let position = 0; position < bitmap.length; position++) {
+    let nibble = Number.parseInt(bitmap[position]!, 16);
+    const remaining = range.to - range.from - position * 4;
+    // The bitmap may be longer than the range: it was written before the range was split.
+    if (remaining < 4) nibble &= 0xf << (4 - Math.max(0, remaining));
     for (; nibble > 0; nibble &= nibble - 1) count += 1;
   }
   return count;
 };
 
-/** What either of two bitmaps of the same range says is done; the longer one's length. */
+/** Returns the union of two bitmaps of the same range, as long as the longer one. */
 export const mergeDone = (a: string, b: string): string => {
-  const [long, short] = a.length >= b.length ? [a, b] : [b, a];
-  let out = '';
-  for (let c = 0; c < short.length; c++) {
-    out += (Number.parseInt(long[c]!, 16) | Number.parseInt(short[c]!, 16)).toString(16);
+  const [longer, shorter] = a.length >= b.length ? [a, b] : [b, a];
+  let bitmap = '';
+  for (let position = 0; position < shorter.length; position++) {
+    const nibble = Number.parseInt(longer[position]!, 16) | Number.parseInt(shorter[position]!, 16);
+    bitmap += nibble.toString(16);
   }
-  return out + long.slice(short.length);
+  return bitmap + longer.slice(shorter.length);
 };
 
-/** Whether the team has a quota limit. */
+/** Returns whether the team has a quota limit. */
 export const hasLimit = (team: Team | undefined): boolean =>
   team !== undefined && (team.cpusMax > 0 || team.gpusMax > 0);
 
-/** Whether the team has a guaranteed share. */
+/** Returns whether the team has a guarantee. */
 export const hasGuarantee = (team: Team | undefined): boolean =>
   team !== undefined && (team.cpus > 0 || team.gpus > 0);
 
-/** Gangs, jobs that look at zones and teams with a limit or guarantee need one owner that counts for all. */
+/**
+ * Returns whether all tasks of the job have to belong to one shard. They have to if a rule depends on where or how many
+ * of them run, since only one owner can check it: for gangs, for jobs with `oneZone` or `spread`, and for teams with a
+ * limit or a guarantee.
+ */
 export const requiresSingleShard = (spec: JobSpec, team: Team | undefined): boolean =>
   spec.kind === 'gang' || spec.oneZone || spec.spread || hasLimit(team) || hasGuarantee(team);
 
+/** 32-bit FNV-1a hash of the UTF-16 code units of the text. */
 const hash = (text: string): number => {
-  let h = 2166136261;
-  for (let i = 0; i < text.length; i++) h = Math.imul(h ^ text.charCodeAt(i), 16777619);
-  return h >>> 0;
+  let value = 2166136261;
+  for (let i = 0; i < text.length; i++) value = Math.imul(value ^ text.charCodeAt(i), 16777619);
+  return value >>> 0;
 };
 
-/** The shard of a team whose limit or guarantee needs one book-keeper. */
+/** Returns the shard that accounts for the limit or the guarantee of the team. */
 export const shardOfTeam = (team: string, shards: number): number => hash(team) % shards;
-/** The shard that adopts a machine nobody recorded. */
+/** Returns the shard that adopts a machine without a record. */
 export const shardOfMachine = (name: string, shards: number): number => hash(name) % shards;
 
-/** Tasks of a range whose bitmap fits a value of the state service, beside its name. */
+/** Returns the largest range, in tasks, whose bitmap fits a value of the store together with its name. */
 export const maxRangeTasks = (valueBytes: number): number =>
   Math.max(
     MIN_RANGE_TASKS,
     Math.min(MAX_RANGE_TASKS, 4 * Math.floor(valueBytes * SLOT_FILL_RATIO - RANGE_NAME_BYTES)),
   );
 
-/** Cuts a job into ranges; the shards are chosen by the caller. */
+/**
+ * Splits the tasks of a job into ranges [from, to). The caller assigns the ranges to shards. With `singleShard` the
+ * ranges are as long as `maxTasks` allows; otherwise there is about one for each shard, unless they would be shorter
+ * than `MIN_RANGE_TASKS`.
+ */
 export const splitIntoRanges = (
   tasks: number,
   shards: number,
-  whole: boolean,
-  most = MAX_RANGE_TASKS,
+  singleShard: boolean,
+  maxTasks = MAX_RANGE_TASKS,
 ): [number, number][] => {
-  const wanted = whole ? tasks : Math.max(MIN_RANGE_TASKS, Math.ceil(tasks / shards));
-  const size = Math.min(wanted, most);
-  const out: [number, number][] = [];
-  for (let from = 0; from < tasks; from += size) out.push([from, Math.min(tasks, from + size)]);
-  return out;
+  const preferredSize = singleShard ? tasks : Math.max(MIN_RANGE_TASKS, Math.ceil(tasks / shards));
+  const size = Math.min(preferredSize, maxTasks);
+  const ranges: [number, number][] = [];
+  for (let from = 0; from < tasks; from += size) ranges.push([from, Math.min(tasks, from + size)]);
+  return ranges;
 };
 
-/** What routing knows of a shard. */
+/** The properties of a shard by which the tasks of one job are routed. */
 export interface ShardLoad {
   readonly shard: number;
   /** allocation ratio of the shard, waiting tasks included */
   readonly load: number;
-  /** true if the demand fits on some machine now */
+  /** the demand of a task fits on a machine of the shard now */
   readonly fitsNow: boolean;
-  /** true if such a machine holds the image */
+  /** a machine on which the demand fits now holds the image of the job */
   readonly hasImage: boolean;
 }
 
 /**
- * Routing of the paper: a random shard under the threshold, else the least loaded. A shard where the
- * task fits nowhere passes it to one where it fits, which routing does at once for what it knows,
- * and first of all to one where it need not fetch its image.
+ * Chooses the shard for tasks of a job as the paper does: at random among the shards with a load below the threshold,
+ * or the least loaded shard if there are none. In the paper a shard on whose machines a task does not fit passes the
+ * task on to a shard where it fits. Here the random choice already prefers shards where the task is known to fit, and
+ * among them those where the task need not fetch its image.
  */
 export const chooseShard = (
   loads: readonly ShardLoad[],
   threshold: number,
   random: (below: number) => number,
 ): number => {
-  const light = loads.filter((l) => l.load < threshold);
-  if (light.length > 0) {
-    const choices = [light.filter((l) => l.hasImage), light.filter((l) => l.fitsNow), light];
-    const best = choices.find((c) => c.length > 0)!;
-    return best[random(best.length)]!.shard;
+  const belowThreshold = loads.filter((shard) => shard.load < threshold);
+  if (belowThreshold.length > 0) {
+    const preferences = [
+      belowThreshold.filter((shard) => shard.hasImage),
+      belowThreshold.filter((shard) => shard.fitsNow),
+      belowThreshold,
+    ];
+    const choices = preferences.find((shards) => shards.length > 0)!;
+    return choices[random(choices.length)]!.shard;
   }
-  let best = loads[0]!;
-  for (const l of loads) if (l.load < best.load) best = l;
-  return best.shard;
+  let leastLoaded = loads[0]!;
+  for (const shard of loads) if (shard.load < leastLoaded.load) leastLoaded = shard;
+  return leastLoaded.shard;
 };
 
-/** True if every range is complete, by what is saved. */
-export const allDone = (job: JobRecord, saved: (range: TaskRange) => string | undefined): boolean =>
-  job.ranges.every((r) => {
-    const bits = saved(r);
-    return bits !== undefined && countDone(r, bits) === r.to - r.from;
+/** Returns whether every range of the job is complete according to its saved bitmap. */
+export const allDone = (
+  job: JobRecord,
+  savedBitmap: (range: TaskRange) => string | undefined,
+): boolean =>
+  job.ranges.every((range) => {
+    const bitmap = savedBitmap(range);
+    return bitmap !== undefined && countDone(range, bitmap) === range.to - range.from;
   });
--- a/src/core/jobs/task-set.ts
+++ b/src/core/jobs/task-set.ts
@@ -1,6 +1,8 @@
+/** A compact set of task numbers. */
+
 /**
- * A set of task numbers of one job, a bit each: jobs have up to 100,000 tasks, a dozen of them may wait at
- * once, and a Set takes some 40 bytes a number.
+ * A set of task numbers of one job, stored as one bit per task. Jobs have up to 100,000 tasks and a dozen such jobs
+ * may wait at once; a `Set` would take about 40 bytes per number.
  */
 export class TaskSet implements Iterable<number> {
   #words = new Uint32Array(0);
@@ -16,9 +18,9 @@
 
   add(task: number): this {
     if (this.has(task)) return this;
-    const at = task >>> 5;
-    if (at >= this.#words.length) this.#grow(at + 1);
-    this.#words[at]! |= 1 << (task & 31);
+    const wordIndex = task >>> 5;
+    if (wordIndex >= this.#words.length) this.#grow(wordIndex + 1);
+    this.#words[wordIndex]! |= 1 << (task & 31);
     this.#size += 1;
     return this;
   }
@@ -30,18 +32,20 @@
     return true;
   }
 
-  /** At least doubles, so that adding tasks one by one stays cheap. */
-  #grow(words: number): void {
-    const larger = new Uint32Array(Math.max(words, this.#words.length * 2));
+  /** Grows to at least twice the size, so that adding tasks one by one takes amortised constant time. */
+  #grow(minimumWords: number): void {
+    const larger = new Uint32Array(Math.max(minimumWords, this.#words.length * 2));
     larger.set(this.#words);
     this.#words = larger;
   }
 
-  /** The tasks in order of number. */
+  /** Yields the task numbers in ascending order. */
   *[Symbol.iterator](): Iterator<number> {
-    for (const [at, word] of this.#words.entries()) {
+    for (const [wordIndex, word] of this.#words.entries()) {
       if (word === 0) continue;
-      for (let bit = 0; bit < 32; bit++) if ((word & (1 << bit)) !== 0) yield at * 32 + bit;
+      for (let bit = 0; bit < 32; bit++) {
+        if ((word & (1 << bit)) !== 0) yield wordIndex * 32 + bit;
+      }
     }
   }
 }
--- a/src/core/model.ts
+++ b/src/core/model.ts
@@ -1,21 +1,24 @@
-/** The vocabulary of the scheduler: jobs, machines, heartbeats, commands and resources. Nothing here does input or output. */
+/**
+ * Data model of the scheduler: resources, jobs, machines, heartbeats and commands, with the arithmetic of resources.
+ * This module performs no input or output.
+ */
 import { ROUNDING_TOLERANCE, ZERO_DEMAND_TASKS_PER_MACHINE } from './constants.js';
 
-/** Amounts of each resource: demand, capacity, or shares of either. */
+/** An amount of each resource: a demand, a capacity, or a share of a capacity. */
 export interface Resources {
   readonly cpus: number;
   readonly gpus: number;
   readonly memoryGb: number;
 }
 
-/** The keys of `Resources`. */
+/** The keys of `Resources`, in the order in which ties between resources are decided. */
 export const RESOURCE_KINDS = ['cpus', 'gpus', 'memoryGb'] as const;
-/** One resource. */
+/** The name of one resource. */
 export type ResourceKind = (typeof RESOURCE_KINDS)[number];
 
-/** Priority class of a job. */
+/** The priority class of a job. */
 export type Priority = 'production' | 'high' | 'normal' | 'low';
-/** Higher ranks go first, and may preempt lower ones. */
+/** The rank of each priority class: jobs of a higher rank are placed first and may preempt those of a lower rank. */
 export const PRIORITY_RANK: Readonly<Record<Priority, number>> = {
   production: 3,
   high: 2,
@@ -23,39 +26,48 @@
   low: 0,
 };
 
-/** A job as its user submitted it. Sizes in GB, times in seconds. */
+/** A job as its user submitted it. Sizes are in GB, times in seconds. */
 export interface JobSpec {
   readonly uid: string;
   readonly jobClass: string;
   readonly team: string;
   /**
-   * array: independent tasks, each runs to completion; gang: all at once or none; service: its tasks
-   * (replicas) run until the job is cancelled, so whatever ends is started again
+   * - `array`: independent tasks, each of which runs to completion;
+   * - `gang`: tasks that run all at once or not at all;
+   * - `service`: replicas that run until the job is cancelled, so a replica that ends is started again.
    */
   readonly kind: 'array' | 'gang' | 'service';
   readonly priority: Priority;
+  /** number of tasks */
   readonly tasks: number;
+  /** demand of each task */
   readonly demand: Resources;
   readonly image: string;
   readonly imageGb: number;
-  /** machine types that it may use; null: any */
+  /** machine types on which the job may run; null: any */
   readonly types: readonly string[] | null;
+  /** the only zone in which the job may run; null: any */
   readonly zone: string | null;
-  /** all tasks in the same zone */
+  /** all tasks have to run in the same zone */
   readonly oneZone: boolean;
-  /** at most half of the tasks in one zone */
+  /** at most half of the tasks, rounded up, may run in one zone */
   readonly spread: boolean;
-  /** may use spot instances */
+  /** the job may run on spot instances */
   readonly spot: boolean;
+  /** run time of a task as the user estimates it */
   readonly estimateS: number;
-  /** interval between checkpoints; 0: a stopped task loses its progress */
+  /** interval between checkpoints; 0: the task takes none, and loses its progress when it is stopped */
   readonly checkpointS: number;
   /** time that a task needs to save its progress */
   readonly saveS: number;
+  /** time from acceptance by which the job should have ended; null: no deadline */
   readonly deadlineS: number | null;
 }
 
-/** Tasks from..to-1 of a job and the shard they live in. `term` is that shard's term at arrival. */
+/**
+ * The tasks `from` to `to - 1` of a job and the shard that they belong to. `term` is the term of that shard when the
+ * range was assigned to it.
+ */
 export interface TaskRange {
   readonly from: number;
   readonly to: number;
@@ -63,31 +75,33 @@
   readonly term: number;
 }
 
-/** A job as the store keeps it. */
+/** A job as it is stored. */
 export interface JobRecord {
   readonly spec: JobSpec;
-  /** time of day at which it was accepted, ms */
+  /** time of day at which the job was accepted, ms */
   readonly at: number;
   readonly ranges: readonly TaskRange[];
 }
 
-/** A machine as the store keeps it. */
+/** A machine as it is stored. */
 export interface MachineRecord {
   readonly name: string;
   readonly shard: number;
-  /** term of the owner that recorded it; no earlier owner can have started anything there */
+  /** term of the shard owner that recorded the machine; no earlier owner can have started a task on it */
   readonly term: number;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
-  /** written after its first heartbeat and before the first start: without it nothing ran there */
+  /** set after the first heartbeat and before the first start: while it is false no task has run on the machine */
   readonly up: boolean;
 }
 
-/** A machine type that the cloud rents out, with its capacity and prices per hour. */
+/** A machine type that the cloud offers, with its capacity and its prices per hour. */
 export interface MachineType extends Resources {
   readonly name: string;
+  /** size of the image cache */
   readonly cacheGb: number;
+  /** rate at which images are fetched */
   readonly fetchGbPerS: number;
   readonly price: number;
   readonly spotPrice: number;
@@ -95,7 +109,7 @@
   readonly zones: readonly string[];
 }
 
-/** A team's guarantee, and its limit (`...Max`); 0: none. */
+/** The quota of a team: its guarantee (`cpus`, `gpus`) and its limit (`cpusMax`, `gpusMax`). 0 means none. */
 export interface Team {
   readonly name: string;
   readonly cpus: number;
@@ -104,7 +118,7 @@
   readonly gpusMax: number;
 }
 
-/** A service-level objective: this share of a class's tasks within so many seconds. */
+/** A service-level objective: the share of the tasks of a job class that should take at most `withinS` seconds. */
 export interface Objective {
   readonly kind: string;
   readonly jobClass: string | null;
@@ -112,41 +126,43 @@
   readonly share: number;
 }
 
-/** State of a task on its worker. */
+/** The state of a task on its worker. */
 export type TaskState = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
-/** Why a task is in state `exited`. */
+/** The reason why a task is in state `exited`. */
 export type ExitReason =
   'done' | 'stopped' | 'peers' | 'alone' | 'error' | 'no_room' | 'busy' | 'unknown';
 
-/** One attempt of a task, as its worker lists it. */
+/** One attempt of a task, as its worker reports it. */
 export interface ReportedTask {
   readonly uid: string;
   readonly index: number;
   readonly attempt: number;
   readonly state: TaskState;
+  /** reason of the exit; null unless the state is `exited` */
   readonly why: ExitReason | null;
+  /** the task has saved its progress */
   readonly saved: boolean;
 }
 
-/** A worker's task list, sent by itself or as the answer to commands. */
+/** The task list of a worker, sent as a heartbeat or in response to direct commands. */
 export interface Heartbeat {
   readonly machine: string;
   readonly address: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
-  /** counts the lives of the worker process: its tasks end with one */
+  /** number of the worker process on this machine: a restart increments it, and ends all tasks of the old process */
   readonly agentEpoch: number;
-  /** counts the lists within an agent epoch */
+  /** number of the task list within its agent epoch */
   readonly counter: number;
-  /** the highest term that the worker has seen */
+  /** highest term that the worker has seen */
   readonly fencingToken: number;
-  /** seconds until the cloud takes the machine back; null: no notice */
+  /** seconds until the cloud reclaims the machine; null: no notice was given */
   readonly preemptionNoticeS: number | null;
   readonly tasks: readonly ReportedTask[];
 }
 
-/** What a worker is told to do. */
+/** A command to a worker about one attempt of a task. `graceS`: seconds that the task has to save its progress. */
 export type Command =
   | { readonly op: 'start'; readonly uid: string; readonly index: number; readonly attempt: number }
   | {
@@ -163,31 +179,31 @@
       readonly attempt: number;
     };
 
-/** Nothing of any resource. */
+/** Zero of every resource. */
 export const ZERO_RESOURCES: Resources = { cpus: 0, gpus: 0, memoryGb: 0 };
 
-/** a + b * times, by resource. */
+/** Returns `a + b * times` for every resource. */
 export const add = (a: Resources, b: Resources, times = 1): Resources => ({
   cpus: a.cpus + b.cpus * times,
   gpus: a.gpus + b.gpus * times,
   memoryGb: a.memoryGb + b.memoryGb * times,
 });
 
-/** Whether the demand fits into what is free. */
+/** Returns whether the demand fits into the free capacity. */
 export const fits = (demand: Resources, free: Resources): boolean =>
   RESOURCE_KINDS.every((kind) => demand[kind] <= free[kind] + ROUNDING_TOLERANCE);
 
-/** How many times `demand` fits into `room`. */
-export const fitCount = (demand: Resources, room: Resources): number => {
-  let times = Infinity;
+/** Returns how many tasks with this demand fit into the free capacity. */
+export const fitCount = (demand: Resources, free: Resources): number => {
+  let count = Infinity;
   for (const kind of RESOURCE_KINDS) {
     if (demand[kind] <= 0) continue;
-    times = Math.min(times, Math.floor((room[kind] + ROUNDING_TOLERANCE) / demand[kind]));
+    count = Math.min(count, Math.floor((free[kind] + ROUNDING_TOLERANCE) / demand[kind]));
   }
-  return Number.isFinite(times) ? times : ZERO_DEMAND_TASKS_PER_MACHINE;
+  return Number.isFinite(count) ? count : ZERO_DEMAND_TASKS_PER_MACHINE;
 };
 
-/** C' of the paper: each resource's largest capacity on any machine. */
+/** Returns the largest capacity that any machine type has of each resource: C' in the paper. */
 export const largestCapacity = (types: Iterable<Resources>): Resources => {
   let cpus = 0;
   let gpus = 0;
@@ -200,15 +216,15 @@
   return { cpus, gpus, memoryGb };
 };
 
-/** Demand as a share of C'. */
+/** Returns the demand as a share of the largest capacity, resource by resource; 0 where no machine type has any. */
 export const shareOf = (demand: Resources, largest: Resources): Resources => ({
   cpus: largest.cpus > 0 ? demand.cpus / largest.cpus : 0,
   gpus: largest.gpus > 0 ? demand.gpus / largest.gpus : 0,
   memoryGb: largest.memoryGb > 0 ? demand.memoryGb / largest.memoryGb : 0,
 });
 
-/** The largest share a demand takes of one machine. */
-export const dominantShare = (demand: Resources, of: Resources): number => {
-  const share = shareOf(demand, of);
+/** Returns the largest of the shares that a demand takes of each resource of one machine. */
+export const dominantShare = (demand: Resources, capacity: Resources): number => {
+  const share = shareOf(demand, capacity);
   return Math.max(share.cpus, share.gpus, share.memoryGb);
 };
