--- a/src/core/placement/candidates.ts
+++ b/src/core/placement/candidates.ts
@@ -1,43 +1,50 @@
+/** Choice of a machine for a task or a pair of tasks within one scheduling pass. */
 import { satisfiesConstraints } from './constraints.js';
 import type { JobState, MachineState } from '../shard/types.js';
 import type { ShardState } from '../shard/shard-state.js';
 import { fits, fitCount, type Resources } from '../model.js';
 import { UnusedVolumeIndex } from './unused-volume-index.js';
 
-const replicasOn = (m: MachineState, job: JobState): number => {
+const replicasOn = (machine: MachineState, job: JobState): number => {
   let count = 0;
-  for (const p of job.placements.values()) if (p.machine === m) count += 1;
+  for (const placement of job.placements.values()) if (placement.machine === machine) count += 1;
   return count;
 };
 
 /**
- * The machines that could take anything of a queue, for one pass over it. The choice among them is
- * the same as among all machines: those left out could take nothing. What a job could not get, a job
- * of the same kind that asks for no less cannot get later in the pass, since room only shrinks.
+ * The candidate machines of one scheduling pass: the schedulable machines that have free capacity for at least the
+ * smallest demand in the queue. Every other machine would be infeasible for every job, so the choice is the same as
+ * among all machines.
+ *
+ * A job that could not be placed is remembered: within a pass free capacity only shrinks, so a job with the same
+ * constraints and no smaller demand cannot be placed later in the pass either.
  */
 export class Candidates {
   readonly #machines: UnusedVolumeIndex;
-  /** of these, the ones that hold an image, for the images that were asked for */
-  readonly #holding = new Map<string, UnusedVolumeIndex>();
-  readonly #held = new Set<string>();
-  /** zones of these machines, by name */
+  /** candidates that hold an image, by image, for the images asked for so far */
+  readonly #machinesByImage = new Map<string, UnusedVolumeIndex>();
+  /** uids of the jobs for which a candidate is reserved */
+  readonly #reservedUids = new Set<string>();
+  /** zones of the candidates, sorted by name */
   readonly zones: readonly string[];
-  readonly #failed = new Map<string, { demand: Resources; tasks: number }[]>();
+  /** demand and number of tasks of jobs that could not be placed in this pass, by `constraintKey` */
+  readonly #unschedulable = new Map<string, { demand: Resources; tasks: number }[]>();
 
   constructor(
     private readonly state: ShardState,
-    private readonly least: Resources,
+    /** minimum of the demands in the queue, resource by resource */
+    private readonly minimumDemand: Resources,
     readonly now: number,
-    /** one machine only: what else had room was offered to the queue before */
-    only: MachineState | null = null,
+    /** the only machine to consider, or null for all machines of the shard */
+    singleMachine: MachineState | null = null,
   ) {
     const usable: MachineState[] = [];
     const zones = new Set<string>();
-    for (const m of only === null ? state.machines.values() : [only]) {
-      if (!fits(least, m.free) || !state.health.isSchedulable(m, now)) continue;
-      usable.push(m);
-      if (m.reservation !== null) this.#held.add(m.reservation.uid);
-      zones.add(m.record.zone);
+    for (const machine of singleMachine === null ? state.machines.values() : [singleMachine]) {
+      if (!fits(minimumDemand, machine.free) || !state.health.isSchedulable(machine, now)) continue;
+      usable.push(machine);
+      if (machine.reservation !== null) this.#reservedUids.add(machine.reservation.uid);
+      zones.add(machine.record.zone);
     }
     this.zones = [...zones].sort();
     this.#machines = new UnusedVolumeIndex(usable, state.largest);
@@ -47,44 +54,55 @@
     return this.#machines.size === 0;
   }
 
-  /** True if the pass has shown already that there is no room for the job. */
+  /** Returns whether this pass has already shown that so many tasks of the job cannot be placed. */
   isKnownUnschedulable(job: JobState, tasks: number): boolean {
     if (this.isEmpty) return true;
-    if (this.#held.has(job.spec.uid)) return false;
-    const failed = this.#failed.get(job.constraintKey);
+    if (this.#reservedUids.has(job.spec.uid)) return false;
+    const unschedulable = this.#unschedulable.get(job.constraintKey);
     const { demand } = job.spec;
-    return failed?.some((f) => f.tasks <= tasks && fits(f.demand, demand)) ?? false;
+    return (
+      unschedulable?.some((failed) => failed.tasks <= tasks && fits(failed.demand, demand)) ?? false
+    );
   }
 
-  /** Notes that the job found no room, for reasons that hold for others as well. */
+  /**
+   * Records that so many tasks of the job could not be placed, unless the cause may lie in the state of this job, which
+   * says nothing about other jobs: machines that it avoids, or zones that its placed tasks rule out.
+   */
   recordUnschedulable(job: JobState, tasks: number): void {
-    // What one of them could not get for reasons of its own, others may.
     if (job.avoidedMachines.size > 0) return;
     if (job.placements.size > 0 && (job.spec.oneZone || job.spec.spread)) return;
-    const list = this.#failed.get(job.constraintKey) ?? [];
-    list.push({ demand: job.spec.demand, tasks });
-    this.#failed.set(job.constraintKey, list);
+    const failed = this.#unschedulable.get(job.constraintKey) ?? [];
+    failed.push({ demand: job.spec.demand, tasks });
+    this.#unschedulable.set(job.constraintKey, failed);
   }
 
-  /** Whether so many tasks of the job fit, in the zone if one is given; no more is counted than that. */
+  /**
+   * Returns whether the feasible machines, of the zone if one is given, have free capacity for so many tasks of the
+   * job. The search ends as soon as they have.
+   */
   hasSlots(job: JobState, tasks: number, zone: string | null): boolean {
     const { demand } = job.spec;
     let slots = 0;
-    for (const m of this.#machines.mostUnusedFirst(demand)) {
+    for (const machine of this.#machines.mostUnusedFirst(demand)) {
       this.state.work.machinesVisited += 1;
-      if (zone !== null && m.record.zone !== zone) continue;
-      if (!fits(demand, m.free) || !satisfiesConstraints(m, job, this.now)) continue;
-      slots += fitCount(demand, m.free);
+      if (zone !== null && machine.record.zone !== zone) continue;
+      if (!fits(demand, machine.free) || !satisfiesConstraints(machine, job, this.now)) continue;
+      slots += fitCount(demand, machine.free);
       if (slots >= tasks) return true;
     }
     return false;
   }
 
   /**
-   * The most matched machine for the demand: least unused volume, then the name. Exceptions: fetching
-   * an image takes longer than the aims for starts allow, and the slot does nothing useful meanwhile,
-   * so machines that hold it come first. And one machine's loss should leave half of a service, and
-   * rather more, so machines with fewer of its replicas come first.
+   * Returns the feasible machine that fits the demand best, or null: the one with the least unused volume, then the
+   * first by name. `demand` is that of the job, or of the job and its partner together if one is given. Two rules come
+   * before the volume:
+   *
+   * - Machines that hold the image come first, since fetching it takes longer than the objectives for starts allow and
+   *   the slot does nothing useful meanwhile.
+   * - For a service, machines with fewer replicas come first, since the loss of one machine should leave at least half
+   *   of the replicas and preferably more.
    */
   bestMachine(
     job: JobState,
@@ -92,81 +110,84 @@
     partner: JobState | null = null,
     zone: string | null = null,
   ): MachineState | null {
-    const takes = (m: MachineState): boolean => {
+    const accepts = (machine: MachineState): boolean => {
       this.state.work.machinesVisited += 1;
-      if (zone !== null && m.record.zone !== zone) return false;
-      if (!fits(demand, m.free) || !satisfiesConstraints(m, job, this.now)) return false;
-      return partner === null || satisfiesConstraints(m, partner, this.now);
+      if (zone !== null && machine.record.zone !== zone) return false;
+      if (!fits(demand, machine.free) || !satisfiesConstraints(machine, job, this.now))
+        return false;
+      return partner === null || satisfiesConstraints(machine, partner, this.now);
     };
-    if (job.spec.kind === 'service') return this.#fewestReplicas(job, demand, takes);
-    return this.#leastUnused(job.spec.image, demand, takes);
+    if (job.spec.kind === 'service') return this.#fewestReplicas(job, demand, accepts);
+    return this.#leastUnused(job.spec.image, demand, accepts);
   }
 
   #leastUnused(
     image: string,
     demand: Resources,
-    takes: (m: MachineState) => boolean,
+    accepts: (machine: MachineState) => boolean,
   ): MachineState | null {
-    const holding = this.#machinesHolding(image).leastUnused(demand, takes);
-    return holding ?? this.#machines.leastUnused(demand, takes);
+    const withImage = this.#machinesWithImage(image).leastUnused(demand, accepts);
+    return withImage ?? this.#machines.leastUnused(demand, accepts);
   }
 
-  #machinesHolding(image: string): UnusedVolumeIndex {
-    let holding = this.#holding.get(image);
-    if (holding === undefined) {
+  #machinesWithImage(image: string): UnusedVolumeIndex {
+    let withImage = this.#machinesByImage.get(image);
+    if (withImage === undefined) {
       const machines = [...this.#machines.machines()].filter((m) => m.images.has(image));
-      holding = new UnusedVolumeIndex(machines, this.state.largest);
-      this.#holding.set(image, holding);
+      withImage = new UnusedVolumeIndex(machines, this.state.largest);
+      this.#machinesByImage.set(image, withImage);
     }
-    return holding;
+    return withImage;
   }
 
-  /** Machines with less than half of the replicas first, then those that hold the image, then by count. */
+  /**
+   * Returns the machine for the next replica of a service: machines with less than half of the replicas come first, then
+   * those that hold the image, then those with fewer replicas, then those with the least unused volume.
+   */
   #fewestReplicas(
     job: JobState,
     demand: Resources,
-    takes: (m: MachineState) => boolean,
+    accepts: (machine: MachineState) => boolean,
   ): MachineState | null {
     const { image, tasks } = job.spec;
     const half = Math.ceil(tasks / 2);
-    let ranked: { group: readonly number[]; machines: MachineState[] } | null = null;
-    for (const m of this.#machines.machines()) {
-      if (!takes(m)) continue;
-      const replicas = replicasOn(m, job);
-      const group = [Number(replicas >= half), Number(!m.images.has(image)), replicas];
-      const order = ranked === null ? -1 : compareInOrder(group, ranked.group);
-      if (ranked === null || order < 0) ranked = { group, machines: [m] };
-      else if (order === 0) ranked.machines.push(m);
+    let best: { sortKey: readonly number[]; machines: MachineState[] } | null = null;
+    for (const machine of this.#machines.machines()) {
+      if (!accepts(machine)) continue;
+      const replicas = replicasOn(machine, job);
+      const sortKey = [Number(replicas >= half), Number(!machine.images.has(image)), replicas];
+      const order = best === null ? -1 : compareLexicographically(sortKey, best.sortKey);
+      if (best === null || order < 0) best = { sortKey, machines: [machine] };
+      else if (order === 0) best.machines.push(machine);
     }
-    if (ranked === null) return null;
-    return new UnusedVolumeIndex(ranked.machines, this.state.largest).leastUnused(
-      demand,
-      () => true,
-    );
+    if (best === null) return null;
+    return new UnusedVolumeIndex(best.machines, this.state.largest).leastUnused(demand, () => true);
   }
 
-  /** After something was placed on the machine. */
-  capacityTaken(m: MachineState): void {
-    this.#update(m, fits(this.least, m.free));
+  /** Must be called after a task was placed on the machine. */
+  capacityTaken(machine: MachineState): void {
+    this.#update(machine, fits(this.minimumDemand, machine.free));
   }
 
-  /** After something was taken back from the machine. */
-  capacityReturned(m: MachineState): void {
-    this.#update(m, true);
+  /** Must be called after a placement on the machine was undone. */
+  capacityReturned(machine: MachineState): void {
+    this.#update(machine, true);
   }
 
-  #update(m: MachineState, stays: boolean): void {
-    const orders = [this.#machines];
-    for (const [image, order] of this.#holding) if (m.images.has(image)) orders.push(order);
-    for (const order of orders) {
-      if (stays) order.put(m);
-      else order.remove(m);
+  #update(machine: MachineState, isCandidate: boolean): void {
+    const indexes = [this.#machines];
+    for (const [image, index] of this.#machinesByImage) {
+      if (machine.images.has(image)) indexes.push(index);
+    }
+    for (const index of indexes) {
+      if (isCandidate) index.put(machine);
+      else index.remove(machine);
     }
   }
 }
 
-/** Compares the first members that differ. */
-const compareInOrder = (a: readonly number[], b: readonly number[]): number => {
+/** Compares two lists by the first elements that differ. */
+const compareLexicographically = (a: readonly number[], b: readonly number[]): number => {
   for (const [i, value] of a.entries()) {
     const difference = value - (b[i] ?? 0);
     if (difference !== 0) return difference;
--- a/src/core/placement/constants.ts
+++ b/src/core/placement/constants.ts
@@ -1,16 +1,25 @@
-/** Numbers of the placement of tasks. */
+/** Constants of the placement of tasks. */
 
-/** ms; a job none of whose tasks has begun by then goes before newer ones, whatever their aims. */
+/**
+ * ms after acceptance by which the first task of a job is due at the latest, whatever the objectives of its class say:
+ * from then on the job is placed before newer jobs of the same rank.
+ */
 export const FIRST_TASK_DUE_MS = 90_000;
 
-/** s; a job without aims or deadline comes after those of its rank that have one this soon. */
+/**
+ * s after acceptance by which the tasks of a job without objectives or deadline are due: the job is placed after jobs of
+ * its rank that are due earlier.
+ */
 export const DEFAULT_START_OBJECTIVE_S = 600;
 
-/** Volumes nearer than this are equal: the sums differ in the last digits only. */
+/** Unused volumes that differ by no more than this are equal: sums of shares are inexact in their last digits. */
 export const EQUAL_VOLUME_TOLERANCE = 1e-9;
 
-/** unused volume by which a machine may lack the demand's and still fit it: rounding, of every resource */
+/**
+ * Difference by which the unused volume of a machine may be smaller than the volume of a demand that fits it, since the
+ * rounding tolerance applies to every resource.
+ */
 export const FIT_VOLUME_TOLERANCE = 1e-3;
 
-/** machines in a block of the order by volume: a block is passed over at the cost of one look */
+/** Machines in a block of the index by unused volume; a block without enough capacity is skipped after one check. */
 export const INDEX_BLOCK_SIZE = 32;
--- a/src/core/placement/constraints.ts
+++ b/src/core/placement/constraints.ts
@@ -1,31 +1,48 @@
+/** Placement constraints: on which machines a task of a job may run, apart from the capacity that it needs. */
 import type { JobSpec } from '../model.js';
 import type { JobState, MachineState } from '../shard/types.js';
 import type { ShardState } from '../shard/shard-state.js';
 import { tasksAllowedInZone } from './zones.js';
 
-/** Everything about a job, besides its size, that decides where it may go: jobs that share it are alike. */
+/**
+ * Returns a key of all properties of a job that restrict where it may run, apart from its demand and its number of
+ * tasks. Jobs with equal keys have the same constraints.
+ */
 export const constraintKey = (spec: JobSpec): string => {
   const { types, zone, spot, oneZone, spread } = spec;
   const gang = spec.kind === 'gang';
   return `${types?.join() ?? '*'} ${zone ?? '*'} ${spot} ${oneZone} ${spread} ${gang}`;
 };
 
-/** Whether a usable machine may take a task of the job, by its kind and the job's other tasks. */
-export const satisfiesConstraints = (m: MachineState, job: JobState, now: number): boolean => {
+/**
+ * Returns whether a schedulable machine may take a task of the job: by the type, zone, reservation and fault status of
+ * the machine, by the machines that the job avoids, and by the zones of its other tasks.
+ */
+export const satisfiesConstraints = (
+  machine: MachineState,
+  job: JobState,
+  now: number,
+): boolean => {
   const { spec } = job;
-  if (spec.types !== null && !spec.types.includes(m.record.type)) return false;
-  if (m.record.spot && !spec.spot) return false;
-  if (m.reservation !== null && m.reservation.uid !== spec.uid) return false;
-  if (job.avoidedMachines.size > 0 && (job.avoidedMachines.get(m.record.name) ?? -Infinity) > now)
+  if (spec.types !== null && !spec.types.includes(machine.record.type)) return false;
+  if (machine.record.spot && !spec.spot) return false;
+  if (machine.reservation !== null && machine.reservation.uid !== spec.uid) return false;
+  if (
+    job.avoidedMachines.size > 0 &&
+    (job.avoidedMachines.get(machine.record.name) ?? -Infinity) > now
+  )
     return false;
-  if (m.faultStatus !== 'healthy' && m.tasks.size > 0) return false;
-  return tasksAllowedInZone(job, m.record.zone) > 0;
+  if (machine.faultStatus !== 'healthy' && machine.tasks.size > 0) return false;
+  return tasksAllowedInZone(job, machine.record.zone) > 0;
 };
 
-/** The one check that every start passes. */
+/**
+ * Returns whether a task of the job may be started on the machine now, apart from capacity: the machine is schedulable
+ * and satisfies the constraints of the job. Every start has to pass these two checks.
+ */
 export const isFeasible = (
   state: ShardState,
-  m: MachineState,
+  machine: MachineState,
   job: JobState,
   now: number,
-): boolean => state.health.isSchedulable(m, now) && satisfiesConstraints(m, job, now);
+): boolean => state.health.isSchedulable(machine, now) && satisfiesConstraints(machine, job, now);
--- a/src/core/placement/pairing.ts
+++ b/src/core/placement/pairing.ts
@@ -1,23 +1,30 @@
+/**
+ * Complementary pairs of tasks, as in the paper: tasks whose demands differ most, with different dominant resources, are
+ * placed together on one machine.
+ */
 import { RESOURCE_KINDS, type ResourceKind, type Resources } from '../model.js';
 
-/** The resource of which a demand takes the largest share; the first of equals. */
+/** Returns the resource of which a demand takes the largest share; of equal shares, that of the first resource. */
 export const dominantResource = (share: Resources): ResourceKind => {
-  let best: ResourceKind = RESOURCE_KINDS[0];
-  for (const k of RESOURCE_KINDS) if (share[k] > share[best]) best = k;
-  return best;
+  let dominant: ResourceKind = RESOURCE_KINDS[0];
+  for (const kind of RESOURCE_KINDS) if (share[kind] > share[dominant]) dominant = kind;
+  return dominant;
 };
 
-/** Demand deviation, equation (1) of the paper: squared gaps of both tasks from their mean. */
+/**
+ * Returns the deviation between the demands of two tasks, equation (1) of the paper: for each resource, the squared
+ * distances of both demands from their mean.
+ */
 export const demandDeviation = (a: Resources, b: Resources): number => {
   let sum = 0;
-  for (const k of RESOURCE_KINDS) {
-    const mean = (a[k] + b[k]) / 2;
-    sum += (a[k] - mean) ** 2 + (b[k] - mean) ** 2;
+  for (const kind of RESOURCE_KINDS) {
+    const mean = (a[kind] + b[kind]) / 2;
+    sum += (a[kind] - mean) ** 2 + (b[kind] - mean) ** 2;
   }
   return sum;
 };
 
-/** Waiting tasks of equal demand: all tasks of one job are alike. */
+/** Waiting tasks with the same demand, such as those of one job. `share` is the demand of each of them. */
 export interface TaskGroup<T> {
   readonly item: T;
   readonly share: Resources;
@@ -25,23 +32,23 @@
 }
 
 /**
- * The complement of a task: of the waiting tasks with another dominant resource, the one of the
- * largest deviation, the earliest of equals. Looking at one member of each group gives the same
- * answer as comparing with every task, in time that grows with the number of jobs only.
+ * Returns the group whose tasks complement a task best, or null: among the groups with waiting tasks and another
+ * dominant resource, the one with the largest demand deviation, the first of equal ones. Comparing with each group gives
+ * the same result as comparing with each task, in time linear in the number of groups.
  */
 export const findComplement = <T>(
   share: Resources,
   waiting: Iterable<TaskGroup<T>>,
 ): TaskGroup<T> | null => {
-  const own = dominantResource(share);
+  const ownDominant = dominantResource(share);
   let best: TaskGroup<T> | null = null;
   let bestDeviation = -1;
   for (const group of waiting) {
-    if (group.count <= 0 || dominantResource(group.share) === own) continue;
-    const d = demandDeviation(share, group.share);
-    if (d > bestDeviation) {
+    if (group.count <= 0 || dominantResource(group.share) === ownDominant) continue;
+    const deviation = demandDeviation(share, group.share);
+    if (deviation > bestDeviation) {
       best = group;
-      bestDeviation = d;
+      bestDeviation = deviation;
     }
   }
   return best;
--- a/src/core/placement/quotas.ts
+++ b/src/core/placement/quotas.ts
@@ -1,17 +1,18 @@
+/** Limits and guarantees of teams. */
 import type { JobState } from '../shard/types.js';
 import type { ShardState } from '../shard/shard-state.js';
 import { add, ZERO_RESOURCES, type Resources } from '../model.js';
 
-/** Limits and guarantees of teams, by what their placed tasks use. */
+/** Checks the quotas of teams against the demand of their placed tasks. */
 export class Quotas {
   constructor(private readonly state: ShardState) {}
 
-  /** How many more tasks of the job its team's limit allows now. */
+  /** Returns how many more tasks of the job may be placed now under the limit of its team; Infinity if it has none. */
   tasksWithinLimit(job: JobState): number {
     const team = this.state.settings.teams.get(job.spec.team);
     if (team === undefined || (team.cpusMax <= 0 && team.gpusMax <= 0)) return Infinity;
-    // What an unanswered machine runs for the team is not known, nor whose the tasks are that are
-    // being stopped for want of a place in our state: nothing more until both are settled.
+    // The usage of the team is unknown while a machine has not yet reported what it runs, and while tasks without a
+    // placement in this shard's state are still being stopped: they may belong to the team.
     if (
       !this.state.recovered ||
       [...this.state.machines.values()].some((m) => m.unknownTaskCount > 0)
@@ -19,12 +20,13 @@
       return 0;
     const used = this.usedBy(job.spec.team);
     const { cpus, gpus } = job.spec.demand;
-    let room = Infinity;
-    if (team.cpusMax > 0 && cpus > 0) room = Math.min(room, (team.cpusMax - used.cpus) / cpus);
-    if (team.gpusMax > 0 && gpus > 0) room = Math.min(room, (team.gpusMax - used.gpus) / gpus);
-    return Math.max(0, Math.floor(room + 1e-9));
+    let tasks = Infinity;
+    if (team.cpusMax > 0 && cpus > 0) tasks = Math.min(tasks, (team.cpusMax - used.cpus) / cpus);
+    if (team.gpusMax > 0 && gpus > 0) tasks = Math.min(tasks, (team.gpusMax - used.gpus) / gpus);
+    return Math.max(0, Math.floor(tasks + 1e-9));
   }
 
+  /** Returns the total demand of the placed tasks of the team. */
   usedBy(team: string): Resources {
     let used = ZERO_RESOURCES;
     for (const job of this.state.jobs.values()) {
@@ -33,7 +35,7 @@
     return used;
   }
 
-  /** True if the team of the job stays within its guarantee with one more task of the job. */
+  /** Returns whether the team of the job has a guarantee and stays within it with one more task of the job. */
   staysWithinGuarantee(job: JobState): boolean {
     const team = this.state.settings.teams.get(job.spec.team);
     if (team === undefined || (team.cpus <= 0 && team.gpus <= 0)) return false;
@@ -41,6 +43,7 @@
     return (team.cpus <= 0 || used.cpus <= team.cpus) && (team.gpus <= 0 || used.gpus <= team.gpus);
   }
 
+  /** Returns whether the placed tasks of the team use more than its guarantee; true for an unknown team. */
   exceedsGuarantee(name: string): boolean {
     const team = this.state.settings.teams.get(name);
     if (team === undefined) return true;
--- a/src/core/placement/unused-volume-index.ts
+++ b/src/core/placement/unused-volume-index.ts
@@ -1,19 +1,25 @@
+/** An index of machines by unused volume. */
 import { ROUNDING_TOLERANCE } from '../constants.js';
 import { EQUAL_VOLUME_TOLERANCE, INDEX_BLOCK_SIZE, FIT_VOLUME_TOLERANCE } from './constants.js';
 import { unusedVolume } from './unused-volume.js';
 import type { MachineState } from '../shard/types.js';
 import type { Resources } from '../model.js';
 
+/** A machine with its free capacity and unused volume at the time when it was put into the index. */
 interface Entry {
-  readonly m: MachineState;
+  readonly machine: MachineState;
   readonly volume: number;
   readonly free: Resources;
 }
 
+/** The order of the index: by unused volume, then by name. */
 const isBefore = (a: Entry, b: Entry): boolean =>
-  a.volume < b.volume || (a.volume === b.volume && a.m.record.name < b.m.record.name);
+  a.volume < b.volume || (a.volume === b.volume && a.machine.record.name < b.machine.record.name);
 
-/** The first position in a sorted list for which `isPast` holds; it holds for all behind it. */
+/**
+ * Returns the first position in a sorted list for which `isPast` holds, by binary search; the length of the list if it
+ * holds for none. If it holds for an item it has to hold for all items behind it.
+ */
 const firstPosition = <T>(sorted: readonly T[], isPast: (item: T) => boolean): number => {
   let low = 0;
   let high = sorted.length;
@@ -25,7 +31,7 @@
   return low;
 };
 
-/** Neighbours in the order, with the largest free amount of each resource on any of them. */
+/** Consecutive entries of the index, with the largest free amount of each resource on any of their machines. */
 class Block {
   #cpus = 0;
   #gpus = 0;
@@ -35,6 +41,7 @@
     this.measure();
   }
 
+  /** Recomputes the largest free amounts; must be called whenever `entries` has changed. */
   measure(): void {
     this.#cpus = this.#gpus = this.#memoryGb = 0;
     for (const { free } of this.entries) {
@@ -44,7 +51,7 @@
     }
   }
 
-  /** False if the demand surely fits none of them. */
+  /** Returns false if the demand fits no machine of the block for certain. */
   mayFit(demand: Resources): boolean {
     return (
       demand.cpus <= this.#cpus + ROUNDING_TOLERANCE &&
@@ -59,12 +66,13 @@
 }
 
 /**
- * Machines ordered by unused volume, so that the least unused volume of those that fit is found without
- * looking at all of them: what has less volume than the demand is left out, and so are whole blocks of
- * neighbours none of which has enough of some resource. A machine has to be put anew whenever its free
- * amounts change.
+ * Machines ordered by unused volume. The machine with the least unused volume that fits a demand is found without
+ * visiting all machines: the search skips machines with less volume than the demand, and whole blocks of consecutive
+ * machines none of which has enough of some resource. `put` must be called for a machine whenever its free capacity has
+ * changed.
  */
 export class UnusedVolumeIndex {
+  /** in order; no block is empty */
   #blocks: Block[] = [];
   readonly #entries = new Map<MachineState, Entry>();
 
@@ -72,10 +80,10 @@
     machines: Iterable<MachineState>,
     private readonly largest: Resources,
   ) {
-    for (const m of machines) this.#entries.set(m, this.#entry(m));
+    for (const machine of machines) this.#entries.set(machine, this.#entry(machine));
     const sorted = [...this.#entries.values()].sort((a, b) => (isBefore(a, b) ? -1 : 1));
-    for (let at = 0; at < sorted.length; at += INDEX_BLOCK_SIZE) {
-      this.#blocks.push(new Block(sorted.slice(at, at + INDEX_BLOCK_SIZE)));
+    for (let start = 0; start < sorted.length; start += INDEX_BLOCK_SIZE) {
+      this.#blocks.push(new Block(sorted.slice(start, start + INDEX_BLOCK_SIZE)));
     }
   }
 
@@ -87,81 +95,88 @@
     return this.#entries.keys();
   }
 
-  #entry(m: MachineState): Entry {
-    return { m, volume: unusedVolume(m.free, this.largest), free: m.free };
+  #entry(machine: MachineState): Entry {
+    return { machine, volume: unusedVolume(machine.free, this.largest), free: machine.free };
   }
 
-  /** Position of the block that holds the entry, or would; past the end if the entry is the last of all. */
+  /**
+   * Returns the position of the block that holds the entry, or into which it belongs; the number of blocks if the entry
+   * comes after all others.
+   */
   #blockOf(entry: Entry): number {
     return firstPosition(this.#blocks, (block) => !isBefore(block.last, entry));
   }
 
-  remove(m: MachineState): void {
-    const entry = this.#entries.get(m);
+  /** Removes the machine if the index holds it. */
+  remove(machine: MachineState): void {
+    const entry = this.#entries.get(machine);
     if (entry === undefined) return;
-    this.#entries.delete(m);
-    const at = this.#blockOf(entry);
-    const block = this.#blocks[at]!;
+    this.#entries.delete(machine);
+    const position = this.#blockOf(entry);
+    const block = this.#blocks[position]!;
     block.entries.splice(block.entries.indexOf(entry), 1);
-    if (block.entries.length === 0) this.#blocks.splice(at, 1);
+    if (block.entries.length === 0) this.#blocks.splice(position, 1);
     else block.measure();
   }
 
-  /** Adds the machine, or moves it to where its free amounts place it now. */
-  put(m: MachineState): void {
-    this.remove(m);
-    const entry = this.#entry(m);
-    this.#entries.set(m, entry);
+  /** Adds the machine, or moves it to the position of its present free capacity. */
+  put(machine: MachineState): void {
+    this.remove(machine);
+    const entry = this.#entry(machine);
+    this.#entries.set(machine, entry);
     if (this.#blocks.length === 0) {
       this.#blocks.push(new Block([entry]));
       return;
     }
-    const at = Math.min(this.#blockOf(entry), this.#blocks.length - 1);
-    const { entries } = this.#blocks[at]!;
+    const position = Math.min(this.#blockOf(entry), this.#blocks.length - 1);
+    const { entries } = this.#blocks[position]!;
     entries.splice(
       firstPosition(entries, (other) => !isBefore(other, entry)),
       0,
       entry,
     );
-    if (entries.length <= 2 * INDEX_BLOCK_SIZE) this.#blocks[at]!.measure();
-    else this.#split(at);
+    if (entries.length <= 2 * INDEX_BLOCK_SIZE) this.#blocks[position]!.measure();
+    else this.#split(position);
   }
 
-  #split(at: number): void {
-    const { entries } = this.#blocks[at]!;
+  #split(position: number): void {
+    const { entries } = this.#blocks[position]!;
     const halves = [entries.slice(0, INDEX_BLOCK_SIZE), entries.slice(INDEX_BLOCK_SIZE)];
-    this.#blocks.splice(at, 1, ...halves.map((half) => new Block(half)));
+    this.#blocks.splice(position, 1, ...halves.map((half) => new Block(half)));
   }
 
-  /** Machines that may fit the demand, those with the most unused volume first. */
+  /**
+   * Yields the machines by descending unused volume, without the blocks of machines that the demand cannot fit. The
+   * caller has to check whether the demand fits a machine.
+   */
   *mostUnusedFirst(demand: Resources): Iterable<MachineState> {
-    for (let at = this.#blocks.length - 1; at >= 0; at--) {
-      const block = this.#blocks[at]!;
+    for (let position = this.#blocks.length - 1; position >= 0; position--) {
+      const block = this.#blocks[position]!;
       if (!block.mayFit(demand)) continue;
-      for (let i = block.entries.length - 1; i >= 0; i--) yield block.entries[i]!.m;
+      for (let i = block.entries.length - 1; i >= 0; i--) yield block.entries[i]!.machine;
     }
   }
 
   /**
-   * The machine with the least unused volume among those that `takes` accepts; of equal ones the first
-   * by name. `takes` must accept only machines that the demand fits.
+   * Returns the machine with the least unused volume among those that `accepts` returns true for, the first by name of
+   * those with equal volume, or null. `accepts` must return true only for machines that the demand fits.
    */
-  leastUnused(demand: Resources, takes: (m: MachineState) => boolean): MachineState | null {
-    const least = unusedVolume(demand, this.largest) - FIT_VOLUME_TOLERANCE;
-    const from = firstPosition(this.#blocks, (block) => block.last.volume >= least);
+  leastUnused(demand: Resources, accepts: (machine: MachineState) => boolean): MachineState | null {
+    const minimumVolume = unusedVolume(demand, this.largest) - FIT_VOLUME_TOLERANCE;
+    const start = firstPosition(this.#blocks, (block) => block.last.volume >= minimumVolume);
     let best: MachineState | null = null;
-    let most = Infinity;
-    for (let at = from; at < this.#blocks.length; at++) {
-      const block = this.#blocks[at]!;
-      if (block.entries[0]!.volume > most) break;
+    let maximumVolume = Infinity;
+    for (let position = start; position < this.#blocks.length; position++) {
+      const block = this.#blocks[position]!;
+      if (block.entries[0]!.volume > maximumVolume) break;
       if (!block.mayFit(demand)) continue;
-      for (const { m, volume } of block.entries) {
-        if (volume < least) continue;
-        if (volume > most) break;
-        if (best !== null && m.record.name > best.record.name) continue;
-        if (!takes(m)) continue;
-        if (best === null) most = volume + EQUAL_VOLUME_TOLERANCE;
-        best = m;
+      for (const { machine, volume } of block.entries) {
+        if (volume < minimumVolume) continue;
+        if (volume > maximumVolume) break;
+        if (best !== null && machine.record.name > best.record.name) continue;
+        if (!accepts(machine)) continue;
+        if (best === null) maximumVolume = volume + EQUAL_VOLUME_TOLERANCE;
+        best = machine;
       }
     }
     return best;
