--- a/src/core/placement/quotas.ts
+++ b/src/core/placement/quotas.ts
@@ -11,8 +11,8 @@
   tasksWithinLimit(job: JobState): number {
     const team = this.state.settings.teams.get(job.spec.team);
     if (team === undefined || (team.cpusMax <= 0 && team.gpusMax <= 0)) return Infinity;
-    // The usage of the team is unknown while a machine has not yet reported what it runs, and while tasks without a
-    // placement in this shard's state are still being stopped: they may belong to the team.
+    // The usage of the team is unknown while a machine that an earlier owner may have used has not reported what it
+    // runs, and while tasks without a placement in this shard's state, whose team is unknown, are being stopped.
     if (
       !this.state.recovered ||
       [...this.state.machines.values()].some((m) => m.unknownTaskCount > 0)
--- a/src/core/placement/scheduler.ts
+++ b/src/core/placement/scheduler.ts
@@ -1,3 +1,4 @@
+/** The queue of a shard and the placement of its tasks on machines. */
 import { FIRST_TASK_DUE_MS, DEFAULT_START_OBJECTIVE_S } from './constants.js';
 import { placeableTasks } from '../reachability/failure-tracker.js';
 import { taskKey } from '../shard/placements.js';
@@ -9,235 +10,267 @@
 import type { Preemption } from '../preemption/preemption.js';
 import { Candidates } from './candidates.js';
 
-/** The queue of a shard, and where its tasks go. */
+/**
+ * Orders the waiting jobs of a shard and places their tasks: in full passes over the whole queue, and between them on
+ * single machines whose capacity has become free.
+ */
 export class Scheduler {
-  /** the last full pass: who found no room, and what all of them ask for at least */
-  #last: { stuck: JobState[]; least: Resources } | null = null;
+  /**
+   * Jobs that could not be placed completely in the last full pass, and the minimum of their demands; null if there
+   * were none.
+   */
+  #lastFullPass: { unschedulable: JobState[]; minimumDemand: Resources } | null = null;
 
   constructor(
     private readonly state: ShardState,
-    private readonly limits: Quotas,
+    private readonly quotas: Quotas,
     private readonly preemption: Preemption,
   ) {}
 
-  /** Steady ms by which the job's tasks should start: its first aim that can still be met. */
-  #due(job: JobState, aims: readonly number[], now: number): number {
-    for (const within of aims) {
-      const due = job.acceptedAtSteady + within * 1000;
-      if (due >= now) return due;
+  /**
+   * Returns the time (monotonic, ms) by which the tasks of the job should start: its first objective that can still be
+   * met, else its last one. Without objectives it is the latest start that meets the deadline of the job, or a default.
+   */
+  #dueAt(job: JobState, objectivesS: readonly number[], now: number): number {
+    for (const withinS of objectivesS) {
+      const dueAt = job.acceptedAtSteady + withinS * 1000;
+      if (dueAt >= now) return dueAt;
     }
     const { deadlineS, estimateS } = job.spec;
-    const last =
-      aims.at(-1) ?? (deadlineS === null ? DEFAULT_START_OBJECTIVE_S : deadlineS - estimateS);
-    return job.acceptedAtSteady + last * 1000;
+    const lastS =
+      objectivesS.at(-1) ??
+      (deadlineS === null ? DEFAULT_START_OBJECTIVE_S : deadlineS - estimateS);
+    return job.acceptedAtSteady + lastS * 1000;
   }
 
   /**
-   * Jobs with tasks to place, most urgent first: rank, then guarantee, then due time and age. A job's
-   * due time stays once its aims are missed, and until something of it has begun it is at most
-   * `BEGIN_MS` after acceptance, so no stream of newer work can keep it waiting.
+   * Returns the jobs with tasks to place, most urgent first: by rank, then guarantee, then due time, then age. The due
+   * time of a job does not change any more once all its objectives are missed. Until the first task of a job has
+   * started, the due time is at most `FIRST_TASK_DUE_MS` after acceptance, so that a steady stream of newer jobs cannot
+   * starve the job.
    */
   queue(now: number): JobState[] {
     const { recovered } = this.state;
-    const aimsOf = new Map<string, readonly number[]>();
-    const open: { job: JobState; guaranteed: boolean; due: number }[] = [];
+    const objectivesOf = new Map<string, readonly number[]>();
+    const open: { job: JobState; guaranteed: boolean; dueAt: number }[] = [];
     for (const job of this.state.jobs.values()) {
-      if (!isOpen(job, recovered, now)) continue;
+      if (!hasPlaceableTasks(job, recovered, now)) continue;
       const { jobClass } = job.spec;
-      let aims = aimsOf.get(jobClass);
-      if (aims === undefined) {
-        aims = this.state.settings.startObjectives(jobClass);
-        aimsOf.set(jobClass, aims);
+      let objectivesS = objectivesOf.get(jobClass);
+      if (objectivesS === undefined) {
+        objectivesS = this.state.settings.startObjectives(jobClass);
+        objectivesOf.set(jobClass, objectivesS);
       }
-      // Whoever has begun may wait for the next aim after one is missed; whoever has not keeps its
-      // place, or newer work would pass it over again and again.
-      const latest = hasBegun(job) ? Infinity : job.acceptedAtSteady + FIRST_TASK_DUE_MS;
-      const due = Math.min(this.#due(job, aims, now), latest);
-      job.startDeadline = due;
-      open.push({ job, guaranteed: this.limits.staysWithinGuarantee(job), due });
+      // A job that has started may wait for its next objective after it has missed one. A job that has not keeps its
+      // due time: otherwise newer jobs would be placed before it again and again.
+      const latestDueAt = hasStarted(job) ? Infinity : job.acceptedAtSteady + FIRST_TASK_DUE_MS;
+      const dueAt = Math.min(this.#dueAt(job, objectivesS, now), latestDueAt);
+      job.startDeadline = dueAt;
+      open.push({ job, guaranteed: this.quotas.staysWithinGuarantee(job), dueAt });
     }
     open.sort(
       (a, b) =>
         b.job.priorityRank - a.job.priorityRank ||
         Number(b.guaranteed) - Number(a.guaranteed) ||
-        a.due - b.due ||
+        a.dueAt - b.dueAt ||
         a.job.acceptedAt - b.job.acceptedAt ||
         (a.job.spec.uid < b.job.spec.uid ? -1 : 1),
     );
-    return open.map((o) => o.job);
+    return open.map(({ job }) => job);
   }
 
-  /** A machine is held for a job only while that job has tasks waiting. */
-  #dropHolds(): void {
-    for (const m of this.state.machines.values()) {
-      if (m.reservation === null) continue;
-      const job = this.state.jobs.get(m.reservation.uid);
-      if (job === undefined || job.ended || job.waitingTasks.length === 0) m.reservation = null;
+  /** Cancels reservations for jobs that have ended or have no waiting tasks. */
+  #dropStaleReservations(): void {
+    for (const machine of this.state.machines.values()) {
+      if (machine.reservation === null) continue;
+      const job = this.state.jobs.get(machine.reservation.uid);
+      if (job === undefined || job.ended || job.waitingTasks.length === 0)
+        machine.reservation = null;
     }
   }
 
-  /** Places what fits, in order. Returns the jobs that found no room. */
+  /**
+   * Makes a full pass: places the tasks that fit, in the order of the queue, and reserves capacity for the other jobs.
+   * Returns the jobs with tasks that could not be placed.
+   */
   placeAll(now: number): JobState[] {
-    this.#dropHolds();
+    this.#dropStaleReservations();
     const queue = this.queue(now);
-    this.#last = null;
+    this.#lastFullPass = null;
     if (queue.length === 0) return [];
-    const least = leastOf(queue);
-    const stuck = this.#place(queue, new Candidates(this.state, least, now));
-    this.#last = stuck.length === 0 ? null : { stuck, least: leastOf(stuck) };
-    const noRoom = new Set(stuck);
+    const minimumDemand = minimumDemandOf(queue);
+    const unschedulable = this.#place(queue, new Candidates(this.state, minimumDemand, now));
+    this.#lastFullPass =
+      unschedulable.length === 0
+        ? null
+        : { unschedulable, minimumDemand: minimumDemandOf(unschedulable) };
+    const unschedulableJobs = new Set(unschedulable);
     for (const job of queue)
-      job.unschedulableSince = noRoom.has(job) ? (job.unschedulableSince ?? now) : null;
-    this.preemption.reserveCapacity(stuck, now);
-    return stuck;
+      job.unschedulableSince = unschedulableJobs.has(job) ? (job.unschedulableSince ?? now) : null;
+    this.preemption.reserveCapacity(unschedulable, now);
+    return unschedulable;
   }
 
   /**
-   * Gives room on one machine to the jobs that found none in the last full pass. What has come to
-   * wait since then is looked at in the next one, which is never far away.
+   * Places tasks of jobs that found no capacity in the last full pass on one machine. Jobs that have begun to wait since
+   * then are left to the next full pass, which is never far away.
    */
-  placeOn(m: MachineState, now: number): void {
-    if (this.#last === null || !fits(this.#last.least, m.free)) return;
-    // Thousands may wait, and reports are many: what cannot fit is not looked at any further.
+  placeOn(machine: MachineState, now: number): void {
+    if (this.#lastFullPass === null || !fits(this.#lastFullPass.minimumDemand, machine.free))
+      return;
+    // Thousands of jobs may wait, and this runs on every heartbeat: jobs whose demand does not fit are left out first.
     const { recovered } = this.state;
-    const open = this.#last.stuck.filter(
-      (job) => fits(job.spec.demand, m.free) && isOpen(job, recovered, now),
+    const open = this.#lastFullPass.unschedulable.filter(
+      (job) => fits(job.spec.demand, machine.free) && hasPlaceableTasks(job, recovered, now),
     );
-    const queue = this.#imagesFirst(open, m, now);
-    if (queue.length > 0) this.#place(queue, new Candidates(this.state, this.#last.least, now, m));
+    const queue = this.#cachedImagesFirst(open, machine, now);
+    if (queue.length === 0) return;
+    const { minimumDemand } = this.#lastFullPass;
+    this.#place(queue, new Candidates(this.state, minimumDemand, now, machine));
   }
 
   /**
-   * Exception: of arrays of the same rank those whose image the machine holds come first, since a
-   * slot does nothing useful while it fetches. A job that is due, or has waited long for its first
-   * task, is never passed over for that.
+   * Reorders jobs of the same rank for one machine: jobs whose image the machine holds come first, since a slot does
+   * nothing useful while an image is fetched. Gangs and jobs that are due, which includes jobs that have waited long for
+   * their first task, are never passed over for that.
    */
-  #imagesFirst(queue: readonly JobState[], m: MachineState, now: number): JobState[] {
-    const out: JobState[] = [];
-    for (let at = 0; at < queue.length;) {
-      const { priorityRank: rank } = queue[at]!;
-      const later: JobState[] = [];
-      for (; at < queue.length && queue[at]!.priorityRank === rank; at++) {
-        const job = queue[at]!;
-        const patient = job.spec.kind !== 'gang' && job.startDeadline > now;
-        const passed = patient && !m.images.has(job.spec.image);
-        (passed ? later : out).push(job);
+  #cachedImagesFirst(queue: readonly JobState[], machine: MachineState, now: number): JobState[] {
+    const ordered: JobState[] = [];
+    for (let i = 0; i < queue.length;) {
+      const { priorityRank: rank } = queue[i]!;
+      const passedOver: JobState[] = [];
+      for (; i < queue.length && queue[i]!.priorityRank === rank; i++) {
+        const job = queue[i]!;
+        const mayWait = job.spec.kind !== 'gang' && job.startDeadline > now;
+        const isPassedOver = mayWait && !machine.images.has(job.spec.image);
+        (isPassedOver ? passedOver : ordered).push(job);
       }
-      out.push(...later);
+      ordered.push(...passedOver);
     }
-    return out;
+    return ordered;
   }
 
-  #place(queue: readonly JobState[], rooms: Candidates): JobState[] {
-    const stuck: JobState[] = [];
-    const partners = new ComplementFinder(queue, rooms.now, this.state.work);
+  /** Places the tasks of the queue on the candidates. Returns the jobs with tasks that could not be placed. */
+  #place(queue: readonly JobState[], candidates: Candidates): JobState[] {
+    const unschedulable: JobState[] = [];
+    const complements = new ComplementFinder(queue, candidates.now, this.state.work);
     queue.forEach((job, position) => {
       if (job.spec.kind === 'gang') {
-        if (!this.#placeGang(job, rooms)) stuck.push(job);
+        if (!this.#placeGang(job, candidates)) unschedulable.push(job);
         return;
       }
-      while (placeableTasks(job, rooms.now) > 0) {
-        if (this.#placeEntity(job, position, partners, rooms)) continue;
-        stuck.push(job);
+      while (placeableTasks(job, candidates.now) > 0) {
+        if (this.#placeNext(job, position, complements, candidates)) continue;
+        unschedulable.push(job);
         return;
       }
     });
-    return stuck;
+    return unschedulable;
   }
 
-  /** Places the next task of the job with its complement, or alone when the pair fits nowhere. */
-  #placeEntity(
+  /**
+   * Places the next task of the job together with a task of the complementary job, or alone if there is none or no
+   * machine fits both. Returns false if the task cannot be placed.
+   */
+  #placeNext(
     job: JobState,
     position: number,
-    partners: ComplementFinder,
-    rooms: Candidates,
+    complements: ComplementFinder,
+    candidates: Candidates,
   ): boolean {
-    if (rooms.isKnownUnschedulable(job, 1)) return false;
-    const room = this.limits.tasksWithinLimit(job);
-    if (room < 1) return false;
-    const partner = partners.complementOf(job, position);
-    if (partner !== null && this.limits.tasksWithinLimit(partner) >= 1) {
+    if (candidates.isKnownUnschedulable(job, 1)) return false;
+    const tasksAllowed = this.quotas.tasksWithinLimit(job);
+    if (tasksAllowed < 1) return false;
+    const partner = complements.complementOf(job, position);
+    if (partner !== null && this.quotas.tasksWithinLimit(partner) >= 1) {
       const sameTeam = partner.spec.team === job.spec.team;
-      const pairLimit = !sameTeam || room >= 2 || room === Infinity;
-      const both = add(job.spec.demand, partner.spec.demand);
-      const m = pairLimit ? rooms.bestMachine(job, both, partner) : null;
-      if (m !== null) {
-        this.#start(job, m, rooms);
-        this.#start(partner, m, rooms);
+      const pairAllowed = !sameTeam || tasksAllowed >= 2 || tasksAllowed === Infinity;
+      const pairDemand = add(job.spec.demand, partner.spec.demand);
+      const machine = pairAllowed ? candidates.bestMachine(job, pairDemand, partner) : null;
+      if (machine !== null) {
+        this.#start(job, machine, candidates);
+        this.#start(partner, machine, candidates);
         return true;
       }
     }
-    const m = rooms.bestMachine(job, job.spec.demand);
-    if (m === null) {
-      rooms.recordUnschedulable(job, 1);
+    const machine = candidates.bestMachine(job, job.spec.demand);
+    if (machine === null) {
+      candidates.recordUnschedulable(job, 1);
       return false;
     }
-    this.#start(job, m, rooms);
+    this.#start(job, machine, candidates);
     return true;
   }
 
   #start(
     job: JobState,
-    m: MachineState,
-    rooms: Candidates,
+    machine: MachineState,
+    candidates: Candidates,
     attempt = this.state.nextAttempt(),
   ): Placement {
-    const p = this.state.place(job, job.waitingTasks[0]!, attempt, m, rooms.now);
-    rooms.capacityTaken(m);
-    return p;
+    const task = job.waitingTasks[0]!;
+    const placement = this.state.place(job, task, attempt, machine, candidates.now);
+    candidates.capacityTaken(machine);
+    return placement;
   }
 
-  /** All tasks of a gang or none: each in turn on the most matched machine. */
-  #placeGang(job: JobState, rooms: Candidates): boolean {
+  /**
+   * Places all tasks of a gang or none of them, one after the other on the machine that fits best. A gang that has to
+   * stay in one zone tries the zones in order of name. Returns false if the gang cannot be placed.
+   */
+  #placeGang(job: JobState, candidates: Candidates): boolean {
     const tasks = job.waitingTasks.length;
-    if (job.placements.size > 0 || rooms.isKnownUnschedulable(job, tasks)) return false;
-    if (this.limits.tasksWithinLimit(job) < tasks) return false;
-    const zones = job.spec.oneZone ? rooms.zones : [null];
+    if (job.placements.size > 0 || candidates.isKnownUnschedulable(job, tasks)) return false;
+    if (this.quotas.tasksWithinLimit(job) < tasks) return false;
+    const zones = job.spec.oneZone ? candidates.zones : [null];
     for (const zone of zones) {
-      if (!rooms.hasSlots(job, tasks, zone)) continue;
+      if (!candidates.hasSlots(job, tasks, zone)) continue;
       const attempt = this.state.nextAttempt();
       const placed: Placement[] = [];
-      const holds = new Map<MachineState, MachineState['reservation']>();
+      const reservations = new Map<MachineState, MachineState['reservation']>();
       while (job.waitingTasks.length > 0) {
-        const m = rooms.bestMachine(job, job.spec.demand, null, zone);
-        if (m === null) break;
-        if (!holds.has(m)) holds.set(m, m.reservation);
-        placed.push(this.#start(job, m, rooms, attempt));
+        const machine = candidates.bestMachine(job, job.spec.demand, null, zone);
+        if (machine === null) break;
+        if (!reservations.has(machine)) reservations.set(machine, machine.reservation);
+        placed.push(this.#start(job, machine, candidates, attempt));
       }
       if (job.waitingTasks.length === 0) return true;
-      this.#takeBack(job, placed, rooms);
-      for (const [m, hold] of holds) m.reservation = hold;
+      this.#undoPlacements(job, placed, candidates);
+      for (const [machine, reservation] of reservations) machine.reservation = reservation;
     }
-    rooms.recordUnschedulable(job, tasks);
+    candidates.recordUnschedulable(job, tasks);
     return false;
   }
 
-  /** Not all fit: what was only noted down is taken back; no order has left yet. */
-  #takeBack(job: JobState, placed: readonly Placement[], rooms: Candidates): void {
-    for (const p of placed) {
-      p.machine.tasks.delete(taskKey(job.spec.uid, p.index));
-      job.placements.delete(p.index);
-      job.waitingTasks.push(p.index);
-      this.state.recount(p.machine, p.machine.idleSince);
-      rooms.capacityReturned(p.machine);
+  /** Undoes the placements of a gang that did not fit completely. None of their starts has been sent yet. */
+  #undoPlacements(job: JobState, placed: readonly Placement[], candidates: Candidates): void {
+    for (const { machine, index } of placed) {
+      machine.tasks.delete(taskKey(job.spec.uid, index));
+      job.placements.delete(index);
+      job.waitingTasks.push(index);
+      this.state.recount(machine, machine.idleSince);
+      candidates.capacityReturned(machine);
     }
     job.waitingTasks.sort((a, b) => a - b);
   }
 }
 
-/** It has tasks to place, and none of its tasks can still be running by an earlier owner's order. */
-const isOpen = (job: JobState, recovered: boolean, now: number): boolean =>
+/**
+ * Returns whether the job has tasks to place. Until recovery from an earlier owner is complete, jobs with tasks that
+ * the earlier owner may have started are left out, since those tasks may still be running.
+ */
+const hasPlaceableTasks = (job: JobState, recovered: boolean, now: number): boolean =>
   (recovered || job.inheritedTasks.size === 0) && placeableTasks(job, now) > 0;
 
-/** Some task of it is or was on a machine. */
-const hasBegun = (job: JobState): boolean =>
+/** Returns whether a task of the job is on a machine or has completed. */
+const hasStarted = (job: JobState): boolean =>
   job.placements.size + job.savedTasks.size + job.unsavedTasks.size > 0;
 
-/** What every job of the queue asks for at least. */
-const leastOf = (queue: readonly JobState[]): Resources => {
-  const least = { ...queue[0]!.spec.demand };
+/** Returns the minimum of the demands of all jobs in the queue, resource by resource. */
+const minimumDemandOf = (queue: readonly JobState[]): Resources => {
+  const minimum = { ...queue[0]!.spec.demand };
   for (const { spec } of queue) {
-    for (const k of RESOURCE_KINDS) least[k] = Math.min(least[k], spec.demand[k]);
+    for (const kind of RESOURCE_KINDS) minimum[kind] = Math.min(minimum[kind], spec.demand[kind]);
   }
-  return least;
+  return minimum;
 };
