--- a/src/core/preemption/constants.ts
+++ b/src/core/preemption/constants.ts
@@ -1,10 +1,16 @@
-/** Numbers of preemption and reservations. */
+/** Constants of preemption and reservations. */
 
-/** share of a shard's machines on which more gangs than the first may wait for the rest of theirs. */
+/**
+ * Share of the machines of a shard. While fewer machines than that are partially reserved, further gangs than the first
+ * may reserve machines partially and wait for the rest of the machines that they need.
+ */
 export const PARTIAL_RESERVATION_SHARE = 0.06;
 
-/** stuck jobs for which room is sought in one pass: each looks at every machine of the shard. */
+/** Most jobs for which a pass tries to reserve capacity: each attempt visits every machine of the shard. */
 export const MAX_RESERVATION_ATTEMPTS = 8;
 
-/** ms; a hold on a machine for a preempting task ends after this if the task went elsewhere. */
+/**
+ * ms after which a reservation expires. Without expiry a machine would stay reserved for a preempting task that was
+ * placed elsewhere.
+ */
 export const RESERVATION_TTL_MS = 30_000;
--- a/src/core/preemption/preemption.ts
+++ b/src/core/preemption/preemption.ts
@@ -1,3 +1,4 @@
+/** Reservation of machines for jobs that could not be placed, and preemption of other tasks for them. */
 import {
   PARTIAL_RESERVATION_SHARE,
   RESERVATION_TTL_MS,
@@ -9,60 +10,67 @@
 import type { Quotas } from '../placement/quotas.js';
 import { add, dominantShare, fits, fitCount, type JobSpec, type Resources } from '../model.js';
 
-/** A machine that could take tasks of a job, at once or after stopping others. */
-interface Option {
-  readonly m: MachineState;
+/** A machine that could take tasks of a job, at once or after `victims` are stopped. */
+interface ReservationOption {
+  readonly machine: MachineState;
+  /** number of tasks of the job that fit */
   readonly slots: number;
   readonly victims: readonly Placement[];
-  /** seconds of the whole machine that are lost until the job runs there */
-  readonly loss: number;
+  /** cost of the option in machine seconds: time until the job can run, and work of the victims that is lost */
+  readonly lossS: number;
 }
 
 /**
- * Room for jobs that found none: work of a lower rank, or beyond a guarantee, is stopped, and machines
- * are held for gangs until all their tasks fit.
+ * Provides capacity for jobs that could not be placed: preempts tasks of a lower rank and tasks of teams that exceed
+ * their guarantee, and reserves machines for gangs until all tasks of the gang fit.
  */
 export class Preemption {
   constructor(
     private readonly state: ShardState,
-    private readonly limits: Quotas,
+    private readonly quotas: Quotas,
   ) {}
 
   /**
-   * For the jobs that found no room, in the queue's order. The first gangs collect machines without
-   * having enough in sight: so every gang gets its machines at some time, however many smaller jobs
-   * there are. One gang always may, more of them only on a small share of the shard's machines.
+   * Reserves capacity for the jobs that could not be placed, which are given in the order of the queue.
+   *
+   * A gang for which there are not enough machines yet may reserve some partially and wait for more. This guarantees
+   * that every gang gets its machines eventually, however many smaller jobs there are. The first such gang always may;
+   * further gangs only while less than `PARTIAL_RESERVATION_SHARE` of the machines of the shard is partially reserved.
    */
-  reserveCapacity(stuck: readonly JobState[], now: number): void {
-    const collecting = new Set<string>();
-    let left = Math.floor(this.state.machines.size * PARTIAL_RESERVATION_SHARE);
-    let tries = 0;
-    const lowest = this.#lowestRank();
-    for (const job of stuck) {
-      if (tries >= MAX_RESERVATION_ATTEMPTS) break;
-      if (this.limits.tasksWithinLimit(job) < 1) continue;
-      const mayStop =
+  reserveCapacity(unschedulable: readonly JobState[], now: number): void {
+    const accumulatingUids = new Set<string>();
+    let machinesLeft = Math.floor(this.state.machines.size * PARTIAL_RESERVATION_SHARE);
+    let attempts = 0;
+    const lowestRank = this.#lowestPlacedRank();
+    for (const job of unschedulable) {
+      if (attempts >= MAX_RESERVATION_ATTEMPTS) break;
+      if (this.quotas.tasksWithinLimit(job) < 1) continue;
+      const mayPreempt =
         this.state.settings.preempt &&
-        (job.priorityRank > lowest || this.limits.staysWithinGuarantee(job));
+        (job.priorityRank > lowestRank || this.quotas.staysWithinGuarantee(job));
       if (job.spec.kind !== 'gang') {
-        if (!mayStop) continue;
-        tries += 1;
-        this.#reserve(job, 1, mayStop, now);
-      } else if (job.placements.size === 0 && (mayStop || collecting.size === 0 || left > 0)) {
-        tries += 1;
-        const enough = this.#reserve(job, job.waitingTasks.length, mayStop, now);
-        if (enough || (collecting.size > 0 && left <= 0)) continue;
-        collecting.add(job.spec.uid);
-        left -= this.#collect(job, now);
+        if (!mayPreempt) continue;
+        attempts += 1;
+        this.#reserve(job, 1, mayPreempt, now);
+      } else if (
+        job.placements.size === 0 &&
+        (mayPreempt || accumulatingUids.size === 0 || machinesLeft > 0)
+      ) {
+        attempts += 1;
+        const isReserved = this.#reserve(job, job.waitingTasks.length, mayPreempt, now);
+        if (isReserved || (accumulatingUids.size > 0 && machinesLeft <= 0)) continue;
+        accumulatingUids.add(job.spec.uid);
+        machinesLeft -= this.#reservePartially(job, now);
       }
     }
-    for (const m of this.state.machines.values()) {
-      if (m.reservation?.partial === true && !collecting.has(m.reservation.uid))
-        m.reservation = null;
+    for (const machine of this.state.machines.values()) {
+      if (machine.reservation?.partial === true && !accumulatingUids.has(machine.reservation.uid))
+        machine.reservation = null;
     }
   }
 
-  #lowestRank(): number {
+  /** Returns the lowest rank of all jobs with placed tasks; Infinity if there are none. */
+  #lowestPlacedRank(): number {
     let lowest = Infinity;
     for (const job of this.state.jobs.values()) {
       if (job.placements.size > 0) lowest = Math.min(lowest, job.priorityRank);
@@ -70,152 +78,187 @@
     return lowest;
   }
 
-  /** May `victim` be stopped for `job`: lower rank, or beyond its team's guarantee for one within. */
+  /**
+   * Returns whether `victim` may be stopped for `job`: it has a lower rank, or its team exceeds its guarantee while the
+   * team of the job, a different one, stays within its own.
+   */
   #mayPreempt(job: JobState, victim: Placement): boolean {
     if (victim.job.priorityRank < job.priorityRank) return true;
     return (
       victim.job.spec.team !== job.spec.team &&
-      this.limits.staysWithinGuarantee(job) &&
-      this.limits.exceedsGuarantee(victim.job.spec.team)
+      this.quotas.staysWithinGuarantee(job) &&
+      this.quotas.exceedsGuarantee(victim.job.spec.team)
     );
   }
 
-  /** Seconds of work lost when a task is stopped now; with it all of its gang stops. */
-  #loss(p: Placement, now: number): number {
-    const ran = p.runningSince === null ? 0 : (now - p.runningSince) / 1000;
-    const { checkpointS, saveS, kind } = p.job.spec;
-    const tasks = kind === 'gang' ? p.job.placements.size : 1;
-    return (checkpointS > 0 ? saveS : ran) * tasks;
+  /** Returns the seconds of work that are lost if a task is stopped now. Stopping a task of a gang stops all of it. */
+  #lostWorkS(placement: Placement, now: number): number {
+    const ranS = placement.runningSince === null ? 0 : (now - placement.runningSince) / 1000;
+    const { checkpointS, saveS, kind } = placement.job.spec;
+    const tasks = kind === 'gang' ? placement.job.placements.size : 1;
+    return (checkpointS > 0 ? saveS : ranS) * tasks;
   }
 
   /**
-   * Holds machines for so many tasks of the job, those where least is lost, and stops what is in the
-   * way. False, and nothing held anew, if there are not enough machines for it.
+   * Reserves machines for so many tasks of the job, those with the least loss first, and stops the tasks that are in
+   * the way. Returns true if the job has enough machines. Otherwise reserves nothing and returns false.
    */
-  #reserve(job: JobState, tasks: number, mayStop: boolean, now: number): boolean {
+  #reserve(job: JobState, tasks: number, mayPreempt: boolean, now: number): boolean {
     const { uid } = job.spec;
-    const held = [...this.state.machines.values()].filter((m) => m.reservation?.uid === uid);
-    const firm = held.filter((m) => m.reservation?.partial !== true);
-    let open = tasks;
-    for (const m of firm) open -= fitCount(job.spec.demand, this.#freeAfterStops(m));
-    if (open <= 0) return true;
-    const zone = job.spec.oneZone ? (firm[0]?.record.zone ?? null) : null;
-    const options: Option[] = [];
-    for (const m of this.state.machines.values()) {
-      if (firm.includes(m) || (zone !== null && m.record.zone !== zone)) continue;
-      const option = isFeasible(this.state, m, job, now)
-        ? this.#option(m, job, mayStop, now)
+    const reserved = [...this.state.machines.values()].filter((m) => m.reservation?.uid === uid);
+    const fullyReserved = reserved.filter((m) => m.reservation?.partial !== true);
+    let missing = tasks;
+    for (const machine of fullyReserved)
+      missing -= fitCount(job.spec.demand, this.#freeAfterStops(machine));
+    if (missing <= 0) return true;
+    const zone = job.spec.oneZone ? (fullyReserved[0]?.record.zone ?? null) : null;
+    const options: ReservationOption[] = [];
+    for (const machine of this.state.machines.values()) {
+      if (fullyReserved.includes(machine) || (zone !== null && machine.record.zone !== zone))
+        continue;
+      const option = isFeasible(this.state, machine, job, now)
+        ? this.#option(machine, job, mayPreempt, now)
         : null;
       if (option !== null) options.push(option);
     }
-    const usable = job.spec.oneZone && zone === null ? inOneZone(options, open) : options;
-    if (usable.reduce((sum, o) => sum + o.slots, 0) < open) return false;
-    usable.sort((a, b) => a.loss - b.loss);
-    for (const o of usable) {
-      if (open <= 0) break;
-      o.m.reservation = { uid, until: now + RESERVATION_TTL_MS, partial: false };
-      for (const p of o.victims) this.state.requestStop(p, p.job.spec.saveS + 1, now);
-      open -= o.slots;
+    const usable =
+      job.spec.oneZone && zone === null ? optionsOfBestZone(options, missing) : options;
+    if (usable.reduce((sum, { slots }) => sum + slots, 0) < missing) return false;
+    usable.sort((a, b) => a.lossS - b.lossS);
+    for (const { machine, slots, victims } of usable) {
+      if (missing <= 0) break;
+      machine.reservation = { uid, until: now + RESERVATION_TTL_MS, partial: false };
+      for (const victim of victims) this.state.requestStop(victim, victim.job.spec.saveS + 1, now);
+      missing -= slots;
     }
     return true;
   }
 
   /**
-   * Holds machines for a gang that cannot have enough yet: those that are free, then those that will
-   * be soonest, so that nothing new starts there and they run empty. All in one zone if it must be.
+   * Reserves machines for a gang that cannot have enough of them yet, so that nothing new starts on them and they become
+   * empty: machines with free capacity first, then those whose tasks will end soonest. All are in one zone if the gang
+   * has to be. Returns the number of machines reserved for the gang.
    */
-  #collect(job: JobState, now: number): number {
+  #reservePartially(job: JobState, now: number): number {
     const { uid, oneZone, demand } = job.spec;
-    const options: (Option & { readonly held: boolean })[] = [];
-    for (const m of this.state.machines.values()) {
-      if (m.type === null || !fits(demand, m.type) || !isFeasible(this.state, m, job, now))
+    const options: (ReservationOption & { readonly isReserved: boolean })[] = [];
+    for (const machine of this.state.machines.values()) {
+      if (
+        machine.type === null ||
+        !fits(demand, machine.type) ||
+        !isFeasible(this.state, machine, job, now)
+      )
         continue;
-      const free = fits(demand, m.free);
-      const slots = fitCount(demand, free ? m.free : m.type);
-      const loss = free ? 0 : this.#busyS(m, now);
-      options.push({ m, slots, victims: [], loss, held: m.reservation?.uid === uid });
+      const fitsNow = fits(demand, machine.free);
+      const slots = fitCount(demand, fitsNow ? machine.free : machine.type);
+      const lossS = fitsNow ? 0 : this.#remainingS(machine, now);
+      const isReserved = machine.reservation?.uid === uid;
+      options.push({ machine, slots, victims: [], lossS, isReserved });
     }
-    const held = options.filter((o) => o.held);
-    const zone = oneZone ? (held[0]?.m.record.zone ?? null) : null;
+    const reserved = options.filter((option) => option.isReserved);
+    const zone = oneZone ? (reserved[0]?.machine.record.zone ?? null) : null;
     const usable = oneZone
       ? zone === null
-        ? inOneZone(options, job.waitingTasks.length)
-        : options.filter((o) => o.m.record.zone === zone)
+        ? optionsOfBestZone(options, job.waitingTasks.length)
+        : options.filter(({ machine }) => machine.record.zone === zone)
       : options;
-    // What is held already stays so: changing over would start anew each time.
-    usable.sort((x, y) => Number(y.held) - Number(x.held) || x.loss - y.loss);
-    let open = job.waitingTasks.length;
+    // Machines that are reserved already come first: otherwise the gang would start anew whenever the order changes.
+    usable.sort((a, b) => Number(b.isReserved) - Number(a.isReserved) || a.lossS - b.lossS);
+    let missing = job.waitingTasks.length;
     let machines = 0;
-    for (const o of usable) {
-      if (open <= 0) break;
-      o.m.reservation = { uid, until: now + RESERVATION_TTL_MS, partial: true };
-      open -= o.slots;
+    for (const { machine, slots } of usable) {
+      if (missing <= 0) break;
+      machine.reservation = { uid, until: now + RESERVATION_TTL_MS, partial: true };
+      missing -= slots;
       machines += 1;
     }
     return machines;
   }
 
-  /** Seconds until what runs there has ended, by the owners' estimates. */
-  #busyS(m: MachineState, now: number): number {
-    let longest = 0;
-    for (const p of m.tasks.values()) {
-      const ranS = p.runningSince === null ? 0 : (now - p.runningSince) / 1000;
-      longest = Math.max(longest, p.job.spec.estimateS - ranS);
+  /** Returns the seconds until all tasks on the machine have ended, by the estimates of their users. */
+  #remainingS(machine: MachineState, now: number): number {
+    let longestS = 0;
+    for (const { runningSince, job } of machine.tasks.values()) {
+      const ranS = runningSince === null ? 0 : (now - runningSince) / 1000;
+      longestS = Math.max(longestS, job.spec.estimateS - ranS);
     }
-    return longest;
+    return longestS;
   }
 
-  #freeAfterStops(m: MachineState): Resources {
-    let free = m.free;
-    for (const p of m.tasks.values()) if (p.stop !== null) free = add(free, p.job.spec.demand);
+  /** Returns the free capacity of the machine once all tasks that are being stopped are gone. */
+  #freeAfterStops(machine: MachineState): Resources {
+    let free = machine.free;
+    for (const { stop, job } of machine.tasks.values()) {
+      if (stop !== null) free = add(free, job.spec.demand);
+    }
     return free;
   }
 
-  /** Seconds until the machine has the job's image. */
-  #fetchS(m: MachineState, spec: JobSpec): number {
-    return m.images.has(spec.image) ? 0 : spec.imageGb / (m.type?.fetchGbPerS ?? 1);
+  /** Returns the seconds that the machine needs to fetch the image of the job; 0 if it holds the image. */
+  #fetchS(machine: MachineState, spec: JobSpec): number {
+    return machine.images.has(spec.image) ? 0 : spec.imageGb / (machine.type?.fetchGbPerS ?? 1);
   }
 
-  #option(m: MachineState, job: JobState, mayStop: boolean, now: number): Option | null {
+  /**
+   * Returns how the machine could take tasks of the job: as many as fit now, else one in place of the victims with the
+   * least loss, or null if even that is impossible or not allowed.
+   */
+  #option(
+    machine: MachineState,
+    job: JobState,
+    mayPreempt: boolean,
+    now: number,
+  ): ReservationOption | null {
     const { demand } = job.spec;
-    const fetchS = this.#fetchS(m, job.spec);
-    if (fits(demand, m.free)) {
-      return { m, slots: fitCount(demand, m.free), victims: [], loss: fetchS };
+    const fetchS = this.#fetchS(machine, job.spec);
+    if (fits(demand, machine.free)) {
+      return { machine, slots: fitCount(demand, machine.free), victims: [], lossS: fetchS };
     }
-    if (!mayStop) return null;
-    let free = m.free;
-    let loss = fetchS;
+    if (!mayPreempt) return null;
+    let free = machine.free;
+    let lossS = fetchS;
     const victims: Placement[] = [];
-    const candidates = [...m.tasks.values()]
-      .filter((p) => this.#mayPreempt(job, p))
-      .sort((a, b) => this.#loss(a, now) - this.#loss(b, now));
-    for (const p of candidates) {
+    const preemptible = [...machine.tasks.values()]
+      .filter((placement) => this.#mayPreempt(job, placement))
+      .sort((a, b) => this.#lostWorkS(a, now) - this.#lostWorkS(b, now));
+    for (const placement of preemptible) {
       if (fits(demand, free)) break;
-      free = add(free, p.job.spec.demand);
-      if (p.stop === null) {
-        victims.push(p);
-        // In seconds of the whole machine, like the fetch that it is weighed against.
-        loss += this.#loss(p, now) * dominantShare(p.job.spec.demand, m.type ?? this.state.largest);
+      const { demand: victimDemand } = placement.job.spec;
+      free = add(free, victimDemand);
+      if (placement.stop === null) {
+        victims.push(placement);
+        // Scaled to seconds of the whole machine, so that it can be compared with the time to fetch the image.
+        const share = dominantShare(victimDemand, machine.type ?? this.state.largest);
+        lossS += this.#lostWorkS(placement, now) * share;
       }
     }
-    return fits(demand, free) ? { m, slots: 1, victims, loss } : null;
+    return fits(demand, free) ? { machine, slots: 1, victims, lossS } : null;
   }
 }
 
-/** The options of the zone with most slots; of zones with enough, the one with the least loss. */
-const inOneZone = <O extends Option>(options: readonly O[], needed: number): O[] => {
-  const zones = new Map<string, { options: O[]; slots: number; loss: number }>();
-  for (const o of options) {
-    const z = zones.get(o.m.record.zone) ?? { options: [], slots: 0, loss: 0 };
-    z.options.push(o);
-    z.slots += o.slots;
-    z.loss += o.loss;
-    zones.set(o.m.record.zone, z);
+/**
+ * Returns the options of one zone: of the zones with enough slots, the one with the least mean loss; if no zone has
+ * enough, the one with the most slots. Of equal zones it is the first by name.
+ */
+const optionsOfBestZone = <O extends ReservationOption>(
+  options: readonly O[],
+  slotsNeeded: number,
+): O[] => {
+  const zones = new Map<string, { options: O[]; slots: number; lossS: number }>();
+  for (const option of options) {
+    const name = option.machine.record.zone;
+    const zone = zones.get(name) ?? { options: [], slots: 0, lossS: 0 };
+    zone.options.push(option);
+    zone.slots += option.slots;
+    zone.lossS += option.lossS;
+    zones.set(name, zone);
   }
   const ranked = [...zones].sort(([nameA, a], [nameB, b]) => {
-    const enough = Number(b.slots >= needed) - Number(a.slots >= needed);
-    const mean = a.loss / a.options.length - b.loss / b.options.length;
-    return enough || (a.slots >= needed ? mean : b.slots - a.slots) || (nameA < nameB ? -1 : 1);
+    const enough = Number(b.slots >= slotsNeeded) - Number(a.slots >= slotsNeeded);
+    const meanLoss = a.lossS / a.options.length - b.lossS / b.options.length;
+    return (
+      enough || (a.slots >= slotsNeeded ? meanLoss : b.slots - a.slots) || (nameA < nameB ? -1 : 1)
+    );
   });
   return ranked[0]?.[1].options ?? [];
 };
