--- a/test/design.test.ts
+++ b/test/design.test.ts
@@ -1,3 +1,4 @@
+/** Formulas and decisions without state: pairs and best fit of the paper, admission, task ranges and routing. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { admit } from '../src/core/jobs/admission.js';
@@ -12,12 +13,21 @@
 import { randomFrom } from '../src/random.js';
 import { machineType, settings, spec } from './helpers.js';
 
-const r = (cpus: number, gpus: number, memoryGb: number): Resources => ({ cpus, gpus, memoryGb });
+const resources = (cpus: number, gpus: number, memoryGb: number): Resources => ({
+  cpus,
+  gpus,
+  memoryGb,
+});
 
-test("volumes and choices of the paper's example", () => {
-  // The paper's C' = <25, 2, 30> for CPU, memory, storage; the order of resources does not matter.
-  const largest = r(25, 2, 30);
-  const free = [r(5, 0, 20), r(10, 1, 10), r(20, 2, 30), r(10, 1, 8.5)];
+test("unused volumes and best fits match the paper's example", () => {
+  // The paper's C' = <25, 2, 30> is for CPU, memory and storage; which resource is which does not matter here.
+  const largest = resources(25, 2, 30);
+  const free = [
+    resources(5, 0, 20),
+    resources(10, 1, 10),
+    resources(20, 2, 30),
+    resources(10, 1, 8.5),
+  ];
   const volumes = free.map((f) => Number(unusedVolume(f, largest).toFixed(3)));
   assert.deepEqual(volumes, [0.867, 1.233, 2.8, 1.183]);
   const vms = free.map((f, i) => ({ name: `vm${i + 1}`, free: f }));
@@ -26,120 +36,188 @@
   assert.equal(bestFit([vms[1]!, vms[2]!, vms[3]!], largest)?.name, 'vm4');
 });
 
-test('most matched machine: ties', () => {
-  const largest = r(8, 2, 64);
-  const m = (name: string, free: Resources, hasImage = false) => ({ name, free, hasImage });
-  const cases: [string, ReturnType<typeof m>[], string | null][] = [
-    ['none fits', [], null],
-    ['least volume beats the image', [m('a', r(8, 2, 64), true), m('b', r(4, 1, 32))], 'b'],
-    ['equal: the image', [m('a', r(4, 1, 32)), m('b', r(4, 1, 32), true)], 'b'],
-    ['equal: the name', [m('b', r(4, 1, 32)), m('a', r(4, 1, 32))], 'a'],
+test('best fit: least unused volume, then the image, then the name', () => {
+  const largest = resources(8, 2, 64);
+  const candidate = (name: string, free: Resources, hasImage = false) => ({ name, free, hasImage });
+  const cases: [string, ReturnType<typeof candidate>[], string | null][] = [
+    ['no candidate', [], null],
+    [
+      'less volume comes before the image',
+      [candidate('a', resources(8, 2, 64), true), candidate('b', resources(4, 1, 32))],
+      'b',
+    ],
+    [
+      'equal volume: the image decides',
+      [candidate('a', resources(4, 1, 32)), candidate('b', resources(4, 1, 32), true)],
+      'b',
+    ],
+    [
+      'equal volume: the name decides',
+      [candidate('b', resources(4, 1, 32)), candidate('a', resources(4, 1, 32))],
+      'a',
+    ],
   ];
-  for (const [name, candidates, want] of cases) {
-    assert.equal(bestFit(candidates, largest)?.name ?? null, want, name);
+  for (const [name, candidates, expected] of cases) {
+    assert.equal(bestFit(candidates, largest)?.name ?? null, expected, name);
   }
 });
 
-test('deviation and complement: table', () => {
-  // Equation (1): two gaps from the mean for each resource.
-  assert.equal(demandDeviation(r(6, 0, 0), r(2, 0, 0)), 8);
-  assert.equal(demandDeviation(r(1, 2, 3), r(1, 2, 3)), 0);
-  assert.equal(dominantResource(r(0.2, 0.5, 0.1)), 'gpus');
-  const g = (item: string, share: Resources, count = 1) => ({ item, share, count });
-  const cpu = r(0.9, 0.1, 0.1);
-  const cases: [string, ReturnType<typeof g>[], string | null][] = [
-    ['nobody waits', [], null],
-    ['the same dominant resource never pairs', [g('a', r(0.5, 0.1, 0.1))], null],
-    ['largest deviation', [g('a', r(0.1, 0.3, 0.1)), g('b', r(0.1, 0.9, 0.1))], 'b'],
-    ['a group without tasks is passed over', [g('a', r(0, 1, 0), 0), g('b', r(0, 0.2, 0))], 'b'],
-    ['the earliest of equals', [g('a', r(0, 1, 0)), g('b', r(0, 1, 0))], 'a'],
+test('the complement is the task with another dominant resource and the largest deviation', () => {
+  // Equation (1): for each resource the squared distances of both tasks from their mean.
+  assert.equal(demandDeviation(resources(6, 0, 0), resources(2, 0, 0)), 8);
+  assert.equal(demandDeviation(resources(1, 2, 3), resources(1, 2, 3)), 0);
+  assert.equal(dominantResource(resources(0.2, 0.5, 0.1)), 'gpus');
+  const group = (item: string, share: Resources, count = 1) => ({ item, share, count });
+  const cpu = resources(0.9, 0.1, 0.1);
+  const cases: [string, ReturnType<typeof group>[], string | null][] = [
+    ['no waiting tasks', [], null],
+    [
+      'tasks with the same dominant resource are never paired',
+      [group('a', resources(0.5, 0.1, 0.1))],
+      null,
+    ],
+    [
+      'the largest deviation',
+      [group('a', resources(0.1, 0.3, 0.1)), group('b', resources(0.1, 0.9, 0.1))],
+      'b',
+    ],
+    [
+      'a group without tasks is skipped',
+      [group('a', resources(0, 1, 0), 0), group('b', resources(0, 0.2, 0))],
+      'b',
+    ],
+    [
+      'the first of equal deviations',
+      [group('a', resources(0, 1, 0)), group('b', resources(0, 1, 0))],
+      'a',
+    ],
   ];
-  for (const [name, groups, want] of cases) {
-    assert.equal(findComplement(cpu, groups)?.item ?? null, want, name);
+  for (const [name, groups, expected] of cases) {
+    assert.equal(findComplement(cpu, groups)?.item ?? null, expected, name);
   }
 });
 
-test('comparing groups gives what comparing each with each gives', () => {
+test('comparing with groups finds the same complement as comparing with each task', () => {
   const random = randomFrom(7);
-  const largest = r(8, 2, 64);
+  const largest = resources(8, 2, 64);
   for (let round = 0; round < 200; round++) {
     const groups = Array.from({ length: 1 + random(6) }, (_, item) => ({
       item,
-      share: shareOf(r(random(9), random(3), random(65)), largest),
+      share: shareOf(resources(random(9), random(3), random(65)), largest),
       count: random(4),
     }));
-    const single = groups.flatMap((x) =>
-      Array.from({ length: x.count }, () => ({ ...x, count: 1 })),
+    const singleTasks = groups.flatMap((group) =>
+      Array.from({ length: group.count }, () => ({ ...group, count: 1 })),
     );
-    const share = shareOf(r(random(9), random(3), random(65)), largest);
-    assert.equal(findComplement(share, groups)?.item, findComplement(share, single)?.item);
+    const share = shareOf(resources(random(9), random(3), random(65)), largest);
+    assert.equal(findComplement(share, groups)?.item, findComplement(share, singleTasks)?.item);
   }
 });
 
-test('admission: table', () => {
+test('admission rejects jobs that can never run', () => {
   const types = [machineType(), machineType({ name: 'big', cpus: 64, zones: ['y'] })];
   const cases: [string, Parameters<typeof spec>[0], string][] = [
-    ['fits', {}, 'accept'],
+    ['fits a machine type', {}, 'accept'],
     ['unknown team', { team: 'nobody' }, 'unknown_team'],
-    ['too large for any', { demand: r(65, 0, 1) }, 'no_machine_type'],
-    ['large one is not in this zone', { demand: r(20, 0, 1), zone: 'z' }, 'no_machine_type'],
-    ['large one is in that zone', { demand: r(20, 0, 1), zone: 'y' }, 'accept'],
-    ['type not allowed', { demand: r(20, 0, 1), types: ['m'] }, 'no_machine_type'],
-    ['an array counts one task', { team: 'limited', tasks: 9 }, 'accept'],
-    ['a gang counts all', { team: 'limited', tasks: 3, kind: 'gang' }, 'over_team_limit'],
-    ['a service counts all', { team: 'limited', tasks: 3, kind: 'service' }, 'over_team_limit'],
+    ['too large for every machine type', { demand: resources(65, 0, 1) }, 'no_machine_type'],
+    [
+      'large enough type is not offered in the zone',
+      { demand: resources(20, 0, 1), zone: 'z' },
+      'no_machine_type',
+    ],
+    [
+      'large enough type is offered in the zone',
+      { demand: resources(20, 0, 1), zone: 'y' },
+      'accept',
+    ],
+    [
+      'large enough type is not allowed',
+      { demand: resources(20, 0, 1), types: ['m'] },
+      'no_machine_type',
+    ],
+    ['an array needs the limit for one task only', { team: 'limited', tasks: 9 }, 'accept'],
+    [
+      'a gang needs the limit for all tasks',
+      { team: 'limited', tasks: 3, kind: 'gang' },
+      'over_team_limit',
+    ],
+    [
+      'a service needs the limit for all tasks',
+      { team: 'limited', tasks: 3, kind: 'service' },
+      'over_team_limit',
+    ],
     ['a service within the limit', { team: 'limited', tasks: 2, kind: 'service' }, 'accept'],
     ['a gang within the limit', { team: 'limited', tasks: 2, kind: 'gang' }, 'accept'],
   ];
-  for (const [name, over, want] of cases) {
-    assert.equal(admit(spec(over), types, settings().teams), want, name);
+  for (const [name, changes, expected] of cases) {
+    assert.equal(admit(spec(changes), types, settings().teams), expected, name);
   }
 });
 
-test('ranges cover every task once, within the size of a value', () => {
-  const cases: [number, number, boolean, number][] = [
+test('ranges cover every task exactly once, and the bitmap of each fits a stored value', () => {
+  const cases: [tasks: number, shards: number, singleShard: boolean, count: number][] = [
     [1, 3, false, 1],
     [16, 3, false, 1],
     [60, 3, false, 3],
     [60, 3, true, 1],
     [100_000, 3, false, 13],
   ];
-  for (const [tasks, shards, whole, count] of cases) {
-    const ranges = splitIntoRanges(tasks, shards, whole);
+  for (const [tasks, shards, singleShard, count] of cases) {
+    const ranges = splitIntoRanges(tasks, shards, singleShard);
     assert.equal(ranges.length, count, `${tasks} tasks`);
-    let at = 0;
+    let next = 0;
     for (const [from, to] of ranges) {
-      assert.equal(from, at);
+      assert.equal(from, next);
       assert.ok(to > from && (to - from) / 4 < 8000);
-      at = to;
+      next = to;
     }
-    assert.equal(at, tasks);
+    assert.equal(next, tasks);
   }
 });
 
-test('completion bitmaps keep what was put in', () => {
+test('a decoded completion bitmap holds the encoded tasks of its range', () => {
   for (const done of [[], [0], [4, 5, 9], [3, 4, 5, 6, 7, 8, 9, 10, 11, 12]]) {
     const range = { from: 3, to: 13 };
-    const wanted = done.filter((i) => i >= 3);
-    const back = decodeDone(range, encodeDone(range, new Set(done)));
-    assert.deepEqual([...back], wanted);
+    const expected = done.filter((i) => i >= 3);
+    const decoded = decodeDone(range, encodeDone(range, new Set(done)));
+    assert.deepEqual([...decoded], expected);
   }
 });
 
-test('routing: random under the threshold, else the least loaded', () => {
-  const load = (shard: number, l: number, fitsNow = false, hasImage = false) => {
-    return { shard, load: l, fitsNow, hasImage };
+test('routing chooses a random shard below the threshold, or else the least loaded', () => {
+  const shardLoad = (shard: number, load: number, fitsNow = false, hasImage = false) => {
+    return { shard, load, fitsNow, hasImage };
   };
-  const cases: [string, ReturnType<typeof load>[], number, number][] = [
-    ['random among the light', [load(0, 0.1), load(1, 0.9), load(2, 0.2)], 1, 2],
-    ['light, but it fits elsewhere only', [load(0, 0.1), load(1, 0.1, true)], 0, 1],
-    ['an image at hand', [load(0, 0.1, true), load(1, 0.2, true, true)], 0, 1],
-    ['all heavy: the least', [load(0, 1.5), load(1, 0.9), load(2, 1.1)], 0, 1],
+  const cases: [string, ReturnType<typeof shardLoad>[], number, number][] = [
+    [
+      'random among the shards below the threshold',
+      [shardLoad(0, 0.1), shardLoad(1, 0.9), shardLoad(2, 0.2)],
+      1,
+      2,
+    ],
+    [
+      'a shard where the task fits now is preferred',
+      [shardLoad(0, 0.1), shardLoad(1, 0.1, true)],
+      0,
+      1,
+    ],
+    [
+      'among those a shard that holds the image is preferred',
+      [shardLoad(0, 0.1, true), shardLoad(1, 0.2, true, true)],
+      0,
+      1,
+    ],
+    [
+      'none below the threshold: the least loaded',
+      [shardLoad(0, 1.5), shardLoad(1, 0.9), shardLoad(2, 1.1)],
+      0,
+      1,
+    ],
   ];
-  for (const [name, loads, pick, want] of cases) {
+  for (const [name, loads, pick, expected] of cases) {
     assert.equal(
       chooseShard(loads, 0.85, (n) => pick % n),
-      want,
+      expected,
       name,
     );
   }
