--- a/test/quotas.test.ts
+++ b/test/quotas.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Limits of the store (sizes of values and transactions, request rates) that are lowered at an unannounced moment. Values
+ * that were written before may exceed them; they are split, and nothing that is saved in them may be lost.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import pino from 'pino';
@@ -22,18 +26,17 @@
 import { MemoryStore } from './standins/memory-store.js';
 import { FakeStore } from './standins/store.js';
 
-/** Limits of the store that fall at a moment that nobody announces. */
 const LOG = pino({ level: 'silent' });
 
-test("the platform's `state.next`: the smaller sizes hold from the start, wrong keys are named", () => {
+test("the platform's `state.next`: smaller sizes apply from the start, and invalid keys are named", () => {
   const next = (lines: string) => `${PLATFORM}\n[settings.state.next]\n${lines}\n`;
-  const good: [string, number, number, number][] = [
+  const valid: [text: string, valueBytes: number, transactionOps: number, writeRps: number][] = [
     [PLATFORM, 8192, 16, 25],
     [next('value_kb = 2.0\ntxn_ops = 5\nwrite_rps = 18.0'), 2048, 5, 18],
     [next('value_kb = 16.0\ntxn_ops = 50'), 8192, 16, 25],
     [next('later_field = 1'), 8192, 16, 25],
   ];
-  for (const [text, valueBytes, transactionOps, writeRps] of good) {
+  for (const [text, valueBytes, transactionOps, writeRps] of valid) {
     const { storeLimits } = parsePlatformConfig('f', text);
     assert.equal(storeLimits.valueBytes, valueBytes);
     assert.equal(storeLimits.transactionOps, transactionOps);
@@ -50,21 +53,21 @@
     const name = key.split(' ')[0]!;
     assert.throws(
       () => parsePlatformConfig('f', next(key)),
-      (e: unknown) =>
-        e instanceof ConfigError &&
-        e.problems.some((p) => p.startsWith(`settings.state.next.${name}`)),
+      (error: unknown) =>
+        error instanceof ConfigError &&
+        error.problems.some((problem) => problem.startsWith(`settings.state.next.${name}`)),
       key,
     );
   }
 });
 
-test('ranges are cut so that the bitmap of each fits a value: table', () => {
+test('jobs are split into ranges so that the bitmap of each range fits a value', () => {
   for (const valueBytes of [8192, 2048, 1024, 512]) {
     for (const tasks of [1, 17, 4096, 100_000]) {
-      const most = maxRangeTasks(valueBytes);
-      for (const [from, to] of splitIntoRanges(tasks, 3, false, most)) {
-        const bits = encodeDone({ from, to }, new Set());
-        const slot = { [`job-${'9'.repeat(20)}/${from}`]: bits };
+      const maxTasks = maxRangeTasks(valueBytes);
+      for (const [from, to] of splitIntoRanges(tasks, 3, false, maxTasks)) {
+        const bitmap = encodeDone({ from, to }, new Set());
+        const slot = { [`job-${'9'.repeat(20)}/${from}`]: bitmap };
         assert.ok(
           JSON.stringify(slot).length <= valueBytes * SLOT_FILL_RATIO,
           `${valueBytes} ${tasks}`,
@@ -74,8 +77,11 @@
   }
 });
 
-/** A shard whose values were written when they could be larger, on a store that allows less now. */
-const shrunkenStore = (valueBytes: number, transactionOps: number) => {
+/**
+ * Returns a store with the given limits and a saver of completions on it. Tests put values there that were written when
+ * values could be larger.
+ */
+const storeWithLoweredLimits = (valueBytes: number, transactionOps: number) => {
   const cache = new WatchCache();
   const store = new MemoryStore();
   const written = { maxBytes: 0 };
@@ -86,7 +92,7 @@
       guards: readonly Guard[],
       writes: readonly Write[],
     ): Promise<CompareAndSwapResult> => {
-      assert.ok(writes.length <= transactionOps, `${writes.length} changes`);
+      assert.ok(writes.length <= transactionOps, `${writes.length} writes in one transaction`);
       for (const write of writes) {
         if (!('put' in write)) continue;
         const bytes = JSON.stringify(write.value).length;
@@ -104,27 +110,27 @@
     await saver.save(ownedShard(shard), now);
     show();
   };
-  /** What a node that starts now knows to be done, whichever of two copies it meets first. */
-  const known = (uid: string): Set<number> => {
-    const fresh = new WatchCache();
-    store.show(fresh, 'listing');
+  /** The completed tasks of a job as a node that starts now reads them, whichever copy of a bitmap it reads first. */
+  const completedTasks = (uid: string): Set<number> => {
+    const freshCache = new WatchCache();
+    store.show(freshCache, 'listing');
     const done = new Set<number>();
-    for (const range of fresh.tables.activeJobs.get(uid)!.value.ranges) {
-      const bitmap = fresh.completedTasks(range.shard, uid, range.from);
+    for (const range of freshCache.tables.activeJobs.get(uid)!.value.ranges) {
+      const bitmap = freshCache.completedTasks(range.shard, uid, range.from);
       if (bitmap !== undefined) for (const index of decodeDone(range, bitmap)) done.add(index);
     }
     return done;
   };
-  return { values: store.values, cache, show, save, known, written };
+  return { values: store.values, cache, show, save, completedTasks, written };
 };
 
-test('a slot from a time of larger values is taken apart, each step right by itself', async () => {
-  for (const [valueBytes, ops] of [
+test('a slot that exceeds a lowered value limit is split, and no completion is lost after any step', async () => {
+  for (const [valueBytes, transactionOps] of [
     [2048, 4],
     [1024, 2],
     [512, 5],
   ] as const) {
-    const fixture = shrunkenStore(valueBytes, ops);
+    const fixture = storeWithLoweredLimits(valueBytes, transactionOps);
     fixture.values.set('parts/0', {
       value: { owner: 'n', incarnation: 'a', term: 1 },
       revision: 1,
@@ -142,17 +148,18 @@
     fixture.show();
     const shard = shardWith(new Store().add(...records));
     let steps = 0;
-    const large = () =>
+    const hasTooLargeSlot = () =>
       [...fixture.values].some(
-        ([k, v]) => k.startsWith('done/') && JSON.stringify(v.value).length > valueBytes,
+        ([key, stored]) =>
+          key.startsWith('done/') && JSON.stringify(stored.value).length > valueBytes,
       );
-    while (large()) {
+    while (hasTooLargeSlot()) {
       await fixture.save(shard);
       steps += 1;
       assert.ok(steps < 40);
       for (let n = 0; n < 60; n++) {
         assert.deepEqual(
-          [...fixture.known(`job-${n}`)].sort((a, b) => a - b),
+          [...fixture.completedTasks(`job-${n}`)].sort((a, b) => a - b),
           [...new Set([n, 239])],
         );
       }
@@ -161,32 +168,34 @@
   }
 });
 
-test('an old owner goes on in the middle of a split: what it saved is not written over', async () => {
-  // The old version reads and writes the first slot that holds a range. The other copy is older then,
-  // and a split that continues from it would bring completed tasks back as waiting.
-  const [valueBytes, ops] = [512, 2];
-  const fixture = shrunkenStore(valueBytes, ops);
+test('completions that an owner of an earlier version saves in the middle of a split are not overwritten', async () => {
+  // Halfway through a split, a range has copies of its bitmap in two slots. An owner of the earlier version reads and
+  // writes only the first of them. If the split continued from the other, older copy, tasks that were completed in
+  // between would become waiting again.
+  const [valueBytes, transactionOps] = [512, 2];
+  const fixture = storeWithLoweredLimits(valueBytes, transactionOps);
   const tasks = 240;
   const range = { from: 0, to: tasks };
   fixture.values.set('parts/0', { value: { owner: 'n', incarnation: 'a', term: 1 }, revision: 1 });
   const records: JobRecord[] = [];
-  const large: Record<string, string> = {};
+  const largeSlot: Record<string, string> = {};
   for (let n = 0; n < 20; n++) {
     const record = job({ uid: `job-${n}`, tasks });
     records.push(record);
     fixture.values.set(`active/job-${n}`, { value: encodeJob(record), revision: 2 });
-    large[`job-${n}/0`] = encodeDone(range, new Set([n]));
+    largeSlot[`job-${n}/0`] = encodeDone(range, new Set([n]));
   }
   fixture.values.set('done/0/0', { value: {}, revision: 3 });
-  fixture.values.set('done/0/1', { value: large, revision: 3 });
+  fixture.values.set('done/0/1', { value: largeSlot, revision: 3 });
   fixture.show();
   const shard = shardWith(new Store().add(...records));
-  const slot = (n: number) => fixture.values.get(`done/0/${n}`)!.value as Record<string, string>;
+  const slot = (number: number) =>
+    fixture.values.get(`done/0/${number}`)!.value as Record<string, string>;
   await fixture.save(shard);
-  const twice = Object.keys(slot(0)).filter((name) => name in slot(1));
-  assert.ok(twice.length > 0, 'the split is half done');
+  const inBothSlots = Object.keys(slot(0)).filter((name) => name in slot(1));
+  assert.ok(inBothSlots.length > 0, 'the split is half done');
   const value = { ...slot(0) };
-  for (const name of twice) {
+  for (const name of inBothSlots) {
     const n = Number(/\d+/.exec(name)![0]);
     value[name] = encodeDone(range, new Set([n, 100]));
   }
@@ -194,9 +203,9 @@
   fixture.show();
   for (let step = 0; step < 20; step++) {
     await fixture.save(shard);
-    for (const name of twice) {
+    for (const name of inBothSlots) {
       const uid = name.slice(0, name.indexOf('/'));
-      assert.ok(fixture.known(uid).has(100), `${uid} after step ${step}`);
+      assert.ok(fixture.completedTasks(uid).has(100), `${uid} after step ${step}`);
     }
   }
   assert.ok(
@@ -204,31 +213,31 @@
   );
 });
 
-test('a range that stands in two slots is done where either says so, whichever is met first', () => {
-  for (const [a, b, either] of [
+test('a task is completed if either of two bitmaps of its range says so, whichever is read first', () => {
+  for (const [a, b, union] of [
     ['c0', '90', 'd0'],
     ['f', '0f', 'ff'],
     ['01', '8', '81'],
   ]) {
-    for (const slots of [
+    for (const bitmaps of [
       [a, b],
       [b, a],
     ]) {
       const cache = new WatchCache();
-      const changes = slots.map((bits, n) => ({
-        key: `done/0/${n}`,
-        value: { 'job-1/0': bits },
-        revision: n + 1,
+      const changes = bitmaps.map((bitmap, slot) => ({
+        key: `done/0/${slot}`,
+        value: { 'job-1/0': bitmap },
+        revision: slot + 1,
         removed: false,
       }));
       cache.apply({ isListing: true, revision: 9, consistentFrom: 9, changes });
-      assert.equal(cache.completedTasks(0, 'job-1', 0), either);
+      assert.equal(cache.completedTasks(0, 'job-1', 0), union);
     }
   }
 });
 
-test('a range whose bitmap fits no value any more is cut, and nothing that is done is lost', async () => {
-  const fixture = shrunkenStore(1024, 4);
+test('a range whose bitmap exceeds a lowered value limit is split, and no completion is lost', async () => {
+  const fixture = storeWithLoweredLimits(1024, 4);
   const record = job({ uid: 'job-1', tasks: 6000 });
   const done = new Set(Array.from({ length: 1500 }, (_, i) => i * 4 + 1));
   fixture.values.set('parts/0', { value: { owner: 'n', incarnation: 'a', term: 1 }, revision: 1 });
@@ -245,7 +254,7 @@
   for (let step = 0; step < 12; step++) {
     await fixture.save(shard);
     assert.deepEqual(
-      [...fixture.known('job-1')].sort((a, b) => a - b),
+      [...fixture.completedTasks('job-1')].sort((a, b) => a - b),
       [...done],
       `after step ${step}`,
     );
@@ -255,20 +264,20 @@
     ranges().reduce((sum, r) => sum + r.to - r.from, 0),
     6000,
   );
-  // What ends now is saved in the new cut.
+  // Tasks that complete after the split are saved in the new ranges.
   shard.jobs.get('job-1')!.unsavedTasks.add(0);
   await fixture.save(shard);
-  assert.ok(fixture.known('job-1').has(0));
+  assert.ok(fixture.completedTasks('job-1').has(0));
 });
 
-test('the state client: sizes at the edge, 400s that are not repeated, a 429 that lowers the rate', async () => {
-  const state = new FakeStore();
-  await state.start();
+test('the store client accepts transactions up to the size limits, repeats none that got 400, and lowers its rate after 429', async () => {
+  const store = new FakeStore();
+  await store.start();
   const errors: string[] = [];
   const log = pino({ level: 'error' }, { write: (line: string) => errors.push(line) });
   const rates = { rps: 1000, writeRps: 400, next: { rps: 1000, writeRps: 20 } };
   const client = new StoreClient(
-    state.address,
+    store.address,
     rates,
     { valueBytes: 100, transactionOps: 2 },
     () => performance.now(),
@@ -276,52 +285,52 @@
   );
   const put = (key: string, bytes: number): Write => ({ put: key, value: 'x'.repeat(bytes - 2) });
   try {
-    const edges: [string, Write[], number, boolean][] = [
-      ['a value of just the size', [put('a', 100)], 0, true],
-      ['one byte more', [put('a', 101)], 0, false],
-      ['as many changes as allowed', [put('a', 9), put('b', 9)], 8, true],
-      ['one change more', [put('a', 9), put('b', 9), put('c', 9)], 0, false],
-      ['one condition more', [put('a', 9)], 9, false],
+    const cases: [string, Write[], number, boolean][] = [
+      ['a value of exactly the allowed size', [put('a', 100)], 0, true],
+      ['a value one byte larger', [put('a', 101)], 0, false],
+      ['as many writes and guards as allowed', [put('a', 9), put('b', 9)], 8, true],
+      ['one write more', [put('a', 9), put('b', 9), put('c', 9)], 0, false],
+      ['one guard more', [put('a', 9)], 9, false],
     ];
-    for (const [name, writes, conditions, fits] of edges) {
-      const guards = Array.from({ length: conditions }, (_, i) => ({ key: `k${i}`, revision: 0 }));
+    for (const [name, writes, guardCount, accepted] of cases) {
+      const guards = Array.from({ length: guardCount }, (_, i) => ({ key: `k${i}`, revision: 0 }));
       const sent = client.compareAndSwap(CALL_PRIORITY.background, guards, writes).then(
         () => true,
-        (e: unknown) => {
-          assert.ok(e instanceof StoreRequestError && e.kind === 'invalid', name);
+        (error: unknown) => {
+          assert.ok(error instanceof StoreRequestError && error.kind === 'invalid', name);
           return false;
         },
       );
-      assert.equal(await sent, fits, name);
+      assert.equal(await sent, accepted, name);
     }
-    assert.equal(state.refused.size, 0, 'what is too large is not even sent');
-    // Lower than announced: refused once, logged once, and not sent again.
-    state.limits = { ...state.limits, valueBytes: 50 };
-    const logged = errors.length;
+    assert.equal(store.refused.size, 0, 'transactions over the limits are not sent');
+    // The store allows less than it announced: the transaction is refused once, logged once and not sent again.
+    store.limits = { ...store.limits, valueBytes: 50 };
+    const errorsBefore = errors.length;
     for (let i = 0; i < 3; i++) {
       await assert.rejects(client.compareAndSwap(CALL_PRIORITY.background, [], [put('z', 80)]), {
         kind: 'invalid',
       });
     }
-    assert.equal(state.refused.size, 1);
-    assert.equal(errors.length, logged + 1);
-    state.limits = { ...state.limits, writeRps: 20 };
+    assert.equal(store.refused.size, 1);
+    assert.equal(errors.length, errorsBefore + 1);
+    store.limits = { ...store.limits, writeRps: 20 };
     let refused = 0;
-    const began = Date.now();
-    for (let i = 0; Date.now() - began < 4000; i++) {
+    const startedAt = Date.now();
+    for (let i = 0; Date.now() - startedAt < 4000; i++) {
       await client
         .compareAndSwap(CALL_PRIORITY.background, [], [put(`w${i}`, 9)])
         .catch(() => (refused += 1));
     }
-    assert.ok(state.refused.rate >= 1, 'the fall was noticed');
-    assert.ok(state.refused.rate <= 12, `${state.refused.rate} refusals: the rate is not lowered`);
+    assert.ok(store.refused.rate >= 1, 'the lower rate was reached');
+    assert.ok(store.refused.rate <= 12, `${store.refused.rate} refusals: the rate is not lowered`);
   } finally {
     client.close();
-    state.close();
+    store.close();
   }
 });
 
-test('limits fall while whole controllers work: nothing is refused for its size, all is done', async () => {
+test('store limits are lowered while controllers run: no transaction exceeds the sizes, and all jobs complete', async () => {
   const storeLimits = {
     rps: 600,
     writeRps: 300,
@@ -329,23 +338,27 @@
     transactionOps: 3,
     next: { rps: 600, writeRps: 60 },
   };
-  const c = new Cluster({ runMs: 800, leaseS: 4, cancelS: 10, storeLimits });
-  const small = { Vcpus: 1, Cards: 0, MemGb: 1, GuessS: 20 };
+  const cluster = new Cluster({ runMs: 800, leaseS: 4, cancelS: 10, storeLimits });
+  const smallDemand = { Vcpus: 1, Cards: 0, MemGb: 1, GuessS: 20 };
   try {
-    await c.open();
+    await cluster.open();
     const uids = [];
     for (let i = 0; i < 6; i++)
-      uids.push(await c.submit(c.names[i % 3]!, { ...small, Pieces: 60 }));
-    await c.until('some of it runs', 20, () => c.world.started > 20);
-    c.state.limits = { valueBytes: 1024, transactionOps: 3, writeRps: 60 };
+      uids.push(await cluster.submit(cluster.names[i % 3]!, { ...smallDemand, Pieces: 60 }));
+    await cluster.until('more than 20 tasks started', 20, () => cluster.world.started > 20);
+    cluster.state.limits = { valueBytes: 1024, transactionOps: 3, writeRps: 60 };
     for (let i = 0; i < 3; i++)
-      uids.push(await c.submit(c.names[i % 3]!, { ...small, Pieces: 60 }));
+      uids.push(await cluster.submit(cluster.names[i % 3]!, { ...smallDemand, Pieces: 60 }));
     for (const uid of uids) {
-      await c.until(`${uid} done`, 60, async () => (await c.statusOf('n0', uid)) === 'done');
+      await cluster.until(
+        `${uid} done`,
+        60,
+        async () => (await cluster.statusOf('n0', uid)) === 'done',
+      );
     }
-    assert.equal(c.state.refused.size, 0);
-    assert.deepEqual(c.world.broken, []);
+    assert.equal(cluster.state.refused.size, 0);
+    assert.deepEqual(cluster.world.broken, []);
   } finally {
-    c.close();
+    cluster.close();
   }
 });
