--- a/src/core/placement/candidates.ts
+++ b/src/core/placement/candidates.ts
@@ -141,8 +141,8 @@
   }
 
   /**
-   * Returns the machine for the next replica of a service: machines with less than half of the replicas come first, then
-   * those that hold the image, then those with fewer replicas, then those with the least unused volume.
+   * Returns the machine for the next replica of a service: machines with less than half of the replicas come first,
+   * then those that hold the image, then those with fewer replicas, then those with the least unused volume.
    */
   #fewestReplicas(
     job: JobState,
--- a/src/core/placement/constants.ts
+++ b/src/core/placement/constants.ts
@@ -7,8 +7,8 @@
 export const FIRST_TASK_DUE_MS = 90_000;
 
 /**
- * s after acceptance by which the tasks of a job without objectives or deadline are due: the job is placed after jobs of
- * its rank that are due earlier.
+ * s after acceptance by which the tasks of a job without objectives or deadline are due: the job is placed after jobs
+ * of its rank that are due earlier.
  */
 export const DEFAULT_START_OBJECTIVE_S = 600;
 
--- a/src/core/placement/pairing.ts
+++ b/src/core/placement/pairing.ts
@@ -1,6 +1,6 @@
 /**
- * Complementary pairs of tasks, as in the paper: tasks whose demands differ most, with different dominant resources, are
- * placed together on one machine.
+ * Complementary pairs of tasks, as in the paper: tasks whose demands differ most, with different dominant resources,
+ * are placed together on one machine.
  */
 import { RESOURCE_KINDS, type ResourceKind, type Resources } from '../model.js';
 
@@ -33,8 +33,8 @@
 
 /**
  * Returns the group whose tasks complement a task best, or null: among the groups with waiting tasks and another
- * dominant resource, the one with the largest demand deviation, the first of equal ones. Comparing with each group gives
- * the same result as comparing with each task, in time linear in the number of groups.
+ * dominant resource, the one with the largest demand deviation, the first of equal ones. Comparing with each group
+ * gives the same result as comparing with each task, in time linear in the number of groups.
  */
 export const findComplement = <T>(
   share: Resources,
--- a/src/core/placement/scheduler.ts
+++ b/src/core/placement/scheduler.ts
@@ -112,8 +112,8 @@
   }
 
   /**
-   * Places tasks of jobs that found no capacity in the last full pass on one machine. Jobs that have begun to wait since
-   * then are left to the next full pass, which is never far away.
+   * Places tasks of jobs that found no capacity in the last full pass on one machine. Jobs that have begun to wait
+   * since then are left to the next full pass, which is never far away.
    */
   placeOn(machine: MachineState, now: number): void {
     if (this.#lastFullPass === null || !fits(this.#lastFullPass.minimumDemand, machine.free))
@@ -131,8 +131,8 @@
 
   /**
    * Reorders jobs of the same rank for one machine: jobs whose image the machine holds come first, since a slot does
-   * nothing useful while an image is fetched. Gangs and jobs that are due, which includes jobs that have waited long for
-   * their first task, are never passed over for that.
+   * nothing useful while an image is fetched. Gangs and jobs that are due, which includes jobs that have waited long
+   * for their first task, are never passed over for that.
    */
   #cachedImagesFirst(queue: readonly JobState[], machine: MachineState, now: number): JobState[] {
     const ordered: JobState[] = [];
--- a/src/core/preemption/preemption.ts
+++ b/src/core/preemption/preemption.ts
@@ -135,9 +135,9 @@
   }
 
   /**
-   * Reserves machines for a gang that cannot have enough of them yet, so that nothing new starts on them and they become
-   * empty: machines with free capacity first, then those whose tasks will end soonest. All are in one zone if the gang
-   * has to be. Returns the number of machines reserved for the gang.
+   * Reserves machines for a gang that cannot have enough of them yet, so that nothing new starts on them and they
+   * become empty: machines with free capacity first, then those whose tasks will end soonest. All are in one zone if
+   * the gang has to be. Returns the number of machines reserved for the gang.
    */
   #reservePartially(job: JobState, now: number): number {
     const { uid, oneZone, demand } = job.spec;
--- a/test/quotas.test.ts
+++ b/test/quotas.test.ts
@@ -1,6 +1,6 @@
 /**
- * Limits of the store (sizes of values and transactions, request rates) that are lowered at an unannounced moment. Values
- * that were written before may exceed them; they are split, and nothing that is saved in them may be lost.
+ * Limits of the store (sizes of values and transactions, request rates) that are lowered at an unannounced moment.
+ * Values that were written before may exceed them; they are split, and nothing that is saved in them may be lost.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -196,8 +196,8 @@
   assert.ok(inBothSlots.length > 0, 'the split is half done');
   const value = { ...slot(0) };
   for (const name of inBothSlots) {
-    const n = Number(/\d+/.exec(name)![0]);
-    value[name] = encodeDone(range, new Set([n, 100]));
+    const jobNumber = Number(/\d+/.exec(name)![0]);
+    value[name] = encodeDone(range, new Set([jobNumber, 100]));
   }
   fixture.values.set('done/0/0', { value, revision: 99 });
   fixture.show();
@@ -270,7 +270,7 @@
   assert.ok(fixture.completedTasks('job-1').has(0));
 });
 
-test('the store client accepts transactions up to the size limits, repeats none that got 400, and lowers its rate after 429', async () => {
+test('store client: accepts writes up to the size limits, never repeats a 400, lowers its rate after a 429', async () => {
   const store = new FakeStore();
   await store.start();
   const errors: string[] = [];
@@ -330,7 +330,7 @@
   }
 });
 
-test('store limits are lowered while controllers run: no transaction exceeds the sizes, and all jobs complete', async () => {
+test('store limits are lowered while controllers run: no write exceeds the sizes, and all jobs complete', async () => {
   const storeLimits = {
     rps: 600,
     writeRps: 300,
