--- a/src/core/capacity/reachable-capacity.ts
+++ b/src/core/capacity/reachable-capacity.ts
@@ -8,7 +8,7 @@
  */
 
 /** A rental that has not been answered yet. */
-export interface PendingMachines {
+export interface PendingRental {
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
@@ -44,7 +44,7 @@
 
   constructor(
     private readonly staying: readonly MachineState[],
-    pending: readonly PendingMachines[],
+    pending: readonly PendingRental[],
     types: ReadonlyMap<string, MachineType>,
     private readonly preempts: boolean,
     private readonly now: number,
@@ -66,7 +66,7 @@
   }
 
   /** Tasks of the job for which there is or will be room, within its constraints on zones. */
-  tasksOf(job: JobState): number {
+  tasksThatFit(job: JobState): number {
     const { spec } = job;
     const byZone = new Map<string, number>();
     const note = (zone: string, tasks: number) => byZone.set(zone, (byZone.get(zone) ?? 0) + tasks);
@@ -98,7 +98,7 @@
 }
 
 /** The zone in which a job that finds no room should get a machine; null: any. */
-export const zoneToGrow = (
+export const zoneForNewMachines = (
   job: JobState,
   type: MachineType,
   staying: readonly MachineState[],
--- a/src/core/placement/candidates.ts
+++ b/src/core/placement/candidates.ts
@@ -47,7 +47,7 @@
       zones.add(machine.record.zone);
     }
     this.zones = [...zones].sort();
-    this.#machines = new UnusedVolumeIndex(usable, state.largest);
+    this.#machines = new UnusedVolumeIndex(usable, state.largestCapacity);
   }
 
   get isEmpty(): boolean {
@@ -85,7 +85,7 @@
     const { demand } = job.spec;
     let slots = 0;
     for (const machine of this.#machines.mostUnusedFirst(demand)) {
-      this.state.work.machinesVisited += 1;
+      this.state.workCounters.machinesVisited += 1;
       if (zone !== null && machine.record.zone !== zone) continue;
       if (!fits(demand, machine.free) || !satisfiesConstraints(machine, job, this.now)) continue;
       slots += fitCount(demand, machine.free);
@@ -111,7 +111,7 @@
     zone: string | null = null,
   ): MachineState | null {
     const accepts = (machine: MachineState): boolean => {
-      this.state.work.machinesVisited += 1;
+      this.state.workCounters.machinesVisited += 1;
       if (zone !== null && machine.record.zone !== zone) return false;
       if (!fits(demand, machine.free) || !satisfiesConstraints(machine, job, this.now))
         return false;
@@ -134,7 +134,7 @@
     let withImage = this.#machinesByImage.get(image);
     if (withImage === undefined) {
       const machines = [...this.#machines.machines()].filter((m) => m.images.has(image));
-      withImage = new UnusedVolumeIndex(machines, this.state.largest);
+      withImage = new UnusedVolumeIndex(machines, this.state.largestCapacity);
       this.#machinesByImage.set(image, withImage);
     }
     return withImage;
@@ -161,7 +161,10 @@
       else if (order === 0) best.machines.push(machine);
     }
     if (best === null) return null;
-    return new UnusedVolumeIndex(best.machines, this.state.largest).leastUnused(demand, () => true);
+    return new UnusedVolumeIndex(best.machines, this.state.largestCapacity).leastUnused(
+      demand,
+      () => true,
+    );
   }
 
   /** Must be called after a task was placed on the machine. */
--- a/src/core/placement/scheduler.ts
+++ b/src/core/placement/scheduler.ts
@@ -33,14 +33,14 @@
    */
   #dueAt(job: JobState, objectivesS: readonly number[], now: number): number {
     for (const withinS of objectivesS) {
-      const dueAt = job.acceptedAtSteady + withinS * 1000;
+      const dueAt = job.acceptedAtMonotonic + withinS * 1000;
       if (dueAt >= now) return dueAt;
     }
     const { deadlineS, estimateS } = job.spec;
     const lastS =
       objectivesS.at(-1) ??
       (deadlineS === null ? DEFAULT_START_OBJECTIVE_S : deadlineS - estimateS);
-    return job.acceptedAtSteady + lastS * 1000;
+    return job.acceptedAtMonotonic + lastS * 1000;
   }
 
   /**
@@ -63,7 +63,7 @@
       }
       // A job that has started may wait for its next objective after it has missed one. A job that has not keeps its
       // due time: otherwise newer jobs would be placed before it again and again.
-      const latestDueAt = hasStarted(job) ? Infinity : job.acceptedAtSteady + FIRST_TASK_DUE_MS;
+      const latestDueAt = hasStarted(job) ? Infinity : job.acceptedAtMonotonic + FIRST_TASK_DUE_MS;
       const dueAt = Math.min(this.#dueAt(job, objectivesS, now), latestDueAt);
       job.startDeadline = dueAt;
       open.push({ job, guaranteed: this.quotas.staysWithinGuarantee(job), dueAt });
@@ -153,7 +153,7 @@
   /** Places the tasks of the queue on the candidates. Returns the jobs with tasks that could not be placed. */
   #place(queue: readonly JobState[], candidates: Candidates): JobState[] {
     const unschedulable: JobState[] = [];
-    const complements = new ComplementFinder(queue, candidates.now, this.state.work);
+    const complements = new ComplementFinder(queue, candidates.now, this.state.workCounters);
     queue.forEach((job, position) => {
       if (job.spec.kind === 'gang') {
         if (!this.#placeGang(job, candidates)) unschedulable.push(job);
@@ -248,7 +248,7 @@
       machine.tasks.delete(taskKey(job.spec.uid, index));
       job.placements.delete(index);
       job.waitingTasks.push(index);
-      this.state.recount(machine, machine.idleSince);
+      this.state.updateFreeCapacity(machine, machine.idleSince);
       candidates.capacityReturned(machine);
     }
     job.waitingTasks.sort((a, b) => a - b);
@@ -264,7 +264,7 @@
 
 /** Returns whether a task of the job is on a machine or has completed. */
 const hasStarted = (job: JobState): boolean =>
-  job.placements.size + job.savedTasks.size + job.unsavedTasks.size > 0;
+  job.placements.size + job.savedCompletions.size + job.unsavedCompletions.size > 0;
 
 /** Returns the minimum of the demands of all jobs in the queue, resource by resource. */
 const minimumDemandOf = (queue: readonly JobState[]): Resources => {
--- a/src/core/preemption/preemption.ts
+++ b/src/core/preemption/preemption.ts
@@ -228,7 +228,7 @@
       if (placement.stop === null) {
         victims.push(placement);
         // Scaled to seconds of the whole machine, so that it can be compared with the time to fetch the image.
-        const share = dominantShare(victimDemand, machine.type ?? this.state.largest);
+        const share = dominantShare(victimDemand, machine.type ?? this.state.largestCapacity);
         lossS += this.#lostWorkS(placement, now) * share;
       }
     }
--- a/src/peers/shard-directory.ts
+++ b/src/peers/shard-directory.ts
@@ -277,5 +277,5 @@
   const job = shard.jobs.get(uid);
   if (job === undefined) return { done: 0, running: 0 };
   const running = [...job.placements.values()].filter((p) => p.state === 'running').length;
-  return { done: job.savedTasks.size + job.unsavedTasks.size, running };
+  return { done: job.savedCompletions.size + job.unsavedCompletions.size, running };
 };
--- a/test/candidates.test.ts
+++ b/test/candidates.test.ts
@@ -61,7 +61,7 @@
       .map((m) => ({ name: m.record.name, free: m.free, hasImage: m.images.has(addedSpec.image) }));
     const withImage = feasible.filter((each) => each.hasImage);
     const expected =
-      bestFit(withImage.length > 0 ? withImage : feasible, state.largest)?.name ?? null;
+      bestFit(withImage.length > 0 ? withImage : feasible, state.largestCapacity)?.name ?? null;
     const candidates = new Candidates(state, demand, 3);
     const chosen = candidates.bestMachine(addedJob, demand)?.record.name ?? null;
     assert.equal(chosen, expected, `seed ${seed}`);
--- a/test/quotas.test.ts
+++ b/test/quotas.test.ts
@@ -104,7 +104,7 @@
   };
   const config = { storeLimits: { valueBytes, transactionOps } };
   const saver = new CompletionSaver({ config, client, cache, now: () => now, log: LOG });
-  const show = () => store.show(cache, 'listing');
+  const show = () => store.applyTo(cache, 'listing');
   const save = async (shard: Shard) => {
     now += PROGRESS_SAVE_INTERVAL_MS + COMPLETION_SAVE_INTERVAL_MS;
     await saver.save(ownedShard(shard), now);
@@ -113,7 +113,7 @@
   /** The completed tasks of a job as a node that starts now reads them, whichever copy of a bitmap it reads first. */
   const completedTasks = (uid: string): Set<number> => {
     const freshCache = new WatchCache();
-    store.show(freshCache, 'listing');
+    store.applyTo(freshCache, 'listing');
     const done = new Set<number>();
     for (const range of freshCache.tables.activeJobs.get(uid)!.value.ranges) {
       const bitmap = freshCache.completedTasks(range.shard, uid, range.from);
@@ -248,7 +248,7 @@
   });
   fixture.show();
   const store = new Store().add(record);
-  store.bits.set('job-1/0', encodeDone({ from: 0, to: 6000 }, done));
+  store.doneBitmaps.set('job-1/0', encodeDone({ from: 0, to: 6000 }, done));
   const shard = shardWith(store);
   const ranges = () => fixture.cache.tables.activeJobs.get('job-1')!.value.ranges;
   for (let step = 0; step < 12; step++) {
@@ -265,7 +265,7 @@
     6000,
   );
   // Tasks that complete after the split are saved in the new ranges.
-  shard.jobs.get('job-1')!.unsavedTasks.add(0);
+  shard.jobs.get('job-1')!.unsavedCompletions.add(0);
   await fixture.save(shard);
   assert.ok(fixture.completedTasks('job-1').has(0));
 });
