--- a/src/singletons/orphan-collector.ts
+++ b/src/singletons/orphan-collector.ts
@@ -27,7 +27,7 @@
   readonly cloud: Pick<CloudClient, 'returnMachines'>;
   readonly cache: WatchCache;
   /** resolves once the cache shows everything that was committed before the call */
-  readonly current: () => Promise<unknown>;
+  readonly waitUntilCurrent: () => Promise<unknown>;
   readonly log: Logger;
 }
 
@@ -71,7 +71,7 @@
     authorization: Authorization,
     listed: readonly ListedMachine[],
   ): Promise<readonly string[]> {
-    const { intents, cloud, current, log } = this.dependencies;
+    const { intents, cloud, waitUntilCurrent: current, log } = this.dependencies;
     // Every rental is recorded before its call. So once a current cache shows neither a rental of the machine's
     // kind nor the machine, none can record it any more.
     await current();
--- a/src/singletons/singleton-election.ts
+++ b/src/singletons/singleton-election.ts
@@ -62,7 +62,7 @@
   readonly client: Pick<StoreClient, 'compareAndSwap'>;
   readonly cache: WatchCache;
   /** whether this node provably owns what the cache shows as its own */
-  readonly authority: () => boolean;
+  readonly hasAuthority: () => boolean;
   readonly fencingRejections: FencingRejections;
   /** the steady clock, ms */
   readonly now: () => number;
@@ -92,7 +92,15 @@
     enabled: EnabledControllers,
     dependencies: SingletonElectionDependencies,
   ) {
-    const { client, cache, authority, fencingRejections, now, timeOfDay, log } = dependencies;
+    const {
+      client,
+      cache,
+      hasAuthority: authority,
+      fencingRejections,
+      now,
+      timeOfDay,
+      log,
+    } = dependencies;
     this.#cache = cache;
     const store: CompareAndSwapStore = {
       compareAndSwap: (urgency, guards, writes) =>
