--- a/src/cloud/cloud-client.ts
+++ b/src/cloud/cloud-client.ts
@@ -1,6 +1,6 @@
 /**
- * The client of the cloud, which rents and returns machines. Calls wait for this node's share of the rate
- * limit, the most important first, and fail with a `CloudRequestError`.
+ * The client of the cloud's API, which rents, returns and lists machines. Calls wait for this node's share of the rate
+ * limit in order of priority, and fail with a `CloudRequestError`.
  */
 import type { Authorization, RecordedIntent } from '@sumacstep/leader-election';
 import { setTimeout as sleep } from 'node:timers/promises';
@@ -26,41 +26,42 @@
 } from './constants.js';
 import { CloudRequestError } from './errors.js';
 
-/** The result of a rental request that was answered. */
+/** The cloud's answer to a rental request. */
 export type RentResult =
   | { readonly kind: 'rented'; readonly machines: readonly string[] }
   | { readonly kind: 'no_capacity' }
-  /** the cloud will never accept this request */
+  /** the cloud will never accept the request */
   | { readonly kind: 'malformed'; readonly answer: string };
 
-/** Order in which calls get tokens; lower goes first. */
+/** The order in which calls get rate limit tokens, lowest number first. */
 const CALL_PRIORITY = { return: 0, rent: 1, list: 2 } as const;
 type CallPriority = (typeof CALL_PRIORITY)[keyof typeof CALL_PRIORITY];
 
-interface Call {
+interface CloudCall {
   readonly priority: CallPriority;
   readonly method: 'GET' | 'POST';
   readonly path: string;
   readonly body?: unknown;
-  /** what the call was decided on; it must still hold when the call is sent */
+  /** the authorization under which the call was decided; it must still be valid when the call is sent */
   readonly authorization?: Authorization;
 }
 
 const burstTokens = (rps: number): number => Math.max(1, rps * CLOUD_BURST_S);
 
-/** The one place for calls to the cloud. */
+/** Sends all of this node's calls to the cloud. */
 export class CloudClient {
   readonly #http: CborClient;
   readonly #tokens: TokenBucket;
-  /** calls that wait for a token, by priority */
-  readonly #waiting = [0, 0, 0];
+  /** numbers of calls that wait for a token, by priority */
+  readonly #waitingCalls = [0, 0, 0];
   #rps: number;
-  /** pages of the last complete list */
-  #pages = 1;
+  /** number of pages of the last complete list */
+  #listPageCount = 1;
 
   constructor(
     address: string,
     rps: number,
+    /** reads the steady clock, ms */
     private readonly now: () => number,
   ) {
     this.#http = new CborClient(address, MAX_CLOUD_SOCKETS);
@@ -68,18 +69,21 @@
     this.#tokens = new TokenBucket(rps, burstTokens(rps), now());
   }
 
-  /** The node's share of the limit changes with the number of live nodes. */
+  /** Sets this node's share of the rate limit, in calls per second; it depends on the number of live nodes. */
   setRate(rps: number): void {
     this.#rps = rps;
     this.#tokens.setRate(rps, burstTokens(rps), this.now());
   }
 
-  /** ms between two lists so that reading them leaves the other calls their share of the limit. */
+  /**
+   * Returns the minimum ms between two complete lists that keeps listing within `LIST_RATE_SHARE` of the rate limit, so
+   * that the other calls keep their share.
+   */
   minListIntervalMs(): number {
-    return (this.#pages * 1000) / (this.#rps * LIST_RATE_SHARE);
+    return (this.#listPageCount * 1000) / (this.#rps * LIST_RATE_SHARE);
   }
 
-  /** Reads all machine types. */
+  /** Resolves with all machine types. */
   async listMachineTypes(): Promise<MachineType[]> {
     const response = await this.#call({
       priority: CALL_PRIORITY.rent,
@@ -91,8 +95,8 @@
   }
 
   /**
-   * Rents machines. The request may be repeated under its name. Throws `NotLeaderError` if the
-   * authorization has ended at the moment of sending.
+   * Rents machines. The request may be repeated under the same name. Rejects with `NotLeaderError` if the authorization
+   * is not valid at the moment of sending.
    */
   async rent(rental: RentRequest, { authorization }: RecordedIntent): Promise<RentResult> {
     const response = await this.#call({
@@ -111,8 +115,8 @@
   }
 
   /**
-   * When this resolves, the machines and everything on them are gone. Throws `NotLeaderError` if the
-   * authorization has ended at the moment of sending.
+   * Returns machines to the cloud. Once this resolves, the machines and everything on them are gone. Rejects with
+   * `NotLeaderError` if the authorization is not valid at the moment of sending.
    */
   async returnMachines(machines: readonly string[], authorization: Authorization): Promise<void> {
     const response = await this.#call({
@@ -125,24 +129,26 @@
     if (response.status !== 200) throw unexpectedStatus('machines not returned', response);
   }
 
-  /** Reads all rented machines; those that change meanwhile may or may not be in the list. */
+  /**
+   * Resolves with all rented machines; machines that are rented or returned during the call may or may not be listed.
+   */
   async listMachines(): Promise<ListedMachine[]> {
     const machines: ListedMachine[] = [];
-    let pages = 0;
+    let pageCount = 0;
     for (let since = ''; ;) {
-      pages += 1;
-      const after = since === '' ? '' : `Since=${encodeURIComponent(since)}&`;
+      pageCount += 1;
+      const sinceParameter = since === '' ? '' : `Since=${encodeURIComponent(since)}&`;
       const response = await this.#call({
         priority: CALL_PRIORITY.list,
         method: 'GET',
-        path: `/rentals?${after}Limit=${CLOUD_LIST_PAGE_SIZE}`,
+        path: `/rentals?${sinceParameter}Limit=${CLOUD_LIST_PAGE_SIZE}`,
       });
       if (response.status !== 200) throw unexpectedStatus('machines not listed', response);
       const page = machineListSchema.parse(response.body);
       machines.push(...page.machines);
       const last = page.machines.at(-1);
       if (!page.more || last === undefined) {
-        this.#pages = pages;
+        this.#listPageCount = pageCount;
         return machines;
       }
       since = last.name;
@@ -154,20 +160,23 @@
     this.#http.close();
   }
 
+  /** Waits until a rate limit token is available and no call of a higher priority waits for one. */
   async #takeToken(priority: CallPriority): Promise<void> {
-    this.#waiting[priority]! += 1;
+    this.#waitingCalls[priority]! += 1;
     try {
       for (;;) {
-        const precededByOthers = this.#waiting.slice(0, priority).some((calls) => calls > 0);
-        if (!precededByOthers && this.#tokens.take(1, this.now())) return;
+        const higherPriorityWaiting = this.#waitingCalls
+          .slice(0, priority)
+          .some((calls) => calls > 0);
+        if (!higherPriorityWaiting && this.#tokens.take(1, this.now())) return;
         await sleep(Math.max(TOKEN_POLL_MS, Math.ceil(this.#tokens.waitMs(1, this.now()))));
       }
     } finally {
-      this.#waiting[priority]! -= 1;
+      this.#waitingCalls[priority]! -= 1;
     }
   }
 
-  async #call({ priority, method, path, body, authorization }: Call): Promise<Response> {
+  async #call({ priority, method, path, body, authorization }: CloudCall): Promise<Response> {
     await this.#takeToken(priority);
     // The authorization may have ended while the call waited or the process was suspended.
     authorization?.ensureValid();
@@ -183,8 +192,8 @@
   }
 }
 
-const unexpectedStatus = (what: string, { status, body }: Response): CloudRequestError => {
+const unexpectedStatus = (failure: string, { status, body }: Response): CloudRequestError => {
   const error = (body as { error?: unknown } | null)?.error;
   const detail = error === undefined ? '' : ` (${JSON.stringify(error)})`;
-  return new CloudRequestError('unavailable', `${what}: the cloud answered ${status}${detail}`);
+  return new CloudRequestError('unavailable', `${failure}: the cloud answered ${status}${detail}`);
 };
--- a/src/cloud/constants.ts
+++ b/src/cloud/constants.ts
@@ -1,25 +1,25 @@
-/** Timing and limits of the calls to the cloud. */
+/** Timing and limits of calls to the cloud. */
 
-/** ms; between tries to read the machine types. */
-export const TYPES_RETRY_MS = 1000;
+/** Delay before the machine types are read again after a failure, ms. */
+export const MACHINE_TYPES_RETRY_MS = 1000;
 
-/** machines in one page of the cloud's list; the protocol's limit. */
+/** Number of machines in one page of the cloud's list; the protocol's maximum. */
 export const CLOUD_LIST_PAGE_SIZE = 500;
 
-/** connections to the cloud. */
+/** Maximum number of connections to the cloud. */
 export const MAX_CLOUD_SOCKETS = 6;
 
-/** ms; a rental call that takes longer is repeated under the same name. */
+/** Timeout of a call to the cloud, ms. A rental request that takes longer is repeated under the same name. */
 export const CLOUD_CALL_TIMEOUT_MS = 4000;
 
-/** share of a node's rate limit that listing machines may take. */
+/** Fraction of a node's rate limit that listing machines may use. */
 export const LIST_RATE_SHARE = 0.35;
 
-/** ms; a call that waits for more important ones checks again after this. */
+/** Minimum interval at which a call that waits for a rate limit token checks again, ms. */
 export const TOKEN_POLL_MS = 50;
 
-/** s of the rate limit that may be spent at once; the cloud itself allows two seconds' worth. */
+/** Size of a burst, in seconds of the rate limit; the cloud itself allows bursts of two seconds. */
 export const CLOUD_BURST_S = 1.5;
 
-/** ms; machine types (prices) are read again this often. */
-export const TYPES_REFRESH_MS = 60_000;
+/** Interval at which the machine types are read again, ms, because prices change. */
+export const MACHINE_TYPES_REFRESH_MS = 60_000;
--- a/src/cloud/errors.ts
+++ b/src/cloud/errors.ts
@@ -1,15 +1,15 @@
-/** The error of the cloud's client. */
+/** The error that the client of the cloud reports. */
 
 /**
- * Why a call to the cloud has no result:
+ * The reason why a call to the cloud has no result:
  *
- * - `rate_limited`: refused with 429; nothing was done;
- * - `unavailable`: answered with a status that is no result of the call;
- * - `no_response`: no answer in time, or none that could be read; it may have been done or may yet be.
+ * - `rate_limited`: the cloud refused the call with status 429, and the call had no effect;
+ * - `unavailable`: the cloud answered with a status that is not a result of the call;
+ * - `no_response`: no readable answer arrived in time; the call may have been executed or may still be executed later.
  */
 export type CloudErrorKind = 'rate_limited' | 'unavailable' | 'no_response';
 
-/** A call to the cloud has no result; it may be tried again later. */
+/** Reports that a call to the cloud has no result; the call may be repeated later. */
 export class CloudRequestError extends Error {
   constructor(
     readonly kind: CloudErrorKind,
--- a/src/cloud/machine-types.ts
+++ b/src/cloud/machine-types.ts
@@ -1,38 +1,40 @@
-/** Keeps the cloud's machine types at hand. */
+/** A cache of the cloud's machine types. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { Logger } from 'pino';
 import type { MachineType } from '../core/model.js';
 import type { CloudClient } from './cloud-client.js';
-import { TYPES_REFRESH_MS, TYPES_RETRY_MS } from './constants.js';
+import { MACHINE_TYPES_REFRESH_MS, MACHINE_TYPES_RETRY_MS } from './constants.js';
 import { CloudRequestError } from './errors.js';
 
-/** The machine types of the cloud, read again from time to time since prices change. */
+/** Caches the machine types of the cloud, and reads them again at intervals because prices change. */
 export class MachineTypes {
-  #types: ReadonlyMap<string, MachineType> | null = null;
+  #machineTypes: ReadonlyMap<string, MachineType> | null = null;
 
   constructor(
     private readonly cloud: Pick<CloudClient, 'listMachineTypes'>,
     private readonly log: Logger,
   ) {}
 
-  /** By name; null until they have been read for the first time. */
+  /** Returns the machine types by name; null until they have been read for the first time. */
   get current(): ReadonlyMap<string, MachineType> | null {
-    return this.#types;
+    return this.#machineTypes;
   }
 
-  /** Reads them until the signal is given, and then rejects with its `AbortError`. */
+  /** Reads the machine types repeatedly until the signal is aborted, and then rejects with its `AbortError`. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      const read = await this.#refresh();
-      await sleep(read ? TYPES_REFRESH_MS : TYPES_RETRY_MS, undefined, { signal });
+      const refreshed = await this.#refresh();
+      await sleep(refreshed ? MACHINE_TYPES_REFRESH_MS : MACHINE_TYPES_RETRY_MS, undefined, {
+        signal,
+      });
     }
   }
 
-  /** Returns whether they were read; if not, the old ones stay. */
+  /** Reads the machine types; resolves with whether it succeeded. After a failure the earlier types stay in place. */
   async #refresh(): Promise<boolean> {
     try {
-      const types = await this.cloud.listMachineTypes();
-      this.#types = new Map(types.map((type) => [type.name, type]));
+      const machineTypes = await this.cloud.listMachineTypes();
+      this.#machineTypes = new Map(machineTypes.map((type) => [type.name, type]));
       return true;
     } catch (error) {
       if (!(error instanceof CloudRequestError)) throw error;
