--- a/packages/leader-election/src/authorization.ts
+++ b/packages/leader-election/src/authorization.ts
@@ -1,14 +1,14 @@
 /**
- * The right of a leader to act: every write, command and call that a leader sends carries an `Authorization`,
- * so that a leader which was replaced is fenced off at the sender, in the store and at the receiver.
+ * Authorization of a leader's actions. Every write, command and call of a leader carries an `Authorization`, so that
+ * the orders of a replaced leader are rejected by the sender itself, by the store or by the receiver.
  */
 import type { FencingToken } from './fencing-token.js';
 import type { FencingRejections, RejectedBy } from './fencing-rejections.js';
 import type { CompareAndSwapResult, CompareAndSwapStore, Guard, Write } from './store.js';
 
 /**
- * An order was not sent, because this process can no longer prove that it is the leader. Nothing was changed;
- * whoever leads now does the work.
+ * Thrown when an order is not sent because this process can no longer prove that it is the leader. The order has had
+ * no effect; the current leader does the work instead.
  */
 export class NotLeaderError extends Error {
   constructor(
@@ -16,25 +16,26 @@
     readonly fencingToken: FencingToken,
   ) {
     super(
-      `${role}: order not sent, the leadership with fencing token ${fencingToken} has ended or its lease is in ` +
-        'doubt; the present leader will act',
+      `${role}: order not sent, the leadership with fencing token ${fencingToken} has ended or its lease may have ` +
+        'expired; the current leader will act',
     );
   }
 }
 
-/** Leadership of a role under one fencing token, as the leader knows it. */
+/** One leadership of a role, as its leader sees it. */
 export interface Leadership {
   readonly role: string;
   readonly fencingToken: FencingToken;
-  /** the record that names the leader, at the revision of this leadership */
+  /** requires that the leader record still has the revision at which this leadership began */
   readonly guard: Guard;
-  /** whether this process is provably still the leader, at the moment of the call */
+  /** returns whether this process is provably the leader at the moment of the call */
   readonly isCurrent: () => boolean;
 }
 
 /**
- * The right to act as the leader of a role. Whatever acts asks for one, so that an action without a fencing
- * token does not compile. It does not expire by itself: it is checked again when an order is sent.
+ * Permits its holder to act as the leader of a role. Functions that act for a leader take one as a parameter, so that
+ * an action without a fencing token does not compile. The object itself does not expire: call `ensureValid` again at
+ * the moment of sending.
  */
 export class Authorization {
   readonly #leadership: Leadership;
@@ -45,50 +46,56 @@
     this.#rejections = rejections;
   }
 
-  /** Name of the role, for logs and errors. */
+  /** The name of the role, for logs and errors. */
   get role(): string {
     return this.#leadership.role;
   }
 
-  /** The token that every order under this authorization carries. */
+  /** The fencing token that every order under this authorization carries. */
   get fencingToken(): FencingToken {
     return this.#leadership.fencingToken;
   }
 
-  /** The guard that every write under this authorization depends on. */
+  /** The guard on the leader record that every write under this authorization includes. */
   get guard(): Guard {
     return this.#leadership.guard;
   }
 
-  /** Whether an order may be sent now. */
+  /** Returns whether an order may be sent now. */
   isValid(): boolean {
     return this.#leadership.isCurrent();
   }
 
-  /** Call it at the moment of sending; counts a rejection and throws `NotLeaderError` if the order may not be sent. */
+  /**
+   * Checks the authorization; call this at the moment of sending. If the order may not be sent, counts a rejection and
+   * throws `NotLeaderError`.
+   */
   ensureValid(): void {
     if (this.isValid()) return;
     this.recordRejection('sender');
     throw new NotLeaderError(this.role, this.fencingToken);
   }
 
-  /** Counts an order that was rejected. `newerToken` is the token that the receiver named, if it named one. */
+  /**
+   * Counts a rejected order. `newerToken` is the fencing token that the receiver reported, or null if it reported
+   * none.
+   */
   recordRejection(rejectedBy: RejectedBy, newerToken: number | null = null): void {
     const { role, fencingToken } = this;
     this.#rejections.record({ role, fencingToken, rejectedBy }, newerToken);
   }
 }
 
-/** A compare-and-swap that the store applies only while the leadership lasts. */
-export const fencedCompareAndSwap = async <U>(
-  store: CompareAndSwapStore<U>,
+/** Sends a compare-and-swap that the store applies only while the leadership lasts. */
+export const fencedCompareAndSwap = async <Priority>(
+  store: CompareAndSwapStore<Priority>,
   authorization: Authorization,
-  urgency: U,
+  priority: Priority,
   guards: readonly Guard[],
   writes: readonly Write[],
 ): Promise<CompareAndSwapResult> => {
   const { guard: leaderGuard } = authorization;
-  const outcome = await store.compareAndSwap(urgency, [leaderGuard, ...guards], writes);
+  const outcome = await store.compareAndSwap(priority, [leaderGuard, ...guards], writes);
   if (!outcome.ok && outcome.failed.includes(leaderGuard.key)) {
     authorization.recordRejection('store');
   }
@@ -96,9 +103,8 @@
 };
 
 /**
- * Proof that an action on a system without fencing tokens was recorded in the store before it is sent
- * (write-ahead intent). Later leaders find the intent there: however late the action is carried out, none of
- * them relies on its absence.
+ * Proves that an action on a system without fencing tokens was recorded in the store before it is sent (a write-ahead
+ * intent). Later leaders find the intent in the store, so they account for the action however late it is executed.
  */
 export class RecordedIntent {
   private constructor(
@@ -106,7 +112,10 @@
     readonly authorization: Authorization,
   ) {}
 
-  /** The intent at a stored revision, whether this leadership or an earlier one wrote it; throws a `RangeError` if it is absent. */
+  /**
+   * Returns the proof for an intent that is stored at the revision in `stored`, whether this leadership or an earlier
+   * one wrote it. Throws a `RangeError` if the revision is 0, that is, if the intent is not stored.
+   */
   static fromStored(authorization: Authorization, stored: Guard): RecordedIntent {
     if (stored.revision === 0) throw new RangeError(`${stored.key} is not recorded`);
     return new RecordedIntent(stored.key, authorization);
--- a/packages/leader-election/src/election-policy.ts
+++ b/packages/leader-election/src/election-policy.ts
@@ -1,25 +1,25 @@
-/** The decisions of leader election, without any input or output: who is a candidate, and who takes the next step. */
+/** The decisions of leader election, free of I/O: which nodes are candidates for a role, and what a node does next. */
 import type { LeaderRecord, LeadershipTransferRequest, Member } from './records.js';
 import type { Versioned } from './store.js';
 
-/** A node incarnation whose lease is alive. */
+/** An incarnation of a node whose lease is alive. */
 export interface LiveMember extends Member {
-  /** of the key that the lease keeps alive */
+  /** revision of the key that is attached to the lease */
   readonly revision: number;
-  /** whether its version takes part in elections, and its settings switch them on */
+  /** whether the node's version supports elections and its settings enable them */
   readonly supportsElection: boolean;
 }
 
-/** What a node knows of members, leaders and transfer requests; it may lag behind the store. */
+/** A node's view of members, leaders and transfer requests; it may lag behind the store. */
 export interface ElectionView {
   readonly members: readonly LiveMember[];
-  /** by role */
+  /** leader records by role */
   readonly records: ReadonlyMap<string, Versioned<LeaderRecord>>;
-  /** by role */
+  /** transfer requests by role */
   readonly transferRequests: ReadonlyMap<string, Versioned<LeadershipTransferRequest>>;
 }
 
-/** What a node should do about a role. Each step is still right later, or fails by its guards. */
+/** An action of a node on a role. If the step is outdated by the time it is executed, its guards make it fail. */
 export type ElectionStep =
   | {
       readonly kind: 'acquire';
@@ -31,7 +31,7 @@
       readonly role: string;
       readonly record: Versioned<LeaderRecord>;
       readonly request: Versioned<LeadershipTransferRequest>;
-      /** null: released, for any other node to acquire */
+      /** the next leader; null: the role is released, for any other node to acquire */
       readonly to: LiveMember | null;
     }
   | {
@@ -40,18 +40,18 @@
       readonly request: Versioned<LeadershipTransferRequest>;
     };
 
-/** Whether every live node takes part in elections: before that nobody leads. */
+/** Returns whether every live node supports elections. While one does not, no node leads any role. */
 export const allSupportElection = (view: ElectionView): boolean =>
   view.members.length > 0 && view.members.every((member) => member.supportsElection);
 
-/** Whether two members are the same incarnation of the same node. */
-export const sameMember = (a: Member, b: Member): boolean =>
-  a.node === b.node && a.incarnation === b.incarnation;
+/** Returns whether two members are the same incarnation of the same node. */
+export const isSameMember = (left: Member, right: Member): boolean =>
+  left.node === right.node && left.incarnation === right.incarnation;
 
 const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
 
-/** FNV-1a: spreads the roles over nodes that lead equally many. */
+/** The FNV-1a hash, which spreads roles over nodes that lead equally many. */
 const fnv1a = (text: string): number => {
   let hash = FNV_OFFSET;
   for (let index = 0; index < text.length; index++) {
@@ -60,35 +60,35 @@
   return hash;
 };
 
-/** How many roles a node leads by the records. */
-const rolesLedBy = (view: ElectionView, node: string): number => {
-  let led = 0;
-  for (const { value } of view.records.values()) if (value.holder?.node === node) led += 1;
-  return led;
+/** Counts the roles whose leader record names the node. */
+const countRolesLedBy = (view: ElectionView, node: string): number => {
+  let count = 0;
+  for (const { value } of view.records.values()) if (value.holder?.node === node) count += 1;
+  return count;
 };
 
 /**
- * Nodes in the order in which they should try to acquire a vacant role: the former leader last, those that lead
- * fewer roles first.
+ * Returns the nodes in the order in which they should try to acquire a vacant role: the former leader comes last, and
+ * the other nodes are sorted by the number of roles they lead, fewest first.
  */
 export const candidateOrder = (view: ElectionView, role: string): string[] => {
   const former = view.records.get(role)?.value.former ?? null;
   const nodes = [...new Set(view.members.map((member) => member.node))];
   const rank = (node: string): readonly [number, number, number] => [
     node === former ? 1 : 0,
-    rolesLedBy(view, node),
+    countRolesLedBy(view, node),
     fnv1a(`${role} ${node}`),
   ];
-  return nodes.sort((a, b) => {
-    const [left, right] = [rank(a), rank(b)];
+  return nodes.sort((leftNode, rightNode) => {
+    const [left, right] = [rank(leftNode), rank(rightNode)];
     const differing = left.findIndex((value, i) => value !== right[i]);
-    return differing < 0 ? (a < b ? -1 : 1) : left[differing]! - right[differing]!;
+    return differing < 0 ? (leftNode < rightNode ? -1 : 1) : left[differing]! - right[differing]!;
   });
 };
 
 /**
- * Decides what one node does about each role, by the leader records and by which members are live. Pure but for
- * its memory of how long each role has been vacant.
+ * Decides what one node does about each role, from the leader records and the live members. Its only state is the time
+ * since which each role has been vacant.
  */
 export class ElectionPolicy {
   readonly #vacantSince = new Map<string, number>();
@@ -96,11 +96,11 @@
   constructor(
     private readonly self: Member,
     private readonly roles: readonly string[],
-    /** ms that each candidate waits for the one before it */
+    /** ms by which each candidate starts after the candidate before it */
     private readonly candidateDelayMs: number,
   ) {}
 
-  /** The steps to take at `now` (steady clock, ms). */
+  /** Returns the steps to take at `now` (steady clock, ms). */
   steps(view: ElectionView, now: number): ElectionStep[] {
     if (!allSupportElection(view)) return [];
     const steps = this.roles.map((role) => this.#step(role, view, now));
@@ -110,12 +110,12 @@
   #step(role: string, view: ElectionView, now: number): ElectionStep | null {
     const record = view.records.get(role) ?? null;
     const leader = record?.value.holder ?? null;
-    if (record !== null && leader !== null && sameMember(leader, this.self)) {
+    if (record !== null && leader !== null && isSameMember(leader, this.self)) {
       this.#vacantSince.delete(role);
       return this.#stepAsLeader(role, record, view);
     }
-    if (leader !== null && view.members.some((member) => sameMember(member, leader))) {
-      // An earlier incarnation of this node: that process has ended, even if its lease is still alive.
+    if (leader !== null && view.members.some((member) => isSameMember(member, leader))) {
+      // The record names an earlier incarnation of this node: that process has ended, even if its lease is still alive.
       if (leader.node === this.self.node) return { kind: 'acquire', role, previous: record };
       this.#vacantSince.delete(role);
       return null;
@@ -133,7 +133,7 @@
     const { to } = request.value;
     if (to === this.self.node) return { kind: 'discard_request', role, request };
     if (to === null) return { kind: 'transfer', role, record, request, to: null };
-    // Of two incarnations of a node, the later one is the one that runs.
+    // If two incarnations of the node are live, only the later one is running.
     const incarnations = view.members.filter((member) => member.node === to);
     const latest = incarnations.sort((a, b) => b.revision - a.revision)[0];
     return latest === undefined ? null : { kind: 'transfer', role, record, request, to: latest };
@@ -149,7 +149,7 @@
     this.#vacantSince.set(role, since);
     const requestedNode = view.transferRequests.get(role)?.value.to ?? null;
     const order = candidateOrder(view, role);
-    // The node that an operator asked for goes first.
+    // The node that an operator requested is the first candidate.
     if (requestedNode !== null) {
       order.sort((a, b) => Number(b === requestedNode) - Number(a === requestedNode));
     }
--- a/packages/leader-election/src/index.ts
+++ b/packages/leader-election/src/index.ts
@@ -1,38 +1,38 @@
 /**
- * Leader election with fencing tokens, for controllers that must run in one process of a cluster at a time.
+ * Leader election with fencing tokens, for controllers that must run in only one process of a cluster at a time.
  *
- * A process is the leader of a role while the store's leader record names its incarnation and its lease is
- * provably alive by its own clock. Each leadership has a fencing token, larger than all before it. A leader that
- * was replaced without noticing (a frozen process, a partition, a late call) is fenced off three times: by its own
- * check at the moment of sending, by the store, whose transactions are guarded by the leader record, and by
- * receivers that compare fencing tokens.
+ * A process is the leader of a role while the store's leader record names its incarnation and its lease is provably
+ * alive by its own clock. Each leadership of a role has a larger fencing token than all earlier ones. A leader may be
+ * replaced without noticing, because of a frozen process, a network partition or a delayed call. Its orders are then
+ * rejected in three places: by its own check at the moment of sending, by the store, whose transactions are guarded by
+ * the leader record, and by receivers that compare fencing tokens.
  *
- * Outline of use:
+ * Typical use:
  *
  *     const lease = new SessionLease(store, registration, timing, steadyMs, log);
- *     void lease.run();                                     // keeps this process's membership alive
+ *     void lease.run();                                     // keeps this process a live member
  *     const election = new LeaderElection({ self, roles: ['cleaner'], ... }, { store, view, ... });
  *     setInterval(() => election.tick(), 250);              // acquires vacant roles, transfers on request
  *
  *     const authorization = election.authorize('cleaner');  // null while another process leads
  *     if (authorization !== null) {
  *       await fencedCompareAndSwap(store, authorization, 'normal', guards, writes);
- *       authorization.ensureValid();                        // throws NotLeaderError: before any other call
+ *       authorization.ensureValid();                        // call before other systems; throws NotLeaderError
  *       await callOtherSystem(authorization.fencingToken);
  *     }
  *
- * The caller supplies the store (`CompareAndSwapStore`, `LeaseStore`), a view of it (`ElectionView`) and clocks;
- * the package has no timers besides the lease's renewal, and no global state.
+ * The caller supplies the store (`CompareAndSwapStore`, `LeaseStore`), a view of it (`ElectionView`) and the clocks.
+ * The package has no global state, and its only timer renews the lease.
  */
 
-/** Election: which process leads a role. */
+/** Election of the process that leads a role. */
 export {
   LeaderElection,
   type LeaderElectionDependencies,
   type LeaderElectionOptions,
 } from './leader-election.js';
 
-/** The decisions behind it, without input or output, and the view that they are made from. */
+/** The election's decisions, free of I/O, and the view that they are based on. */
 export {
   allSupportElection,
   candidateOrder,
@@ -42,7 +42,7 @@
   type LiveMember,
 } from './election-policy.js';
 
-/** The right to act as a leader, and actions that are fenced by it. */
+/** Authorization to act as a leader, and the actions that it fences. */
 export {
   Authorization,
   fencedCompareAndSwap,
@@ -51,7 +51,7 @@
   type Leadership,
 } from './authorization.js';
 
-/** Fencing tokens, and the count of orders that they rejected. */
+/** Fencing tokens, and counting of rejected orders. */
 export { fencingToken, type FencingToken } from './fencing-token.js';
 export {
   FencingRejections,
@@ -61,11 +61,11 @@
   type RejectedBy,
 } from './fencing-rejections.js';
 
-/** Membership: a lease per process incarnation. */
+/** Membership: one lease for each incarnation of a process. */
 export { LeaseValidity, type LeaseTiming } from './lease-validity.js';
 export { SessionLease, type Registration, type SessionLeaseTiming } from './session-lease.js';
 
-/** Stored form: keys and records. */
+/** Keys and records in the store. */
 export {
   decodeLeaderRecord,
   decodeTransferRequest,
@@ -78,7 +78,7 @@
   type Member,
 } from './records.js';
 
-/** The retention clock: which revisions are old enough to be garbage collected. */
+/** The retention clock, which determines the revisions that are old enough to be garbage collected. */
 export {
   decodeRetention,
   EMPTY_RETENTION,
@@ -89,7 +89,7 @@
   type RetentionRecord,
 } from './retention.js';
 
-/** Status for operators. */
+/** Status report for operators. */
 export {
   describeLeadership,
   type LeadershipReport,
@@ -98,14 +98,14 @@
   type PendingTransferStatus,
 } from './status.js';
 
-/** What the caller's store has to provide. */
+/** The interfaces that the caller's store implements. */
 export {
   StoreUnavailableError,
   type CompareAndSwapResult,
   type CompareAndSwapStore,
   type Guard,
   type LeaseStore,
-  type Urgency,
+  type TransactionPriority,
   type Versioned,
   type Write,
 } from './store.js';
--- a/packages/leader-election/src/leader-election.ts
+++ b/packages/leader-election/src/leader-election.ts
@@ -1,9 +1,9 @@
-/** Leader election for a set of roles: carries out what the election policy decides, in fenced transactions. */
+/** Leader election for a set of roles: executes the steps that the election policy decides, in guarded transactions. */
 import { Authorization } from './authorization.js';
 import {
   ElectionPolicy,
   allSupportElection,
-  sameMember,
+  isSameMember,
   type ElectionStep,
   type ElectionView,
 } from './election-policy.js';
@@ -24,55 +24,59 @@
   type Write,
 } from './store.js';
 
-/** What leader election needs of the process that runs it. */
+/** The services that the surrounding process provides to leader election. */
 export interface LeaderElectionDependencies {
   readonly store: CompareAndSwapStore;
-  /** leader records, transfer requests and members as they are known here */
+  /** returns leader records, transfer requests and members as this process knows them */
   readonly view: () => ElectionView;
-  /** whether this process's lease is provably alive and the view shows everything from before it was */
+  /**
+   * returns whether this process's lease is provably alive, and the view includes everything that was committed before
+   * the lease became valid
+   */
   readonly hasAuthority: () => boolean;
-  /** shows a committed transaction in the view, ahead of the store's watch */
+  /** applies a committed transaction to the view before the store's watch delivers it */
   readonly onCommitted: (writes: readonly Write[], epoch: number) => void;
-  /** the steady clock, ms */
+  /** reads the steady clock, ms */
   readonly steadyMs: () => number;
-  /** time of day in ms, for people only */
+  /** reads the time of day, ms; it is shown to people and decides nothing */
   readonly wallClockMs: () => number;
   readonly rejections: FencingRejections;
   readonly log: Log;
 }
 
-/** Which roles there are, and who this process is. */
+/** The identity of this process, and the roles that it is a candidate for. */
 export interface LeaderElectionOptions {
   readonly self: Member;
   readonly roles: readonly string[];
-  /** ms that each candidate for a vacant role waits for the one before it */
+  /** ms by which each candidate for a vacant role starts after the candidate before it */
   readonly candidateDelayMs: number;
-  /** the key that a member's lease keeps alive */
+  /** returns the key that is attached to a member's lease */
   readonly memberKey: (member: Member) => string;
 }
 
-/** A transaction that transfers or releases a leadership, repeated unchanged until its outcome is known. */
+/** A transaction that transfers or releases a leadership. It is repeated unchanged until its outcome is known. */
 interface PendingTransfer {
   readonly guards: readonly Guard[];
   readonly writes: readonly Write[];
 }
 
-/** The transaction that acquires a role. */
+/** The guards of a transaction that acquires a role, and the leader record that it writes. */
 interface Acquisition {
   readonly guards: readonly Guard[];
   readonly record: LeaderRecord;
 }
 
 /**
- * Acquires, releases and transfers the leadership of roles. It keeps no state about its own leaderships: this
- * process leads what the store's records say, as long as its lease is provably alive. So an answer that got
- * lost, or a transaction that was carried out late, needs no handling of its own.
+ * Acquires, releases and transfers the leadership of roles. It keeps no state of its own about the roles it leads: this
+ * process leads the roles whose stored records name it, as long as its lease is provably alive. So a lost answer or a
+ * transaction that is executed late needs no special handling.
  */
 export class LeaderElection {
   readonly #policy: ElectionPolicy;
-  /** roles with a call under way */
-  readonly #busy = new Set<string>();
-  readonly #transfers = new Map<string, PendingTransfer>();
+  /** roles for which a call to the store is in flight */
+  readonly #rolesInFlight = new Set<string>();
+  /** transfers and releases without a known outcome, by role */
+  readonly #pendingTransfers = new Map<string, PendingTransfer>();
 
   constructor(
     private readonly options: LeaderElectionOptions,
@@ -81,18 +85,19 @@
     this.#policy = new ElectionPolicy(options.self, options.roles, options.candidateDelayMs);
   }
 
-  /** One reconciliation round: acquires vacant roles and carries out transfer requests. Starts calls, awaits none. */
+  /** Runs one reconciliation round: starts to acquire vacant roles and to execute transfer requests; awaits no call. */
   tick(): void {
     const { hasAuthority, view, steadyMs } = this.dependencies;
     if (!hasAuthority()) return;
-    for (const [role, transfer] of this.#transfers) void this.#commitTransfer(role, transfer);
+    for (const [role, transfer] of this.#pendingTransfers)
+      void this.#commitTransfer(role, transfer);
     const steps = this.#policy.steps(view(), steadyMs());
     for (const step of steps) {
-      if (!this.#transfers.has(step.role)) this.#carryOut(step);
+      if (!this.#pendingTransfers.has(step.role)) this.#execute(step);
     }
   }
 
-  /** The right to act as the leader of a role; null while this process does not provably lead it. */
+  /** Returns the authorization to act as the leader of a role; null unless this process provably leads the role. */
   authorize(role: string): Authorization | null {
     const record = this.#ownRecord(role);
     if (record === null) return null;
@@ -106,29 +111,29 @@
     );
   }
 
-  /** Gives up the leadership of a role, for any other node to acquire; does nothing if this process does not lead. */
+  /** Releases a role, so that any other node can acquire it. Does nothing if this process does not lead the role. */
   release(role: string): void {
     const record = this.#ownRecord(role);
-    if (record === null || this.#transfers.has(role)) return;
-    this.#beginTransfer(role, this.#transferOf(role, record, null));
+    if (record === null || this.#pendingTransfers.has(role)) return;
+    this.#beginTransfer(role, this.#buildTransfer(role, record, null));
   }
 
-  /** The role's record if it names this incarnation of the node. */
+  /** Returns the role's record if it names this incarnation of the node. */
   #ownRecord(role: string): Versioned<LeaderRecord> | null {
     const record = this.dependencies.view().records.get(role);
     const leader = record?.value.holder ?? null;
     if (record === undefined || leader === null) return null;
-    return sameMember(leader, this.options.self) ? record : null;
+    return isSameMember(leader, this.options.self) ? record : null;
   }
 
   #isLeader(role: string, revision: number): boolean {
     const { hasAuthority, view } = this.dependencies;
-    if (!hasAuthority() || this.#transfers.has(role)) return false;
+    if (!hasAuthority() || this.#pendingTransfers.has(role)) return false;
     const record = this.#ownRecord(role);
     return record?.revision === revision && allSupportElection(view());
   }
 
-  #carryOut(step: ElectionStep): void {
+  #execute(step: ElectionStep): void {
     switch (step.kind) {
       case 'acquire':
         void this.#exclusively(step.role, () => this.#acquire(step.role, step.previous));
@@ -138,7 +143,7 @@
         const requestGuard: Guard = { key: transferRequestKey(role), revision: request.revision };
         const targetGuards =
           to === null ? [] : [{ key: this.#memberKey(to), revision: to.revision }];
-        const transfer = this.#transferOf(role, record, to);
+        const transfer = this.#buildTransfer(role, record, to);
         this.#beginTransfer(role, {
           guards: [...transfer.guards, requestGuard, ...targetGuards],
           writes: [...transfer.writes, { drop: requestGuard.key }],
@@ -155,22 +160,24 @@
     return this.options.memberKey({ node, incarnation });
   }
 
-  /** One call at a time for each role; while the store is unavailable, the next round tries again. */
-  async #exclusively(role: string, work: () => Promise<void>): Promise<void> {
-    if (this.#busy.has(role)) return;
-    this.#busy.add(role);
+  /**
+   * Runs the operation unless one is in flight for the role. If the store is unavailable, the next round tries again.
+   */
+  async #exclusively(role: string, operation: () => Promise<void>): Promise<void> {
+    if (this.#rolesInFlight.has(role)) return;
+    this.#rolesInFlight.add(role);
     try {
-      await work();
+      await operation();
     } catch (error) {
       if (!(error instanceof StoreUnavailableError)) throw error;
-      this.dependencies.log.debug({ role, error: error.message }, 'leadership not written');
+      this.dependencies.log.debug({ role, error: error.message }, 'leader record not written');
     } finally {
-      this.#busy.delete(role);
+      this.#rolesInFlight.delete(role);
     }
   }
 
   async #acquire(role: string, previous: Versioned<LeaderRecord> | null): Promise<void> {
-    const acquisition = this.#acquisitionOf(role, previous);
+    const acquisition = this.#buildAcquisition(role, previous);
     if (acquisition === null) return;
     const { guards, record } = acquisition;
     const { store, onCommitted, log } = this.dependencies;
@@ -182,25 +189,28 @@
     log.info({ role, fencingToken: record.token, from }, 'leadership acquired');
   }
 
-  /** Depends on this incarnation being registered, and on the lease of the former leader having ended. */
-  #acquisitionOf(role: string, previous: Versioned<LeaderRecord> | null): Acquisition | null {
+  /**
+   * Returns the transaction that acquires a role; null if this incarnation is not registered. Its guards require that
+   * this incarnation is still registered and, if the previous leader is another node, that its lease has ended.
+   */
+  #buildAcquisition(role: string, previous: Versioned<LeaderRecord> | null): Acquisition | null {
     const { self } = this.options;
-    const own = this.dependencies.view().members.find((member) => sameMember(member, self));
-    if (own === undefined) return null;
+    const ownMember = this.dependencies.view().members.find((member) => isSameMember(member, self));
+    if (ownMember === undefined) return null;
     const guards: Guard[] = [
       { key: leaderKey(role), revision: previous?.revision ?? 0 },
-      { key: this.#memberKey(self), revision: own.revision },
+      { key: this.#memberKey(self), revision: ownMember.revision },
     ];
     if (previous === null)
-      return { guards, record: this.#record(self, null, nextToken(INITIAL_TOKEN)) };
+      return { guards, record: this.#createRecord(self, null, nextToken(INITIAL_TOKEN)) };
     const { holder: leader, former, token } = previous.value;
     if (leader !== null && leader.node !== self.node) {
       guards.push({ key: this.#memberKey(leader), revision: 0 });
     }
-    return { guards, record: this.#record(self, leader?.node ?? former, nextToken(token)) };
+    return { guards, record: this.#createRecord(self, leader?.node ?? former, nextToken(token)) };
   }
 
-  #record(
+  #createRecord(
     holder: Member | null,
     former: string | null,
     token: LeaderRecord['token'],
@@ -219,29 +229,33 @@
     if (outcome.ok) this.dependencies.onCommitted(writes, outcome.epoch);
   }
 
-  /** The transaction that writes the next record: led by `to`, or released if that is null. */
-  #transferOf(role: string, record: Versioned<LeaderRecord>, to: Member | null): PendingTransfer {
-    const next = to === null ? null : { node: to.node, incarnation: to.incarnation };
-    // A release keeps its token: the leadership that follows takes the next one.
+  /** Returns the transaction that makes `to` the leader, or releases the role if `to` is null. */
+  #buildTransfer(
+    role: string,
+    record: Versioned<LeaderRecord>,
+    to: Member | null,
+  ): PendingTransfer {
+    const nextLeader = to === null ? null : { node: to.node, incarnation: to.incarnation };
+    // A release keeps the token: the leadership that follows takes the next token.
     const { token } = record.value;
-    const tokenAfter = next === null ? token : nextToken(token);
-    const value = this.#record(next, this.options.self.node, tokenAfter);
+    const followingToken = nextLeader === null ? token : nextToken(token);
+    const value = this.#createRecord(nextLeader, this.options.self.node, followingToken);
     return {
       guards: [{ key: leaderKey(role), revision: record.revision }],
       writes: [{ put: leaderKey(role), value }],
     };
   }
 
-  /** From here on this process does not act as the leader, whatever becomes of the transaction. */
+  /** Starts a transfer. This process does not act as the leader while the outcome of the transaction is unknown. */
   #beginTransfer(role: string, transfer: PendingTransfer): void {
-    this.#transfers.set(role, transfer);
+    this.#pendingTransfers.set(role, transfer);
     void this.#commitTransfer(role, transfer);
   }
 
   /**
-   * Repeats the transaction until it is answered. Each guard names a revision, and a revision that has passed
-   * never comes back: once one copy is rejected, no other copy can be carried out any more, and this process
-   * still leads if its record is unchanged.
+   * Sends the transaction; each round sends it again until it is answered. Each guard names a revision, and a key never
+   * returns to an earlier revision. So once one copy of the transaction is rejected, no other copy can be applied, and
+   * this process still leads if its record is unchanged.
    */
   #commitTransfer(role: string, { guards, writes }: PendingTransfer): Promise<void> {
     return this.#exclusively(role, async () => {
@@ -251,7 +265,7 @@
         onCommitted(writes, outcome.epoch);
         log.info({ role }, 'leadership transferred');
       }
-      this.#transfers.delete(role);
+      this.#pendingTransfers.delete(role);
     });
   }
 }
--- a/packages/leader-election/src/lease-validity.ts
+++ b/packages/leader-election/src/lease-validity.ts
@@ -1,19 +1,19 @@
-/** How long a lease is provably alive, by its owner's own clock. */
+/** Calculation of how long a lease is provably alive, by its owner's own clock. */
 
-/** A lease's duration, and the safety margin for clocks that differ. */
+/** The duration of a lease, and the safety margins for clocks that differ. */
 export interface LeaseTiming {
-  /** ms after the last renewal at which the store may end the lease */
+  /** ms after the last renewal when the store may end the lease */
   readonly ttlMs: number;
-  /** share by which two steady clocks may differ */
+  /** largest relative difference between the rates of two steady clocks, as a fraction */
   readonly clockDrift: number;
-  /** ms subtracted on top of the drift */
+  /** ms subtracted in addition to the drift */
   readonly marginMs: number;
 }
 
 /**
- * Tracks until when a lease is provably alive, by the owner's steady clock alone: jumps of the time of day have no
- * effect. The time counts from the moment at which the last successful renewal was sent, since the store counts
- * from a later one.
+ * Tracks until when a lease is provably alive. It uses only the owner's steady clock, so jumps of the time of day have
+ * no effect. The lease's duration counts from the moment when the last successful renewal was sent, because the store
+ * starts to count later, when the renewal arrives.
  */
 export class LeaseValidity {
   #validUntil = -Infinity;
@@ -21,24 +21,27 @@
 
   constructor(private readonly timing: LeaseTiming) {}
 
-  /** Records a renewal that was sent at `sentAt` and has succeeded; it is `now` (steady ms). */
+  /** Records a successful renewal that was sent at `sentAt` and answered at `now` (both steady ms). */
   extend(sentAt: number, now: number): void {
     if (now >= this.#validUntil) this.#validSince = now;
     const { ttlMs, clockDrift, marginMs } = this.timing;
     this.#validUntil = sentAt + ttlMs * (1 - clockDrift) - marginMs;
   }
 
-  /** Records that the lease has ended, or may have. */
+  /** Records that the lease has ended or may have ended. */
   end(): void {
     this.#validUntil = -Infinity;
   }
 
-  /** Whether the lease is provably alive at `now` (steady ms). */
+  /** Returns whether the lease is provably alive at `now` (steady ms). */
   valid(now: number): boolean {
     return now < this.#validUntil;
   }
 
-  /** Steady ms since which the lease has been valid without a break; Infinity before the first time. */
+  /**
+   * Returns the steady ms since which the lease has been valid without interruption; Infinity before the first
+   * renewal.
+   */
   get validSince(): number {
     return this.#validSince;
   }
--- a/packages/leader-election/src/records.ts
+++ b/packages/leader-election/src/records.ts
@@ -1,6 +1,6 @@
 /**
- * What the store holds of leader election. Property names and key prefixes are the stored form, shared with other
- * versions and with `sumacstep duties --json`: they never change.
+ * The records and keys of leader election in the store. Other versions and `sumacstep duties --json` use the same
+ * property names and key prefixes, so these never change.
  */
 import * as z from 'zod';
 import { fencingToken, type FencingToken } from './fencing-token.js';
@@ -11,33 +11,34 @@
   readonly incarnation: string;
 }
 
-/** Who leads a role. The record is never removed, so that fencing tokens never repeat. */
+/** Names the leader of a role. The record is never deleted, so that fencing tokens never repeat. */
 export interface LeaderRecord {
-  /** the leader; null: released, any candidate may acquire the role */
+  /** the leader; null: the role was released, and any candidate may acquire it */
   readonly holder: Member | null;
-  /** the node that released or transferred the role; it is the last candidate for the next leadership */
+  /** the previous leader's node, which is the last candidate for the next leadership */
   readonly former: string | null;
+  /** the fencing token of the leadership */
   readonly token: FencingToken;
-  /** time of day at which the leadership began, ms; for people only */
+  /** time of day when the record was written, ms; it is shown to people and decides nothing */
   readonly sinceMs: number;
 }
 
-/** An operator's request that another node leads a role. */
+/** An operator's request to transfer a role to another node. */
 export interface LeadershipTransferRequest {
-  /** null: any other node */
+  /** the requested node; null: any other node */
   readonly to: string | null;
-  /** chosen by whoever asks: the same id is the same request */
+  /** identifies the request, chosen by the requester; two requests with the same id are the same request */
   readonly id: string;
 }
 
-/** Keys of leader records begin with this; the rest is the role. */
+/** The prefix of leader records' keys; the rest of the key is the role. */
 export const LEADER_PREFIX = 'duties/holders/';
-/** Keys of transfer requests begin with this; the rest is the role. */
+/** The prefix of transfer requests' keys; the rest of the key is the role. */
 export const TRANSFER_REQUEST_PREFIX = 'duties/wanted/';
 
-/** The key of a role's leader record. */
+/** Returns the key of a role's leader record. */
 export const leaderKey = (role: string): string => `${LEADER_PREFIX}${role}`;
-/** The key of a role's transfer request. */
+/** Returns the key of a role's transfer request. */
 export const transferRequestKey = (role: string): string => `${TRANSFER_REQUEST_PREFIX}${role}`;
 
 const nameSchema = z.string().min(1);
@@ -50,9 +51,12 @@
 });
 const transferRequestSchema = z.object({ to: nameSchema.nullable(), id: nameSchema });
 
-/** Reads a stored leader record; throws a `ZodError` if the value is none. */
+/** Decodes a stored leader record; throws a `ZodError` if the value is not one. */
 export const decodeLeaderRecord = (value: unknown): LeaderRecord => leaderRecordSchema.parse(value);
 
-/** Reads a stored transfer request; null if the value is none, since operators write these with tools of any version. */
+/**
+ * Decodes a stored transfer request. Returns null if the value is not one, because operators may write requests with
+ * tools of any version.
+ */
 export const decodeTransferRequest = (value: unknown): LeadershipTransferRequest | null =>
   transferRequestSchema.safeParse(value).data ?? null;
--- a/packages/leader-election/src/retention.ts
+++ b/packages/leader-election/src/retention.ts
@@ -1,27 +1,28 @@
 /**
- * The retention clock: how long ago a store revision was reached, by time that successive leaders have observed.
- * Property names are the stored form.
+ * The retention clock, which determines how long ago the store reached a revision. It counts the time that successive
+ * leaders have observed. The property names of its record are stored, so they never change.
  */
 import * as z from 'zod';
 
-/** A moment of the retention clock, and the store's revision at that moment. */
+/** A reading of the retention clock, and a revision that the store had reached by then. */
 export interface RetentionMark {
+  /** the reading, ms */
   readonly observedMs: number;
   readonly revision: number;
 }
 
-/** The time that leaders have observed, and the revisions that they had reached meanwhile. */
+/** The stored state of the retention clock: the time that leaders have observed, and revisions reached in that time. */
 export interface RetentionRecord {
-  /** ms that leaders have seen pass on their steady clocks while they led */
+  /** ms that elapsed on the leaders' steady clocks while they led */
   readonly observedMs: number;
   /** oldest first */
   readonly marks: readonly RetentionMark[];
 }
 
-/** The record before any time was observed. */
+/** The record before any time has been observed. */
 export const EMPTY_RETENTION: RetentionRecord = { observedMs: 0, marks: [] };
 
-/** marks for one retention time: values are collected at most a sixteenth of that time late */
+/** Number of marks per retention time: the interval between marks delays a deletion by at most 1/16 of that time. */
 const MARKS_PER_RETENTION = 16;
 
 const nonNegative = z.number().nonnegative();
@@ -30,37 +31,39 @@
   marks: z.array(z.object({ observedMs: nonNegative, revision: nonNegative.int() })),
 });
 
-/** Reads a stored record; throws a `ZodError` if the value is none. */
+/** Decodes a stored record; throws a `ZodError` if the value is not one. */
 export const decodeRetention = (value: unknown): RetentionRecord => recordSchema.parse(value);
 
-/** How long values are retained, and how exact the clocks are. */
+/** The retention time of values, and the accuracy of the clocks. */
 export interface RetentionOptions {
-  /** ms */
-  readonly keepMs: number;
-  /** share by which a steady clock may be fast */
+  /** ms for which values are retained */
+  readonly retentionMs: number;
+  /** largest fraction by which a steady clock may run fast */
   readonly clockDrift: number;
 }
 
 /**
- * Adds `passedMs`, the time that the leader's steady clock has seen pass since the record was written. Nothing
- * else counts: a time of day that jumps, or a spell without a leader, can make the retention clock late and
- * never early. `revision` is one that the store had reached before.
+ * Returns the record with `elapsedMs` added, the time that has passed on the leader's steady clock since the record was
+ * written. No other time counts, so a jump of the time of day or a period without a leader can make the retention clock
+ * late but never early. `revision` must be a revision that the store has already reached.
  */
 export const observeElapsed = (
   previous: RetentionRecord,
-  passedMs: number,
+  elapsedMs: number,
   revision: number,
-  { keepMs, clockDrift }: RetentionOptions,
+  { retentionMs, clockDrift }: RetentionOptions,
 ): RetentionRecord => {
-  const observedMs = previous.observedMs + Math.max(0, passedMs) * (1 - clockDrift);
-  const last = previous.marks.at(-1);
-  const due = last === undefined || observedMs - last.observedMs >= keepMs / MARKS_PER_RETENTION;
-  const marks = due ? [...previous.marks, { observedMs, revision }] : previous.marks;
-  // One mark that is old enough is needed; those before it add nothing.
-  const oldEnough = marks.findLastIndex((mark) => observedMs - mark.observedMs >= keepMs);
-  return { observedMs, marks: marks.slice(Math.max(0, oldEnough)) };
+  const observedMs = previous.observedMs + Math.max(0, elapsedMs) * (1 - clockDrift);
+  const lastMark = previous.marks.at(-1);
+  const isMarkDue =
+    lastMark === undefined || observedMs - lastMark.observedMs >= retentionMs / MARKS_PER_RETENTION;
+  const marks = isMarkDue ? [...previous.marks, { observedMs, revision }] : previous.marks;
+  // Only the newest expired mark is needed; the marks before it are dropped.
+  const lastExpired = marks.findLastIndex((mark) => observedMs - mark.observedMs >= retentionMs);
+  return { observedMs, marks: marks.slice(Math.max(0, lastExpired)) };
 };
 
-/** The last revision that is at least `keepMs` old; null while none is known to be. */
-export const expiredRevision = (record: RetentionRecord, keepMs: number): number | null =>
-  record.marks.findLast((mark) => record.observedMs - mark.observedMs >= keepMs)?.revision ?? null;
+/** Returns the newest known revision that is at least `retentionMs` old; null if none is known. */
+export const expiredRevision = (record: RetentionRecord, retentionMs: number): number | null =>
+  record.marks.findLast((mark) => record.observedMs - mark.observedMs >= retentionMs)?.revision ??
+  null;
--- a/packages/leader-election/src/session-lease.ts
+++ b/packages/leader-election/src/session-lease.ts
@@ -1,31 +1,32 @@
-/** The lease that keeps a process's membership alive, and its renewal. */
+/** The lease on which a process's membership depends, and its renewal. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { LeaseValidity, type LeaseTiming } from './lease-validity.js';
 import type { Log } from './fencing-rejections.js';
 import { StoreUnavailableError, type LeaseStore } from './store.js';
 
-/** When a lease is renewed, and how long it lasts. */
+/** The duration of a lease, and the intervals of its renewal. */
 export interface SessionLeaseTiming extends LeaseTiming {
   /** ms between two renewals */
   readonly renewMs: number;
-  /** ms until the next attempt after a failure */
+  /** minimum ms from one attempt to the next, and the delay after an attempt that left no lease */
   readonly retryMs: number;
 }
 
-/** The key that represents one incarnation of a process as long as its lease is alive. */
+/** The key that represents one incarnation of a process while its lease is alive. */
 export interface Registration {
   readonly key: string;
   readonly value: unknown;
 }
 
 /**
- * This process's lease in the store, and the key attached to it. While that key exists no other process may take
- * over what this incarnation leads or owns, and it exists at least as long as `valid` says.
+ * Keeps this process's lease in the store alive, with the key that is attached to it. While the key exists, no other
+ * process may take over what this incarnation leads or owns. The key exists at least as long as `valid` returns true.
  */
 export class SessionLease {
+  /** the lease's id; null while there is no lease */
   #id: number | null = null;
   readonly #validity: LeaseValidity;
-  /** the epoch at which the key was written; Infinity while it is not written */
+  /** the store's epoch at which the key was written; Infinity while the key is not written */
   registeredAt = Infinity;
   #closed = false;
 
@@ -33,19 +34,19 @@
     private readonly store: LeaseStore,
     private readonly registration: Registration,
     private readonly timing: SessionLeaseTiming,
-    /** the steady clock, ms */
+    /** reads the steady clock, ms */
     private readonly now: () => number,
     private readonly log: Log,
   ) {
     this.#validity = new LeaseValidity(timing);
   }
 
-  /** Whether the lease is provably alive and the key written, at `now` (steady ms). */
+  /** Returns whether the lease is provably alive at `now` (steady ms) and the key is written. */
   valid(now: number): boolean {
     return this.#validity.valid(now) && this.registeredAt !== Infinity;
   }
 
-  /** Steady ms since which the lease has been valid without a break. */
+  /** Returns the steady ms since which the lease has been valid without interruption. */
   get validSince(): number {
     return this.#validity.validSince;
   }
@@ -55,18 +56,20 @@
     while (!this.#closed) await sleep(await this.step());
   }
 
-  /** One attempt to grant, renew or register; resolves with the ms until the next one. */
+  /**
+   * Makes one attempt to obtain or renew the lease and to write the key; resolves with the ms until the next attempt.
+   */
   async step(): Promise<number> {
     const { renewMs, retryMs } = this.timing;
-    const started = this.now();
+    const startedAt = this.now();
     try {
-      await this.#renewOrGrant(started);
+      await this.#renewOrGrant(startedAt);
     } catch (error) {
       if (!(error instanceof StoreUnavailableError)) throw error;
       this.log.debug({ error: error.message }, 'lease not renewed');
     }
     if (this.#id === null) return retryMs;
-    return Math.max(retryMs, renewMs - (this.now() - started));
+    return Math.max(retryMs, renewMs - (this.now() - startedAt));
   }
 
   async #renewOrGrant(sentAt: number): Promise<void> {
@@ -75,7 +78,7 @@
       this.log.info({ lease: this.#id }, 'lease granted');
     } else if (!(await this.store.renew(this.#id))) {
       this.log.info({ lease: this.#id }, 'lease ended');
-      this.#drop();
+      this.#discardLease();
       return;
     }
     if (this.registeredAt === Infinity && !(await this.#register(this.#id))) return;
@@ -83,24 +86,25 @@
   }
 
   /**
-   * The key names the incarnation, and a write without an answer is repeated with the same lease: a late copy of
-   * it can then neither represent another incarnation nor attach the key to a lease that is not renewed.
+   * Writes the key; resolves with false if the lease has ended. The key contains the incarnation, and a write without
+   * an answer is repeated with the same lease. So a copy of the write that is applied late can neither represent
+   * another incarnation nor attach the key to a lease that is not renewed.
    */
   async #register(id: number): Promise<boolean> {
     const { key, value } = this.registration;
     const epoch = await this.store.register(key, value, id);
-    if (epoch === null) this.#drop();
+    if (epoch === null) this.#discardLease();
     else this.registeredAt = epoch;
     return epoch !== null;
   }
 
-  #drop(): void {
+  #discardLease(): void {
     this.#id = null;
     this.registeredAt = Infinity;
     this.#validity.end();
   }
 
-  /** Ends the renewals; the lease then expires by itself. */
+  /** Stops renewing the lease, which then expires. */
   close(): void {
     this.#closed = true;
   }
--- a/packages/leader-election/src/status.ts
+++ b/packages/leader-election/src/status.ts
@@ -1,56 +1,61 @@
 /**
- * A description of who leads which role, for operators. `sumacstep duties --json` prints it as it is: the names of
- * its properties are a part of that output and never change.
+ * A report for operators of which node leads which role. `sumacstep duties --json` prints it unchanged, so the names of
+ * its properties never change.
  */
-import { allSupportElection, sameMember, type ElectionView } from './election-policy.js';
+import { allSupportElection, isSameMember, type ElectionView } from './election-policy.js';
 import type { FencingToken } from './fencing-token.js';
 
-/** Until when a leadership lasts. */
+/** The condition under which a leadership lasts. */
 export type LeadershipValidity =
-  /** as long as the leader renews the lease of its incarnation */
+  /** the leadership lasts while the leader renews the lease of its incarnation */
   | { readonly kind: 'lease_renewed' }
-  /** the leader's lease has ended: the next candidate takes over */
+  /** the leader's lease has ended, and the next candidate takes over */
   | { readonly kind: 'lease_ended' }
   /** no node leads the role */
   | { readonly kind: 'vacant' };
 
-/** A transfer request that is not carried out yet. */
+/** A transfer request that has not been executed yet. */
 export interface PendingTransferStatus {
+  /** the requested node; null: any other node */
   readonly to: string | null;
+  /** the requester's id of the request */
   readonly id: string;
+  /** the condition that the transfer waits for, in words */
   readonly waitsFor: string;
 }
 
-/** What is known of one role. */
+/** The status of one role. */
 export interface LeadershipStatus {
   /** the role */
   readonly duty: string;
-  /** the leader's node */
+  /** the leader's node; null if the role is vacant */
   readonly holder: string | null;
+  /** the leader's incarnation; null if the role is vacant */
   readonly incarnation: string | null;
+  /** the fencing token in the leader record; null if the role has no record */
   readonly token: FencingToken | null;
-  /** time of day, ms */
+  /** time of day when the leader record was written, ms; null if the role has no record */
   readonly sinceMs: number | null;
   readonly until: LeadershipValidity;
-  /** an operator's transfer request that is not carried out yet */
+  /** an operator's transfer request that has not been executed yet */
   readonly handOver: PendingTransferStatus | null;
 }
 
-/** What is known of all roles. */
+/** The status of all roles. */
 export interface LeadershipReport {
   readonly duties: readonly LeadershipStatus[];
-  /** live nodes that do not support elections: no node leads until they have ended */
+  /** live nodes that do not support elections; while there are any, no node leads a role */
   readonly pausedBy: readonly string[];
 }
 
 const validityOf = (view: ElectionView, role: string): LeadershipValidity => {
   const leader = view.records.get(role)?.value.holder ?? null;
   if (leader === null) return { kind: 'vacant' };
-  const live = view.members.some((member) => sameMember(member, leader));
+  const live = view.members.some((member) => isSameMember(member, leader));
   return { kind: live ? 'lease_renewed' : 'lease_ended' };
 };
 
-const waitsFor = (view: ElectionView, role: string, to: string | null): string => {
+const describeWait = (view: ElectionView, role: string, to: string | null): string => {
   if (!allSupportElection(view)) return 'a node that does not know duties';
   if (to !== null && !view.members.some((member) => member.node === to)) return `${to} to live`;
   return validityOf(view, role).kind === 'lease_renewed' ? 'the holder' : 'a new holder';
@@ -59,7 +64,7 @@
 const pendingTransfer = (view: ElectionView, role: string): PendingTransferStatus | null => {
   const request = view.transferRequests.get(role)?.value;
   if (request === undefined) return null;
-  return { to: request.to, id: request.id, waitsFor: waitsFor(view, role, request.to) };
+  return { to: request.to, id: request.id, waitsFor: describeWait(view, role, request.to) };
 };
 
 const statusOf = (view: ElectionView, role: string): LeadershipStatus => {
@@ -75,7 +80,7 @@
   };
 };
 
-/** Describes the named roles, and any others that the store has records of. */
+/** Reports the status of the given roles, and of all other roles that have a leader record in the store. */
 export const describeLeadership = (
   view: ElectionView,
   roles: readonly string[],
--- a/packages/leader-election/test/components.test.ts
+++ b/packages/leader-election/test/components.test.ts
@@ -21,15 +21,16 @@
 /** The store counts 6000 ms from the renewal's arrival; a leader's clock may run fast or slow by 0.05 %. */
 test('a lease is provably alive for less than the store keeps it, whatever the clocks do', () => {
   for (const drift of [-0.0005, 0, 0.0005]) {
-    for (const travelMs of [0, 5, 2000]) {
+    for (const latencyMs of [0, 5, 2000]) {
       const lease = new LeaseValidity(LEASE);
       const steady = (ms: number) => ms * (1 + drift);
-      lease.extend(steady(0), steady(2 * travelMs));
-      const storeEndsAt = travelMs + LEASE.ttlMs;
-      for (let at = 2 * travelMs; at < storeEndsAt + 100; at += 1) {
-        if (lease.valid(steady(at))) assert.ok(at < storeEndsAt, `${drift} ${travelMs} ${at}`);
+      lease.extend(steady(0), steady(2 * latencyMs));
+      const storeEndsAt = latencyMs + LEASE.ttlMs;
+      for (let atMs = 2 * latencyMs; atMs < storeEndsAt + 100; atMs += 1) {
+        if (lease.valid(steady(atMs)))
+          assert.ok(atMs < storeEndsAt, `${drift} ${latencyMs} ${atMs}`);
       }
-      assert.ok(travelMs > 1000 || lease.valid(steady(5000)), 'and for most of it');
+      assert.ok(latencyMs > 1000 || lease.valid(steady(5000)), 'and for most of it');
     }
   }
 });
@@ -46,18 +47,22 @@
 });
 
 test('retention: only time that was observed counts, and a revision expires after all of it', () => {
-  const options = { keepMs: 16_000, clockDrift: 0.001 };
+  const options = { retentionMs: 16_000, clockDrift: 0.001 };
   let record = observeElapsed(EMPTY_RETENTION, 0, 100, options);
   const expiredAfter: (number | null)[] = [];
   for (let round = 1; round <= 20; round++) {
     record = observeElapsed(record, 1002, 100 + round, options);
-    expiredAfter.push(expiredRevision(record, options.keepMs));
+    expiredAfter.push(expiredRevision(record, options.retentionMs));
   }
   assert.deepEqual(expiredAfter.slice(0, 15), Array(15).fill(null));
   assert.deepEqual(expiredAfter.slice(15), [100, 101, 102, 103, 104]);
   assert.ok(record.marks.length <= 18, `${record.marks.length} marks`);
-  const back = observeElapsed(record, -5_000_000, 200, options);
-  assert.equal(back.observedMs, record.observedMs, 'a clock that goes back observes nothing');
+  const afterClockStepsBack = observeElapsed(record, -5_000_000, 200, options);
+  assert.equal(
+    afterClockStepsBack.observedMs,
+    record.observedMs,
+    'a clock that goes back observes nothing',
+  );
 });
 
 test('candidates: the former leader comes last, who leads fewer roles comes first', () => {
@@ -67,7 +72,7 @@
     revision: 1,
     supportsElection: true,
   });
-  const ledBy = (node: string | null, former: string | null) => ({
+  const recordOf = (node: string | null, former: string | null) => ({
     revision: 1,
     value: {
       holder: node === null ? null : { node, incarnation: 'x' },
@@ -81,23 +86,23 @@
     records,
     transferRequests: new Map(),
   });
-  const free = candidateOrder(view(new Map()), 'd');
-  assert.deepEqual([...free].sort(), ['a', 'b', 'c']);
-  const [first, second] = free as [string, string];
-  const busy = candidateOrder(view(new Map([['other', ledBy(first, null)]])), 'd');
-  assert.equal(busy.at(-1), first);
-  const former = candidateOrder(view(new Map([['d', ledBy(null, second)]])), 'd');
+  const orderWithoutRecords = candidateOrder(view(new Map()), 'd');
+  assert.deepEqual([...orderWithoutRecords].sort(), ['a', 'b', 'c']);
+  const [first, second] = orderWithoutRecords as [string, string];
+  const orderWithLeader = candidateOrder(view(new Map([['other', recordOf(first, null)]])), 'd');
+  assert.equal(orderWithLeader.at(-1), first);
+  const former = candidateOrder(view(new Map([['d', recordOf(null, second)]])), 'd');
   assert.equal(former.at(-1), second);
 });
 
 test('rejections: one line with both tokens for a replaced leader, none for one that was not replaced', async () => {
-  const rows: [string, () => Promise<number | null>, number | null, number | null][] = [
+  const cases: [string, () => Promise<number | null>, number | null, number | null][] = [
     ['named by the receiver', () => Promise.resolve(null), 9, 9],
     ['read from the store', () => Promise.resolve(8), null, 8],
     ['still the newest', () => Promise.resolve(7), null, null],
     ['store unavailable', () => Promise.reject(new StoreUnavailableError('out')), null, null],
   ];
-  for (const [name, currentToken, named, logged] of rows) {
+  for (const [name, currentToken, named, logged] of cases) {
     const lines: object[] = [];
     const log = { info: (fields: object) => void lines.push(fields), debug: () => undefined };
     const rejections = new FencingRejections(currentToken, log);
@@ -121,7 +126,8 @@
   // @ts-expect-error a number is no token
   assert.equal(act(3), 3);
   assert.equal(act(fencingToken(3)), 3);
-  for (const wrong of [-1, 0.5, NaN, 2 ** 60]) assert.throws(() => fencingToken(wrong), RangeError);
+  for (const invalid of [-1, 0.5, NaN, 2 ** 60])
+    assert.throws(() => fencingToken(invalid), RangeError);
   const guard = { key: 'duties/holders/d', revision: 1 };
   const leadership = { role: 'd', fencingToken: fencingToken(3), guard, isCurrent: () => true };
   const log = { info: () => undefined, debug: () => undefined };
--- a/packages/leader-election/test/history.ts
+++ b/packages/leader-election/test/history.ts
@@ -16,22 +16,23 @@
  */
 export const historyViolations = (events: readonly ElectionEvent[]): string[] => {
   const violations: string[] = [];
-  let present = { leader: '', token: 0 };
-  let machineToken = 0;
+  let current = { leader: '', token: 0 };
+  let newestMachineToken = 0;
   events.forEach((event, i) => {
-    const what = `${i}: ${JSON.stringify(event)}`;
+    const description = `${i}: ${JSON.stringify(event)}`;
     if (event.kind === 'acquired') {
-      if (event.token <= present.token) violations.push(`token does not rise ${what}`);
-      present = event;
+      if (event.token <= current.token) violations.push(`token does not rise ${description}`);
+      current = event;
     } else if (event.kind === 'sent') {
-      const { leader, token } = present;
+      const { leader, token } = current;
       if (leader !== event.leader || token !== event.token)
-        violations.push(`not the leader ${what}`);
+        violations.push(`not the leader ${description}`);
     } else if (event.by === 'store') {
-      if (event.token !== present.token) violations.push(`not the leader's write ${what}`);
+      if (event.token !== current.token) violations.push(`not the leader's write ${description}`);
     } else {
-      if (event.token < machineToken) violations.push(`lower than a token before ${what}`);
-      machineToken = Math.max(machineToken, event.token);
+      if (event.token < newestMachineToken)
+        violations.push(`lower than a token before ${description}`);
+      newestMachineToken = Math.max(newestMachineToken, event.token);
     }
   });
   return violations;
--- a/packages/leader-election/test/simulated-store.ts
+++ b/packages/leader-election/test/simulated-store.ts
@@ -15,14 +15,14 @@
 }
 
 /** ms after which a caller stops waiting */
-const CALL_MS = 2000;
+const CALL_TIMEOUT_MS = 2000;
 
 /** What happens to the calls of one client; each function is asked anew for every call. */
 export interface NetworkFaults {
   /** ms that a message is on its way */
   delayMs(): number;
   /** what else happens to the call */
-  fate(): 'normal' | 'answer_lost' | 'carried_out_late';
+  callOutcome(): 'normal' | 'answer_lost' | 'carried_out_late';
   /** ms after which a late call is carried out */
   lateByMs(): number;
   /** whether the store refuses calls of this client alone */
@@ -62,8 +62,8 @@
     for (const [id, { until }] of this.#leases) {
       if (until > this.time.now) continue;
       this.#leases.delete(id);
-      const held = [...this.items].filter(([, item]) => item.lease === id);
-      if (held.length > 0) this.#commit(held.map(([key]) => ({ drop: key })));
+      const attachedItems = [...this.items].filter(([, item]) => item.lease === id);
+      if (attachedItems.length > 0) this.#commit(attachedItems.map(([key]) => ({ drop: key })));
     }
   }
 
@@ -91,9 +91,9 @@
   /** The store as one client reaches it. Answers are handled by `resume`, which may wait. */
   clientOf(
     network: NetworkFaults,
-    resume: (work: () => void) => void,
+    runWhenAwake: (work: () => void) => void,
   ): CompareAndSwapStore & LeaseStore {
-    const call = <T>(execute: () => T) => this.#call(network, resume, execute);
+    const call = <T>(execute: () => T) => this.#call(network, runWhenAwake, execute);
     return {
       compareAndSwap: (_urgency, guards, writes) => call(() => this.compareAndSwap(guards, writes)),
       grant: (ttlMs) => call(() => this.#grant(ttlMs)),
@@ -117,19 +117,19 @@
 
   #call<T>(
     network: NetworkFaults,
-    resume: (work: () => void) => void,
+    runWhenAwake: (work: () => void) => void,
     execute: () => T,
   ): Promise<T> {
     return new Promise((resolve, reject) => {
       const answer = (work: () => void) => {
         this.time.after(network.delayMs(), () => {
-          resume(work);
+          runWhenAwake(work);
         });
       };
-      const lost = () => {
+      const rejectUnanswered = () => {
         reject(new StoreUnavailableError('no answer'));
       };
-      const arrive = () => {
+      const executeAndAnswer = () => {
         if (this.#outage || network.isRefused())
           answer(() => {
             reject(new StoreUnavailableError('503'));
@@ -141,14 +141,15 @@
           });
         }
       };
-      const fate = network.fate();
-      if (fate === 'normal') this.time.after(network.delayMs(), arrive);
+      const callOutcome = network.callOutcome();
+      if (callOutcome === 'normal') this.time.after(network.delayMs(), executeAndAnswer);
       else {
-        this.time.after(CALL_MS, () => {
-          resume(lost);
+        this.time.after(CALL_TIMEOUT_MS, () => {
+          runWhenAwake(rejectUnanswered);
         });
-        const ms = fate === 'carried_out_late' ? network.lateByMs() : network.delayMs();
-        this.time.after(ms, () => {
+        const executionDelayMs =
+          callOutcome === 'carried_out_late' ? network.lateByMs() : network.delayMs();
+        this.time.after(executionDelayMs, () => {
           if (!this.#outage && !network.isRefused()) execute();
         });
       }
--- a/packages/leader-election/test/single-leader.test.ts
+++ b/packages/leader-election/test/single-leader.test.ts
@@ -108,18 +108,18 @@
 describe('one leader at a time', () => {
   test('a frozen leader is replaced, and each late order of it is rejected and logged', async () => {
     const cluster = await startCluster();
-    const old = cluster.leader!;
-    const authorization = old.election.authorize(ROLE)!;
-    old.freeze(TAKEOVER_MS);
+    const formerLeader = cluster.leader!;
+    const authorization = formerLeader.election.authorize(ROLE)!;
+    formerLeader.freeze(TAKEOVER_MS);
     await cluster.time.runUntil(cluster.time.now + TAKEOVER_MS - 1);
-    const promoted = cluster.leader!;
-    assert.notEqual(promoted.node, old.node);
+    const successor = cluster.leader!;
+    assert.notEqual(successor.node, formerLeader.node);
     // Woken between its check and its calls: the command and the write are on their way already.
-    cluster.commandMachine(old, authorization);
+    cluster.commandMachine(formerLeader, authorization);
     const client = cluster.store.clientOf({ ...NO_FAULTS }, (work) => {
-      old.resume(work);
+      formerLeader.runWhenAwake(work);
     });
-    const late = fencedCompareAndSwap(
+    const lateWrite = fencedCompareAndSwap(
       client,
       authorization,
       'normal',
@@ -127,20 +127,20 @@
       [{ put: 'machine', value: authorization.fencingToken }],
     );
     await cluster.time.runUntil(cluster.time.now + 1000);
-    assert.equal((await late).ok, false, 'rejected by the store');
+    assert.equal((await lateWrite).ok, false, 'rejected by the store');
     // Woken before its check.
     assert.throws(() => {
       authorization.ensureValid();
     });
     await assertNoViolations(cluster);
     for (const by of ['store', 'machine', 'sender']) {
-      const [line, ...more] = rejectionLines(old, by);
+      const [line, ...more] = rejectionLines(formerLeader, by);
       assert.deepEqual(more, [], `one line of ${by}`);
       assert.ok(line !== undefined, `a line of ${by}`);
       assert.equal(line['fencingToken'], authorization.fencingToken);
       assert.equal(line['newerToken'], cluster.token);
     }
-    assert.equal(old.rejections.counts.replaced, 3);
+    assert.equal(formerLeader.rejections.counts.replaced, 3);
     assert.equal(cluster.counts.rejectedByMachine, 1);
   });
 });
@@ -154,9 +154,9 @@
       const acting = cluster.nodes.filter((node) => node.election.authorize(ROLE) !== null);
       assert.equal(acting.length, 1, 'one acts');
       assert.equal(acting[0], cluster.leader, 'the one that the record names');
-      const acts = cluster.history.length;
+      const eventsBefore = cluster.history.length;
       await cluster.time.runUntil(cluster.time.now + 1000);
-      assert.ok(cluster.history.length > acts, 'and it goes on');
+      assert.ok(cluster.history.length > eventsBefore, 'and it goes on');
       await assertNoViolations(cluster);
     });
   }
@@ -168,7 +168,7 @@
       let calls = 0;
       const faults: ClusterFaults = {
         ...NO_FAULTS,
-        fate: () => (++calls % 3 === 0 ? fate : 'normal'),
+        callOutcome: () => (++calls % 3 === 0 ? fate : 'normal'),
         lateByMs: () => 3500,
       };
       const cluster = new SimulatedCluster(faults);
@@ -195,11 +195,11 @@
 
   test('no node leads while a live node does not support elections', async () => {
     const cluster = new SimulatedCluster(NO_FAULTS);
-    const older = cluster.start('z', false);
+    const olderNode = cluster.start('z', false);
     for (const node of NODES) cluster.start(node);
     await cluster.time.runUntil(TAKEOVER_MS);
     assert.deepEqual(cluster.history, []);
-    older.kill();
+    olderNode.kill();
     await cluster.time.runUntil(2 * TAKEOVER_MS);
     const acting = cluster.leader!;
     assert.ok(acting.election.authorize(ROLE) !== null);
@@ -216,35 +216,35 @@
 /** A cluster in which everything fails at random, in the same way for the same seed. */
 const startFaultyCluster = (seed: number) => {
   const generator = xoroshiro128plus(seed);
-  const below = (limit: number) => uniformInt(generator, 0, limit - 1);
+  const randomBelow = (limit: number) => uniformInt(generator, 0, limit - 1);
   const faults: ClusterFaults = {
-    delayMs: () => 1 + below(below(20) === 0 ? 1500 : 20),
-    fate: () => (['answer_lost', 'carried_out_late'] as const)[below(40)] ?? 'normal',
-    lateByMs: () => 2000 + below(10_000),
+    delayMs: () => 1 + randomBelow(randomBelow(20) === 0 ? 1500 : 20),
+    callOutcome: () => (['answer_lost', 'carried_out_late'] as const)[randomBelow(40)] ?? 'normal',
+    lateByMs: () => 2000 + randomBelow(10_000),
     isRefused: () => false,
-    drift: () => (below(1001) - 500) / 1_000_000,
+    drift: () => (randomBelow(1001) - 500) / 1_000_000,
   };
-  const cluster = new SimulatedCluster(faults, () => below(20_000));
+  const cluster = new SimulatedCluster(faults, () => randomBelow(20_000));
   const disturb = () => {
-    const node = NODES[below(NODES.length)]!;
-    const leader = below(3) > 0 ? cluster.leader : null;
+    const node = NODES[randomBelow(NODES.length)]!;
+    const leader = randomBelow(3) > 0 ? cluster.leader : null;
     const target = leader ?? cluster.nodes.findLast((incarnation) => incarnation.node === node)!;
-    const fault = below(6);
-    if (fault === 0) target.freeze(1000 + below(15_000));
-    else if (fault === 1 && target.alive) {
+    const faultKind = randomBelow(6);
+    if (faultKind === 0) target.freeze(1000 + randomBelow(15_000));
+    else if (faultKind === 1 && target.alive) {
       target.kill();
-      cluster.time.after(50 + below(8000), () => cluster.start(target.node));
-    } else if (fault === 2) {
+      cluster.time.after(50 + randomBelow(8000), () => cluster.start(target.node));
+    } else if (faultKind === 2) {
       cluster.setUnreachable(target.node, true);
-      cluster.time.after(1000 + below(12_000), () => {
+      cluster.time.after(1000 + randomBelow(12_000), () => {
         cluster.setUnreachable(target.node, false);
       });
-    } else if (fault === 3) target.election.release(ROLE);
-    else if (fault === 4 && below(3) === 0) {
+    } else if (faultKind === 3) target.election.release(ROLE);
+    else if (faultKind === 4 && randomBelow(3) === 0) {
       cluster.store.outage = true;
-      cluster.time.after(500 + below(9000), () => (cluster.store.outage = false));
+      cluster.time.after(500 + randomBelow(9000), () => (cluster.store.outage = false));
     }
-    cluster.timeOfDay += below(2_000_000) - 1_000_000;
+    cluster.timeOfDay += randomBelow(2_000_000) - 1_000_000;
   };
   cluster.time.every(4000, disturb);
   for (const node of NODES) cluster.start(node);
--- a/src/singletons/constants.ts
+++ b/src/singletons/constants.ts
@@ -1,13 +1,15 @@
 /** Timing of the singleton controllers. */
 
-/** ms that each candidate for a vacant role waits for the one before it. */
+/** Delay by which each candidate for a vacant role starts after the candidate before it, ms. */
 export const CANDIDATE_DELAY_MS = 1500;
 
-/** ms between two rounds of garbage collection. */
+/** Minimum interval between the starts of two rounds of garbage collection, ms. */
 export const GARBAGE_COLLECTION_INTERVAL_MS = 10_000;
 
-/** ms between two writes of the retention clock. A leadership that ends sooner adds nothing to it. */
+/**
+ * Interval between two writes of the retention clock, ms. A leadership that ends sooner adds nothing to the clock.
+ */
 export const RETENTION_WRITE_INTERVAL_MS = 600_000;
 
-/** Intervals shrink to this share of the retention time if that is shorter. */
+/** Upper limit of both intervals above, as a fraction of the retention time. */
 export const RETENTION_INTERVAL_SHARE = 1 / 16;
--- a/src/singletons/garbage-collector.ts
+++ b/src/singletons/garbage-collector.ts
@@ -1,6 +1,6 @@
 /**
- * Garbage collection of stored state: final states of jobs and ended moves that are older than their retention time,
- * rentals of shards that do not exist any more, and node records without a lease.
+ * Garbage collection of stored state: final states of jobs and records of ended moves that are older than the retention
+ * time, rentals of shards that no longer exist, and node records without a lease.
  */
 import {
   expiredRevision,
@@ -26,38 +26,39 @@
 import { GARBAGE_COLLECTOR_ROLE } from './roles.js';
 import type { SingletonElection } from './singleton-election.js';
 
-/** What garbage collection needs of the process. */
+/** The services and settings that the process provides to garbage collection. */
 export interface GarbageCollectorDependencies {
   readonly election: Pick<SingletonElection, 'authorize'>;
   readonly client: Pick<StoreClient, 'compareAndSwap' | 'list' | 'get'>;
   readonly cache: WatchCache;
-  /** the key of this node's own incarnation, which is attached to a lease for sure */
+  /** the key of this node's own incarnation, which is known to be attached to a lease */
   readonly ownNodeKey: string;
-  /** number of shards */
+  /** number of configured shards */
   readonly shards: number;
-  /** puts and deletes of a transaction */
+  /** maximum number of writes (puts and deletes) in one transaction */
   readonly transactionOps: number;
-  /** the steady clock, ms */
+  /** reads the steady clock, ms */
   readonly now: () => number;
   readonly log: Logger;
 }
 
-/** A key and the revision at which it may be deleted. */
+/** A key that may be deleted if it still has the given revision. */
 type Garbage = Pick<Entry, 'key' | 'revision'>;
 
 /**
- * The singleton controller that deletes old state.
+ * The singleton controller that deletes stored state that is no longer needed.
  *
- * The age of a final state follows from its revision: the retention clock records which revisions were reached how
- * much observed time ago. Each transaction that deletes final states also changes the acceptance key, which guards
- * every acceptance of a job. So an acceptance from before fails, however late it is carried out.
+ * The age of a final state follows from its revision, because the retention clock records how long ago the store
+ * reached which revision. Each transaction that deletes final states also changes the acceptance key, which guards
+ * every acceptance of a job. So an acceptance that was sent before a deletion fails however late it is executed, and
+ * cannot bring back a job whose final state was deleted.
  */
 export class GarbageCollector {
   readonly #retentionClock: RetentionClock;
-  #busy = false;
+  #roundInProgress = false;
   #lastRoundAt = -Infinity;
-  /** the leadership that has collected final states up to a revision */
-  #swept: { readonly fencingToken: number; readonly revision: number } | null = null;
+  /** the last completed sweep: all final states up to this revision were collected under this fencing token */
+  #lastSweep: { readonly fencingToken: number; readonly revision: number } | null = null;
 
   constructor(
     private readonly config: Pick<
@@ -69,18 +70,22 @@
     this.#retentionClock = new RetentionClock(config.finalStateRetentionMs, dependencies);
   }
 
-  /** Starts a round if one is due and this node is the leader. */
+  /** Starts a round if one is due, this node is the leader and no round is in progress. */
   tick(): void {
     const now = this.dependencies.now();
     const authorization = this.dependencies.election.authorize(GARBAGE_COLLECTOR_ROLE);
-    if (authorization === null || this.#busy || now - this.#lastRoundAt < this.#intervalMs()) {
+    if (
+      authorization === null ||
+      this.#roundInProgress ||
+      now - this.#lastRoundAt < this.#intervalMs()
+    ) {
       return;
     }
     this.#lastRoundAt = now;
     void this.#runRound(authorization);
   }
 
-  /** Shorter than usual if the retention time is short. */
+  /** Returns the ms between two rounds, which are fewer if the retention time is short. */
   #intervalMs(): number {
     const { finalStateRetentionMs } = this.config;
     return Math.min(
@@ -90,27 +95,30 @@
   }
 
   async #runRound(authorization: Authorization): Promise<void> {
-    this.#busy = true;
+    this.#roundInProgress = true;
     try {
-      await this.round(authorization);
+      await this.collect(authorization);
     } catch (error) {
       if (!(error instanceof StoreRequestError)) throw error;
-      this.dependencies.log.debug({ error: error.message }, 'garbage not collected');
+      this.dependencies.log.debug({ error: error.message }, 'garbage collection failed');
     } finally {
-      this.#busy = false;
+      this.#roundInProgress = false;
     }
   }
 
-  /** Advances the retention clock, and deletes what has expired. Rejects with `StoreRequestError`. */
-  async round(authorization: Authorization): Promise<void> {
+  /**
+   * Runs one round: advances the retention clock and, if that was due, deletes everything that is no longer needed.
+   * Rejects with `StoreRequestError` if the store is unavailable.
+   */
+  async collect(authorization: Authorization): Promise<void> {
     const retention = await this.#retentionClock.advance(authorization);
     if (retention === null) return;
     const expired = expiredRevision(retention, this.config.finalStateRetentionMs);
-    if (expired !== null && expired > this.#sweptRevision(authorization)) {
+    if (expired !== null && expired > this.#lastSweptRevision(authorization)) {
       const finalStates = await this.#collectFinalStates(authorization, expired);
       if (!authorization.isValid()) return;
       await this.#collectMoves(authorization, expired);
-      this.#swept = { fencingToken: authorization.fencingToken, revision: expired };
+      this.#lastSweep = { fencingToken: authorization.fencingToken, revision: expired };
       if (finalStates > 0) {
         const fields = { finalStates, expiredRevision: expired };
         this.dependencies.log.info(fields, 'final states deleted');
@@ -120,13 +128,13 @@
     await this.#collectNodes(authorization);
   }
 
-  #sweptRevision({ fencingToken }: Authorization): number {
-    return this.#swept?.fencingToken === fencingToken ? this.#swept.revision : -1;
+  #lastSweptRevision({ fencingToken }: Authorization): number {
+    return this.#lastSweep?.fencingToken === fencingToken ? this.#lastSweep.revision : -1;
   }
 
-  /** Resolves with the number of final states that were deleted. */
+  /** Deletes final states whose revision is at most `expired`; resolves with the number of deleted states. */
   async #collectFinalStates(authorization: Authorization, expired: number): Promise<number> {
-    // One write of each transaction goes to the acceptance key.
+    // One write of each transaction is reserved for the acceptance key.
     const batchLimit = Math.max(1, this.dependencies.transactionOps - 1);
     let deleted = 0;
     for (let since: string | null = null; ;) {
@@ -136,10 +144,10 @@
         LIST_PAGE_SIZE,
         CALL_PRIORITY.background,
       );
-      const old = page.entries.filter((entry) => entry.revision <= expired);
-      for (let start = 0; start < old.length; start += batchLimit) {
+      const expiredEntries = page.entries.filter((entry) => entry.revision <= expired);
+      for (let start = 0; start < expiredEntries.length; start += batchLimit) {
         if (!authorization.isValid()) return deleted;
-        const batch = old.slice(start, start + batchLimit);
+        const batch = expiredEntries.slice(start, start + batchLimit);
         if (await this.#deleteFinalStates(authorization, batch)) deleted += batch.length;
         await sleep(((batch.length + 1) * 1000) / this.config.garbageCollectionWritesPerS);
       }
@@ -157,7 +165,7 @@
     return this.#compareAndSwap(authorization, guards, [...drops, acceptance]);
   }
 
-  /** Moves of machines that have ended: they are kept for people alone. */
+  /** Deletes expired records of machine moves that have ended. Such records are kept only for operators to read. */
   async #collectMoves(authorization: Authorization, expired: number): Promise<void> {
     for (const { value: entry, revision } of this.dependencies.cache.tables.moves.values()) {
       if (entry.kind !== 'move' || !isTerminal(entry.move) || revision > expired) continue;
@@ -165,7 +173,10 @@
     }
   }
 
-  /** Rentals of shards that are not configured and have no live owner. Orphan collection returns their machines. */
+  /**
+   * Deletes rentals of shards that are not configured and have no live owner. Orphan collection returns the machines of
+   * these rentals.
+   */
   async #collectRentals(authorization: Authorization): Promise<void> {
     const { cache, shards, log } = this.dependencies;
     for (const { value: rental, revision } of cache.tables.rentals.values()) {
@@ -183,8 +194,9 @@
   }
 
   /**
-   * Records of nodes that are attached to no lease, and that would block the takeover of their shards. Only if the
-   * store reports leases at all: the own record is attached to one for sure.
+   * Deletes node records that are not attached to a lease, which would block the takeover of the nodes' shards.
+   * Does nothing unless the store reports a lease for this node's own record, which is known to be attached to one: a
+   * store that does not report leases would make all records look unattached.
    */
   async #collectNodes(authorization: Authorization): Promise<void> {
     const { client, cache, ownNodeKey, log } = this.dependencies;
--- a/src/singletons/orphan-collector.ts
+++ b/src/singletons/orphan-collector.ts
@@ -1,4 +1,6 @@
-/** Orphan collection: returns machines that no record knows, for instance from rentals that were carried out late. */
+/**
+ * Orphan collection: returns machines that no stored record lists, for example from rentals that were executed late.
+ */
 import type { Authorization } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import type { CloudClient } from '../cloud/cloud-client.js';
@@ -11,16 +13,16 @@
 import { ORPHAN_COLLECTOR_ROLE } from './roles.js';
 import type { SingletonElection } from './singleton-election.js';
 
-/** guards of the transaction that records intents besides those of the machines: the leader record and the list */
+/** Guards of the transaction that records intents, in addition to one per machine: the leader record and the list. */
 const OTHER_GUARDS = 2;
 
-/** Orphan collection, where it is switched on, and the write-ahead intents that it reads and writes. */
+/** The orphan collector of a node on which it is enabled, and the write-ahead intents that it reads and writes. */
 export interface OrphanCollection {
   readonly collector: OrphanCollector;
   readonly intents: ReturnIntents;
 }
 
-/** What orphan collection needs of the process. */
+/** The services that the process provides to orphan collection. */
 export interface OrphanCollectorDependencies {
   readonly election: Pick<SingletonElection, 'authorize' | 'electionActive'>;
   readonly intents: ReturnIntents;
@@ -31,39 +33,39 @@
   readonly log: Logger;
 }
 
-/** The singleton controller that returns orphaned machines. */
+/** The singleton controller that returns orphaned machines to the cloud. */
 export class OrphanCollector {
-  #busy = false;
+  #collecting = false;
 
   constructor(
-    /** puts and deletes of a transaction */
+    /** maximum number of writes (puts and deletes) in one transaction */
     private readonly transactionOps: number,
     private readonly dependencies: OrphanCollectorDependencies,
   ) {}
 
-  /** Whether the leader returns orphaned machines; if not, shards adopt them. */
+  /** Returns whether orphaned machines are returned by the leader; while not, shards adopt them. */
   get electionActive(): boolean {
     return this.dependencies.election.electionActive;
   }
 
-  /** Whether this node is the leader. */
+  /** Returns whether this node is the leader. */
   get isLeader(): boolean {
     return this.dependencies.election.authorize(ORPHAN_COLLECTOR_ROLE) !== null;
   }
 
   /**
-   * Returns machines that the cloud has listed for long without any record. Resolves with the names of those that
-   * are gone; none if this node is not the leader or a call is under way. Rejects like the store and the cloud do,
-   * and with `NotLeaderError`.
+   * Returns machines to the cloud that it has listed for a long time while no record of them exists. Resolves with the
+   * names of the returned machines, or with none if this node is not the leader or an earlier call is in progress.
+   * Rejects with the errors of the store and the cloud, or with `NotLeaderError`.
    */
   async collect(listed: readonly ListedMachine[]): Promise<readonly string[]> {
     const authorization = this.dependencies.election.authorize(ORPHAN_COLLECTOR_ROLE);
-    if (authorization === null || this.#busy) return [];
-    this.#busy = true;
+    if (authorization === null || this.#collecting) return [];
+    this.#collecting = true;
     try {
       return await this.#collect(authorization, listed);
     } finally {
-      this.#busy = false;
+      this.#collecting = false;
     }
   }
 
@@ -71,10 +73,10 @@
     authorization: Authorization,
     listed: readonly ListedMachine[],
   ): Promise<readonly string[]> {
-    const { intents, cloud, waitUntilCurrent: current, log } = this.dependencies;
-    // Every rental is recorded before its call. So once a current cache shows neither a rental of the machine's
-    // kind nor the machine, none can record it any more.
-    await current();
+    const { intents, cloud, waitUntilCurrent, log } = this.dependencies;
+    // Every rental is recorded before its call is sent. So if a current cache shows neither the machine nor a rental of
+    // its type, zone and spot flag, no shard can record the machine any more.
+    await waitUntilCurrent();
     const limit = Math.min(
       MAX_RETURN_BATCH,
       this.transactionOps * MAX_GUARDS_PER_WRITE - OTHER_GUARDS,
@@ -85,11 +87,11 @@
       .slice(0, limit);
     if (names.length === 0) return [];
     const notAdopted = names.map((name) => ({ key: key.adoptedMachineGroup(name), revision: 0 }));
-    const present = new Set(listed.map((machine) => machine.name));
+    const listedNames = new Set(listed.map((machine) => machine.name));
     const recorded = await intents.record(authorization, {
       list: 'unrecorded',
       names,
-      isNeeded: (name) => present.has(name),
+      isNeeded: (name) => listedNames.has(name),
       guards: notAdopted,
     });
     if (recorded.length === 0) return [];
@@ -99,6 +101,7 @@
     return recorded;
   }
 
+  /** Returns whether neither a record of the machine nor a rental of its type, zone and spot flag exists. */
   #isOrphaned({ name, type, zone, spot }: ListedMachine): boolean {
     const { cache } = this.dependencies;
     if (cache.machines.has(name)) return false;
--- a/src/singletons/retention-clock.ts
+++ b/src/singletons/retention-clock.ts
@@ -1,4 +1,4 @@
-/** The stored retention clock, which the leader of garbage collection keeps going. */
+/** The stored retention clock, which the leader of garbage collection advances. */
 import {
   EMPTY_RETENTION,
   fencedCompareAndSwap,
@@ -13,52 +13,55 @@
 import type { WatchCache } from '../store/watch-cache.js';
 import { RETENTION_INTERVAL_SHARE, RETENTION_WRITE_INTERVAL_MS } from './constants.js';
 
-/** What the retention clock needs of the process. */
+/** The services that the process provides to the retention clock. */
 export interface RetentionClockDependencies {
   readonly client: Pick<StoreClient, 'compareAndSwap'>;
   readonly cache: WatchCache;
-  /** the steady clock, ms */
+  /** reads the steady clock, ms */
   readonly now: () => number;
 }
 
-/** A leadership, and the moment up to which its observed time is written. */
+/** A leadership, and the moment up to which its elapsed time has been added to the stored record. */
 interface Observation {
   readonly fencingToken: number;
   /** steady ms */
   readonly until: number;
 }
 
-/** Adds the time that this node observes while it leads to the stored record. */
+/** Adds the time during which this node leads to the stored record. */
 export class RetentionClock {
   #observation: Observation | null = null;
 
   constructor(
-    /** ms that values are retained */
-    private readonly keepMs: number,
+    /** ms for which values are retained */
+    private readonly retentionMs: number,
     private readonly dependencies: RetentionClockDependencies,
   ) {}
 
-  /** Writes the observed time if that is due; null if it is not due, or if the leadership has ended. */
+  /**
+   * Adds the elapsed time to the stored record if a write is due. Resolves with the new record; null if no write was
+   * due or the write was rejected.
+   */
   async advance(authorization: Authorization): Promise<RetentionRecord | null> {
-    const { cache, now: steadyMs } = this.dependencies;
-    const now = steadyMs();
+    const { cache, now: steadyNow } = this.dependencies;
+    const now = steadyNow();
     const { fencingToken } = authorization;
     if (this.#observation?.fencingToken !== fencingToken) {
       this.#observation = { fencingToken, until: now };
     }
-    const passedMs = now - this.#observation.until;
+    const elapsedMs = now - this.#observation.until;
     const stored = cache.tables.elections.get('retention');
     const previous = stored?.value.kind === 'retention' ? stored.value.retention : EMPTY_RETENTION;
-    if (stored !== undefined && passedMs < this.#writeIntervalMs()) return null;
-    const options = { keepMs: this.keepMs, clockDrift: CLOCK_DRIFT };
-    const record = observeElapsed(previous, passedMs, cache.revision, options);
+    if (stored !== undefined && elapsedMs < this.#writeIntervalMs()) return null;
+    const options = { retentionMs: this.retentionMs, clockDrift: CLOCK_DRIFT };
+    const record = observeElapsed(previous, elapsedMs, cache.revision, options);
     if (!(await this.#write(authorization, record, stored?.revision ?? 0))) return null;
     this.#observation = { fencingToken, until: now };
     return record;
   }
 
   #writeIntervalMs(): number {
-    return Math.min(RETENTION_WRITE_INTERVAL_MS, this.keepMs * RETENTION_INTERVAL_SHARE);
+    return Math.min(RETENTION_WRITE_INTERVAL_MS, this.retentionMs * RETENTION_INTERVAL_SHARE);
   }
 
   async #write(
--- a/src/singletons/return-intents.ts
+++ b/src/singletons/return-intents.ts
@@ -1,4 +1,4 @@
-/** Write-ahead intents of returning machines: lists of machines whose return was decided, stored before it is sent. */
+/** Write-ahead intents to return machines: lists of machines, stored before their return is sent to the cloud. */
 import {
   fencedCompareAndSwap,
   type Authorization,
@@ -13,49 +13,53 @@
 
 const NO_MACHINES: ReadonlySet<string> = new Set();
 
-/** bytes of a stored list besides its names */
+/** Bytes of a stored list in addition to its names. */
 const LIST_OVERHEAD_BYTES = 32;
-/** bytes of a stored name besides its characters */
+/** Bytes of a stored name in addition to its characters. */
 const NAME_OVERHEAD_BYTES = 3;
 
-/** Machines to add to a list of intents. */
+/** A request to add machines to a list of intents. */
 export interface ReturnIntent {
   readonly list: ReturnIntentList;
-  /** machines to return */
+  /** names of the machines to return */
   readonly names: readonly string[];
-  /** whether a machine that is on the list already must stay there */
+  /** returns whether a machine that is already on the list must stay on it */
   readonly isNeeded: (name: string) => boolean;
   /** further guards of the transaction */
   readonly guards?: readonly Guard[];
 }
 
 /**
- * Machines whose return was decided. The cloud knows no fencing tokens: a call that an earlier leader or owner sent
- * may be carried out at any later time. So the names are written first, under its authorization, and none of its
- * successors relies on these machines.
+ * Lists the machines whose return was decided. The cloud does not check fencing tokens, so it may execute a call of an
+ * earlier leader or owner at any later time. Therefore a leader or owner writes the machines' names under its
+ * authorization before it sends the call, and its successors do not use these machines.
  */
 export class ReturnIntents {
   constructor(
     private readonly client: Pick<StoreClient, 'compareAndSwap'>,
     private readonly cache: WatchCache,
-    /** largest stored value, bytes */
+    /** maximum size of a stored value, bytes */
     private readonly valueBytes: number,
   ) {}
 
-  /** The machines on a list, as far as this node knows it. */
+  /** Returns the names of the machines on a list, as this node's cache shows it. */
   recorded(list: ReturnIntentList): ReadonlySet<string> {
     const entry = this.#entry(list)?.value;
     return entry?.kind === 'returns' ? entry.machines : NO_MACHINES;
   }
 
-  /** The list's revision as it is known here, to guard writes that rely on what is not on the list. */
+  /**
+   * Returns a guard on the list's revision in this node's cache. Writes that rely on a machine's absence from the list
+   * include it.
+   */
   guard(list: ReturnIntentList): Guard {
     return { key: electionEntryKey.returns(list), revision: this.#entry(list)?.revision ?? 0 };
   }
 
   /**
-   * Adds machines to a list, and removes those that are not needed there any more. Resolves with those of the names
-   * that are stored and may be returned now; those that don't fit into the value have to wait for a later call.
+   * Adds machines to a list, and removes machines that are no longer needed on it. Resolves with the requested names
+   * that are now stored, so that these machines may be returned. Names that do not fit into the stored value are left
+   * out and need a later call. Resolves with none if the write was rejected.
    */
   async record(
     authorization: Authorization,
@@ -64,7 +68,7 @@
     const known = this.recorded(list);
     if (names.every((name) => known.has(name))) return names;
     const kept = [...known].filter(isNeeded);
-    const machines = this.#thatFit([...new Set([...kept, ...names])]);
+    const machines = this.#selectFitting([...new Set([...kept, ...names])]);
     const put: Write = {
       put: electionEntryKey.returns(list),
       value: encodeReturnIntents(machines),
@@ -86,7 +90,8 @@
     return this.cache.tables.elections.get(electionEntryKey.returns(list).slice('duties/'.length));
   }
 
-  #thatFit(names: readonly string[]): string[] {
+  /** Returns the names that fit into one stored value, in the given order. */
+  #selectFitting(names: readonly string[]): string[] {
     let bytes = LIST_OVERHEAD_BYTES;
     return names.filter((name) => {
       const size = name.length + NAME_OVERHEAD_BYTES;
--- a/src/singletons/singleton-controllers.ts
+++ b/src/singletons/singleton-controllers.ts
@@ -1,6 +1,6 @@
 /**
- * The singleton controllers of a node, which run on one node of the cluster at a time: orphan collection, garbage
- * collection and the coordination of machine moves.
+ * The singleton controllers of a node: orphan collection, garbage collection and the coordination of machine moves.
+ * Each of them runs on only one node of the cluster at a time.
  */
 import type { FencingRejections, Guard } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
@@ -17,40 +17,40 @@
 import { ReturnIntents } from './return-intents.js';
 import { SingletonElection } from './singleton-election.js';
 
-/** What the singleton controllers need of the process. */
+/** The services that the process provides to the singleton controllers. */
 export interface SingletonControllersDependencies {
   readonly client: StoreClient;
   readonly cloud: CloudClient;
   readonly cache: WatchCache;
-  /** whether this node provably owns what the cache shows as its own */
+  /** returns whether this node provably owns and leads what the cache shows as its own */
   readonly hasAuthority: () => boolean;
   /** resolves once the cache shows everything that was committed before the call */
   readonly waitUntilCurrent: () => Promise<unknown>;
   readonly fencingRejections: FencingRejections;
-  /** the steady clock, ms */
+  /** reads the steady clock, ms */
   readonly now: () => number;
-  /** time of day, ms */
+  /** reads the time of day, ms */
   readonly timeOfDay: () => number;
   readonly log: Logger;
 }
 
 type Platform = Pick<PlatformConfig, 'node' | 'nodes' | 'storeLimits'>;
 
-/** The singleton controllers that are switched on, and the election of their leaders. */
+/** Runs the enabled singleton controllers of this node and the election of their leaders. */
 export class SingletonControllers {
   readonly #election: SingletonElection;
   readonly #garbageCollector: GarbageCollector;
   readonly #moveCoordinator: MoveCoordinator | null;
   readonly #cache: WatchCache;
-  /** intents of the shards' own returns; null if they are switched off */
+  /** write-ahead intents of the machine returns that shards decide; null if recording them is disabled */
   readonly shardReturnIntents: ReturnIntents | null;
-  /** null if it is switched off */
+  /** null if orphan collection is disabled */
   readonly orphanCollection: OrphanCollection | null;
 
   constructor(
     platform: Platform,
     config: SingletonsConfig,
-    shares: RebalancingConfig | null,
+    rebalancing: RebalancingConfig | null,
     incarnation: string,
     dependencies: SingletonControllersDependencies,
   ) {
@@ -60,7 +60,7 @@
     const self = { node: platform.node, incarnation };
     const election = new SingletonElection(
       self,
-      { ...config, move: shares !== null },
+      { ...config, coordinateMoves: rebalancing !== null },
       dependencies,
     );
     this.#election = election;
@@ -69,7 +69,7 @@
     const collector = new OrphanCollector(transactionOps, { ...dependencies, election, intents });
     this.orphanCollection = config.collectOrphans ? { collector, intents } : null;
     this.#moveCoordinator =
-      shares === null ? null : new MoveCoordinator({ ...dependencies, election });
+      rebalancing === null ? null : new MoveCoordinator({ ...dependencies, election });
     this.#garbageCollector = new GarbageCollector(config, {
       ...dependencies,
       election,
@@ -79,22 +79,28 @@
     });
   }
 
-  /** One round of the election and of the controllers that run by themselves; orphan collection follows the cloud's list. */
+  /**
+   * Runs one round of the election, of garbage collection and of the coordination of moves. Orphan collection runs
+   * whenever the cloud's machines are listed instead.
+   */
   tick(): void {
     this.#election.tick();
     this.#garbageCollector.tick();
     this.#moveCoordinator?.tick();
   }
 
-  /** The fencing token of a role's present leadership as it is known here; null if it never had a leader. */
+  /**
+   * Returns the fencing token of a role's current leadership as this node's cache shows it; null without a leader
+   * record.
+   */
   fencingTokenOf(role: string): number | null {
     return this.#election.view().records.get(role)?.value.token ?? null;
   }
 
-  /** What acceptances of jobs are guarded by: it changes whenever final states are deleted. */
+  /** Returns the guard of job acceptances: a key that changes whenever final states are deleted. */
   acceptanceGuard(): Guard {
-    const name = electionEntryKey.acceptance;
-    const known = this.#cache.tables.elections.get(name.slice('duties/'.length));
-    return { key: name, revision: known?.revision ?? 0 };
+    const keyName = electionEntryKey.acceptance;
+    const known = this.#cache.tables.elections.get(keyName.slice('duties/'.length));
+    return { key: keyName, revision: known?.revision ?? 0 };
   }
 }
--- a/src/singletons/singleton-election.ts
+++ b/src/singletons/singleton-election.ts
@@ -1,4 +1,7 @@
-/** Leader election of the singleton controllers: the package on this node's store client and watch cache. */
+/**
+ * Leader election of the singleton controllers, which runs the election package on this node's store client and
+ * cache.
+ */
 import {
   allSupportElection,
   LeaderElection,
@@ -10,7 +13,7 @@
   type LeadershipTransferRequest,
   type LiveMember,
   type Member,
-  type Urgency,
+  type TransactionPriority,
   type Versioned,
 } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
@@ -28,7 +31,8 @@
   SINGLETON_ROLES,
 } from './roles.js';
 
-const CALL_PRIORITY_OF: Readonly<Record<Urgency, CallPriority>> = {
+/** The store client's call priority for each transaction priority of the election package. */
+const CALL_PRIORITY_OF: Readonly<Record<TransactionPriority, CallPriority>> = {
   lease: CALL_PRIORITY.renew,
   normal: CALL_PRIORITY.completion,
   background: CALL_PRIORITY.background,
@@ -39,7 +43,7 @@
 const liveMembers = (nodes: ReadonlyMap<string, Cached<CachedValues['nodes/']>>): LiveMember[] =>
   [...nodes.values()].map(({ value, revision }) => ({ ...value, revision }));
 
-/** Members, leader records and transfer requests as the tables show them. */
+/** Returns the members, leader records and transfer requests that the cache's tables show. */
 export const electionView = (tables: Tables): ElectionView => {
   const records = new Map<string, Versioned<LeaderRecord>>();
   const transferRequests = new Map<string, Versioned<LeadershipTransferRequest>>();
@@ -52,21 +56,21 @@
   return { members: liveMembers(tables.nodes), records, transferRequests };
 };
 
-/** Which singleton controllers this node is a candidate for. */
+/** The singleton controllers for whose roles this node is a candidate. */
 export type EnabledControllers = Pick<SingletonsConfig, 'collectOrphans' | 'collectGarbage'> & {
-  readonly move: boolean;
+  readonly coordinateMoves: boolean;
 };
 
-/** What the election needs of the process. */
+/** The services that the process provides to the election. */
 export interface SingletonElectionDependencies {
   readonly client: Pick<StoreClient, 'compareAndSwap'>;
   readonly cache: WatchCache;
-  /** whether this node provably owns what the cache shows as its own */
+  /** returns whether this node provably owns and leads what the cache shows as its own */
   readonly hasAuthority: () => boolean;
   readonly fencingRejections: FencingRejections;
-  /** the steady clock, ms */
+  /** reads the steady clock, ms */
   readonly now: () => number;
-  /** time of day, ms */
+  /** reads the time of day, ms */
   readonly timeOfDay: () => number;
   readonly log: Logger;
 }
@@ -75,12 +79,12 @@
   const byRole = {
     [ORPHAN_COLLECTOR_ROLE]: enabled.collectOrphans,
     [GARBAGE_COLLECTOR_ROLE]: enabled.collectGarbage,
-    [MOVE_COORDINATOR_ROLE]: enabled.move,
+    [MOVE_COORDINATOR_ROLE]: enabled.coordinateMoves,
   };
   return SINGLETON_ROLES.filter((role) => byRole[role]);
 };
 
-/** This node's part in the election of leaders for the singleton controllers. */
+/** Takes part, for this node, in the election of leaders for the singleton controllers. */
 export class SingletonElection {
   readonly #election: LeaderElection;
   readonly #cache: WatchCache;
@@ -92,19 +96,11 @@
     enabled: EnabledControllers,
     dependencies: SingletonElectionDependencies,
   ) {
-    const {
-      client,
-      cache,
-      hasAuthority: authority,
-      fencingRejections,
-      now,
-      timeOfDay,
-      log,
-    } = dependencies;
+    const { client, cache, hasAuthority, fencingRejections, now, timeOfDay, log } = dependencies;
     this.#cache = cache;
     const store: CompareAndSwapStore = {
-      compareAndSwap: (urgency, guards, writes) =>
-        client.compareAndSwap(CALL_PRIORITY_OF[urgency], guards, writes),
+      compareAndSwap: (priority, guards, writes) =>
+        client.compareAndSwap(CALL_PRIORITY_OF[priority], guards, writes),
     };
     this.#election = new LeaderElection(
       {
@@ -116,7 +112,7 @@
       {
         store,
         view: () => this.view(),
-        hasAuthority: authority,
+        hasAuthority,
         onCommitted: (writes, epoch) => {
           cache.applyOwn(writes, epoch);
         },
@@ -128,7 +124,9 @@
     );
   }
 
-  /** Members, leader records and transfer requests as they are known here; computed once for each state of the cache. */
+  /**
+   * Returns the members, leader records and transfer requests that the cache shows; computed once per cache version.
+   */
   view(): ElectionView {
     const { version, tables } = this.#cache;
     if (this.#view === null || version !== this.#viewVersion) {
@@ -138,17 +136,17 @@
     return this.#view;
   }
 
-  /** Whether all live nodes take part in the election, so that singleton controllers may run. */
+  /** Returns whether all live nodes support elections, which is required for singleton controllers to run. */
   get electionActive(): boolean {
     return allSupportElection(this.view());
   }
 
-  /** One round: acquires vacant roles and carries out transfer requests. */
+  /** Runs one round: starts to acquire vacant roles and to execute transfer requests. */
   tick(): void {
     this.#election.tick();
   }
 
-  /** The right to act as the leader of a role; null while this node does not provably lead it. */
+  /** Returns the authorization to act as the leader of a role; null unless this node provably leads the role. */
   authorize(role: string): Authorization | null {
     return this.#election.authorize(role);
   }
