--- a/packages/leader-election/test/components.test.ts
+++ b/packages/leader-election/test/components.test.ts
@@ -1,4 +1,4 @@
-/** The parts of leader election one by one: leases, retention, candidates, rejections, tokens. */
+/** Unit tests of leader election's components: leases, retention, candidate order, rejections and tokens. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -18,8 +18,8 @@
 
 const LEASE = { ttlMs: 6000, clockDrift: 0.001, marginMs: 500 };
 
-/** The store counts 6000 ms from the renewal's arrival; a leader's clock may run fast or slow by 0.05 %. */
-test('a lease is provably alive for less than the store keeps it, whatever the clocks do', () => {
+// The store counts 6000 ms from the renewal's arrival; a leader's clock may run fast or slow by 0.05 %.
+test('a lease is never reported alive after the store may have ended it, despite clock drift and latency', () => {
   for (const drift of [-0.0005, 0, 0.0005]) {
     for (const latencyMs of [0, 5, 2000]) {
       const lease = new LeaseValidity(LEASE);
@@ -30,23 +30,26 @@
         if (lease.valid(steady(atMs)))
           assert.ok(atMs < storeEndsAt, `${drift} ${latencyMs} ${atMs}`);
       }
-      assert.ok(latencyMs > 1000 || lease.valid(steady(5000)), 'and for most of it');
+      assert.ok(
+        latencyMs > 1000 || lease.valid(steady(5000)),
+        'the lease is valid for most of its duration',
+      );
     }
   }
 });
 
-test('a lease that ran out in between is valid since its next renewal', () => {
+test('a lease that expired between two renewals counts as valid since the later renewal', () => {
   const lease = new LeaseValidity(LEASE);
   lease.extend(0, 10);
   lease.extend(3000, 3010);
-  assert.equal(lease.validSince, 10, 'without a break');
+  assert.equal(lease.validSince, 10, 'valid without interruption');
   lease.extend(20_000, 20_005);
   assert.equal(lease.validSince, 20_005);
   lease.end();
   assert.equal(lease.valid(20_006), false);
 });
 
-test('retention: only time that was observed counts, and a revision expires after all of it', () => {
+test('retention: a revision expires only after leaders have observed the whole retention time', () => {
   const options = { retentionMs: 16_000, clockDrift: 0.001 };
   let record = observeElapsed(EMPTY_RETENTION, 0, 100, options);
   const expiredAfter: (number | null)[] = [];
@@ -61,11 +64,11 @@
   assert.equal(
     afterClockStepsBack.observedMs,
     record.observedMs,
-    'a clock that goes back observes nothing',
+    'no time is observed while the clock goes back',
   );
 });
 
-test('candidates: the former leader comes last, who leads fewer roles comes first', () => {
+test('candidates: the former leader comes last, and nodes that lead fewer roles come first', () => {
   const member = (node: string) => ({
     node,
     incarnation: 'x',
@@ -95,37 +98,44 @@
   assert.equal(former.at(-1), second);
 });
 
-test('rejections: one line with both tokens for a replaced leader, none for one that was not replaced', async () => {
+test('rejections: an order of a replaced leader logs one line with both tokens, any other order logs none', async () => {
+  // Name, token in the store, newer token that the receiver reports, newer token in the log line (null: no line).
   const cases: [string, () => Promise<number | null>, number | null, number | null][] = [
-    ['named by the receiver', () => Promise.resolve(null), 9, 9],
-    ['read from the store', () => Promise.resolve(8), null, 8],
-    ['still the newest', () => Promise.resolve(7), null, null],
+    ['newer token reported by the receiver', () => Promise.resolve(null), 9, 9],
+    ['newer token read from the store', () => Promise.resolve(8), null, 8],
+    ['the order has the newest token', () => Promise.resolve(7), null, null],
     ['store unavailable', () => Promise.reject(new StoreUnavailableError('out')), null, null],
   ];
-  for (const [name, currentToken, named, logged] of cases) {
+  for (const [name, currentToken, reportedToken, loggedToken] of cases) {
     const lines: object[] = [];
     const log = { info: (fields: object) => void lines.push(fields), debug: () => undefined };
     const rejections = new FencingRejections(currentToken, log);
-    rejections.record({ role: 'd', fencingToken: fencingToken(7), rejectedBy: 'store' }, named);
+    rejections.record(
+      { role: 'd', fencingToken: fencingToken(7), rejectedBy: 'store' },
+      reportedToken,
+    );
     await rejections.settled();
     const line = {
       role: 'd',
       fencingToken: 7,
-      newerToken: logged,
+      newerToken: loggedToken,
       rejectedBy: 'store',
       rejections: 1,
     };
-    assert.deepEqual(lines, logged === null ? [] : [line], name);
-    const counts = { replaced: logged === null ? 0 : 1, leaseInDoubt: logged === null ? 1 : 0 };
+    assert.deepEqual(lines, loggedToken === null ? [] : [line], name);
+    const counts = {
+      replaced: loggedToken === null ? 0 : 1,
+      leaseInDoubt: loggedToken === null ? 1 : 0,
+    };
     assert.deepEqual(rejections.counts, counts, name);
   }
 });
 
-test('an action needs a fencing token and a recorded intent: a number or an absent intent is rejected', () => {
-  const act = (token: FencingToken): number => token;
-  // @ts-expect-error a number is no token
-  assert.equal(act(3), 3);
-  assert.equal(act(fencingToken(3)), 3);
+test('actions require a fencing token and a stored intent: plain numbers and absent intents are rejected', () => {
+  const takesToken = (token: FencingToken): number => token;
+  // @ts-expect-error a plain number is not a token
+  assert.equal(takesToken(3), 3);
+  assert.equal(takesToken(fencingToken(3)), 3);
   for (const invalid of [-1, 0.5, NaN, 2 ** 60])
     assert.throws(() => fencingToken(invalid), RangeError);
   const guard = { key: 'duties/holders/d', revision: 1 };
--- a/packages/leader-election/test/leader-election.test.ts
+++ b/packages/leader-election/test/leader-election.test.ts
@@ -1,4 +1,4 @@
-/** The transactions of leader election, answered one by one. */
+/** The transactions that leader election sends, with a store whose answers the test controls one by one. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { setImmediate as nextTurn } from 'node:timers/promises';
@@ -21,7 +21,7 @@
   supportsElection: true,
 });
 
-/** An election whose transactions are kept, and answered by the test. */
+/** Creates an election that records its transactions, and leaves it to the test to answer them. */
 const startElection = (leader: string, live: readonly string[]) => {
   const sent: {
     guards: readonly Guard[];
@@ -48,7 +48,7 @@
     },
     {
       store: {
-        compareAndSwap: (_urgency, guards) =>
+        compareAndSwap: (_priority, guards) =>
           new Promise((resolve, reject) => {
             const answer = (outcome: CompareAndSwapResult | Error) => {
               if (outcome instanceof Error) reject(outcome);
@@ -69,7 +69,7 @@
   return { election, sent };
 };
 
-test('a takeover depends on the record, the own membership, and the end of the former leader', () => {
+test('a takeover is guarded by the leader record, the own membership and the end of the former leader', () => {
   const { election, sent } = startElection('b', ['a', 'c']);
   election.tick();
   assert.deepEqual(sent[0]?.guards, [
@@ -79,19 +79,23 @@
   ]);
 });
 
-test('while the outcome of a transfer is unknown its sender does not act, and repeats it', async () => {
+test('while the outcome of a transfer is unknown, its sender does not act as the leader and repeats it', async () => {
   const { election, sent } = startElection('a', ['a', 'c']);
   const authorization = election.authorize('d');
   assert.ok(authorization !== null && authorization.isValid());
   election.release('d');
-  assert.equal(authorization.isValid(), false, 'not from here on');
+  assert.equal(authorization.isValid(), false, 'not valid once the transfer has begun');
   assert.equal(election.authorize('d'), null);
   sent[0]!.answer(new StoreUnavailableError('no answer'));
   await nextTurn();
-  assert.equal(authorization.isValid(), false, 'it may still be carried out');
+  assert.equal(
+    authorization.isValid(),
+    false,
+    'not valid while the transfer may still be executed',
+  );
   election.tick();
-  assert.deepEqual(sent[1]!.guards, sent[0]!.guards, 'the same again');
+  assert.deepEqual(sent[1]!.guards, sent[0]!.guards, 'the same transaction is sent again');
   sent[1]!.answer({ ok: false, failed: ['nodes/c/one'] });
   await nextTurn();
-  assert.ok(authorization.isValid(), 'rejected, so no copy of it can be carried out any more');
+  assert.ok(authorization.isValid(), 'valid after a rejection: no copy can be executed');
 });
--- a/packages/leader-election/test/simulated-cluster.ts
+++ b/packages/leader-election/test/simulated-cluster.ts
@@ -1,4 +1,4 @@
-/** A cluster of simulated nodes on virtual time, and the history of everything that their leaders did. */
+/** A cluster of simulated nodes on virtual time, with the history of the orders of their leaders. */
 import {
   decodeLeaderRecord,
   fencedCompareAndSwap,
@@ -19,7 +19,7 @@
 import { electionViewOf } from './store-view.js';
 import { VirtualTime } from './virtual-time.js';
 
-/** A fast network and exact clocks. */
+/** A fast network without faults, and exact clocks. */
 export const NO_FAULTS: ClusterFaults = {
   delayMs: () => 5,
   callOutcome: () => 'normal',
@@ -28,25 +28,26 @@
   drift: () => 0,
 };
 
-/** Nodes, a store, a machine that compares fencing tokens, and a cloud that does not. */
+/** Simulates nodes, a store, a machine that checks fencing tokens, and a cloud that does not check them. */
 export class SimulatedCluster implements NodeEnvironment {
   readonly time = new VirtualTime();
   readonly store = new SimulatedStore(this.time);
   readonly history: ElectionEvent[] = [];
   readonly nodes: SimulatedNode[] = [];
-  /** machines that the cloud took back although a leader uses them */
+  /** messages about machines that the cloud took back while a leader used them */
   readonly violations: string[] = [];
   readonly counts = { rejectedByMachine: 0, returned: 0, used: 0 };
+  /** time of day, ms; tests make it jump */
   timeOfDay = 0;
   #newestMachineToken = 0;
   #nextMachine = 0;
-  /** nodes whose calls the store refuses */
+  /** names of the nodes whose calls the store refuses */
   readonly #unreachable = new Set<string>();
   #incarnations = 0;
 
   constructor(
     private readonly faults: ClusterFaults,
-    /** ms until the cloud carries a return out */
+    /** returns the ms after which the cloud executes a return */
     private readonly cloudDelayMs: () => number = () => 10,
   ) {
     this.store.observe((writes) => {
@@ -79,25 +80,25 @@
     return started;
   }
 
-  /** Makes the store refuse one node's calls, or serve them again. */
+  /** Makes the store refuse a node's calls or serve them again. */
   setUnreachable(node: string, unreachable: boolean): void {
     if (unreachable) this.#unreachable.add(node);
     else this.#unreachable.delete(node);
   }
 
-  /** Whether the node's calls reach the store. */
+  /** Returns whether the store serves the node's calls. */
   reaches(node: SimulatedNode): boolean {
     return !this.#unreachable.has(node.node);
   }
 
-  /** The incarnation that the store's record names. */
+  /** The incarnation that the leader record in the store names; null if it names none. */
   get leader(): SimulatedNode | null {
     const record = electionViewOf(this.store).records.get(ROLE)?.value;
     const incarnation = record?.holder?.incarnation;
     return this.nodes.find((node) => node.incarnation === incarnation) ?? null;
   }
 
-  /** The fencing token in the store's record; 0 without one. */
+  /** The fencing token in the leader record; 0 if there is no record. */
   get token(): number {
     return electionViewOf(this.store).records.get(ROLE)?.value.token ?? 0;
   }
@@ -107,12 +108,12 @@
     this.history.push({ kind: 'acquired', leader: holder.incarnation, token });
   }
 
-  /** Notes an order that the node's own check has let pass. */
+  /** Records an order that passed the node's own check. */
   recordSent(node: SimulatedNode, { fencingToken: token }: Authorization): void {
     this.history.push({ kind: 'sent', leader: node.incarnation, token });
   }
 
-  /** Sends a command, which arrives later, to a machine that compares its fencing token. */
+  /** Sends a command, which arrives after a delay, to a machine that checks its fencing token. */
   commandMachine(node: SimulatedNode, authorization: Authorization): void {
     const { fencingToken: token } = authorization;
     this.time.after(this.faults.delayMs(), () => {
@@ -130,8 +131,8 @@
   }
 
   /**
-   * Two machines for each call: one is recorded as used, one is returned. The return's intent and the use depend on
-   * the same list, so that no machine that is used is ever returned, however late the cloud carries it out.
+   * Either records the use of the next machine or returns that machine. The use and the intent to return are guarded by
+   * the same list, so no machine in use is ever returned, however late the cloud executes the return.
    */
   async useOrReturn(
     node: SimulatedNode,
--- a/packages/leader-election/test/simulated-node.ts
+++ b/packages/leader-election/test/simulated-node.ts
@@ -1,4 +1,4 @@
-/** One process that takes part in leader election, on virtual time: it can be frozen, killed and cut off. */
+/** A simulated process that takes part in leader election on virtual time, and that tests can freeze and kill. */
 import {
   fencedCompareAndSwap,
   FencingRejections,
@@ -17,35 +17,37 @@
 
 /** The role that all nodes are candidates for. */
 export const ROLE = 'work';
-/** Each write of a leader goes to this key, with its fencing token as the value. */
+/** The key that every leader writes, with its fencing token as the value. */
 export const LEADER_WRITE_KEY = 'machine';
 const TICK_MS = 250;
 const WATCH_MS = 200;
 const TIMING = { ttlMs: 6000, renewMs: 1500, retryMs: 300, clockDrift: 0.001, marginMs: 500 };
 
-/** What a node logged. */
+/** A line that a node logged. */
 export interface LogLine {
   readonly message: string;
   readonly [field: string]: unknown;
 }
 
-/** Chances and times of what may go wrong. */
+/** The faults of the network and of the clocks. */
 export interface ClusterFaults extends NetworkFaults {
-  /** share by which a node's steady clock runs fast or slow */
+  /** returns the fraction by which a node's steady clock runs fast (positive) or slow (negative) */
   drift(): number;
 }
 
-/** What surrounds a node: the store, and the systems that its orders go to. */
+/** The surroundings of a node: time, the store, and the systems that execute its orders. */
 export interface NodeEnvironment {
   readonly time: VirtualTime;
   readonly store: SimulatedStore;
   /** time of day, ms */
   readonly timeOfDay: number;
-  /** whether the node's calls reach the store */
+  /** returns whether the store serves the node's calls */
   reaches(node: SimulatedNode): boolean;
-  /** notes an order that the node's own check has let pass */
+  /** records an order that passed the node's own check */
   recordSent(node: SimulatedNode, authorization: Authorization): void;
+  /** sends a command to a machine that checks its fencing token */
   commandMachine(node: SimulatedNode, authorization: Authorization): void;
+  /** records the use of a machine, or returns it */
   useOrReturn(
     node: SimulatedNode,
     store: CompareAndSwapStore,
@@ -53,7 +55,7 @@
   ): Promise<void>;
 }
 
-/** One incarnation of a node that takes part in the election of the role. */
+/** One incarnation of a node that takes part in the election of the role's leader. */
 export class SimulatedNode {
   readonly rejections: FencingRejections;
   readonly log: LogLine[] = [];
@@ -110,7 +112,7 @@
     );
   }
 
-  /** Starts renewals, the watch and, if this version supports it, election rounds. */
+  /** Starts the lease renewals, the watch and, if the node supports elections, the election rounds. */
   #schedule(supportsElection: boolean): void {
     const { time } = this.environment;
     const everyWhenAwake = (ms: number, work: () => void) => {
@@ -139,12 +141,12 @@
     });
   }
 
-  /** The steady clock of this node, ms: it continues while the process is frozen. */
+  /** Reads the steady clock of this node, ms. The clock keeps running while the process is frozen. */
   steadyMs(): number {
     return this.environment.time.now * (1 + this.#drift);
   }
 
-  /** Suspends the process, which continues after `ms` where it stopped. */
+  /** Suspends the process for `ms`; it then continues where it stopped. */
   freeze(ms: number): void {
     this.#frozenUntil = this.environment.time.now + ms;
   }
@@ -154,7 +156,7 @@
     this.#ended = true;
   }
 
-  /** Whether the process has not ended. */
+  /** Returns whether the process has not been killed. */
   get alive(): boolean {
     return !this.#ended;
   }
@@ -169,7 +171,7 @@
     } else work();
   }
 
-  /** While the store is unreachable, the view stays as it is. */
+  /** Updates the view from the store; while the store refuses this node's calls, the view stays as it is. */
   #refreshView(): void {
     if (!this.environment.reaches(this)) return;
     this.#view = electionViewOf(this.environment.store);
@@ -193,7 +195,7 @@
     if (authorization !== null) void this.act(authorization);
   }
 
-  /** The orders of a leader: a write, a command to a machine, and sometimes the return or the use of a machine. */
+  /** Sends the orders of a leader: a command to a machine, a write, and the use or the return of a machine. */
   async act(authorization: Authorization): Promise<void> {
     try {
       authorization.ensureValid();
@@ -213,7 +215,7 @@
     }
   }
 
-  /** Runs the work once this process is not frozen, unless it has ended. */
+  /** Runs the work once this process is not frozen; drops the work if the process has been killed. */
   runWhenAwake(work: () => void): void {
     this.#whenAwake(work);
   }
--- a/packages/leader-election/test/simulated-store.ts
+++ b/packages/leader-election/test/simulated-store.ts
@@ -1,4 +1,4 @@
-/** A key-value store with leases on virtual time, whose network may delay, lose and repeat calls. */
+/** A simulated key-value store with leases on virtual time, whose network may delay calls and lose answers. */
 import {
   StoreUnavailableError,
   type Guard,
@@ -14,49 +14,51 @@
   readonly lease: number | null;
 }
 
-/** ms after which a caller stops waiting */
+/** Time after which a caller stops waiting for an answer, ms. */
 const CALL_TIMEOUT_MS = 2000;
 
-/** What happens to the calls of one client; each function is asked anew for every call. */
+/** The faults of one client's network; each method is called anew for every call to the store. */
 export interface NetworkFaults {
-  /** ms that a message is on its way */
+  /** returns the latency of a message, ms */
   delayMs(): number;
-  /** what else happens to the call */
+  /** returns how the call ends: with an answer, without one, or without one and executed late */
   callOutcome(): 'normal' | 'answer_lost' | 'carried_out_late';
-  /** ms after which a late call is carried out */
+  /** returns the ms after which a late call is executed */
   lateByMs(): number;
-  /** whether the store refuses calls of this client alone */
+  /** returns whether the store refuses the calls of this client */
   isRefused(): boolean;
 }
 
-/** Compare-and-swap, leases and outages, as the real store has them. */
+/** Provides compare-and-swap, leases and outages with the semantics of the real store. */
 export class SimulatedStore {
   readonly items = new Map<string, Item>();
   readonly #leases = new Map<number, { readonly ttlMs: number; until: number }>();
   #epoch = 0;
   #lastLease = 0;
   #outage = false;
-  /** told of every committed transaction */
+  /** callbacks that receive every committed transaction */
   readonly #observers: ((writes: readonly Write[], epoch: number) => void)[] = [];
 
   constructor(readonly time: VirtualTime) {}
 
+  /** The epoch of the last committed transaction. */
   get epoch(): number {
     return this.#epoch;
   }
 
+  /** Registers a callback for every committed transaction. */
   observe(observer: (writes: readonly Write[], epoch: number) => void): void {
     this.#observers.push(observer);
   }
 
-  /** Begins or ends an outage; at its end every lease has its full time again. */
+  /** Begins or ends an outage; at its end, every lease gets its full duration again. */
   set outage(outage: boolean) {
     this.#outage = outage;
     if (outage) return;
     for (const lease of this.#leases.values()) lease.until = this.time.now + lease.ttlMs;
   }
 
-  /** Ends leases that have expired, and deletes the keys that are attached to them. */
+  /** Ends the leases that have expired, and deletes the keys that are attached to them. */
   expire(): void {
     if (this.#outage) return;
     for (const [id, { until }] of this.#leases) {
@@ -67,6 +69,7 @@
     }
   }
 
+  /** Applies a transaction at once if all its guards hold. */
   compareAndSwap(guards: readonly Guard[], writes: readonly Write[]): CompareAndSwapResult {
     const failed = guards.filter(
       ({ key, revision }) => (this.items.get(key)?.revision ?? 0) !== revision,
@@ -88,14 +91,15 @@
     return this.#epoch;
   }
 
-  /** The store as one client reaches it. Answers are handled by `resume`, which may wait. */
+  /** Returns a client of the store. `runWhenAwake` runs the client's reaction to an answer, possibly later. */
   clientOf(
     network: NetworkFaults,
     runWhenAwake: (work: () => void) => void,
   ): CompareAndSwapStore & LeaseStore {
     const call = <T>(execute: () => T) => this.#call(network, runWhenAwake, execute);
     return {
-      compareAndSwap: (_urgency, guards, writes) => call(() => this.compareAndSwap(guards, writes)),
+      compareAndSwap: (_priority, guards, writes) =>
+        call(() => this.compareAndSwap(guards, writes)),
       grant: (ttlMs) => call(() => this.#grant(ttlMs)),
       renew: (id) => call(() => this.#renew(id)),
       register: (key, value, lease) =>
--- a/packages/leader-election/test/single-leader.test.ts
+++ b/packages/leader-election/test/single-leader.test.ts
@@ -1,4 +1,7 @@
-/** At most one process leads at a time, whatever freezes, ends, is cut off or arrives late. */
+/**
+ * Checks that at most one process acts as the leader at a time when processes freeze or end, the store is unreachable,
+ * answers are lost or calls are executed late.
+ */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { fencedCompareAndSwap } from '@sumacstep/leader-election';
@@ -8,7 +11,7 @@
 import { NO_FAULTS, SimulatedCluster } from './simulated-cluster.js';
 import { ROLE, type ClusterFaults, type SimulatedNode } from './simulated-node.js';
 
-/** ms; longer than a lease and the delays of all candidates. */
+/** Time for a takeover, ms: longer than a lease plus the delays of all candidates. */
 const TAKEOVER_MS = 12_000;
 const NODES = ['a', 'b', 'c'];
 
@@ -19,7 +22,7 @@
   const cluster = new SimulatedCluster(faults, cloudMs);
   for (const node of NODES) cluster.start(node);
   await cluster.time.runUntil(TAKEOVER_MS);
-  assert.ok(cluster.leader !== null, 'a node leads the role');
+  assert.ok(cluster.leader !== null, 'a node leads the role after the start');
   return cluster;
 };
 
@@ -37,19 +40,19 @@
     (line) => line.message === 'order of a replaced leader rejected' && line['rejectedBy'] === by,
   );
 
-/** What happens to the cluster; `first` is the first leader. */
+/** A disturbance of the cluster, in which `first` leads the role at the start. */
 type Disturbance = (cluster: SimulatedCluster, first: SimulatedNode) => Promise<void> | void;
 
-/** After each of these one leader acts; the history of all orders is checked. */
+/** Disturbances after each of which exactly one leader must act. */
 const DISTURBANCES: [string, Disturbance][] = [
   [
-    'the leader ends',
+    'the leader is killed',
     (_, first) => {
       first.kill();
     },
   ],
   [
-    'the same node is back under a new incarnation within a fraction of a second',
+    'the leader is killed, and its node restarts under a new incarnation after 100 ms',
     async (cluster, first) => {
       first.kill();
       await cluster.time.runUntil(cluster.time.now + 100);
@@ -57,7 +60,7 @@
     },
   ],
   [
-    'the store refuses the leader alone for longer than its lease',
+    'the store refuses only the calls of the leader, for longer than its lease',
     async (cluster, first) => {
       cluster.setUnreachable(first.node, true);
       await cluster.time.runUntil(cluster.time.now + TAKEOVER_MS);
@@ -65,7 +68,7 @@
     },
   ],
   [
-    'the store has an outage when the lease expires',
+    'the leader is killed, and the store has an outage when the lease expires',
     async (cluster, first) => {
       first.kill();
       await cluster.time.runUntil(cluster.time.now + 5000);
@@ -75,7 +78,7 @@
     },
   ],
   [
-    'the leader releases the role while another node takes over from it',
+    'a frozen leader wakes and releases the role while another node takes over from it',
     async (cluster, first) => {
       first.freeze(6500);
       await cluster.time.runUntil(cluster.time.now + 6500);
@@ -89,7 +92,7 @@
     },
   ],
   [
-    'the time of day jumps ahead by a month and back by a year',
+    'the time of day jumps forward by a month and back by a year',
     async (cluster) => {
       cluster.timeOfDay += 30 * 86_400_000;
       await cluster.time.runUntil(cluster.time.now + 1000);
@@ -97,7 +100,7 @@
     },
   ],
   [
-    'all nodes end, and one returns',
+    'all nodes are killed, and one restarts',
     (cluster) => {
       for (const node of cluster.nodes) node.kill();
       cluster.start('b');
@@ -106,7 +109,7 @@
 ];
 
 describe('one leader at a time', () => {
-  test('a frozen leader is replaced, and each late order of it is rejected and logged', async () => {
+  test('a frozen leader is replaced, and each of its late orders is rejected and logged', async () => {
     const cluster = await startCluster();
     const formerLeader = cluster.leader!;
     const authorization = formerLeader.election.authorize(ROLE)!;
@@ -114,7 +117,7 @@
     await cluster.time.runUntil(cluster.time.now + TAKEOVER_MS - 1);
     const successor = cluster.leader!;
     assert.notEqual(successor.node, formerLeader.node);
-    // Woken between its check and its calls: the command and the write are on their way already.
+    // The process wakes between its check and its calls: it sends the command and the write without another check.
     cluster.commandMachine(formerLeader, authorization);
     const client = cluster.store.clientOf({ ...NO_FAULTS }, (work) => {
       formerLeader.runWhenAwake(work);
@@ -127,16 +130,16 @@
       [{ put: 'machine', value: authorization.fencingToken }],
     );
     await cluster.time.runUntil(cluster.time.now + 1000);
-    assert.equal((await lateWrite).ok, false, 'rejected by the store');
-    // Woken before its check.
+    assert.equal((await lateWrite).ok, false, 'the store rejects the late write');
+    // The process wakes before its check.
     assert.throws(() => {
       authorization.ensureValid();
     });
     await assertNoViolations(cluster);
     for (const by of ['store', 'machine', 'sender']) {
       const [line, ...more] = rejectionLines(formerLeader, by);
-      assert.deepEqual(more, [], `one line of ${by}`);
-      assert.ok(line !== undefined, `a line of ${by}`);
+      assert.deepEqual(more, [], `only one line for the rejection by ${by}`);
+      assert.ok(line !== undefined, `a line for the rejection by ${by}`);
       assert.equal(line['fencingToken'], authorization.fencingToken);
       assert.equal(line['newerToken'], cluster.token);
     }
@@ -152,23 +155,23 @@
       await fault(cluster, cluster.leader!);
       await cluster.time.runUntil(cluster.time.now + 2 * TAKEOVER_MS);
       const acting = cluster.nodes.filter((node) => node.election.authorize(ROLE) !== null);
-      assert.equal(acting.length, 1, 'one acts');
-      assert.equal(acting[0], cluster.leader, 'the one that the record names');
+      assert.equal(acting.length, 1, 'exactly one node acts as the leader');
+      assert.equal(acting[0], cluster.leader, 'the acting node is the one in the leader record');
       const eventsBefore = cluster.history.length;
       await cluster.time.runUntil(cluster.time.now + 1000);
-      assert.ok(cluster.history.length > eventsBefore, 'and it goes on');
+      assert.ok(cluster.history.length > eventsBefore, 'the leader keeps sending orders');
       await assertNoViolations(cluster);
     });
   }
 });
 
 describe('acquisition', () => {
-  test('a lost answer to an acquisition, and a renewal carried out late, change nothing', async () => {
-    for (const fate of ['answer_lost', 'carried_out_late'] as const) {
+  test('a lost answer to an acquisition, or a renewal that is executed late, violates no invariant', async () => {
+    for (const callOutcome of ['answer_lost', 'carried_out_late'] as const) {
       let calls = 0;
       const faults: ClusterFaults = {
         ...NO_FAULTS,
-        callOutcome: () => (++calls % 3 === 0 ? fate : 'normal'),
+        callOutcome: () => (++calls % 3 === 0 ? callOutcome : 'normal'),
         lateByMs: () => 3500,
       };
       const cluster = new SimulatedCluster(faults);
@@ -176,13 +179,13 @@
       await cluster.time.runUntil(60_000);
       assert.ok(
         cluster.history.some((event) => event.kind === 'executed'),
-        fate,
+        callOutcome,
       );
       await assertNoViolations(cluster);
     }
   });
 
-  test('two candidates at once: one acquires the role, the other does not act', async () => {
+  test('several candidates for a vacant role: one acquires it, the others do not act', async () => {
     const cluster = new SimulatedCluster(NO_FAULTS);
     for (const node of NODES) cluster.start(node);
     await cluster.time.runUntil(TAKEOVER_MS);
@@ -205,7 +208,7 @@
     assert.ok(acting.election.authorize(ROLE) !== null);
     cluster.start('z', false);
     await cluster.time.runUntil(3 * TAKEOVER_MS);
-    assert.equal(acting.election.authorize(ROLE), null, 'paused again');
+    assert.equal(acting.election.authorize(ROLE), null, 'the election is paused again');
     await assertNoViolations(cluster);
   });
 });
@@ -213,7 +216,7 @@
 const SEEDS = Number(process.env['DUTY_SEEDS'] ?? 25);
 const RUN_MS = 120_000;
 
-/** A cluster in which everything fails at random, in the same way for the same seed. */
+/** Starts a cluster in which all kinds of faults occur at random, always the same faults for the same seed. */
 const startFaultyCluster = (seed: number) => {
   const generator = xoroshiro128plus(seed);
   const randomBelow = (limit: number) => uniformInt(generator, 0, limit - 1);
@@ -251,7 +254,7 @@
   return cluster;
 };
 
-test(`seeded runs of ${SEEDS}: no two leaders act at once, no token repeats`, async (t) => {
+test(`random faults, ${SEEDS} seeds: no two leaders act at once and no token repeats`, async (context) => {
   const total = {
     acquired: 0,
     executed: 0,
@@ -273,13 +276,13 @@
     total.rejectedByMachine += cluster.counts.rejectedByMachine;
     for (const { rejections } of cluster.nodes) total.replaced += rejections.counts.replaced;
   }
-  // The runs must have met the cases that they are for.
+  // The runs must have exercised takeovers, orders, returns, uses and rejections.
   assert.ok(total.acquired > SEEDS * 5 && total.executed > SEEDS * 100, JSON.stringify(total));
   assert.ok(total.returned > 0 && total.used > 0 && total.replaced > 0, JSON.stringify(total));
-  t.diagnostic(JSON.stringify(total));
+  context.diagnostic(JSON.stringify(total));
 });
 
-test('the check of histories finds each kind of violation', () => {
+test('the history check reports each kind of violation', () => {
   const first = { kind: 'acquired', leader: 'x', token: 2 } as const;
   const violating = [
     [first, { kind: 'acquired', leader: 'y', token: 2 }],
--- a/packages/leader-election/test/store-view.ts
+++ b/packages/leader-election/test/store-view.ts
@@ -1,4 +1,4 @@
-/** What the simulated store holds, as a node's watch shows it. */
+/** Keys of the simulated store, and the election view that a node's watch shows of it. */
 import {
   decodeLeaderRecord,
   decodeTransferRequest,
@@ -15,15 +15,15 @@
 
 const NODE_PREFIX = 'nodes/';
 
-/** The key that a member's lease keeps alive. */
+/** Returns the key that is attached to a member's lease. */
 export const memberKey = ({ node, incarnation }: Member): string =>
   `${NODE_PREFIX}${node}/${incarnation}`;
 
-/** The value of a member's key, by whether its version takes part in elections. */
+/** Returns the value of a member's key, which tells whether the member supports elections. */
 export const memberValue = (supportsElection: boolean): string =>
   supportsElection ? 'supports' : 'older';
 
-/** The members, leader records and transfer requests that the store holds now. */
+/** Returns the members, leader records and transfer requests that the store holds now. */
 export const electionViewOf = (store: SimulatedStore): ElectionView => {
   const members: LiveMember[] = [];
   const records = new Map<string, Versioned<LeaderRecord>>();
--- a/packages/leader-election/test/virtual-time.ts
+++ b/packages/leader-election/test/virtual-time.ts
@@ -1,24 +1,26 @@
-/** Simulated time. */
+/** Simulated time for deterministic tests. */
 import { setImmediate as nextTurn } from 'node:timers/promises';
 
 interface ScheduledCall {
+  /** true time, ms */
   readonly at: number;
+  /** position among all scheduled calls, which decides between calls at the same time */
   readonly order: number;
   readonly run: () => void;
 }
 
-/** A scheduler whose clock jumps from event to event, in the same order in each run. */
+/** A scheduler whose clock jumps from call to call, in the same order in each run. */
 export class VirtualTime {
   #now = 0;
   #order = 0;
   readonly #events: ScheduledCall[] = [];
 
-  /** True time, ms. */
+  /** The true time, ms, from which the nodes' clocks may drift. */
   get now(): number {
     return this.#now;
   }
 
-  /** Schedules a call. */
+  /** Schedules a call after `ms`. */
   after(ms: number, run: () => void): void {
     this.#order += 1;
     const event = { at: this.#now + ms, order: this.#order, run };
@@ -26,7 +28,7 @@
     this.#events.splice(later < 0 ? this.#events.length : later, 0, event);
   }
 
-  /** Schedules a call each `ms`, for ever. */
+  /** Schedules a call every `ms`, without end. */
   every(ms: number, run: () => void): void {
     this.after(ms, () => {
       run();
@@ -34,7 +36,7 @@
     });
   }
 
-  /** Runs all events up to `end`, and the promises that they resolve in between. */
+  /** Runs all calls scheduled up to `end`, and after each call the promise reactions that it triggers. */
   async runUntil(end: number): Promise<void> {
     while (this.#events.length > 0 && this.#events[0]!.at <= end) {
       const event = this.#events.shift()!;
