--- a/test/leadership-commands.test.ts
+++ b/test/leadership-commands.test.ts
@@ -1,4 +1,4 @@
-/** `sumacstep duties` while controllers end, requests conflict and the store has an outage. */
+/** Tests of `sumacstep duties` while controllers end, requests conflict and the store is unavailable. */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { leaderKey, transferRequestKey, type LeaderRecord } from '@sumacstep/leader-election';
@@ -17,7 +17,7 @@
   return shown.duties.find(({ duty }) => duty === ROLE)!;
 };
 
-/** The leader ends; its successor is shown once its lease has ended. */
+/** Kills the leader, and checks that the successor is shown once the leader's lease has ended. */
 const showsFailover = async (
   cluster: Cluster,
   run: Command,
@@ -32,15 +32,18 @@
 
   cluster.kill(first.holder!.node);
   const seen = new Set<string>();
-  await cluster.until('another leader is shown', 20, async () => {
+  await cluster.until('the successor is shown', 20, async () => {
     const status = await statusOf(run);
     seen.add(`${status.until.kind} ${status.token}`);
     return status.token === first.token + 1 && status.until.kind === 'lease_renewed';
   });
-  assert.ok(seen.has(`lease_renewed ${first.token}`), 'until its lease ends');
+  assert.ok(
+    seen.has(`lease_renewed ${first.token}`),
+    'the killed leader is shown until its lease ends',
+  );
 };
 
-/** The node that ended: the request waits, visibly, until it is withdrawn. */
+/** Checks that a request for a node that has ended is shown as waiting until it is withdrawn. */
 const waitsForEndedNode = async (cluster: Cluster, run: Command, ended: string): Promise<void> => {
   assert.equal((await run('hand-over', ROLE, '--to', ended, '--id', 'a')).code, 0);
   const other = await run('hand-over', ROLE, '--to', ended, '--id', 'b');
@@ -53,13 +56,13 @@
 };
 
 describe('sumacstep duties', () => {
-  test('shows leaders during a failover, and transfers by request', async () => {
+  test('shows the leaders during a failover, and transfers a role on request', async () => {
     const features = { duties: parseSingletonsConfig('', '') };
     const cluster = new Cluster({ runMs: 500, leaseS: 10, cancelS: 20, features });
     const record = () => cluster.stored(leaderKey(ROLE)) as LeaderRecord | undefined;
     try {
       await cluster.open();
-      await cluster.until('held', 20, () => record() !== undefined);
+      await cluster.until('the role has a leader record', 20, () => record() !== undefined);
       const shardsOwned = () =>
         ['0', '1', '2'].every((i) => cluster.stored(`parts/${i}`) !== undefined);
       await cluster.until('all shards are owned', 20, shardsOwned);
@@ -67,18 +70,18 @@
         const first = record()!;
         await showsFailover(cluster, run, first);
         const to = cluster.names.find(
-          (n) => n !== first.holder!.node && n !== record()!.holder!.node,
+          (node) => node !== first.holder!.node && node !== record()!.holder!.node,
         )!;
-        const asked = await Promise.all([
+        const runs = await Promise.all([
           run('hand-over', ROLE, '--to', to, '--id', 'same'),
           run('hand-over', ROLE, '--to', to, '--id', 'same'),
         ]);
         assert.deepEqual(
-          asked.map((r) => r.code),
+          runs.map((result) => result.code),
           [0, 0],
-          'the same id is one request',
+          'two requests with the same id are one request',
         );
-        await cluster.until(`${to} holds it`, 20, () => record()?.holder?.node === to);
+        await cluster.until(`${to} leads the role`, 20, () => record()?.holder?.node === to);
         const text = (await run('show')).out;
         assert.match(text, /^DUTY +HOLDER +TOKEN +SINCE +UNTIL +HAND-OVER\n/);
         assert.match(text, new RegExp(`^reclaim +${to} +${record()!.token} `, 'm'));
@@ -92,17 +95,17 @@
 });
 
 describe('sumacstep duties: errors', () => {
-  test('invalid input is named and changes nothing; without the store nothing is shown', async () => {
+  test('invalid arguments are named in the error; without the store, every command fails and prints nothing', async () => {
     await withCommands('127.0.0.1:9', 'duties', async (run) => {
-      const bad: [string[], RegExp][] = [
+      const invalid: [string[], RegExp][] = [
         [['hand-over', 'rent'], /no such duty: rent \(reclaim, clear, move\)/],
         [['hand-over', ROLE, '--to', 'n7'], /no such node: n7 \(n0, n1, n2\)/],
         [['withdraw', 'rent'], /no such duty: rent/],
       ];
-      for (const [args, says] of bad) {
+      for (const [args, message] of invalid) {
         const { code, err } = await run(...args);
         assert.equal(code, 2, args.join(' '));
-        assert.match(err, says);
+        assert.match(err, message);
       }
       for (const args of [[], ['--json'], ['hand-over', ROLE], ['withdraw', ROLE]]) {
         const { code, out, err } = await run(...args);
@@ -113,11 +116,11 @@
     });
   });
 
-  test('settings: each bad key is named', () => {
+  test('invalid settings: the error names each of them', () => {
     const text = '[clear]\nfinal_keep_h = 0\nfinal_keep = 3\n[returns]\nrecord = maybe\n[x]\ny = 1';
     try {
       parseSingletonsConfig('duties.ini', text);
-      assert.fail('accepted');
+      assert.fail('invalid settings were accepted');
     } catch (error) {
       assert.ok(error instanceof ConfigError);
       const problems = error.problems.join('\n');
--- a/test/singleton-controllers.test.ts
+++ b/test/singleton-controllers.test.ts
@@ -1,6 +1,6 @@
 /**
- * Singleton controllers on whole controller processes while their leaders freeze, end and are replaced. The rules of
- * the protocol are watched in every case.
+ * Tests of singleton controllers on whole controllers, while leaders freeze, end and are replaced. Every test also
+ * checks that the rules of the protocol are kept.
  */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
@@ -21,7 +21,7 @@
   finalStateRetentionMs: 86_400_000,
   garbageCollectionWritesPerS: 100,
 };
-const IDLE_KEPT_S = 20;
+const IDLE_KEEP_S = 20;
 
 const leaderOf = (cluster: Cluster, role: string): LeaderRecord | null => {
   const record = cluster.stored(leaderKey(role)) as LeaderRecord | undefined;
@@ -57,7 +57,7 @@
   });
 };
 
-const done = (cluster: Cluster, node: string, uid: string) =>
+const untilDone = (cluster: Cluster, node: string, uid: string) =>
   cluster.until(`${uid} is done`, 40, async () => (await cluster.statusOf(node, uid)) === 'done');
 
 const PROCESSES: Record<string, Version> = {
@@ -68,112 +68,119 @@
 
 describe('singleton controllers: replaced leaders', () => {
   scenario(
-    'a frozen leader is replaced, and does nothing for its roles and shards when it wakes',
+    'a frozen leader is replaced, and does nothing for its former roles and shards when it wakes',
     { versions: PROCESSES },
     async (cluster) => {
       await untilLed(cluster, ORPHAN_COLLECTOR_ROLE);
       const { holder, token } = leaderOf(cluster, ORPHAN_COLLECTOR_ROLE)!;
-      const frozen = holder!.node;
-      const other = cluster.names.find((n) => n !== frozen)!;
-      const before = await cluster.submit(other, { Pieces: 12 });
-      // What it sends now arrives after its successor has begun.
-      cluster.doors.get(frozen)!.slowWritesMs = 14_000;
+      const frozenNode = holder!.node;
+      const otherNode = cluster.names.find((node) => node !== frozenNode)!;
+      const jobBeforeFreeze = await cluster.submit(otherNode, { Pieces: 12 });
+      // The writes that the leader sends from now on arrive after its successor has begun.
+      cluster.doors.get(frozenNode)!.slowWritesMs = 14_000;
       await cluster.pass(1);
-      cluster.processOf(frozen).freeze(true);
-      await cluster.until('another node leads its role', 20, () => {
+      cluster.processOf(frozenNode).freeze(true);
+      await cluster.until('another node leads the role', 20, () => {
         const record = leaderOf(cluster, ORPHAN_COLLECTOR_ROLE);
-        return record !== null && record.holder!.node !== frozen;
+        return record !== null && record.holder!.node !== frozenNode;
       });
-      const promoted = leaderOf(cluster, ORPHAN_COLLECTOR_ROLE)!;
-      assert.ok(promoted.token > token);
-      const during = await cluster.submit(other, { Pieces: 12 });
+      const successor = leaderOf(cluster, ORPHAN_COLLECTOR_ROLE)!;
+      assert.ok(successor.token > token);
+      const jobDuringFreeze = await cluster.submit(otherNode, { Pieces: 12 });
       await cluster.pass(8);
-      cluster.doors.get(frozen)!.slowWritesMs = 0;
-      cluster.processOf(frozen).freeze(false);
-      await done(cluster, other, before);
-      await done(cluster, other, during);
+      cluster.doors.get(frozenNode)!.slowWritesMs = 0;
+      cluster.processOf(frozenNode).freeze(false);
+      await untilDone(cluster, otherNode, jobBeforeFreeze);
+      await untilDone(cluster, otherNode, jobDuringFreeze);
       await cluster.pass(4);
       assert.deepEqual(
         leaderOf(cluster, ORPHAN_COLLECTOR_ROLE),
-        promoted,
-        'nothing late changed the record',
+        successor,
+        'no late write has changed the leader record',
       );
     },
   );
 
   scenario(
-    'a machine that no record knows is returned by the one leader, once',
+    'a machine without any record is returned by the leader exactly once',
     {},
     async (cluster) => {
       await untilLed(cluster, ORPHAN_COLLECTOR_ROLE);
       const name = await cluster.cloud.bootUnknown();
-      await cluster.until('it is gone', 40, () => !cluster.cloud.machines.has(name));
+      await cluster.until('the machine is gone', 40, () => !cluster.cloud.machines.has(name));
       assert.deepEqual(
-        cluster.cloud.returned.filter((n) => n === name),
+        cluster.cloud.returned.filter((returnedName) => returnedName === name),
         [name],
       );
       const list = cluster.stored(electionEntryKey.returns('unrecorded')) as { machines: string[] };
-      assert.ok(list.machines.includes(name), 'recorded before it was sent');
+      assert.ok(list.machines.includes(name), 'the intent to return the machine is recorded');
     },
   );
 });
 
 describe('singleton controllers: late returns', () => {
   scenario(
-    'a return that arrives late meets no machine that the next owner uses',
+    'a machine return that the cloud executes late does not hit a machine that the next owner uses',
     {},
     async (cluster) => {
       const first = await cluster.submit('n0', { Pieces: 8 });
-      await done(cluster, 'n0', first);
+      await untilDone(cluster, 'n0', first);
       cluster.cloud.holdsReturns = true;
-      await cluster.until('idle machines are being returned', IDLE_KEPT_S + 20, () => {
+      await cluster.until('idle machines are being returned', IDLE_KEEP_S + 20, () => {
         return cluster.cloud.heldReturns.length > 0;
       });
-      // Whoever sent the returns ends; the next owners get work that would fit these machines.
-      const doomed = cluster.cloud.heldReturns;
+      // The nodes that sent the returns end; the next owners get a job whose tasks would fit these machines.
+      const returning = cluster.cloud.heldReturns;
       for (const node of cluster.names) cluster.kill(node);
       await Promise.all(cluster.names.map((node) => cluster.start(node)));
       for (const node of cluster.names)
-        await cluster.until(`${node} ready`, 20, () => cluster.ready(node));
+        await cluster.until(`${node} is ready`, 20, () => cluster.ready(node));
       const second = await cluster.submit('n1', { Pieces: 8, GuessS: 5 });
-      await cluster.until('it runs', 40, () => cluster.running(second) > 0);
-      const carries = (name: string) =>
+      await cluster.until('the second job runs', 40, () => cluster.running(second) > 0);
+      const runsSecondJob = (name: string) =>
         [...(cluster.cloud.machines.get(name)?.worker.tasks.values() ?? [])].some(
-          (t) => t.uid === second,
+          (task) => task.uid === second,
         );
-      const used = doomed.filter(carries);
-      assert.deepEqual(used, [], 'nothing was started on them');
+      const used = returning.filter(runsSecondJob);
+      assert.deepEqual(used, [], 'no task was started on a machine that is being returned');
       cluster.cloud.holdsReturns = false;
-      await done(cluster, 'n1', second);
+      await untilDone(cluster, 'n1', second);
     },
   );
 });
 
 describe('singleton controllers: garbage collection', () => {
   scenario(
-    'a final state is deleted after its retention time, and a late acceptance does not bring the job back',
+    'a final state is deleted after its retention time, and a late acceptance does not bring back the job',
     { features: { duties: { ...CONFIG, finalStateRetentionMs: 4000 } } },
     async (cluster) => {
       await untilLed(cluster, GARBAGE_COLLECTOR_ROLE);
-      const accepted: Request[] = [];
+      const acceptances: Request[] = [];
       for (const door of cluster.doors.values()) {
         door.seen = (request) => {
           const { Writes: writes } = request.body as { Writes: { Put?: string }[] };
-          if (writes.some((w) => w.Put?.startsWith('active/'))) accepted.push(request);
+          if (writes.some((write) => write.Put?.startsWith('active/'))) acceptances.push(request);
         };
       }
       const uid = await cluster.submit('n0', { Pieces: 1 });
-      await done(cluster, 'n0', uid);
+      await untilDone(cluster, 'n0', uid);
       const final = `final/${uid}`;
       assert.ok(cluster.stored(final) !== undefined);
       const endedAt = Date.now();
-      await cluster.until('it is deleted', 30, () => cluster.stored(final) === undefined);
-      assert.ok(Date.now() - endedAt >= 3500, 'not before its time');
-      assert.equal(accepted.length, 1);
-      const late = await cluster.state.handle(accepted[0]!);
-      assert.ok(late !== 'hang' && late.status === 409, 'refused by the store');
+      await cluster.until(
+        'the final state is deleted',
+        30,
+        () => cluster.stored(final) === undefined,
+      );
+      assert.ok(Date.now() - endedAt >= 3500, 'not deleted before the retention time has passed');
+      assert.equal(acceptances.length, 1);
+      const lateAnswer = await cluster.state.handle(acceptances[0]!);
+      assert.ok(
+        lateAnswer !== 'hang' && lateAnswer.status === 409,
+        'the store rejects the late acceptance',
+      );
       const next = await cluster.submit('n1', { Pieces: 1 });
-      await done(cluster, 'n1', next);
+      await untilDone(cluster, 'n1', next);
     },
   );
 });
@@ -182,46 +189,48 @@
   scenario('a role is transferred to the node that an operator asks for', {}, async (cluster) => {
     await untilLed(cluster, ORPHAN_COLLECTOR_ROLE);
     const { holder, token } = leaderOf(cluster, ORPHAN_COLLECTOR_ROLE)!;
-    const to = cluster.names.find((n) => n !== holder!.node)!;
+    const to = cluster.names.find((node) => node !== holder!.node)!;
     cluster.state.seed({ [transferRequestKey(ORPHAN_COLLECTOR_ROLE)]: { to, id: 'r1' } });
     await untilLed(cluster, ORPHAN_COLLECTOR_ROLE, to);
     assert.equal(leaderOf(cluster, ORPHAN_COLLECTOR_ROLE)!.token, token + 1);
     assert.equal(
       cluster.stored(transferRequestKey(ORPHAN_COLLECTOR_ROLE)),
       undefined,
-      'the request is gone',
+      'the transfer request is deleted',
     );
     cluster.kill(to);
     await cluster.until(
-      'another one takes it over',
+      'another node takes over the role',
       20,
       () => leaderOf(cluster, ORPHAN_COLLECTOR_ROLE)?.token === token + 2,
     );
   });
 
   scenario(
-    'while the version in production serves, no node leads and shards adopt machines',
+    'while a node runs the production version, no node leads and shards adopt unknown machines',
     { versions: { n2: 'production' } },
     async (cluster) => {
-      const adopted = async () => {
+      const untilAdopted = async () => {
         const name = await cluster.cloud.bootUnknown();
         const found = `machines/found-${name}`;
         await cluster.until(
-          'a shard has adopted it',
+          'a shard has adopted the machine',
           40,
           () => cluster.stored(found) !== undefined,
         );
-        assert.ok(!cluster.cloud.returned.includes(name), 'and nobody has returned it');
+        assert.ok(!cluster.cloud.returned.includes(name), 'the machine has not been returned');
       };
-      await adopted();
+      await untilAdopted();
       await cluster.replace('n2', 'current');
       await untilLed(cluster, ORPHAN_COLLECTOR_ROLE);
       const orphaned = await cluster.cloud.bootUnknown();
-      await cluster.until('it is returned', 40, () => cluster.cloud.returned.includes(orphaned));
+      await cluster.until('the machine is returned', 40, () =>
+        cluster.cloud.returned.includes(orphaned),
+      );
       await cluster.replace('n2', 'production');
-      await adopted();
+      await untilAdopted();
       const uid = await cluster.submit('n0');
-      await done(cluster, 'n0', uid);
+      await untilDone(cluster, 'n0', uid);
     },
   );
 });
