--- a/packages/leader-election/src/election-policy.ts
+++ b/packages/leader-election/src/election-policy.ts
@@ -96,7 +96,7 @@
   constructor(
     private readonly self: Member,
     private readonly roles: readonly string[],
-    /** ms by which each candidate starts after the candidate before it */
+    /** delay by which each candidate starts after the candidate before it */
     private readonly candidateDelayMs: number,
   ) {}
 
--- a/packages/leader-election/src/leader-election.ts
+++ b/packages/leader-election/src/leader-election.ts
@@ -36,9 +36,9 @@
   readonly hasAuthority: () => boolean;
   /** applies a committed transaction to the view before the store's watch delivers it */
   readonly onCommitted: (writes: readonly Write[], epoch: number) => void;
-  /** reads the steady clock, ms */
+  /** reads the steady clock */
   readonly steadyMs: () => number;
-  /** reads the time of day, ms; it is shown to people and decides nothing */
+  /** reads the time of day, which is shown to people and decides nothing */
   readonly wallClockMs: () => number;
   readonly rejections: FencingRejections;
   readonly log: Log;
@@ -48,7 +48,7 @@
 export interface LeaderElectionOptions {
   readonly self: Member;
   readonly roles: readonly string[];
-  /** ms by which each candidate for a vacant role starts after the candidate before it */
+  /** delay by which each candidate for a vacant role starts after the candidate before it */
   readonly candidateDelayMs: number;
   /** returns the key that is attached to a member's lease */
   readonly memberKey: (member: Member) => string;
--- a/packages/leader-election/src/lease-validity.ts
+++ b/packages/leader-election/src/lease-validity.ts
@@ -2,11 +2,11 @@
 
 /** The duration of a lease, and the safety margins for clocks that differ. */
 export interface LeaseTiming {
-  /** ms after the last renewal when the store may end the lease */
+  /** time from the last renewal until the store may end the lease */
   readonly ttlMs: number;
   /** largest relative difference between the rates of two steady clocks, as a fraction */
   readonly clockDrift: number;
-  /** ms subtracted in addition to the drift */
+  /** time subtracted from the lease's duration in addition to the drift */
   readonly marginMs: number;
 }
 
--- a/packages/leader-election/src/records.ts
+++ b/packages/leader-election/src/records.ts
@@ -19,7 +19,7 @@
   readonly former: string | null;
   /** the fencing token of the leadership */
   readonly token: FencingToken;
-  /** time of day when the record was written, ms; it is shown to people and decides nothing */
+  /** time of day when the record was written; it is shown to people and decides nothing */
   readonly sinceMs: number;
 }
 
--- a/packages/leader-election/src/retention.ts
+++ b/packages/leader-election/src/retention.ts
@@ -6,14 +6,14 @@
 
 /** A reading of the retention clock, and a revision that the store had reached by then. */
 export interface RetentionMark {
-  /** the reading, ms */
+  /** the reading of the clock */
   readonly observedMs: number;
   readonly revision: number;
 }
 
 /** The stored state of the retention clock: the time that leaders have observed, and revisions reached in that time. */
 export interface RetentionRecord {
-  /** ms that elapsed on the leaders' steady clocks while they led */
+  /** time that elapsed on the leaders' steady clocks while they led */
   readonly observedMs: number;
   /** oldest first */
   readonly marks: readonly RetentionMark[];
@@ -36,7 +36,7 @@
 
 /** The retention time of values, and the accuracy of the clocks. */
 export interface RetentionOptions {
-  /** ms for which values are retained */
+  /** time for which values are retained */
   readonly retentionMs: number;
   /** largest fraction by which a steady clock may run fast */
   readonly clockDrift: number;
--- a/packages/leader-election/src/session-lease.ts
+++ b/packages/leader-election/src/session-lease.ts
@@ -6,9 +6,9 @@
 
 /** The duration of a lease, and the intervals of its renewal. */
 export interface SessionLeaseTiming extends LeaseTiming {
-  /** ms between two renewals */
+  /** interval between two renewals */
   readonly renewMs: number;
-  /** minimum ms from one attempt to the next, and the delay after an attempt that left no lease */
+  /** minimum delay between two attempts, which also applies after an attempt that left no lease */
   readonly retryMs: number;
 }
 
--- a/packages/leader-election/src/status.ts
+++ b/packages/leader-election/src/status.ts
@@ -34,7 +34,7 @@
   readonly incarnation: string | null;
   /** the fencing token in the leader record; null if the role has no record */
   readonly token: FencingToken | null;
-  /** time of day when the leader record was written, ms; null if the role has no record */
+  /** time of day when the leader record was written; null if the role has no record */
   readonly sinceMs: number | null;
   readonly until: LeadershipValidity;
   /** an operator's transfer request that has not been executed yet */
--- a/packages/leader-election/test/simulated-store.ts
+++ b/packages/leader-election/test/simulated-store.ts
@@ -14,12 +14,12 @@
   readonly lease: number | null;
 }
 
-/** Time after which a caller stops waiting for an answer, ms. */
+/** Time after which a caller stops waiting for an answer. */
 const CALL_TIMEOUT_MS = 2000;
 
 /** The faults of one client's network; each method is called anew for every call to the store. */
 export interface NetworkFaults {
-  /** returns the latency of a message, ms */
+  /** returns the latency of a message */
   delayMs(): number;
   /** returns how the call ends: with an answer, without one, or without one and executed late */
   callOutcome(): 'normal' | 'answer_lost' | 'carried_out_late';
--- a/src/singletons/orphan-collector.ts
+++ b/src/singletons/orphan-collector.ts
@@ -43,7 +43,7 @@
     private readonly dependencies: OrphanCollectorDependencies,
   ) {}
 
-  /** Returns whether orphaned machines are returned by the leader; while not, shards adopt them. */
+  /** Returns whether the leader returns orphaned machines; while it does not, shards adopt them. */
   get electionActive(): boolean {
     return this.dependencies.election.electionActive;
   }
--- a/src/singletons/retention-clock.ts
+++ b/src/singletons/retention-clock.ts
@@ -33,7 +33,7 @@
   #observation: Observation | null = null;
 
   constructor(
-    /** ms for which values are retained */
+    /** time for which values are retained */
     private readonly retentionMs: number,
     private readonly dependencies: RetentionClockDependencies,
   ) {}
--- a/src/singletons/return-intents.ts
+++ b/src/singletons/return-intents.ts
@@ -13,9 +13,9 @@
 
 const NO_MACHINES: ReadonlySet<string> = new Set();
 
-/** Bytes of a stored list in addition to its names. */
+/** Size of a stored list in addition to its names. */
 const LIST_OVERHEAD_BYTES = 32;
-/** Bytes of a stored name in addition to its characters. */
+/** Size of a stored name in addition to its characters. */
 const NAME_OVERHEAD_BYTES = 3;
 
 /** A request to add machines to a list of intents. */
@@ -38,7 +38,7 @@
   constructor(
     private readonly client: Pick<StoreClient, 'compareAndSwap'>,
     private readonly cache: WatchCache,
-    /** maximum size of a stored value, bytes */
+    /** maximum size of a stored value */
     private readonly valueBytes: number,
   ) {}
 
