--- a/src/service/control-loops.ts
+++ b/src/service/control-loops.ts
@@ -124,11 +124,12 @@
     this.#observedVersion = version;
     const nowS = context.timeOfDay() / 1000;
     for (const { value } of tables.activeJobs.values()) {
-      workload.arrived(value.spec, Math.min(nowS, value.at / 1000));
+      workload.recordArrival(value.spec, Math.min(nowS, value.at / 1000));
     }
-    workload.keepOnly(tables.activeJobs);
+    workload.forgetEndedJobs(tables.activeJobs);
     for (const { classes } of peers.gossip.recent()) {
-      for (const { jobClass, runS, finished } of classes) workload.adopt(jobClass, runS, finished);
+      for (const { jobClass, runS, finished } of classes)
+        workload.adoptRunTime(jobClass, runS, finished);
     }
   }
 
@@ -136,7 +137,7 @@
   #collectEvents(): void {
     const { context, shardController, workload } = this.dependencies;
     for (const [index, { shard }] of shardController.owned) {
-      for (const run of shard.finishedRuns.splice(0)) workload.ran(run.jobClass, run.runS);
+      for (const run of shard.finishedRuns.splice(0)) workload.recordRun(run.jobClass, run.runS);
       for (const { uid, ...event } of shard.events.splice(0)) {
         context.log.debug({ job: uid, shard: index, term: shard.term, ...event }, 'task changed');
       }
--- a/src/singletons/garbage-collector.ts
+++ b/src/singletons/garbage-collector.ts
@@ -15,7 +15,7 @@
 import type { SingletonsConfig } from '../config/singletons.js';
 import { LIST_PAGE_SIZE } from '../store/constants.js';
 import { electionEntryKey } from '../store/keys.js';
-import { FINAL_STATE_PREFIX, key } from '../store/keys.js';
+import { FINAL_STATE_PREFIX, storeKey } from '../store/keys.js';
 import { CALL_PRIORITY } from '../store/call-priority.js';
 import { StoreRequestError } from '../store/errors.js';
 import { type Entry } from '../store/types.js';
@@ -181,7 +181,7 @@
     const { cache, shards, log } = this.dependencies;
     for (const { value: rental, revision } of cache.tables.rentals.values()) {
       if (rental.shard < shards || this.#hasLiveOwner(rental.shard)) continue;
-      const name = key.rental(rental.shard, rental.name);
+      const name = storeKey.rental(rental.shard, rental.name);
       if (!(await this.#delete(authorization, { key: name, revision }))) return;
       log.info({ shard: rental.shard, rental: rental.name }, 'rental of removed shard deleted');
     }
@@ -203,7 +203,7 @@
     const own = await client.get(ownNodeKey, CALL_PRIORITY.background);
     if ('missing' in own || (own.lease ?? null) === null) return;
     for (const { value } of cache.tables.nodes.values()) {
-      const name = key.node(value.node, value.incarnation);
+      const name = storeKey.node(value.node, value.incarnation);
       if (name === ownNodeKey) continue;
       const found = await client.get(name, CALL_PRIORITY.background);
       if ('missing' in found || (found.lease ?? null) !== null) continue;
--- a/src/singletons/orphan-collector.ts
+++ b/src/singletons/orphan-collector.ts
@@ -6,7 +6,7 @@
 import type { CloudClient } from '../cloud/cloud-client.js';
 import { MAX_RETURN_BATCH } from '../constants.js';
 import { MAX_GUARDS_PER_WRITE } from '../store/constants.js';
-import { key } from '../store/keys.js';
+import { storeKey } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { ListedMachine } from '../wire/cloud.js';
 import type { ReturnIntents } from './return-intents.js';
@@ -86,7 +86,10 @@
       .map((machine) => machine.name)
       .slice(0, limit);
     if (names.length === 0) return [];
-    const notAdopted = names.map((name) => ({ key: key.adoptedMachineGroup(name), revision: 0 }));
+    const notAdopted = names.map((name) => ({
+      key: storeKey.adoptedMachineGroup(name),
+      revision: 0,
+    }));
     const listedNames = new Set(listed.map((machine) => machine.name));
     const recorded = await intents.record(authorization, {
       list: 'unrecorded',
--- a/src/singletons/singleton-controllers.ts
+++ b/src/singletons/singleton-controllers.ts
@@ -9,7 +9,7 @@
 import type { PlatformConfig } from '../config/platform.js';
 import type { RebalancingConfig } from '../config/rebalancing.js';
 import { MoveCoordinator } from '../rebalancing/move-coordinator.js';
-import { electionEntryKey, key } from '../store/keys.js';
+import { electionEntryKey, storeKey } from '../store/keys.js';
 import type { StoreClient } from '../store/store-client.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import { GarbageCollector } from './garbage-collector.js';
@@ -73,7 +73,7 @@
     this.#garbageCollector = new GarbageCollector(config, {
       ...dependencies,
       election,
-      ownNodeKey: key.node(platform.node, incarnation),
+      ownNodeKey: storeKey.node(platform.node, incarnation),
       shards: platform.nodes,
       transactionOps,
     });
--- a/src/singletons/singleton-election.ts
+++ b/src/singletons/singleton-election.ts
@@ -18,7 +18,7 @@
 } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import type { SingletonsConfig } from '../config/singletons.js';
-import { key } from '../store/keys.js';
+import { storeKey } from '../store/keys.js';
 import { type CachedValues } from '../store/codecs/cached-values.js';
 import { CALL_PRIORITY, type CallPriority } from '../store/call-priority.js';
 import { type StoreClient } from '../store/store-client.js';
@@ -48,9 +48,9 @@
   const records = new Map<string, Versioned<LeaderRecord>>();
   const transferRequests = new Map<string, Versioned<LeadershipTransferRequest>>();
   for (const { value: entry, revision } of tables.elections.values()) {
-    if (entry.kind === 'record') records.set(entry.duty, { value: entry.record, revision });
+    if (entry.kind === 'record') records.set(entry.role, { value: entry.record, revision });
     else if (entry.kind === 'request') {
-      transferRequests.set(entry.duty, { value: entry.request, revision });
+      transferRequests.set(entry.role, { value: entry.request, revision });
     }
   }
   return { members: liveMembers(tables.nodes), records, transferRequests };
@@ -107,7 +107,7 @@
         self,
         roles: enabledRoles(enabled),
         candidateDelayMs: CANDIDATE_DELAY_MS,
-        memberKey: ({ node, incarnation }) => key.node(node, incarnation),
+        memberKey: ({ node, incarnation }) => storeKey.node(node, incarnation),
       },
       {
         store,
--- a/test/move-candidates.test.ts
+++ b/test/move-candidates.test.ts
@@ -41,7 +41,7 @@
   ['it has not answered under this term', (m) => (m.confirmedSince = null), false],
   ['it is unreachable', (m) => (m.lastStatusAt = m.lastHeartbeatAt = -1e6), false],
   ['commands to it are lost', (m) => (m.commandsLostSince = NOW), false],
-  ['it has a preemption notice', (m) => (m.preemptionNoticeAt = NOW), false],
+  ['it has a preemption notice', (m) => (m.preemptionAt = NOW), false],
   ['it is to be returned', (m) => (m.terminating = true), false],
   ['it is being emptied', (m) => (m.lifecycle = 'draining'), false],
   ["its record is another shard's", (m) => (m.lifecycle = 'orphaned'), false],
