--- a/src/cloud/machine-types.ts
+++ b/src/cloud/machine-types.ts
@@ -1,4 +1,4 @@
-/** Keeps the cloud's machine types at hand. */
+/** A cache of the cloud's machine types. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { Logger } from 'pino';
 import type { MachineType } from '../core/model.js';
@@ -6,7 +6,7 @@
 import { MACHINE_TYPES_REFRESH_MS, MACHINE_TYPES_RETRY_MS } from './constants.js';
 import { CloudRequestError } from './errors.js';
 
-/** The machine types of the cloud, read again from time to time since prices change. */
+/** Caches the machine types of the cloud, and reads them again at intervals because prices change. */
 export class MachineTypes {
   #machineTypes: ReadonlyMap<string, MachineType> | null = null;
 
@@ -15,24 +15,26 @@
     private readonly log: Logger,
   ) {}
 
-  /** By name; null until they have been read for the first time. */
+  /** Returns the machine types by name; null until they have been read for the first time. */
   get current(): ReadonlyMap<string, MachineType> | null {
     return this.#machineTypes;
   }
 
-  /** Reads them until the signal is given, and then rejects with its `AbortError`. */
+  /** Reads the machine types repeatedly until the signal is aborted, and then rejects with its `AbortError`. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      const read = await this.#refresh();
-      await sleep(read ? MACHINE_TYPES_REFRESH_MS : MACHINE_TYPES_RETRY_MS, undefined, { signal });
+      const refreshed = await this.#refresh();
+      await sleep(refreshed ? MACHINE_TYPES_REFRESH_MS : MACHINE_TYPES_RETRY_MS, undefined, {
+        signal,
+      });
     }
   }
 
-  /** Returns whether they were read; if not, the old ones stay. */
+  /** Reads the machine types; resolves with whether it succeeded. After a failure the earlier types stay in place. */
   async #refresh(): Promise<boolean> {
     try {
-      const types = await this.cloud.listMachineTypes();
-      this.#machineTypes = new Map(types.map((type) => [type.name, type]));
+      const machineTypes = await this.cloud.listMachineTypes();
+      this.#machineTypes = new Map(machineTypes.map((type) => [type.name, type]));
       return true;
     } catch (error) {
       if (!(error instanceof CloudRequestError)) throw error;
