--- a/src/core/cancellation/lease-renewal.ts
+++ b/src/core/cancellation/lease-renewal.ts
@@ -1,5 +1,5 @@
 /** Limits how long worker leases may be renewed without knowledge of recent cancellations. */
-import { CLOCK_DRIFT } from '../../constants.js';
+import { MAX_RELATIVE_CLOCK_DRIFT } from '../../constants.js';
 import { LEASE_WITHHOLDING_MARGIN_MS } from './constants.js';
 
 /**
@@ -8,4 +8,6 @@
  * cancellation has to be complete.
  */
 export const renewalWindowMs = (cancelMs: number, leaseMs: number): number =>
-  cancelMs * (1 - CLOCK_DRIFT) - leaseMs * (1 + CLOCK_DRIFT) - LEASE_WITHHOLDING_MARGIN_MS;
+  cancelMs * (1 - MAX_RELATIVE_CLOCK_DRIFT) -
+  leaseMs * (1 + MAX_RELATIVE_CLOCK_DRIFT) -
+  LEASE_WITHHOLDING_MARGIN_MS;
--- a/src/singletons/orphan-collector.ts
+++ b/src/singletons/orphan-collector.ts
@@ -4,7 +4,7 @@
 import type { Authorization } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import type { CloudClient } from '../cloud/cloud-client.js';
-import { MAX_RETURN_BATCH } from '../constants.js';
+import { MAX_MACHINES_PER_RETURN } from '../constants.js';
 import { MAX_GUARDS_PER_WRITE } from '../store/constants.js';
 import { storeKey } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
@@ -78,7 +78,7 @@
     // its type, zone and spot flag, no shard can record the machine any more.
     await waitUntilCurrent();
     const limit = Math.min(
-      MAX_RETURN_BATCH,
+      MAX_MACHINES_PER_RETURN,
       this.transactionOps * MAX_GUARDS_PER_WRITE - OTHER_GUARDS,
     );
     const names = listed
--- a/test/design.test.ts
+++ b/test/design.test.ts
@@ -10,7 +10,7 @@
   dominantResource,
 } from '../src/core/placement/pairing.js';
 import { bestFit, unusedVolume } from '../src/core/placement/unused-volume.js';
-import { randomFrom } from '../src/random.js';
+import { seededRandomInt } from '../src/random.js';
 import { machineType, settings, spec } from './helpers.js';
 
 const resources = (cpus: number, gpus: number, memoryGb: number): Resources => ({
@@ -98,7 +98,7 @@
 });
 
 test('comparing with groups finds the same complement as comparing with each task', () => {
-  const random = randomFrom(7);
+  const random = seededRandomInt(7);
   const largest = resources(8, 2, 64);
   for (let round = 0; round < 200; round++) {
     const groups = Array.from({ length: 1 + random(6) }, (_, item) => ({
