--- a/src/core/cancellation/lease-renewal.ts
+++ b/src/core/cancellation/lease-renewal.ts
@@ -1,5 +1,5 @@
 /** How long worker leases may be renewed without knowing the cancellations of the time since. */
-import { CLOCK_DRIFT } from '../../constants.js';
+import { MAX_RELATIVE_CLOCK_DRIFT } from '../../constants.js';
 import { LEASE_WITHHOLDING_MARGIN_MS } from './constants.js';
 
 /**
@@ -7,4 +7,6 @@
  * confirmed right after it is not known, and the lease that is renewed must expire in time for it.
  */
 export const renewableMs = (cancelMs: number, leaseMs: number): number =>
-  cancelMs * (1 - CLOCK_DRIFT) - leaseMs * (1 + CLOCK_DRIFT) - LEASE_WITHHOLDING_MARGIN_MS;
+  cancelMs * (1 - MAX_RELATIVE_CLOCK_DRIFT) -
+  leaseMs * (1 + MAX_RELATIVE_CLOCK_DRIFT) -
+  LEASE_WITHHOLDING_MARGIN_MS;
--- a/src/main.ts
+++ b/src/main.ts
@@ -7,7 +7,7 @@
 import { loadRebalancingConfig } from './config/rebalancing.js';
 import { loadOperatorConfig } from './config/operator.js';
 import { ConfigError, loadPlatformConfig } from './config/platform.js';
-import { openLog } from './log.js';
+import { createLogger } from './log.js';
 import { Service } from './service/service.js';
 
 interface Options {
@@ -42,7 +42,7 @@
   if (options.shares !== undefined && options.duties === undefined) {
     problems.push(`${options.shares}: needs --duties, since one of them moves machines`);
   }
-  const log = attempt(problems, () => openLog(process.env['LOG_LEVEL'], platform?.node ?? ''));
+  const log = attempt(problems, () => createLogger(process.env['LOG_LEVEL'], platform?.node ?? ''));
   return { platform, operator, features: { duties, shares }, log, problems };
 };
 
--- a/src/service/control-loops.ts
+++ b/src/service/control-loops.ts
@@ -1,5 +1,5 @@
 /** The control loops of a node, in their order, and when a round of them is due. */
-import { DEBOUNCE_MS, LOOP_MS } from '../constants.js';
+import { DEBOUNCE_MS, RECONCILE_INTERVAL_MS } from '../constants.js';
 import type { CloudClient } from '../cloud/cloud-client.js';
 import type { MachineTypes } from '../cloud/machine-types.js';
 import type { WorkloadStatistics } from '../core/capacity/workload-statistics.js';
@@ -70,7 +70,7 @@
 
   /** Begins the rounds. */
   start(): void {
-    this.#scheduleRound(LOOP_MS);
+    this.#scheduleRound(RECONCILE_INTERVAL_MS);
   }
 
   /** Runs a round soon, for this change together with those that come right after it. */
@@ -102,7 +102,7 @@
 
   #round(): void {
     if (this.#closed) return;
-    this.#scheduleRound(LOOP_MS);
+    this.#scheduleRound(RECONCILE_INTERVAL_MS);
     const { shardController, singletons, onRound } = this.dependencies;
     onRound();
     this.#observeWorkload();
--- a/src/shards/shard-controller.ts
+++ b/src/shards/shard-controller.ts
@@ -7,7 +7,7 @@
 import type { Logger } from 'pino';
 import type { PlatformConfig } from '../config/platform.js';
 import type { OperatorConfig } from '../config/operator.js';
-import { LOOP_MS } from '../constants.js';
+import { RECONCILE_INTERVAL_MS } from '../constants.js';
 import type { Heartbeat, MachineType } from '../core/model.js';
 import type { ShardSettings } from '../core/shard/shard.js';
 import { socketBudget } from '../service/socket-budget.js';
@@ -150,7 +150,7 @@
     if (!this.#cache.ready) return;
     this.#refresh(now);
     const authorized = this.#authority.holds(now);
-    if (authorized && now - this.#reconciledAt >= LOOP_MS) {
+    if (authorized && now - this.#reconciledAt >= RECONCILE_INTERVAL_MS) {
       this.#reconciledAt = now;
       this.#ownership.reconcile(now);
     }
--- a/src/singletons/orphan-collector.ts
+++ b/src/singletons/orphan-collector.ts
@@ -2,7 +2,7 @@
 import type { Authorization } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import type { CloudClient } from '../cloud/cloud-client.js';
-import { MAX_RETURN_BATCH } from '../constants.js';
+import { MAX_MACHINES_PER_RETURN } from '../constants.js';
 import { MAX_GUARDS_PER_WRITE } from '../store/constants.js';
 import { key } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
@@ -76,7 +76,7 @@
     // kind nor the machine, none can record it any more.
     await current();
     const limit = Math.min(
-      MAX_RETURN_BATCH,
+      MAX_MACHINES_PER_RETURN,
       this.transactionOps * MAX_GUARDS_PER_WRITE - OTHER_GUARDS,
     );
     const names = listed
--- a/src/store/request-scheduler.ts
+++ b/src/store/request-scheduler.ts
@@ -121,8 +121,8 @@
           this.#scheduleAfter(waitMs);
           break;
         }
-        this.#requests.take(1, now);
-        if (writes > 0) this.#writes.take(writes, now);
+        this.#requests.tryTake(1, now);
+        if (writes > 0) this.#writes.tryTake(writes, now);
         queue.shift();
         this.#queued -= 1;
         send();
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -47,7 +47,7 @@
   .transform((body) => body.Hosttypes);
 
 /** Machines to be rented; a request that is repeated under the same name rents nothing more. */
-export interface RentRequest {
+export interface CloudRentalRequest {
   readonly request: string;
   readonly type: string;
   readonly zone: string;
@@ -56,7 +56,7 @@
 }
 
 /** A rental request. */
-export const rentBody = (rental: RentRequest): unknown => ({
+export const rentalRequestBody = (rental: CloudRentalRequest): unknown => ({
   Hire: rental.request,
   Hosttype: rental.type,
   Site: rental.zone,
@@ -65,7 +65,9 @@
 });
 
 /** The names of the machines that a request has rented. */
-export const rentedSchema = z.object({ Hosts: z.array(name) }).transform((body) => body.Hosts);
+export const rentedMachinesSchema = z
+  .object({ Hosts: z.array(name) })
+  .transform((body) => body.Hosts);
 
 /** Machines to be returned, by name. */
 export const returnBody = (machines: readonly string[]): unknown => ({ Hosts: machines });
--- a/test/candidates.test.ts
+++ b/test/candidates.test.ts
@@ -5,7 +5,7 @@
 import { fits, PRIORITY_RANK } from '../src/core/model.js';
 import { mostMatched } from '../src/core/placement/unused-volume.js';
 import { Candidates } from '../src/core/placement/candidates.js';
-import { randomFrom } from '../src/random.js';
+import { seededRandomInt } from '../src/random.js';
 import { job, LEASE_MS, machine, shardWith, Store } from './helpers.js';
 import { FakeWorker, World } from './standins/worker.js';
 
@@ -41,7 +41,7 @@
   let found = 0;
   let none = 0;
   for (let seed = 1; seed <= 200; seed++) {
-    const random = randomFrom(seed);
+    const random = seededRandomInt(seed);
     const { store, shard } = crowd(random);
     const { state } = shard;
     const demand = { cpus: 1 + random(6), gpus: random(2), memoryGb: 1 + random(30) };
--- a/test/design.test.ts
+++ b/test/design.test.ts
@@ -5,7 +5,7 @@
 import { shareOf, type Resources } from '../src/core/model.js';
 import { complement, deviation, dominant } from '../src/core/placement/pairing.js';
 import { mostMatched, unusedVolume } from '../src/core/placement/unused-volume.js';
-import { randomFrom } from '../src/random.js';
+import { seededRandomInt } from '../src/random.js';
 import { machineType, settings, spec } from './helpers.js';
 
 const r = (cpus: number, gpus: number, memoryGb: number): Resources => ({ cpus, gpus, memoryGb });
@@ -56,7 +56,7 @@
 });
 
 test('comparing groups gives what comparing each with each gives', () => {
-  const random = randomFrom(7);
+  const random = seededRandomInt(7);
   const largest = r(8, 2, 64);
   for (let round = 0; round < 200; round++) {
     const groups = Array.from({ length: 1 + random(6) }, (_, item) => ({
--- a/test/socket-budget.test.ts
+++ b/test/socket-budget.test.ts
@@ -6,7 +6,7 @@
 import { CloudClient } from '../src/cloud/cloud-client.js';
 import { CborClient } from '../src/transport/http.js';
 import { InboundConnections, socketBudget } from '../src/service/socket-budget.js';
-import { toBytes } from '../src/wire/cbor.js';
+import { encodeCbor } from '../src/wire/cbor.js';
 import { authorization, job, LEASE_MS, machine, shardWith, Store } from './helpers.js';
 import { StandInServer } from './standins/server.js';
 import { FakeWorker, World } from './standins/worker.js';
@@ -37,7 +37,7 @@
   const server = createServer((request, response) => {
     connections?.onResponse(response);
     request.resume();
-    request.on('end', () => response.end(toBytes({ ok: true })));
+    request.on('end', () => response.end(encodeCbor({ ok: true })));
   });
   connections = new InboundConnections(server, maxConnections);
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
--- a/test/standins/user-node.ts
+++ b/test/standins/user-node.ts
@@ -1,7 +1,7 @@
 import { createServer, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import Koa from 'koa';
-import { CborClient, type Response } from '../../src/transport/http.js';
+import { CborClient, type CborResponse } from '../../src/transport/http.js';
 import type { Found } from '../../src/store/types.js';
 import type { CompareAndSwapResult, Guard, Write } from '@sumacstep/leader-election';
 import { LinearizableReads } from '../../src/store/linearizable-reads.js';
@@ -155,14 +155,14 @@
   }
 
   /** A call of a user; every answer is judged. */
-  async ask(call: UserCall, body: { readonly Uid: string }): Promise<Response | null> {
+  async ask(call: UserCall, body: { readonly Uid: string }): Promise<CborResponse | null> {
     const sent = this.history.sent(call, body.Uid);
     const answer = await this.#send(call, body).catch(() => null);
     this.history.received(sent, answer, this.name);
     return answer;
   }
 
-  #send(call: UserCall, body: { readonly Uid: string }): Promise<Response> {
+  #send(call: UserCall, body: { readonly Uid: string }): Promise<CborResponse> {
     const client = this.#client!;
     const path = `/submissions/${body.Uid}`;
     if (call === 'submit') return client.call('POST', '/submissions', body, USER_PATIENCE_MS);
--- a/test/watch-cache.test.ts
+++ b/test/watch-cache.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
-import { randomFrom } from '../src/random.js';
+import { seededRandomInt } from '../src/random.js';
 import type { Change } from '../src/store/types.js';
 import { CACHED_PREFIXES, key, TABLE_OF_PREFIX } from '../src/store/keys.js';
 import { encodeJob } from '../src/store/codecs/job.js';
@@ -184,7 +184,7 @@
   readonly #removalsTold = new Map<string, number>();
 
   constructor(seed: number) {
-    this.#random = randomFrom(seed);
+    this.#random = seededRandomInt(seed);
     this.#cache.apply(listing(1, []));
   }
 
