--- a/packages/shard-rebalancing/src/index.ts
+++ b/packages/shard-rebalancing/src/index.ts
@@ -1,17 +1,16 @@
 /**
- * Shard rebalancing: machines migrate between the shards of a cluster while jobs run. The package holds the stored
- * state machine of a move, the steps that are computed from it without any input or output, and the selection of
- * the machines.
+ * Shard rebalancing: moves machines between the shards of a cluster while jobs run. The package defines the stored
+ * record of a move, computes the transitions of its state machine without I/O, and selects the machines to move.
  *
- * Outline of use:
+ * Usage:
  *
  *     const move = newMove(parseMoveRequest(input));          // stored under moveKey(move.id), with a lock
  *                                                             // under shardLockKey of both shards
- *     const next = advanceMove(move, { nowMs, obstacle });    // the coordinator: begin, finish, abort, send back
- *     const { chosen, ready } = selectMachines(move, candidates); // the owner of the source shard
+ *     const next = advanceMove(move, { nowMs, obstacle });    // by the coordinator: start, finish, abort, return
+ *     const { chosen, ready } = selectMachines(move, candidates); // by the source shard's owner
  *
- * The caller writes each new state only over the revision that it was computed from: a step is then right however
- * often and however late it is taken.
+ * The caller writes each new state only if the stored revision is still the one that the state was computed from. A
+ * transition is therefore safe to compute repeatedly or late.
  */
 
 /** The state machine of a move. */
@@ -21,10 +20,10 @@
   moveEndpoints,
   remainingCount,
   type MoveEndpoints,
-  type MoveFacts,
+  type MoveConditions,
 } from './move-state-machine.js';
 
-/** Selection of the machines that move. */
+/** Selection of the machines to move. */
 export {
   matchesFilter,
   selectMachines,
@@ -32,7 +31,7 @@
   type Selection,
 } from './machine-selection.js';
 
-/** Stored form, and the check of requests. */
+/** Stored records and keys, and validation of requests. */
 export {
   decodeMove,
   decodeShardLock,
--- a/packages/shard-rebalancing/src/machine-selection.ts
+++ b/packages/shard-rebalancing/src/machine-selection.ts
@@ -1,24 +1,27 @@
-/** Selection of the machines that a move takes from its source shard. */
+/** Selects the machines that a move takes from its source shard. */
 import { remainingCount } from './move-state-machine.js';
 import type { MachineFilter, Move } from './records.js';
 
-/** A machine of the source shard, as the shard's owner knows it. */
+/** A machine of the source shard, in the state that the shard's owner sees. */
 export interface Candidate {
   readonly name: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
-  /** tasks on it, including those whose start is under way */
+  /** number of tasks on the machine, including those that are being started */
   readonly tasks: number;
-  /** whether a standing service runs there, which does not end by itself */
+  /** whether a replica of a service job runs on the machine; such a job does not end by itself */
   readonly runsService: boolean;
-  /** why it can't move now whatever it runs (unreachable, being returned, preempted), or null */
-  readonly ineligibleBecause: string | null;
-  /** no task is there, none may arrive, and the worker lists none: it may move at once */
+  /**
+   * why the machine cannot move now regardless of the tasks on it (it is unreachable, being returned or preempted),
+   * or null if nothing prevents it
+   */
+  readonly ineligibleReason: string | null;
+  /** true if the machine may move at once: no task is on it, none can still arrive, and its worker lists none */
   readonly readyToMove: boolean;
 }
 
-/** Whether a machine is of the kind that a move asks for. */
+/** Returns whether a machine matches the filter of a move. */
 export const matchesFilter = (
   { type, zone, spot }: MachineFilter,
   machine: Pick<Candidate, 'type' | 'zone' | 'spot'>,
@@ -28,26 +31,26 @@
   (spot === null || spot === machine.spot);
 
 const isEligible = (move: Move, machine: Candidate): boolean => {
-  if (machine.ineligibleBecause !== null) return false;
+  if (machine.ineligibleReason !== null) return false;
   if (move.direction === 'back') return move.moved.includes(machine.name);
   return !machine.runsService && matchesFilter(move.filter, machine);
 };
 
-/** What the owner of the source shard decides about a move. */
+/** The decision of the source shard's owner about a move. */
 export interface Selection {
-  /** machines to cordon, which move when they are empty */
+  /** names of the machines to cordon; each one moves once it is empty */
   readonly chosen: readonly string[];
-  /** those of them that may move at once */
+  /** names of the chosen machines that may move at once */
   readonly ready: readonly string[];
-  /** what the others wait for; null if there are none. Stored and printed */
+  /** why chosen or missing machines cannot move yet; null if all can. The text is stored and printed */
   readonly waitsFor: string | null;
 }
 
-/** machines that a reason names */
+/** maximum number of machine names in a wait reason */
 const MAX_NAMED_MACHINES = 3;
 
-/** What the selected machines, or those that are lacking, wait for. The texts are stored and printed. */
-const waitReason = (
+/** Returns why the move cannot complete yet, or null. The texts are stored and printed. */
+const findWaitReason = (
   move: Move,
   machines: readonly Candidate[],
   chosen: readonly Candidate[],
@@ -63,28 +66,29 @@
   const matching = machines.filter(
     (machine) => move.direction === 'back' || matchesFilter(move.filter, machine),
   );
-  const ineligible = matching.find((machine) => machine.ineligibleBecause !== null);
-  if (ineligible !== undefined) return `${ineligible.name}: ${ineligible.ineligibleBecause}`;
+  const ineligible = matching.find((machine) => machine.ineligibleReason !== null);
+  if (ineligible !== undefined) return `${ineligible.name}: ${ineligible.ineligibleReason}`;
   const serving = matching.find((machine) => machine.runsService);
   if (serving !== undefined) return `${serving.name}: a standing service runs there`;
   return `${lacking} more machines of the kind`;
 };
 
 /**
- * Chooses the machines that will be empty soonest. Those chosen before stay chosen while they are eligible, so that
- * no machine is drained twice for one move. At most `limit` are chosen at a time.
+ * Chooses the machines that are expected to be empty soonest: those with the fewest tasks. Machines that the stored
+ * move has already chosen stay chosen while they are eligible, so that no machine is drained twice for one move. At
+ * most `limit` machines are chosen at a time.
  */
 export const selectMachines = (
   move: Move,
   machines: readonly Candidate[],
   limit = Infinity,
 ): Selection => {
-  const before = new Set(move.chosen);
+  const previouslyChosen = new Set(move.chosen);
   const chosen = machines
     .filter((machine) => isEligible(move, machine))
     .sort(
       (a, b) =>
-        Number(before.has(b.name)) - Number(before.has(a.name)) ||
+        Number(previouslyChosen.has(b.name)) - Number(previouslyChosen.has(a.name)) ||
         Number(b.readyToMove) - Number(a.readyToMove) ||
         a.tasks - b.tasks ||
         (a.name < b.name ? -1 : 1),
@@ -94,6 +98,6 @@
   return {
     chosen: chosen.map((machine) => machine.name),
     ready,
-    waitsFor: waitReason(move, machines, chosen),
+    waitsFor: findWaitReason(move, machines, chosen),
   };
 };
--- a/packages/shard-rebalancing/src/records.ts
+++ b/packages/shard-rebalancing/src/records.ts
@@ -1,6 +1,6 @@
 /**
- * What the store holds of moves of machines between shards. Property names, states and keys are the stored form,
- * shared with other versions and with `sumacstep shares --json`: they never change.
+ * Stored records of moves of machines between shards. Property names, states and keys are shared with other versions
+ * of the program and with the output of `sumacstep shares --json`, so they must never change.
  */
 import * as z from 'zod';
 
@@ -46,28 +46,41 @@
   waitsFor: z.string().nullable(),
 });
 
-/** Which machines may move. A property that is null matches any machine. */
+/** Restricts which machines may move. A property that is null matches any machine. */
 export type MachineFilter = Readonly<z.infer<typeof filterSchema>>;
 
-/** An operator's request. Times are times of day in ms. */
+/**
+ * An operator's request to move `count` machines from shard `from` to shard `to`. The move is aborted unless all have
+ * moved by `deadlineMs`; at `returnAtMs`, if set, they are returned. Both times are ms since the epoch.
+ */
 export type MoveRequest = Readonly<z.infer<typeof requestSchema>>;
 
 /**
- * - `requested`: written by an operator;
- * - `preparing`: machines are being chosen, and get no new tasks;
+ * The state of a move:
+ *
+ * - `requested`: an operator has written the request;
+ * - `preparing`: machines are being chosen, and chosen ones get no new tasks;
  * - `moving`: chosen machines move one after another, as they become empty;
- * - `lent`: all machines have moved, and go back at a stated time;
- * - `finished`, `aborted`: nothing is left to do.
+ * - `lent`: all machines have moved, and will be returned at `returnAtMs`;
+ * - `finished`, `aborted`: terminal states.
  */
 export type MoveState = z.infer<typeof moveSchema>['state'];
 
-/** A move as it is stored. Each change is guarded by the revision that it was computed from. */
+/**
+ * A move as it is stored. Each write is guarded by the revision that the new state was computed from.
+ *
+ * - `direction`: `forth` from the shard `from` to `to`, `back` while the machines are returned;
+ * - `abortAsked`: an abort was requested, or the deadline has passed after some machines had moved;
+ * - `chosen`: names of the machines that are cordoned for the move;
+ * - `moved`: names of the machines that have moved and were not returned;
+ * - `waitsFor`: why the move cannot proceed, or null.
+ */
 export type Move = Readonly<z.infer<typeof moveSchema>>;
 
-/** Reads a stored move; null if the value is none, since operators write these with tools of any version. */
+/** Decodes a stored move; null if the value is invalid, since operators may write moves with any version of the tools. */
 export const decodeMove = (value: unknown): Move | null => moveSchema.safeParse(value).data ?? null;
 
-/** What is wrong with a request, one line for each field; empty if it is valid. */
+/** Returns the problems of a request, one line for each invalid field; empty if the request is valid. */
 export const moveRequestProblems = (value: unknown): string[] => {
   const result = requestSchema.safeParse(value);
   if (result.success) return [];
@@ -76,10 +89,10 @@
   );
 };
 
-/** Reads a request; throws a `ZodError` if it is not valid. */
+/** Parses a request; throws a `ZodError` if it is invalid. */
 export const parseMoveRequest = (value: unknown): MoveRequest => requestSchema.parse(value);
 
-/** The first state of a requested move. */
+/** Returns a new move in its initial state. */
 export const newMove = (request: MoveRequest): Move => ({
   ...request,
   state: 'requested',
@@ -90,19 +103,19 @@
   waitsFor: null,
 });
 
-/** Keys of moves begin with this; the rest is the move's id. */
+/** Prefix of the keys of moves; the rest of a key is the move's id. */
 export const MOVE_PREFIX = 'shares/moves/';
-/** The key of a move. */
+/** Returns the key of a move. */
 export const moveKey = (id: string): string => `${MOVE_PREFIX}${id}`;
 
-/** The key of a shard's lock, which names the one move that may change the shard's machines. */
+/** Returns the key of a shard's lock, which holds the id of the only move that may change the shard's machines. */
 export const shardLockKey = (shard: number): string => `shares/parts/${shard}`;
 
 const lockSchema = z.object({ move: z.string() });
 
-/** The id of the move that a lock names; null if the value is no lock. */
+/** Returns the id of the move that holds a lock; null if the value is not a valid lock. */
 export const decodeShardLock = (value: unknown): string | null =>
   lockSchema.safeParse(value).data?.move ?? null;
 
-/** The stored form of a lock. */
+/** Returns the stored form of a lock that the move `id` holds. */
 export const encodeShardLock = (id: string): unknown => ({ move: id });
--- a/packages/shard-rebalancing/test/moves.test.ts
+++ b/packages/shard-rebalancing/test/moves.test.ts
@@ -1,4 +1,4 @@
-/** Moves of machines: the steps of the state machine, the selection of machines, and the check of requests. */
+/** Moves of machines: transitions of the state machine, selection of machines, and validation of requests. */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import {
@@ -20,69 +20,105 @@
 });
 const BACK: Partial<Move> = { direction: 'back', state: 'moving', moved: ['x', 'y'] };
 
-/** Name, move, time of day, obstacle, and what the step changes; null: there is no step. */
-type StepRow = [string, Move, number, string | null, Partial<Move> | null];
+/** Title, move, time of day (ms), obstacle, and the properties that the transition changes; null: no transition. */
+type TransitionRow = [string, Move, number, string | null, Partial<Move> | null];
 
-const STEPS: StepRow[] = [
-  ['begins', move(), 0, null, { state: 'preparing' }],
-  ['waits, and says for what', move(), 0, 'an owner', { waitsFor: 'an owner' }],
-  ['does not repeat it', move({ waitsFor: 'an owner' }), 0, 'an owner', null],
-  ['is aborted at the deadline before it began', move(), 1000, 'an owner', { state: 'aborted' }],
-  ['while machines move, owners act', move({ state: 'moving', moved: ['x'] }), 999, null, null],
-  [
-    'all have moved',
+const TRANSITIONS: TransitionRow[] = [
+  ['a requested move starts', move(), 0, null, { state: 'preparing' }],
+  [
+    'a move that cannot start records its wait reason',
+    move(),
+    0,
+    'an owner',
+    { waitsFor: 'an owner' },
+  ],
+  [
+    'a wait reason that is recorded already is not written again',
+    move({ waitsFor: 'an owner' }),
+    0,
+    'an owner',
+    null,
+  ],
+  [
+    'a move that has not started by its deadline is aborted',
+    move(),
+    1000,
+    'an owner',
+    { state: 'aborted' },
+  ],
+  [
+    'while machines move, the coordinator has nothing to do',
+    move({ state: 'moving', moved: ['x'] }),
+    999,
+    null,
+    null,
+  ],
+  [
+    'all machines have moved: the move is finished',
     move({ state: 'moving', moved: ['x', 'y'] }),
     2000,
     null,
     { state: 'finished' },
   ],
   [
-    'all have moved, to come back',
+    'all machines have moved and are to be returned: they are lent',
     move({ state: 'moving', moved: ['x', 'y'], returnAtMs: 5000 }),
     999,
     null,
     { state: 'lent' },
   ],
-  ['is lent', move({ state: 'lent', moved: ['x', 'y'], returnAtMs: 5000 }), 4999, null, null],
   [
-    'goes back at its time',
+    'a lent machine stays before the return time',
+    move({ state: 'lent', moved: ['x', 'y'], returnAtMs: 5000 }),
+    4999,
+    null,
+    null,
+  ],
+  [
+    'the return starts at the return time',
     move({ state: 'lent', moved: ['x', 'y'], returnAtMs: 5000 }),
     5000,
     null,
     { state: 'preparing', direction: 'back', abortAsked: false },
   ],
   [
-    'some have moved at the deadline: they go back',
+    'some machines have moved at the deadline: they are returned',
     move({ state: 'moving', chosen: ['y'], moved: ['x'] }),
     1000,
     null,
     { state: 'preparing', direction: 'back', chosen: [], moved: ['x'], abortAsked: true },
   ],
   [
-    'is aborted by request while some have moved',
+    'an abort is requested after some machines have moved: they are returned',
     move({ state: 'moving', moved: ['x'], abortAsked: true }),
     0,
     null,
     { state: 'preparing', direction: 'back' },
   ],
-  ['no deadline on the way back', move(BACK), 9_999_999, null, null],
-  ['all are back', move({ ...BACK, moved: [] }), 0, null, { state: 'finished' }],
+  ['the return has no deadline', move(BACK), 9_999_999, null, null],
+  [
+    'all machines are returned: the move is finished',
+    move({ ...BACK, moved: [] }),
+    0,
+    null,
+    { state: 'finished' },
+  ],
   [
-    'all are back from a move that was aborted',
+    'all machines are returned after an abort: the move is aborted',
     move({ ...BACK, moved: [], abortAsked: true }),
     0,
     null,
     { state: 'aborted' },
   ],
-  ['has ended', move({ state: 'aborted' }), 9_999_999, 'an owner', null],
+  ['a terminal move has no transition', move({ state: 'aborted' }), 9_999_999, 'an owner', null],
 ];
 
-describe('steps of a move', () => {
-  for (const [name, before, nowMs, obstacle, changes] of STEPS) {
-    test(name, () => {
+describe('transitions of a move', () => {
+  for (const [title, before, nowMs, obstacle, changes] of TRANSITIONS) {
+    test(title, () => {
       const after = advanceMove(before, { nowMs, obstacle });
       assert.deepEqual(after, changes === null ? null : { ...before, ...changes });
-      // Stored and read again it is the same, and the step is not taken twice.
+      // The result survives encoding and decoding, and the same transition is not computed twice.
       if (after === null) return;
       assert.deepEqual(decodeMove(JSON.parse(JSON.stringify(after))), after);
       assert.equal(advanceMove(after, { nowMs: Math.min(nowMs, 999), obstacle }), null);
@@ -97,19 +133,19 @@
   spot: false,
   tasks: 0,
   runsService: false,
-  ineligibleBecause: null,
+  ineligibleReason: null,
   readyToMove: false,
   ...changes,
 });
 
-const unreachable = { ineligibleBecause: 'cannot be reached' };
+const unreachable = { ineligibleReason: 'cannot be reached' };
 
-/** Name, move, candidates, limit, and the selection: chosen, ready, and what the others wait for. */
+/** Title, move, candidates, limit, and the expected selection: chosen, ready and wait reason. */
 type SelectionRow = [string, Move, Candidate[], number, string[], string[], string | null];
 
 const SELECTIONS: SelectionRow[] = [
   [
-    'least work first',
+    'machines with the fewest tasks are chosen first',
     move(),
     [machine('a', { tasks: 3 }), machine('b'), machine('c', { tasks: 1 })],
     9,
@@ -118,7 +154,7 @@
     'the work on b, c',
   ],
   [
-    'chosen before stay chosen',
+    'machines that are chosen already stay chosen',
     move({ chosen: ['a'] }),
     [machine('a', { tasks: 3 }), machine('b'), machine('c')],
     9,
@@ -127,7 +163,7 @@
     'the work on a, b',
   ],
   [
-    'those that are empty are ready',
+    'chosen machines that are empty are ready',
     move({ chosen: ['a', 'b'] }),
     [machine('a', { readyToMove: true }), machine('b', { tasks: 1 })],
     9,
@@ -136,7 +172,7 @@
     'the work on b',
   ],
   [
-    'at most the limit at a time',
+    'no more machines are chosen than the limit',
     move(),
     [machine('a'), machine('b')],
     1,
@@ -145,7 +181,7 @@
     'the work on a',
   ],
   [
-    'only machines of the kind',
+    'only machines that match the filter are chosen',
     move({ filter: { type: null, zone: 'y', spot: true } }),
     [machine('a', { zone: 'y' }), machine('b', { spot: true })],
     9,
@@ -154,7 +190,7 @@
     '2 more machines of the kind',
   ],
   [
-    'no machine that is unreachable',
+    'an unreachable machine is not chosen',
     move(),
     [machine('a', unreachable)],
     9,
@@ -163,7 +199,7 @@
     'a: cannot be reached',
   ],
   [
-    'no machine under a standing service',
+    'a machine that runs a service job is not chosen',
     move(),
     [machine('a', { runsService: true })],
     9,
@@ -172,7 +208,7 @@
     'a: a standing service runs there',
   ],
   [
-    'on the way back only those that have moved',
+    'on the way back only machines that have moved are chosen',
     move({ ...BACK, moved: ['b'] }),
     [machine('a'), machine('b', { runsService: true })],
     9,
@@ -183,14 +219,14 @@
 ];
 
 describe('selection of machines', () => {
-  for (const [name, present, machines, limit, chosen, ready, waitsFor] of SELECTIONS) {
-    test(name, () => {
-      assert.deepEqual(selectMachines(present, machines, limit), { chosen, ready, waitsFor });
+  for (const [title, storedMove, machines, limit, chosen, ready, waitsFor] of SELECTIONS) {
+    test(title, () => {
+      assert.deepEqual(selectMachines(storedMove, machines, limit), { chosen, ready, waitsFor });
     });
   }
 });
 
-test('endpoints swap on the way back; problems of requests are named by field', () => {
+test('source and target are swapped on the way back; problems of a request name the invalid field', () => {
   assert.deepEqual(moveEndpoints(move()), { source: 0, target: 1 });
   assert.deepEqual(moveEndpoints(move(BACK)), { source: 1, target: 0 });
   const bad: [object, string][] = [
--- a/src/commands/duties.ts
+++ b/src/commands/duties.ts
@@ -1,4 +1,4 @@
-/** `sumacstep duties`: who leads which singleton controller, and requests to transfer a leadership. */
+/** `sumacstep duties`: shows the leader of each singleton controller, and requests transfers of leadership. */
 import {
   decodeTransferRequest,
   describeLeadership,
@@ -15,22 +15,29 @@
 import type { WatchCache } from '../store/watch-cache.js';
 import { CommandError, EXIT } from './exit-codes.js';
 import { StoreAccess } from './store-access.js';
-import { table } from './table.js';
+import { formatTable } from './table.js';
 
-/** attempts of a request that meets another one at the same moment */
+/** attempts to write a request that conflicts with a concurrent one */
 const MAX_ATTEMPTS = 3;
 
-/** A shard's owner, which leads the shard under its term. A part of the `--json` output. */
+/**
+ * The owner of a shard, reported as the leader of a role: the shard's key is the role and its term the fencing token.
+ * Part of the `--json` output.
+ */
 export interface ShardOwnerStatus {
+  /** key of the shard */
   readonly duty: string;
+  /** node that owns the shard */
   readonly holder: string;
   readonly incarnation: string;
+  /** term of the shard */
   readonly token: number;
   readonly until: LeadershipStatus['until'];
 }
 
-/** What `sumacstep duties --json` prints, name by name. */
+/** The output of `sumacstep duties --json`; its property names are printed as they are. */
 export interface LeadershipOutput extends LeadershipReport {
+  /** owners of the shards */
   readonly parts: readonly ShardOwnerStatus[];
 }
 
@@ -52,22 +59,22 @@
   vacant: '-',
 };
 
-const timeText = (ms: number | null): string =>
+const formatTime = (ms: number | null): string =>
   ms === null ? '-' : new Date(ms).toISOString().replace(/\.\d+Z$/, 'Z');
 
-const transferText = (request: LeadershipStatus['handOver']): string =>
+const formatTransfer = (request: LeadershipStatus['handOver']): string =>
   request === null
     ? '-'
     : `to ${request.to ?? 'any'} (${request.id}), waits for ${request.waitsFor}`;
 
-const render = ({ duties, pausedBy, parts }: LeadershipOutput): string => {
+const formatLeadership = ({ duties, pausedBy, parts }: LeadershipOutput): string => {
   const rows = duties.map((status) => [
     status.duty,
     status.holder ?? '-',
     String(status.token ?? '-'),
-    timeText(status.sinceMs),
+    formatTime(status.sinceMs),
     VALIDITY_TEXT[status.until.kind],
-    transferText(status.handOver),
+    formatTransfer(status.handOver),
   ]);
   const owners = parts.map((owner) => [
     owner.duty,
@@ -78,30 +85,33 @@
     '-',
   ]);
   const titles = ['DUTY', 'HOLDER', 'TOKEN', 'SINCE', 'UNTIL', 'HAND-OVER'];
-  const text = table(titles, [...rows, ...owners]);
+  const text = formatTable(titles, [...rows, ...owners]);
   if (pausedBy.length === 0) return text;
   return `${text}paused: duties are not known to ${pausedBy.join(', ')}\n`;
 };
 
-/** Who leads each role, since and until when, as JSON or as a table. Rejects with `CommandError`. */
+/**
+ * Returns the leader of each role and shard, with the start and validity of the leadership, as JSON or as a table.
+ * Rejects with `CommandError`.
+ */
 export const showLeadership = async (config: PlatformConfig, json: boolean): Promise<string> => {
   const store = new StoreAccess(config);
   try {
-    const cache = await store.read(['parts/', 'nodes/', 'duties/']);
+    const cache = await store.readPrefixes(['parts/', 'nodes/', 'duties/']);
     const report = describeLeadership(electionView(cache.tables), SINGLETON_ROLES);
     const output: LeadershipOutput = { ...report, parts: describeShardOwners(cache) };
-    return json ? `${JSON.stringify(output, null, 2)}\n` : render(output);
+    return json ? `${JSON.stringify(output, null, 2)}\n` : formatLeadership(output);
   } finally {
     store.close();
   }
 };
 
-const checkRole = (role: string): void => {
+const assertKnownRole = (role: string): void => {
   if ((SINGLETON_ROLES as readonly string[]).includes(role)) return;
   throw new CommandError(EXIT.badInput, `no such duty: ${role} (${SINGLETON_ROLES.join(', ')})`);
 };
 
-const checkNode = (config: PlatformConfig, node: string): void => {
+const assertKnownNode = (config: PlatformConfig, node: string): void => {
   const nodes = [config.node, ...config.peers.map((peer) => peer.node)];
   if (nodes.includes(node)) return;
   throw new CommandError(EXIT.badInput, `no such node: ${node} (${nodes.join(', ')})`);
@@ -111,26 +121,28 @@
 export interface TransferRequestOutput {
   readonly duty: string;
   readonly request: LeadershipTransferRequest;
-  /** false: the same request was stored already */
+  /** false if the same request had been stored before */
   readonly written: boolean;
 }
 
 /**
- * Stores a request that another node leads the role. The same id is the same request; a request with another id is
- * a conflict. Rejects with `CommandError`.
+ * Stores a request to transfer the leadership of a role to another node. The request is idempotent by its id; a stored
+ * request with another id is a conflict. Rejects with `CommandError`.
  */
 export const requestTransfer = async (
   config: PlatformConfig,
   role: string,
   request: LeadershipTransferRequest,
 ): Promise<TransferRequestOutput> => {
-  checkRole(role);
-  if (request.to !== null) checkNode(config, request.to);
+  assertKnownRole(role);
+  if (request.to !== null) assertKnownNode(config, request.to);
   const store = new StoreAccess(config);
   const requestKey = transferRequestKey(role);
   try {
     for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
-      const found = await store.attempt(() => store.client.get(requestKey, CALL_PRIORITY.read));
+      const found = await store.callWithRetries(() =>
+        store.client.get(requestKey, CALL_PRIORITY.read),
+      );
       if (!('missing' in found)) {
         const stored = decodeTransferRequest(found.value);
         if (stored?.id === request.id) return { duty: role, request: stored, written: false };
@@ -139,7 +151,7 @@
       }
       const guards = [{ key: requestKey, revision: 0 }];
       const writes = [{ put: requestKey, value: request }];
-      const result = await store.attempt(() =>
+      const result = await store.callWithRetries(() =>
         store.client.compareAndSwap(CALL_PRIORITY.background, guards, writes),
       );
       if (result.ok) return { duty: role, request, written: true };
@@ -150,17 +162,22 @@
   }
 };
 
-/** Deletes a request that is not carried out yet; resolves with false if there was none. Rejects with `CommandError`. */
+/**
+ * Deletes a request that has not been executed yet. Resolves with false if no request is stored or the stored one
+ * changed before the deletion. Rejects with `CommandError`.
+ */
 export const withdrawTransfer = async (config: PlatformConfig, role: string): Promise<boolean> => {
-  checkRole(role);
+  assertKnownRole(role);
   const store = new StoreAccess(config);
   const requestKey = transferRequestKey(role);
   try {
-    const found = await store.attempt(() => store.client.get(requestKey, CALL_PRIORITY.read));
+    const found = await store.callWithRetries(() =>
+      store.client.get(requestKey, CALL_PRIORITY.read),
+    );
     if ('missing' in found) return false;
     const guards = [{ key: requestKey, revision: found.revision }];
     const writes = [{ drop: requestKey }];
-    const result = await store.attempt(() =>
+    const result = await store.callWithRetries(() =>
       store.client.compareAndSwap(CALL_PRIORITY.background, guards, writes),
     );
     return result.ok;
--- a/src/commands/program.ts
+++ b/src/commands/program.ts
@@ -1,4 +1,4 @@
-/** The operator's commands on the command line: arguments, options, output and exit codes. */
+/** The command line of the operator's commands: arguments, options, output and exit codes. */
 import { readFileSync } from 'node:fs';
 import type { Command } from 'commander';
 import { parse } from 'smol-toml';
@@ -8,7 +8,7 @@
 import { CommandError, EXIT } from './exit-codes.js';
 import {
   abortMove,
-  checkRequest,
+  validateRequest,
   planMove,
   requestMove,
   showShards,
@@ -16,13 +16,13 @@
   type PlanOutput,
 } from './shares.js';
 
-/** Options of every command. */
+/** Options that all commands have in common. */
 interface CommandOptions {
   readonly config: string;
   readonly json?: boolean;
 }
 
-/** Prints what a command resolves with; turns its failure into lines on standard error and an exit code. */
+/** Runs a command and prints its result. If it fails, prints the reasons on standard error and sets the exit code. */
 const runCommand = async (work: () => Promise<string>): Promise<void> => {
   try {
     process.stdout.write(await work());
@@ -42,11 +42,11 @@
     .requiredOption('--config <file>', 'settings of the platform (TOML)')
     .option('--json', 'print JSON');
 
-/** JSON or plain text, as the options ask for. */
+/** Returns `value` as JSON if `json` is true, else `text`. */
 const formatOutput = (value: unknown, text: string, json: boolean | undefined): string =>
   json === true ? `${JSON.stringify(value, null, 2)}\n` : `${text}\n`;
 
-/** Adds `sumacstep duties`: show, hand-over, withdraw. */
+/** Adds `sumacstep duties` with the subcommands show, hand-over and withdraw. */
 export const addLeadershipCommands = (program: Command): void => {
   const duties = program.command('duties').description('exclusive duties: who holds them');
 
@@ -81,7 +81,7 @@
     );
 };
 
-/** Options that describe a move. A plan file names them in the same way. */
+/** Options that describe a move. The tables of a plan file have the same names. */
 interface MoveOptions extends CommandOptions {
   readonly plan?: string;
   readonly id?: string;
@@ -95,7 +95,7 @@
   readonly returnAt?: string;
 }
 
-/** s until a move is aborted, unless an option says otherwise */
+/** time until a move is aborted, unless the option `--within-s` is given */
 const DEFAULT_DEADLINE_S = 600;
 
 const withMoveOptions = (command: Command): Command =>
@@ -113,8 +113,8 @@
 
 const IS_SPOT_BY_KIND: Readonly<Record<string, boolean>> = { spot: true, ordinary: false };
 
-/** A request from options, not checked yet: invalid values are kept, so that the check can name them. */
-const requestFrom = (options: Omit<MoveOptions, 'config'>, nowMs: number): unknown => {
+/** Builds a request from options without validating it: invalid values are kept, so that validation can name them. */
+const requestFromOptions = (options: Omit<MoveOptions, 'config'>, nowMs: number): unknown => {
   const toNumber = (text: string | undefined) => (text === undefined ? undefined : Number(text));
   const spot = options.kind === undefined ? null : (IS_SPOT_BY_KIND[options.kind] ?? options.kind);
   const returnAtMs = options.returnAt === undefined ? null : Date.parse(options.returnAt);
@@ -129,9 +129,9 @@
   };
 };
 
-/** The requests of a plan file, or the one that the options describe. */
-const requestsFrom = (options: MoveOptions, nowMs: number): unknown[] => {
-  if (options.plan === undefined) return [requestFrom(options, nowMs)];
+/** Returns the requests of a plan file, or the one that the options describe, without validating them. */
+const readRequests = (options: MoveOptions, nowMs: number): unknown[] => {
+  if (options.plan === undefined) return [requestFromOptions(options, nowMs)];
   let raw: unknown;
   try {
     raw = parse(readFileSync(options.plan, 'utf8'));
@@ -143,25 +143,25 @@
   if (!Array.isArray(moves) || moves.length === 0) {
     throw new CommandError(EXIT.badInput, `${options.plan}: no [[move]]`);
   }
-  return moves.map((move) => requestFrom(move as MoveOptions, nowMs));
+  return moves.map((move) => requestFromOptions(move as MoveOptions, nowMs));
 };
 
-/** Acts on the requests one after another, once all of them are checked. */
+/** Validates all requests, then handles them one after another and returns the results. */
 const forEachRequest = async <T>(
   options: MoveOptions,
-  act: (config: PlatformConfig, request: MoveRequest) => Promise<T>,
+  handle: (config: PlatformConfig, request: MoveRequest) => Promise<T>,
 ): Promise<T[]> => {
   const config = loadPlatformConfig(options.config);
   const nowMs = Date.now();
-  const requests = requestsFrom(options, nowMs).map((request) =>
-    checkRequest(config, request, nowMs),
+  const requests = readRequests(options, nowMs).map((request) =>
+    validateRequest(config, request, nowMs),
   );
   const results: T[] = [];
-  for (const request of requests) results.push(await act(config, request));
+  for (const request of requests) results.push(await handle(config, request));
   return results;
 };
 
-const planText = (plan: PlanOutput): string => {
+const formatPlan = (plan: PlanOutput): string => {
   const { request, matching, lacking, renewsTerm, teamsOfSource, jobsInSource } = plan;
   const lines = [
     `${request.count} of ${matching.length} machines would move from part ${request.from} to part ${request.to}; no task is stopped`,
@@ -175,10 +175,10 @@
   return lines.join('\n');
 };
 
-const moveText = ({ move, written }: MoveOutput): string =>
+const formatMove = ({ move, written }: MoveOutput): string =>
   `${move.id}: ${written ? 'asked' : 'known'}, ${move.state}${move.abortAsked ? ', given up' : ''}`;
 
-/** Adds `sumacstep shares`: show, plan, move, abort. */
+/** Adds `sumacstep shares` with the subcommands show, plan, move and abort. */
 export const addRebalancingCommands = (program: Command): void => {
   const shares = program.command('shares').description('machines of the parts, and their moves');
 
@@ -193,7 +193,7 @@
   ).action((options: MoveOptions) =>
     runCommand(async () => {
       const plans = await forEachRequest(options, planMove);
-      return formatOutput(plans, plans.map(planText).join('\n\n'), options.json);
+      return formatOutput(plans, plans.map(formatPlan).join('\n\n'), options.json);
     }),
   );
 
@@ -201,7 +201,7 @@
     (options: MoveOptions) =>
       runCommand(async () => {
         const moves = await forEachRequest(options, requestMove);
-        return formatOutput(moves, moves.map(moveText).join('\n'), options.json);
+        return formatOutput(moves, moves.map(formatMove).join('\n'), options.json);
       }),
   );
 
@@ -209,7 +209,7 @@
     (id: string, options: CommandOptions) =>
       runCommand(async () => {
         const output = await abortMove(loadPlatformConfig(options.config), id);
-        return formatOutput(output, moveText(output), options.json);
+        return formatOutput(output, formatMove(output), options.json);
       }),
   );
 };
--- a/src/commands/shares.ts
+++ b/src/commands/shares.ts
@@ -1,4 +1,4 @@
-/** `sumacstep shares`: machines by shard, and moves of machines between shards. */
+/** `sumacstep shares`: shows the machines of each shard, and plans, requests and aborts moves of machines. */
 import {
   decodeShardLock,
   decodeMove,
@@ -16,21 +16,21 @@
 import type { PlatformConfig } from '../config/platform.js';
 import { hasGuarantee, hasLimit, shardOfTeam } from '../core/jobs/jobs.js';
 import type { MachineRecord } from '../core/model.js';
-import { movesById, obstacleTo } from '../rebalancing/move-coordinator.js';
+import { movesById, findObstacle } from '../rebalancing/move-coordinator.js';
 import { CALL_PRIORITY } from '../store/call-priority.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import { CommandError, EXIT } from './exit-codes.js';
 import { StoreAccess } from './store-access.js';
-import { table } from './table.js';
+import { formatTable } from './table.js';
 
-/** attempts of a request that meets another one at the same moment */
+/** attempts to write a move that conflicts with a concurrent write */
 const MAX_ATTEMPTS = 3;
-/** bytes of a stored move besides the names of its machines */
+/** size of a stored move without the names of its machines */
 const MOVE_OVERHEAD_BYTES = 700;
-/** bytes of a machine's name in a stored move: it may be among the chosen and among the moved machines */
+/** space for each machine's name in a stored move: it may be among the chosen and among the moved machines */
 const MACHINE_NAME_BYTES = 40;
 
-/** Machines of one kind in a shard. A part of the `--json` output. */
+/** The number of machines of one kind in a shard. Part of the `--json` output. */
 interface KindCount {
   readonly type: string;
   readonly zone: string;
@@ -38,37 +38,43 @@
   readonly machines: number;
 }
 
-/** The machines of one shard. A part of the `--json` output. */
+/** The machines of one shard, counted by kind. Part of the `--json` output. */
 export interface ShardMachines {
+  /** index of the shard */
   readonly part: number;
+  /** node that owns the shard, or null if the shard has no owner record */
   readonly owner: string | null;
   readonly term: number | null;
   readonly machines: number;
   readonly kinds: readonly KindCount[];
 }
 
-/** What `sumacstep shares show --json` prints, name by name. */
+/** The output of `sumacstep shares show --json`; its property names are printed as they are. */
 export interface ShardsOutput {
+  /** machines of all shards, by index */
   readonly shares: readonly ShardMachines[];
   readonly moves: readonly Move[];
 }
 
-/** What a move would do. `sumacstep shares plan --json` prints it, name by name. */
+/**
+ * The expected effects of a move: the output of `sumacstep shares plan --json`, whose property names are printed as they
+ * are.
+ */
 export interface PlanOutput {
   readonly request: MoveRequest;
-  /** machines of the shard that match, by their records; as many as `count` of them move */
+  /** names of the machines of the source shard that match by their records; up to `count` of them would move */
   readonly matching: readonly string[];
-  /** fewer machines match than are asked for: the rest would be waited for until the deadline */
+  /** how many fewer machines match than are requested; the move would wait for the rest until the deadline */
   readonly lacking: number;
-  /** the target's shard would get a newer term: what waits there starts again once its machines have answered */
+  /** whether the target shard would get a newer term; its waiting tasks start only once its machines have answered */
   readonly renewsTerm: boolean;
-  /** teams that are confined to the source shard, since they have a limit or a guarantee */
+  /** teams whose jobs run only in the source shard, since the teams have a limit or a guarantee */
   readonly teamsOfSource: readonly string[];
-  /** jobs with tasks in the source's shard; no task is stopped for the move */
+  /** number of jobs with tasks in the source shard; no task is stopped for the move */
   readonly jobsInSource: number;
-  /** the move that has locked one of the shards, or null */
+  /** id of the move that holds the lock of one of the shards, or null */
   readonly heldBy: string | null;
-  /** what the move would have to wait for first, or null */
+  /** what the move would have to wait for before it starts, or null */
   readonly obstacle: string | null;
 }
 
@@ -84,10 +90,10 @@
   }
 };
 
-const machinesOf = (cache: WatchCache, shard: number): MachineRecord[] =>
+const machinesOfShard = (cache: WatchCache, shard: number): MachineRecord[] =>
   [...cache.machines.values()].map(({ value }) => value).filter((record) => record.shard === shard);
 
-const kindsOf = (machines: readonly MachineRecord[]): KindCount[] => {
+const countKinds = (machines: readonly MachineRecord[]): KindCount[] => {
   const kinds = new Map<string, KindCount>();
   for (const { type, zone, spot } of machines) {
     const name = `${type} ${zone} ${spot}`;
@@ -99,55 +105,55 @@
 
 const describeShard = (cache: WatchCache, shard: number): ShardMachines => {
   const owner = cache.tables.shards.get(String(shard))?.value;
-  const machines = machinesOf(cache, shard);
+  const machines = machinesOfShard(cache, shard);
   return {
     part: shard,
     owner: owner?.owner ?? null,
     term: owner?.term ?? null,
     machines: machines.length,
-    kinds: kindsOf(machines),
+    kinds: countKinds(machines),
   };
 };
 
-const timeText = (ms: number | null): string => (ms === null ? '-' : new Date(ms).toISOString());
+const formatTime = (ms: number | null): string => (ms === null ? '-' : new Date(ms).toISOString());
 
-const kindText = ({ machines, type, zone, spot }: KindCount): string =>
+const formatKindCount = ({ machines, type, zone, spot }: KindCount): string =>
   `${machines} ${type} ${zone}${spot ? ' spot' : ''}`;
 
-const render = ({ shares, moves }: ShardsOutput): string => {
+const formatShards = ({ shares, moves }: ShardsOutput): string => {
   const parts = shares.map((share) => [
     String(share.part),
     share.owner ?? '-',
     String(share.machines),
-    share.kinds.map(kindText).join(', '),
+    share.kinds.map(formatKindCount).join(', '),
   ]);
   const rows = moves.map((move) => [
     move.id,
     `${move.from} -> ${move.to}`,
     `${move.moved.length} of ${move.count}`,
     move.direction === 'back' ? `${move.state}, back` : move.state,
-    timeText(move.deadlineMs),
-    timeText(move.returnAtMs),
+    formatTime(move.deadlineMs),
+    formatTime(move.returnAtMs),
     move.waitsFor ?? '-',
   ]);
-  const text = table(['PART', 'OWNER', 'MACHINES', 'KINDS'], parts);
+  const text = formatTable(['PART', 'OWNER', 'MACHINES', 'KINDS'], parts);
   if (rows.length === 0) return text;
   const titles = ['MOVE', 'PARTS', 'MOVED', 'STATE', 'DEADLINE', 'RETURN', 'WAITS FOR'];
-  return `${text}\n${table(titles, rows)}`;
+  return `${text}\n${formatTable(titles, rows)}`;
 };
 
-/** The machines of each shard, and all moves, as JSON or as tables. Rejects with `CommandError`. */
+/** Returns the machines of each shard and all moves, as JSON or as tables. Rejects with `CommandError`. */
 export const showShards = (config: PlatformConfig, json: boolean): Promise<string> =>
   withStore(config, async (store) => {
-    const cache = await store.read(['parts/', 'machines/', 'shares/']);
+    const cache = await store.readPrefixes(['parts/', 'machines/', 'shares/']);
     const shares = Array.from({ length: config.nodes }, (_, part) => describeShard(cache, part));
     const moves = [...movesById(cache.tables).values()].map(({ value }) => value);
     const output: ShardsOutput = { shares, moves };
-    return json ? `${JSON.stringify(output, null, 2)}\n` : render(output);
+    return json ? `${JSON.stringify(output, null, 2)}\n` : formatShards(output);
   });
 
-/** Reads a request as an operator wrote it; throws a `CommandError` that names each invalid field. */
-export const checkRequest = (
+/** Validates and parses an operator's request; throws a `CommandError` that names each invalid field. */
+export const validateRequest = (
   config: PlatformConfig,
   value: unknown,
   nowMs: number,
@@ -170,19 +176,19 @@
   return parseMoveRequest(value);
 };
 
-/** The move that has locked one of the shards; null if none has. */
-const lockingMove = (cache: WatchCache, { from, to }: MoveRequest): string | null => {
+/** Returns the id of the move that holds the lock of one of the two shards; null if both are unlocked. */
+const findLockingMove = (cache: WatchCache, { from, to }: MoveRequest): string | null => {
   for (const { value } of cache.tables.moves.values()) {
     if (value.kind === 'lock' && (value.shard === from || value.shard === to)) return value.move;
   }
   return null;
 };
 
-/** What a move would do and disrupt. Nothing is written. Rejects with `CommandError`. */
+/** Returns the expected effects of a move without writing anything. Rejects with `CommandError`. */
 export const planMove = (config: PlatformConfig, request: MoveRequest): Promise<PlanOutput> =>
   withStore(config, async (store) => {
-    const cache = await store.read(['parts/', 'nodes/', 'machines/', 'shares/', 'active/']);
-    const matching = machinesOf(cache, request.from).filter((machine) =>
+    const cache = await store.readPrefixes(['parts/', 'nodes/', 'machines/', 'shares/', 'active/']);
+    const matching = machinesOfShard(cache, request.from).filter((machine) =>
       matchesFilter(request.filter, machine),
     );
     const term = (shard: number) => cache.tables.shards.get(String(shard))?.value.term ?? 0;
@@ -199,28 +205,29 @@
       jobsInSource: jobs.filter(({ value: job }) =>
         job.ranges.some(({ shard }) => shard === request.from),
       ).length,
-      heldBy: lockingMove(cache, request),
-      obstacle: obstacleTo(cache.tables, newMove(request)),
+      heldBy: findLockingMove(cache, request),
+      obstacle: findObstacle(cache.tables, newMove(request)),
     };
   });
 
-/** The outcome of a request. `--json` prints it, name by name. */
+/** The outcome of a request, as `--json` prints it. */
 export interface MoveOutput {
   readonly move: Move;
-  /** false: the same request was stored already */
+  /** false if the same request had been stored before */
   readonly written: boolean;
 }
 
 /**
- * Stores a move in its first state, with locks on both shards, or nothing. The same id is the same move; another
- * move that has locked one of the shards is a conflict, and named. Rejects with `CommandError`.
+ * Stores a move in its initial state together with the locks of both shards, in one transaction. The request is
+ * idempotent by its id. If another move holds one of the locks, the request is a conflict, and the error names that
+ * move. Rejects with `CommandError`.
  */
 export const requestMove = (config: PlatformConfig, request: MoveRequest): Promise<MoveOutput> =>
   withStore(config, async (store) => {
     const key = moveKey(request.id);
     const locks = [shardLockKey(request.from), shardLockKey(request.to)];
     for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
-      const found = await store.attempt(() => store.client.get(key, CALL_PRIORITY.read));
+      const found = await store.callWithRetries(() => store.client.get(key, CALL_PRIORITY.read));
       if (!('missing' in found)) {
         const move = decodeMove(found.value);
         if (move !== null) return { move, written: false };
@@ -230,28 +237,28 @@
       const guards = [key, ...locks].map((name) => ({ key: name, revision: 0 }));
       const lock = encodeShardLock(request.id);
       const writes = [{ put: key, value: move }, ...locks.map((put) => ({ put, value: lock }))];
-      const result = await store.attempt(() =>
+      const result = await store.callWithRetries(() =>
         store.client.compareAndSwap(CALL_PRIORITY.background, guards, writes),
       );
       if (result.ok) return { move, written: true };
       const held = result.failed.find((name) => locks.includes(name));
       if (held === undefined) continue;
-      const holder = await store.attempt(() => store.client.get(held, CALL_PRIORITY.read));
+      const holder = await store.callWithRetries(() => store.client.get(held, CALL_PRIORITY.read));
       if ('missing' in holder) continue;
       const id = decodeShardLock(holder.value) ?? 'one of another version';
-      // An answer that got lost: the lock is this move's own.
+      // The answer to an earlier attempt was lost: the move is stored and holds the lock itself.
       if (id === request.id) continue;
       throw new CommandError(EXIT.conflict, `${held}: another move holds it (${id})`);
     }
     throw new CommandError(EXIT.conflict, `${request.id}: others write at the same moment`);
   });
 
-/** Requests the abort of a move: what has moved goes back. Rejects with `CommandError`. */
+/** Requests the abort of a move; machines that have moved are returned. Rejects with `CommandError`. */
 export const abortMove = (config: PlatformConfig, id: string): Promise<MoveOutput> =>
   withStore(config, async (store) => {
     const key = moveKey(id);
     for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
-      const found = await store.attempt(() => store.client.get(key, CALL_PRIORITY.read));
+      const found = await store.callWithRetries(() => store.client.get(key, CALL_PRIORITY.read));
       const move = 'missing' in found ? null : decodeMove(found.value);
       if (move === null || 'missing' in found) {
         throw new CommandError(EXIT.badInput, `no such move: ${id}`);
@@ -260,7 +267,7 @@
       const next: Move = { ...move, abortAsked: true };
       const guards = [{ key, revision: found.revision }];
       const writes = [{ put: key, value: next }];
-      const result = await store.attempt(() =>
+      const result = await store.callWithRetries(() =>
         store.client.compareAndSwap(CALL_PRIORITY.background, guards, writes),
       );
       if (result.ok) return { move: next, written: true };
--- a/src/commands/store-access.ts
+++ b/src/commands/store-access.ts
@@ -1,4 +1,4 @@
-/** The store as the operator's commands reach it. */
+/** Access to the store for the operator's commands. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import pino from 'pino';
 import { steadyMs } from '../clock.js';
@@ -11,34 +11,37 @@
 import { WatchCache } from '../store/watch-cache.js';
 import { CommandError, EXIT } from './exit-codes.js';
 
-/** share of the store's rate limits that a command may use: controllers leave that much (`request_share`) */
+/** share of the store's rate limits that a command may use; controllers leave as much by their default `request_share` */
 const COMMAND_RATE_SHARE = 0.1;
-/** attempts of a call; a controller's burst may have used up the rate limit */
+/** attempts of a call; a burst of a controller's requests may have used up the rate limit */
 const MAX_ATTEMPTS = 3;
 
-/** A store client for one command. */
+/** A store client for the duration of one command. */
 export class StoreAccess {
   readonly client: StoreClient;
 
   constructor(config: PlatformConfig) {
     const { rps, writeRps, next } = config.storeLimits;
-    const share = (limits: { rps: number; writeRps: number }) => ({
+    const scaledLimits = (limits: { rps: number; writeRps: number }) => ({
       rps: Math.max(1, limits.rps * COMMAND_RATE_SHARE),
       writeRps: Math.max(1, limits.writeRps * COMMAND_RATE_SHARE),
     });
-    const limits = { ...share({ rps, writeRps }), next: share(next) };
+    const limits = { ...scaledLimits({ rps, writeRps }), next: scaledLimits(next) };
     const log = pino({ level: 'silent' });
     this.client = new StoreClient(config.store, limits, config.storeLimits, steadyMs, log);
   }
 
-  /** Repeats a call that failed; rejects with a `CommandError` (unavailable) once the attempts are used up. */
-  async attempt<T>(call: () => Promise<T>): Promise<T> {
-    for (let attempt = 1; ; attempt++) {
+  /**
+   * Makes a call and retries it if it fails. Rejects with a `CommandError` (`unavailable`) after the last attempt, or at
+   * once if the request is invalid.
+   */
+  async callWithRetries<T>(call: () => Promise<T>): Promise<T> {
+    for (let attemptNumber = 1; ; attemptNumber++) {
       try {
         return await call();
       } catch (error) {
         if (!(error instanceof StoreRequestError)) throw error;
-        if (attempt >= MAX_ATTEMPTS || error.kind === 'invalid') {
+        if (attemptNumber >= MAX_ATTEMPTS || error.kind === 'invalid') {
           throw new CommandError(EXIT.unavailable, `the state service: ${error.message}`, {
             cause: error,
           });
@@ -48,15 +51,15 @@
     }
   }
 
-  /** What the store holds under the prefixes now. */
-  async read(prefixes: readonly CachedPrefix[]): Promise<WatchCache> {
-    const listing = await this.attempt(() => listPrefixes(this.client, prefixes));
+  /** Reads all keys with the given prefixes into a new cache. */
+  async readPrefixes(prefixes: readonly CachedPrefix[]): Promise<WatchCache> {
+    const listing = await this.callWithRetries(() => listPrefixes(this.client, prefixes));
     const cache = new WatchCache();
     cache.apply(listing);
     return cache;
   }
 
-  /** Closes the client's sockets. */
+  /** Closes all connections to the store. */
   close(): void {
     this.client.close();
   }
--- a/src/commands/table.ts
+++ b/src/commands/table.ts
@@ -1,9 +1,12 @@
-/** Plain text tables for the terminal. */
+/** Formats plain text tables for the terminal. */
 
 const COLUMN_GAP = '  ';
 
-/** Rows below their titles, in columns as wide as their widest cell. */
-export const table = (titles: readonly string[], rows: readonly (readonly string[])[]): string => {
+/** Returns a table of titles and rows, in which each column is as wide as its widest cell. */
+export const formatTable = (
+  titles: readonly string[],
+  rows: readonly (readonly string[])[],
+): string => {
   const lines = [titles, ...rows];
   const widths = titles.map((_, column) =>
     Math.max(...lines.map((line) => line[column]?.length ?? 0)),
--- a/src/rebalancing/constants.ts
+++ b/src/rebalancing/constants.ts
@@ -1,4 +1,4 @@
-/** Timing of machine moves between shards. */
+/** Constants for moves of machines between shards. */
 
-/** ms between two writes of a move that change nothing but what it waits for, which changes with every task. */
+/** Minimum interval between writes that change only the wait reason of a move, which changes with every task. */
 export const WAIT_REASON_WRITE_INTERVAL_MS = 5000;
--- a/src/rebalancing/move-candidates.ts
+++ b/src/rebalancing/move-candidates.ts
@@ -1,4 +1,4 @@
-/** Machines of a shard as the selection of machines for a move sees them. */
+/** Converts the machines of a shard to candidates for a move. */
 import type { Candidate } from '@sumacstep/shard-rebalancing';
 import {
   hostsServiceReplicas,
@@ -7,8 +7,8 @@
   type Shard,
 } from '../core/shard/shard.js';
 
-/** Why a machine can't move now whatever it runs, or null. The text is stored and printed. */
-const ineligibility = (shard: Shard, machine: MachineState, now: number): string | null => {
+/** Returns why a machine cannot move now regardless of the tasks on it, or null. The text is stored and printed. */
+const findIneligibleReason = (shard: Shard, machine: MachineState, now: number): string | null => {
   if (isLeaving(machine)) return 'is to be returned';
   if (machine.preemptionNoticeAt !== null) return 'has a notice';
   if (!machine.record.up) return 'is not up yet';
@@ -19,12 +19,12 @@
 };
 
 /**
- * A machine as a candidate at `now` (steady ms). It is ready to move only when nothing is on it and nothing may
- * still arrive there.
+ * Returns a machine as a candidate for a move at `now` (steady clock, ms). The machine is ready to move only if no
+ * task is on it and no start of a task can still arrive there.
  */
-export const candidateOf = (shard: Shard, machine: MachineState, now: number): Candidate => {
+export const toCandidate = (shard: Shard, machine: MachineState, now: number): Candidate => {
   const { name, type, zone, spot } = machine.record;
-  const ineligibleBecause = ineligibility(shard, machine, now);
+  const ineligibleReason = findIneligibleReason(shard, machine, now);
   const empty =
     machine.tasks.size === 0 &&
     machine.unknownTaskCount === 0 &&
@@ -37,7 +37,7 @@
     spot,
     tasks: machine.tasks.size,
     runsService: hostsServiceReplicas(machine),
-    ineligibleBecause,
-    readyToMove: ineligibleBecause === null && empty && machine.cordoned,
+    ineligibleReason,
+    readyToMove: ineligibleReason === null && empty && machine.cordoned,
   };
 };
--- a/src/rebalancing/move-coordinator.ts
+++ b/src/rebalancing/move-coordinator.ts
@@ -1,4 +1,4 @@
-/** The singleton controller of machine moves, and what the cache shows of moves. */
+/** The singleton controller that coordinates moves of machines, and queries about moves in the watch cache. */
 import {
   fencedCompareAndSwap,
   type Authorization,
@@ -22,7 +22,7 @@
 
 type Tables = Pick<WatchCache['tables'], 'nodes' | 'shards' | 'moves'>;
 
-/** All stored moves, by id. */
+/** Returns all cached moves by id, terminal ones included. */
 export const movesById = ({
   moves: table,
 }: Pick<Tables, 'moves'>): Map<string, Versioned<Move>> => {
@@ -33,15 +33,15 @@
   return moves;
 };
 
-/** Whether every live node takes part in moves: before that no move begins. */
-export const allSupportRebalancing = ({ nodes }: Pick<Tables, 'nodes'>): boolean => {
+/** Returns whether every live node supports moves; until then no move starts. */
+export const allNodesSupportRebalancing = ({ nodes }: Pick<Tables, 'nodes'>): boolean => {
   for (const { value } of nodes.values()) if (!value.supportsRebalancing) return false;
   return nodes.size > 0;
 };
 
-/** Why no step of a move may be taken now; null if nothing prevents it. The text is stored and printed. */
-export const obstacleTo = (tables: Tables, move: Move): string | null => {
-  if (!allSupportRebalancing(tables)) return 'a node that does not know moves';
+/** Returns why no machine of a move may move now; null if nothing prevents it. The text is stored and printed. */
+export const findObstacle = (tables: Tables, move: Move): string | null => {
+  if (!allNodesSupportRebalancing(tables)) return 'a node that does not know moves';
   for (const shard of [move.from, move.to]) {
     const owner = tables.shards.get(String(shard))?.value;
     const live = owner !== undefined && tables.nodes.has(`${owner.owner}/${owner.incarnation}`);
@@ -50,24 +50,24 @@
   return null;
 };
 
-/** What the coordinator needs of the process. */
+/** Dependencies of the coordinator. */
 export interface MoveCoordinatorDependencies {
   readonly election: Pick<SingletonElection, 'authorize'>;
   readonly client: Pick<StoreClient, 'compareAndSwap'>;
   readonly cache: WatchCache;
-  /** time of day, ms */
+  /** returns the time of day, ms since the epoch */
   readonly timeOfDay: () => number;
   readonly log: Logger;
 }
 
-/** Begins and ends moves, and sends machines back at a move's deadline or at the stated time. */
+/** Starts and ends moves, and starts the return of machines on abort, at the deadline or at the return time. */
 export class MoveCoordinator {
-  /** moves with a write under way */
-  readonly #busy = new Set<string>();
+  /** ids of the moves with a write in flight */
+  readonly #writesInFlight = new Set<string>();
 
   constructor(private readonly dependencies: MoveCoordinatorDependencies) {}
 
-  /** One round over all moves, if this node is the leader. */
+  /** Advances every move that has a transition due, if this node leads the coordinator role. */
   tick(): void {
     const { cache, election, timeOfDay } = this.dependencies;
     const moves = movesById(cache.tables);
@@ -75,8 +75,8 @@
     const authorization = election.authorize(MOVE_COORDINATOR_ROLE);
     if (authorization === null) return;
     for (const [id, { value: move, revision }] of moves) {
-      if (isTerminal(move) || this.#busy.has(id)) continue;
-      const obstacle = obstacleTo(cache.tables, move);
+      if (isTerminal(move) || this.#writesInFlight.has(id)) continue;
+      const obstacle = findObstacle(cache.tables, move);
       const next = advanceMove(move, { nowMs: timeOfDay(), obstacle });
       if (next !== null) void this.#write(authorization, next, revision);
     }
@@ -89,7 +89,7 @@
     if (isTerminal(move)) {
       writes.push({ drop: shardLockKey(move.from) }, { drop: shardLockKey(move.to) });
     }
-    this.#busy.add(move.id);
+    this.#writesInFlight.add(move.id);
     try {
       const guards = [{ key, revision }];
       const outcome = await fencedCompareAndSwap(
@@ -105,9 +105,9 @@
       log.info({ move: id, state, direction, waitsFor }, 'move updated');
     } catch (error) {
       if (!(error instanceof StoreRequestError)) throw error;
-      log.debug({ move: move.id, error: error.message }, 'move not written');
+      log.debug({ move: move.id, error: error.message }, 'move write failed');
     } finally {
-      this.#busy.delete(move.id);
+      this.#writesInFlight.delete(move.id);
     }
   }
 }
--- a/src/rebalancing/shard-mover.ts
+++ b/src/rebalancing/shard-mover.ts
@@ -1,4 +1,4 @@
-/** The shard owners' side of machine moves. */
+/** The part of machine moves that the owners of the source and target shards carry out. */
 import { fencedCompareAndSwap, type Versioned } from '@sumacstep/leader-election';
 import {
   isTerminal,
@@ -16,13 +16,13 @@
 import type { StoreClient } from '../store/store-client.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import { WAIT_REASON_WRITE_INTERVAL_MS } from './constants.js';
-import { candidateOf } from './move-candidates.js';
-import { movesById, obstacleTo } from './move-coordinator.js';
+import { toCandidate } from './move-candidates.js';
+import { movesById, findObstacle } from './move-coordinator.js';
 
 const sameNames = (a: readonly string[], b: readonly string[]): boolean =>
   a.length === b.length && a.every((name, i) => name === b[i]);
 
-/** The move once the machines belong to the target shard. */
+/** Returns the move after the named machines have been assigned to the target shard. */
 const withMoved = (move: Move, names: readonly string[]): Move => ({
   ...move,
   chosen: move.chosen.filter((name) => !names.includes(name)),
@@ -32,17 +32,17 @@
       : move.moved.filter((name) => !names.includes(name)),
 });
 
-/** What the owners' side of moves needs of the process. */
+/** Dependencies of `ShardMover`. */
 export interface ShardMoverDependencies {
   readonly client: Pick<StoreClient, 'compareAndSwap'>;
   readonly cache: WatchCache;
   readonly shardController: ShardController;
-  /** the steady clock, ms */
+  /** returns the time of the steady clock, ms */
   readonly now: () => number;
   readonly log: Logger;
 }
 
-/** Machines that are ready to move in one transaction. */
+/** Machines that can move to another shard in one transaction. */
 interface ReadyMachines {
   readonly owned: OwnedShard;
   readonly target: number;
@@ -50,35 +50,35 @@
 }
 
 /**
- * The source shard's owner selects machines, cordons them, and moves each in one transaction when nothing is on it
- * and nothing may still arrive there. The target shard's owner keeps its term the higher one, so that workers accept
- * its commands after those of the source.
+ * Moves machines between shards. The owner of the source shard selects machines, cordons them, and moves each one in
+ * a single transaction once no task is on it and none can still arrive there. The owner of the target shard keeps its
+ * term higher than that of the source shard, so that workers accept its commands after those of the source's owner.
  */
 export class ShardMover {
-  /** moves with a write under way */
-  readonly #busy = new Set<string>();
-  /** whether machines may be cordoned since an earlier round */
-  #cordoned = false;
-  /** when what a move waits for was last written, steady ms */
-  readonly #writtenAt = new Map<string, number>();
+  /** ids of the moves with a write in flight */
+  readonly #writesInFlight = new Set<string>();
+  /** whether an earlier round may have left machines cordoned */
+  #mayHaveCordoned = false;
+  /** by move id: when this owner last wrote the move, which includes its wait reason; steady clock, ms */
+  readonly #lastWriteAt = new Map<string, number>();
 
   constructor(
     private readonly config: RebalancingConfig,
     private readonly dependencies: ShardMoverDependencies,
   ) {}
 
-  /** One round over the moves that concern shards of this node. */
+  /** Runs one round over the moves whose source or target shard this node owns. */
   tick(): void {
     const { cache, shardController } = this.dependencies;
     const moves = [...movesById(cache.tables).values()].filter(({ value }) => !isTerminal(value));
-    if (moves.length > 0 || this.#cordoned) this.#cordonChosen(moves);
-    this.#cordoned = moves.length > 0;
+    if (moves.length > 0 || this.#mayHaveCordoned) this.#cordonChosen(moves);
+    this.#mayHaveCordoned = moves.length > 0;
     for (const move of moves) {
       const { state } = move.value;
       if (state !== 'preparing' && state !== 'moving') continue;
-      if (obstacleTo(cache.tables, move.value) !== null) continue;
+      if (findObstacle(cache.tables, move.value) !== null) continue;
       const { source, target } = moveEndpoints(move.value);
-      if (!this.#targetIsNewer(source, target)) shardController.renewTerm(target);
+      if (!this.#hasNewerTerm(source, target)) shardController.renewTerm(target);
       const owned = shardController.owned.get(source);
       if (owned !== undefined && shardController.actsFor(owned)) {
         this.#advanceAsSource(move, owned, target);
@@ -87,8 +87,8 @@
   }
 
   /**
-   * Cordons the chosen machines, and uncordons all others. A machine may be uncordoned as soon as the stored move
-   * does not name it: a transaction that would move it is guarded by the move as it was before.
+   * Cordons the chosen machines, and uncordons all other machines. Uncordoning a machine as soon as the stored move
+   * no longer names it is safe: a transaction that would still move it is guarded by an older revision of the move.
    */
   #cordonChosen(moves: readonly Versioned<Move>[]): void {
     const chosenBySource = new Map<number, Set<string>>();
@@ -106,7 +106,8 @@
     }
   }
 
-  #targetIsNewer(source: number, target: number): boolean {
+  /** Returns whether the term of the target shard is higher than that of the source shard. */
+  #hasNewerTerm(source: number, target: number): boolean {
     const { shardController } = this.dependencies;
     return (shardController.termOf(target) ?? 0) > (shardController.termOf(source) ?? Infinity);
   }
@@ -116,21 +117,21 @@
     owned: OwnedShard,
     target: number,
   ): void {
-    if (this.#busy.has(stored.id)) return;
+    if (this.#writesInFlight.has(stored.id)) return;
     const { shard } = owned;
     const now = this.dependencies.now();
     const move = this.#withoutReturned(stored, shard.index);
     const candidates = [...shard.machines.values()].map((machine) =>
-      candidateOf(shard, machine, now),
+      toCandidate(shard, machine, now),
     );
     const { chosen, ready, waitsFor } = selectMachines(
       move,
       candidates,
       this.config.maxDrainingMachines,
     );
-    const newer = this.#targetIsNewer(shard.index, target);
+    const newer = this.#hasNewerTerm(shard.index, target);
     if (newer && ready.length > 0 && stored.state === 'moving') {
-      void this.#exclusively(stored.id, () =>
+      void this.#withWriteInFlight(stored.id, () =>
         this.#moveReady(move, revision, { owned, target, names: ready }),
       );
       return;
@@ -142,11 +143,11 @@
       waitsFor: newer ? waitsFor : `a newer term of part ${target}`,
     };
     if (this.#isWriteDue(stored, next, now)) {
-      void this.#exclusively(stored.id, () => this.#write(owned, next, revision));
+      void this.#withWriteInFlight(stored.id, () => this.#write(owned, next, revision));
     }
   }
 
-  /** On the way back, machines that are gone, or back already, need nothing more. */
+  /** On the way back, drops machines from `moved` that no longer exist or have left the shard `source` already. */
   #withoutReturned(move: Move, source: number): Move {
     if (move.direction === 'forth') return move;
     const { machines } = this.dependencies.cache;
@@ -154,7 +155,10 @@
     return { ...move, moved };
   }
 
-  /** What a move waits for changes with every task, and is written at intervals; everything else at once. */
+  /**
+   * Returns whether the move must be written now. The wait reason changes with every task, so a change of it alone is
+   * written at intervals only; all other changes are written at once.
+   */
   #isWriteDue(stored: Move, next: Move, now: number): boolean {
     const changed =
       stored.state !== next.state ||
@@ -162,19 +166,19 @@
       !sameNames(stored.moved, next.moved);
     if (changed) return true;
     if (stored.waitsFor === next.waitsFor) return false;
-    return now - (this.#writtenAt.get(next.id) ?? -Infinity) >= WAIT_REASON_WRITE_INTERVAL_MS;
+    return now - (this.#lastWriteAt.get(next.id) ?? -Infinity) >= WAIT_REASON_WRITE_INTERVAL_MS;
   }
 
-  /** One write at a time for each move; while the store is unavailable, a later round tries again. */
-  async #exclusively(id: string, work: () => Promise<void>): Promise<void> {
-    this.#busy.add(id);
+  /** Marks the move as having a write in flight while `write` runs. If the store fails, a later round tries again. */
+  async #withWriteInFlight(id: string, write: () => Promise<void>): Promise<void> {
+    this.#writesInFlight.add(id);
     try {
-      await work();
+      await write();
     } catch (error) {
       if (!(error instanceof StoreRequestError)) throw error;
-      this.dependencies.log.debug({ move: id, error: error.message }, 'move not written');
+      this.dependencies.log.debug({ move: id, error: error.message }, 'move write failed');
     } finally {
-      this.#busy.delete(id);
+      this.#writesInFlight.delete(id);
     }
   }
 
@@ -192,7 +196,7 @@
     );
     if (!outcome.ok) return;
     cache.applyOwn(writes, outcome.epoch);
-    this.#writtenAt.set(move.id, now());
+    this.#lastWriteAt.set(move.id, now());
   }
 
   async #moveReady(
--- a/test/machine-moves.test.ts
+++ b/test/machine-moves.test.ts
@@ -1,7 +1,7 @@
 /**
- * Machines move between the shards of three controllers every few seconds while jobs run. However controllers and
- * machines fail meanwhile, every job is done in the end and no rule is broken at any moment. Runs of ten minutes:
- * scripts/share-moves.sh.
+ * Machines move between the shards of three controllers every few seconds while jobs run. Even if controllers and
+ * machines fail meanwhile, every job is done in the end and no invariant is violated at any time.
+ * scripts/share-moves.sh runs the same for ten minutes.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -20,13 +20,13 @@
     t.diagnostic(JSON.stringify(counts));
     assert.deepEqual(broken, []);
     assert.deepEqual(unfinished, []);
-    // Each move that was taken has come to its end; whether before its deadline, faults decide.
+    // Each accepted move has finished or was aborted; with faults, either may happen.
     const ended = counts['finished']! + counts['aborted']!;
     assert.equal(ended, counts['moves']! - counts['refused']!, JSON.stringify(counts));
     assert.ok(ended > 0, JSON.stringify(counts));
     if (faults) return;
     assert.ok(counts['finished']! > 0 && counts['machinesMoved']! > 0, JSON.stringify(counts));
-    // Without faults nothing is stopped or lost: each task is started once.
+    // Without faults no task is stopped or lost, so each one is started exactly once.
     assert.equal(counts['starts'], counts['tasks']);
   });
 }
--- a/test/move-candidates.test.ts
+++ b/test/move-candidates.test.ts
@@ -1,12 +1,12 @@
 /**
- * Which machines are ready to move, and how they move: only when nothing is on a machine and nothing may still arrive
- * there. Each row removes one of the conditions that together prove that.
+ * A machine may move only if no task is on it and no start of a task can still arrive there. Each row of the table
+ * violates one of the conditions that together ensure this. Machines then move in one guarded transaction.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import pino from 'pino';
 import { MachineRecords } from '../src/shards/machine-records/machine-records.js';
-import { candidateOf } from '../src/rebalancing/move-candidates.js';
+import { toCandidate } from '../src/rebalancing/move-candidates.js';
 import type { MachineState } from '../src/core/shard/shard.js';
 import { encodeMachineGroup } from '../src/store/codecs/machine-group.js';
 import { WatchCache } from '../src/store/watch-cache.js';
@@ -17,56 +17,60 @@
 const readyMachine = () => {
   const store = new Store().add(machine('x'), job({ tasks: 1 }));
   const shard = shardWith(store);
-  const m = shard.machines.get('x')!;
-  Object.assign(m, {
+  const machineState = shard.machines.get('x')!;
+  Object.assign(machineState, {
     confirmedSince: NOW,
     lastStatusAt: NOW,
     lastHeartbeatAt: NOW,
     cordoned: true,
   });
-  Object.assign(m, { record: { ...m.record, up: true } });
-  return { shard, m };
+  Object.assign(machineState, { record: { ...machineState.record, up: true } });
+  return { shard, machineState };
 };
 
-const rows: [string, (m: MachineState) => void, boolean][] = [
-  ['nothing is there', () => undefined, true],
+const CONDITIONS: [string, (machineState: MachineState) => void, boolean][] = [
+  ['no task is on it', () => undefined, true],
   ['it is not cordoned', (m) => (m.cordoned = false), false],
   [
-    'the worker lists an ended task, which a late start could begin again',
+    'its worker lists an ended task, which a late start command could run again',
     (m) => (m.reportedTaskCount = 1),
     false,
   ],
-  ['a direct start has no answer yet', (m) => void m.unsettledDirectStarts.add('j/0@1'), false],
-  ['a task is there that is being stopped', (m) => (m.unknownTaskCount = 1), false],
-  ['it has not answered under this term', (m) => (m.confirmedSince = null), false],
+  [
+    'a start that was sent directly has no answer yet',
+    (m) => void m.unsettledDirectStarts.add('j/0@1'),
+    false,
+  ],
+  ['an unknown task on it is being stopped', (m) => (m.unknownTaskCount = 1), false],
+  ['it has not confirmed its tasks under this term', (m) => (m.confirmedSince = null), false],
   ['it is unreachable', (m) => (m.lastStatusAt = m.lastHeartbeatAt = -1e6), false],
-  ['commands to it are lost', (m) => (m.commandsLostSince = NOW), false],
+  ['commands to it were lost', (m) => (m.commandsLostSince = NOW), false],
   ['it has a preemption notice', (m) => (m.preemptionNoticeAt = NOW), false],
-  ['it is to be returned', (m) => (m.terminating = true), false],
-  ['it is being emptied', (m) => (m.lifecycle = 'draining'), false],
-  ["its record is another shard's", (m) => (m.lifecycle = 'orphaned'), false],
-  ['it fails tasks', (m) => (m.faultStatus = 'quarantined'), false],
-  ['its record does not say that it is up', (m) => (m.record = { ...m.record, up: false }), false],
+  ['it is being returned to the cloud', (m) => (m.terminating = true), false],
+  ['it is draining', (m) => (m.lifecycle = 'draining'), false],
+  ['its record belongs to another shard', (m) => (m.lifecycle = 'orphaned'), false],
+  ['it is quarantined since tasks fail on it', (m) => (m.faultStatus = 'quarantined'), false],
+  ['its record does not mark it as up', (m) => (m.record = { ...m.record, up: false }), false],
 ];
 
-for (const [name, spoil, ready] of rows) {
-  test(`may a machine move: ${name}`, () => {
-    const { shard, m } = readyMachine();
-    spoil(m);
-    assert.equal(candidateOf(shard, m, NOW).readyToMove, ready);
+for (const [condition, change, ready] of CONDITIONS) {
+  test(`a machine is ${ready ? '' : 'not '}ready to move: ${condition}`, () => {
+    const { shard, machineState } = readyMachine();
+    change(machineState);
+    assert.equal(toCandidate(shard, machineState, NOW).readyToMove, ready);
   });
 }
 
-test('a cordoned machine gets no tasks, and gets them again when it is uncordoned', () => {
-  const { shard, m } = readyMachine();
+test('a cordoned machine gets no tasks until it is uncordoned', () => {
+  const { shard, machineState } = readyMachine();
   shard.placeAll(NOW);
-  assert.equal(m.tasks.size, 0);
-  m.cordoned = false;
+  assert.equal(machineState.tasks.size, 0);
+  machineState.cordoned = false;
   shard.placeAll(NOW);
-  assert.equal(m.tasks.size, 1);
+  assert.equal(machineState.tasks.size, 1);
 });
 
-/** Shard 0 has two groups of machines: `x` and `y`, and `z`. */
+/** Returns a cache in which shard 0 has two groups of machines: one of `x` and `y`, and one of `z`. */
 const cacheWithGroups = (): WatchCache => {
   const cache = new WatchCache();
   const groupChange = (key: string, names: string[], revision: number) => {
@@ -79,7 +83,7 @@
   return cache;
 };
 
-test('machines move in one transaction that depends on both shards, their groups and the move', async () => {
+test('machines move in one transaction guarded by both shards, the machine groups and the move', async () => {
   const cache = cacheWithGroups();
   const sent: { guards: readonly Guard[]; writes: readonly Write[] }[] = [];
   const client = {
@@ -117,7 +121,7 @@
       ['shares/moves/m', 3],
     ]),
   );
-  assert.equal(sent[0]!.writes.length, 4, 'as many as a transaction holds');
+  assert.equal(sent[0]!.writes.length, 4, 'exactly as many writes as a transaction allows');
   assert.equal(cache.machines.get('x')?.value.shard, 1);
   assert.equal(cache.machines.get('x')?.value.term, 8);
   assert.equal(cache.machines.get('y')?.value.shard, 0);
--- a/test/rebalancing-commands.test.ts
+++ b/test/rebalancing-commands.test.ts
@@ -1,4 +1,4 @@
-/** `sumacstep shares`: moves as an operator asks for them, on three whole controllers that fail meanwhile. */
+/** `sumacstep shares`: an operator plans, requests and aborts moves on three controllers, some of which restart. */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { decodeMove, moveKey, shardLockKey, type Move } from '@sumacstep/shard-rebalancing';
@@ -43,12 +43,12 @@
 const machinesOf = (cluster: Cluster, shard: number): string[] =>
   [...cluster.state.items].flatMap(([key, { value }]) => {
     if (!key.startsWith('machines/')) return [];
-    // The stored form of a machine group.
+    // A machine group in its stored form.
     const { part, hosts } = value as { part: number; hosts: Record<string, number> };
     return part === shard ? Object.keys(hosts) : [];
   });
 
-/** Submits until some shard has machines; returns that shard. */
+/** Waits until some shard has machines that are up; returns the index of the shard. */
 const shardWithMachines = async (cluster: Cluster): Promise<number> => {
   let shard = -1;
   await cluster.until('a shard has machines that are up', 40, () => {
@@ -61,7 +61,7 @@
 const untilState = (cluster: Cluster, id: string, wanted: Move['state'], seconds = 40) =>
   cluster.until(`${id} is ${wanted}`, seconds, () => moveOf(cluster, id).state === wanted);
 
-const done = (cluster: Cluster, uid: string) =>
+const untilDone = (cluster: Cluster, uid: string) =>
   cluster.until(`${uid} is done`, 60, async () => (await cluster.statusOf('n0', uid)) === 'done');
 
 const ownerOf = (cluster: Cluster, shard: number) =>
@@ -69,7 +69,7 @@
 
 describe('sumacstep shares', () => {
   scenario(
-    'plan changes nothing; a move is one by its id; conflicts are named',
+    'plan writes nothing, a repeated id requests no second move, and an error names the conflicting move',
     {},
     async (cluster, run) => {
       const uid = await cluster.submit('n0', { Pieces: 8, Spread: false });
@@ -88,7 +88,7 @@
 
       const asked = await Promise.all([1, 2].map(() => run('move', ...ends, '--id', 'first')));
       assert.deepEqual(
-        asked.map((r) => r.code),
+        asked.map((result) => result.code),
         [0, 0],
       );
       const other = await run('move', ...ends, '--id', 'second');
@@ -99,52 +99,60 @@
       await untilState(cluster, 'first', 'finished');
       const shown = JSON.parse((await run('--json')).out) as ShardsOutput;
       assert.equal(shown.moves.find((m) => m.id === 'first')?.moved.length, 1);
-      assert.equal(cluster.stored(shardLockKey(from)), undefined, 'the shards are free again');
-      await done(cluster, uid);
+      assert.equal(
+        cluster.stored(shardLockKey(from)),
+        undefined,
+        'the shard is unlocked after the move',
+      );
+      await untilDone(cluster, uid);
     },
   );
 });
 
 describe('sumacstep shares: restarts', () => {
-  for (const who of ['source', 'target', 'coordinator'] as const) {
-    scenario(`the ${who}'s process ends right after the request`, {}, async (cluster, run) => {
-      const uid = await cluster.submit('n0', { Pieces: 12 });
-      const from = await shardWithMachines(cluster);
-      const to = (from + 1) % 3;
-      await run('move', '--from', `${from}`, '--to', `${to}`, '--count', '1', '--id', 'm');
-      const coordinator = cluster.stored('duties/holders/move') as { holder: { node: string } };
-      const node =
-        who === 'coordinator'
-          ? coordinator.holder.node
-          : ownerOf(cluster, who === 'source' ? from : to);
-      cluster.kill(node);
-      await cluster.pass(1);
-      await cluster.start(node);
-      await cluster.until(`${node} ready`, 30, () => cluster.ready(node));
-      await cluster.until('over', 60, () =>
-        ['finished', 'aborted'].includes(moveOf(cluster, 'm').state),
-      );
-      const more = await cluster.submit(node, { Pieces: 6 });
-      await done(cluster, uid);
-      await done(cluster, more);
-    });
+  for (const role of ['source', 'target', 'coordinator'] as const) {
+    scenario(
+      `the process of the ${role} restarts right after the request: the move ends and all jobs are done`,
+      {},
+      async (cluster, run) => {
+        const uid = await cluster.submit('n0', { Pieces: 12 });
+        const from = await shardWithMachines(cluster);
+        const to = (from + 1) % 3;
+        await run('move', '--from', `${from}`, '--to', `${to}`, '--count', '1', '--id', 'm');
+        const coordinator = cluster.stored('duties/holders/move') as { holder: { node: string } };
+        const node =
+          role === 'coordinator'
+            ? coordinator.holder.node
+            : ownerOf(cluster, role === 'source' ? from : to);
+        cluster.kill(node);
+        await cluster.pass(1);
+        await cluster.start(node);
+        await cluster.until(`${node} ready`, 30, () => cluster.ready(node));
+        await cluster.until('over', 60, () =>
+          ['finished', 'aborted'].includes(moveOf(cluster, 'm').state),
+        );
+        const more = await cluster.submit(node, { Pieces: 6 });
+        await untilDone(cluster, uid);
+        await untilDone(cluster, more);
+      },
+    );
   }
 });
 
-describe('sumacstep shares: standing services', () => {
+describe('sumacstep shares: service jobs', () => {
   scenario(
-    'machines under a standing service stay; at the deadline the shares are as before',
+    'machines that run a service job do not move; after the deadline each shard has its machines as before',
     { runMs: 1e9 },
     async (cluster, run) => {
       const service = { Shape: 'service', Rank: 'prod', Pieces: 2, Reclaimable: false, GuessS: 0 };
       const uid = await cluster.submit('n0', { ...service, Vcpus: 4, Cards: 0 });
-      await cluster.until('it runs', 40, () => cluster.running(uid) === 2);
+      await cluster.until('the service runs', 40, () => cluster.running(uid) === 2);
       const from = await shardWithMachines(cluster);
       const before = machinesOf(cluster, from).sort();
       const ends = ['--from', `${from}`, '--to', `${(from + 1) % 3}`, '--count', '50'];
       await run('move', ...ends, '--id', 'm', '--within-s', '12');
       await cluster.until(
-        'it says what it waits for',
+        'the move has a wait reason',
         12,
         () => moveOf(cluster, 'm').waitsFor !== null,
       );
@@ -161,9 +169,9 @@
   );
 });
 
-describe('sumacstep shares: return and versions', () => {
-  scenario('machines go back at the stated time', {}, async (cluster, run) => {
-    // Long enough that the planner of capacity keeps the machines.
+describe('sumacstep shares: return of machines and mixed versions', () => {
+  scenario('machines are returned to their shard at the return time', {}, async (cluster, run) => {
+    // Enough work that the capacity planner does not return the machines to the cloud.
     const uids = await Promise.all([0, 1, 2].map((i) => cluster.submit(`n${i}`, { Pieces: 40 })));
     const from = await shardWithMachines(cluster);
     const to = (from + 1) % 3;
@@ -181,13 +189,13 @@
     );
     assert.ok(
       lent === undefined || !machinesOf(cluster, to).includes(lent),
-      'it is not there any more',
+      'the machine has left the target shard',
     );
-    for (const uid of uids) await done(cluster, uid);
+    for (const uid of uids) await untilDone(cluster, uid);
   });
 
   scenario(
-    'while the version in production serves, a move waits and says so',
+    'while a node runs the version in production, a move does not start, and its plan names the obstacle',
     { versions: { n2: 'production' } },
     async (cluster, run) => {
       await run('move', '--from', '0', '--to', '1', '--count', '1', '--id', 'm');
@@ -203,10 +211,10 @@
 });
 
 describe('sumacstep shares: errors', () => {
-  test('invalid input is named, exit 2; without the store exit 1', async () => {
+  test('invalid input is named and exits with 2; an unreachable store exits with 1', async () => {
     await withCommands('127.0.0.1:9', 'shares', async (run) => {
       const ends = ['--from', '0', '--to', '1'];
-      const bad: [string[], RegExp][] = [
+      const invalid: [string[], RegExp][] = [
         [['move', '--from', '0', '--to', '7', '--count', '1'], /to: no such part: 7/],
         [['move', ...ends, '--count', '-3'], /count: /],
         [['move', ...ends, '--count', '100000'], /count: one move holds \d+ machines at most/],
@@ -215,10 +223,10 @@
         [['plan', '--from', '0', '--to', '0', '--count', '1'], /to: must be another part/],
         [['move', '--plan', '/nonexistent'], /\/nonexistent: /],
       ];
-      for (const [args, says] of bad) {
+      for (const [args, expected] of invalid) {
         const { code, err } = await run(...args);
         assert.equal(code, 2, `${args.join(' ')}: ${err}`);
-        assert.match(err, says);
+        assert.match(err, expected);
       }
       for (const args of [[], ['move', ...ends, '--count', '1'], ['abort', 'm']]) {
         const { code, out, err } = await run(...args);
