--- a/src/clock.ts
+++ b/src/clock.ts
@@ -1,7 +1,8 @@
+/** The clocks of the process. */
 import { performance } from 'node:perf_hooks';
 
-/** The steady clock, in ms. It may run fast or slow by 0.05 %, and never jumps. */
+/** Returns the time of the steady (monotonic) clock in ms. It may run fast or slow by 0.05 %, and never jumps. */
 export const steadyMs = (): number => performance.now();
 
-/** The time of day, in ms. It wanders within the bound of the settings. */
+/** Returns the time of day in ms since the epoch. Its error stays within the `time_bound_ms` of the settings. */
 export const timeOfDayMs = (): number => Date.now();
--- a/src/config/platform.ts
+++ b/src/config/platform.ts
@@ -1,10 +1,13 @@
-/** The settings that the platform hands over (`--config`, TOML); its field names end here. */
+/**
+ * The settings that the platform provides (`--config`, TOML). Only this module knows the field names of the file; all
+ * other modules use those of `PlatformConfig`.
+ */
 import { readFileSync } from 'node:fs';
 import { parse } from 'smol-toml';
 import * as z from 'zod';
 import type { Objective, Team } from '../core/model.js';
 
-/** A settings file is unusable; `problems` names every bad key, one line each. */
+/** A settings file is missing or invalid; `problems` has one line for each invalid key. */
 export class ConfigError extends Error {
   constructor(
     readonly file: string,
@@ -16,31 +19,31 @@
 
 const BYTES_PER_KB = 1024;
 
-const address = z.string().regex(/^[^:\s]+:\d{1,5}$/, 'must be HOST:PORT');
-const positive = z.number().positive();
-const nonNegative = z.number().nonnegative();
+const addressSchema = z.string().regex(/^[^:\s]+:\d{1,5}$/, 'must be HOST:PORT');
+const positiveSchema = z.number().positive();
+const nonNegativeSchema = z.number().nonnegative();
 
 const schema = z.object({
   node: z.string().min(1),
   site: z.string().min(1),
-  serve_on: address,
-  peer_bind: address,
+  serve_on: addressSchema,
+  peer_bind: addressSchema,
   known: z
-    .array(z.object({ node: z.string().min(1), site: z.string(), endpoint: address }))
+    .array(z.object({ node: z.string().min(1), site: z.string(), endpoint: addressSchema }))
     .default([]),
-  services: z.object({ cloud: address, state: address }),
+  services: z.object({ cloud: addressSchema, state: addressSchema }),
   settings: z.object({
     nodes: z.number().int().positive(),
     zones: z.array(z.string()).min(1),
-    time_bound_ms: nonNegative.default(0),
+    time_bound_ms: nonNegativeSchema.default(0),
     teams: z
       .array(
         z.object({
           name: z.string().min(1),
-          cpus: nonNegative.default(0),
-          cpus_max: nonNegative.default(0),
-          gpus: nonNegative.default(0),
-          gpus_max: nonNegative.default(0),
+          cpus: nonNegativeSchema.default(0),
+          cpus_max: nonNegativeSchema.default(0),
+          gpus: nonNegativeSchema.default(0),
+          gpus_max: nonNegativeSchema.default(0),
         }),
       )
       .default([]),
@@ -49,88 +52,112 @@
         z.object({
           kind: z.string(),
           class: z.string().optional(),
-          within_s: nonNegative.optional(),
-          share: nonNegative.optional(),
+          within_s: nonNegativeSchema.optional(),
+          share: nonNegativeSchema.optional(),
         }),
       )
       .default([]),
     workers: z.object({
-      report_s: positive,
-      lease_s: positive,
-      gang_wait_s: positive,
-      gang_peer_s: positive,
-      cancel_s: positive,
+      report_s: positiveSchema,
+      lease_s: positiveSchema,
+      gang_wait_s: positiveSchema,
+      gang_peer_s: positiveSchema,
+      cancel_s: positiveSchema,
     }),
     state: z.object({
-      rps: positive,
-      write_rps: positive,
-      value_kb: positive,
+      rps: positiveSchema,
+      write_rps: positiveSchema,
+      value_kb: positiveSchema,
       txn_ops: z.number().int().positive(),
       next: z
         .object({
-          rps: positive.optional(),
-          write_rps: positive.optional(),
-          value_kb: positive.optional(),
+          rps: positiveSchema.optional(),
+          write_rps: positiveSchema.optional(),
+          value_kb: positiveSchema.optional(),
           txn_ops: z.number().int().positive().optional(),
         })
         .optional(),
     }),
-    cloud: z.object({ rps: positive, list_lag_s: nonNegative }),
-    quota: z.object({ cores: positive, memory_mb: positive, max_sockets: positive }),
+    cloud: z.object({ rps: positiveSchema, list_lag_s: nonNegativeSchema }),
+    quota: z.object({
+      cores: positiveSchema,
+      memory_mb: positiveSchema,
+      max_sockets: positiveSchema,
+    }),
   }),
 });
 
 /** Timing that the platform prescribes for workers, in seconds. */
 export interface WorkerTiming {
   readonly heartbeatIntervalS: number;
-  /** a worker kills its tasks when its lease was not renewed for this long */
+  /** a worker kills its tasks if its lease was not renewed for this long */
   readonly leaseS: number;
+  /** `gang_wait_s` of the file; only workers apply it */
   readonly gangWaitS: number;
+  /** `gang_peer_s` of the file; only workers apply it */
   readonly gangPeerS: number;
-  /** a confirmed cancellation takes effect within this */
+  /** a confirmed cancellation takes effect within this time */
   readonly cancelS: number;
 }
 
-/** Limits of the store, for all nodes together. */
+/** Limits of the store that all nodes share. */
 export interface StoreServiceLimits {
+  /** requests per second */
   readonly rps: number;
+  /** writes per second */
   readonly writeRps: number;
-  /** sizes are the smaller ones of now and of `next`: nothing tells when those come */
+  /**
+   * maximum size of a value; the smaller of the present and the announced limit, since it is not announced when the
+   * latter takes effect
+   */
   readonly valueBytes: number;
+  /** maximum number of operations in a transaction; the smaller of the present and the announced limit as well */
   readonly transactionOps: number;
-  /** rates from some unannounced moment on; as now if nothing is announced */
+  /**
+   * rate limits that take effect at an unannounced time, each at most the present limit; equal to the present ones if
+   * none are announced
+   */
   readonly next: { readonly rps: number; readonly writeRps: number };
 }
 
-/** The platform's settings of one node. Addresses are `HOST:PORT`. */
+/** The settings of one node that the platform provides. Addresses have the form `HOST:PORT`. */
 export interface PlatformConfig {
+  /** name of this node */
   readonly node: string;
+  /** zone of this node */
   readonly zone: string;
+  /** address on which this node serves users and workers */
   readonly listen: string;
+  /** address on which this node receives messages from other nodes */
   readonly peerListen: string;
+  /** all other nodes */
   readonly peers: readonly { readonly node: string; readonly address: string }[];
+  /** address of the cloud's API */
   readonly cloud: string;
+  /** address of the key-value store */
   readonly store: string;
-  /** number of nodes, and of shards */
+  /** number of nodes, which is also the number of shards */
   readonly nodes: number;
+  /** all zones of the cluster */
   readonly zones: readonly string[];
   readonly teams: ReadonlyMap<string, Team>;
   readonly objectives: readonly Objective[];
   readonly workers: WorkerTiming;
   readonly storeLimits: StoreServiceLimits;
+  /** the cloud's limit on requests per second, shared by all nodes, and the lag of its list of machines in s */
   readonly cloudLimits: { readonly rps: number; readonly listLagS: number };
-  /** sockets that this process may use */
+  /** maximum number of sockets that this process may use */
   readonly sockets: number;
 }
 
-/** The problems that a schema found, one line for each key. */
+/** Returns the problems that a schema found, one line for each invalid key. */
 export const describeIssues = (error: z.ZodError): string[] =>
-  error.issues.map((i) => `${i.path.map(String).join('.') || '(file)'}: ${i.message}`);
+  error.issues.map((issue) => `${issue.path.map(String).join('.') || '(file)'}: ${issue.message}`);
 
 type PlatformFile = z.infer<typeof schema>;
 type Settings = PlatformFile['settings'];
 
-const teamsOf = ({ teams }: Settings): ReadonlyMap<string, Team> =>
+const toTeams = ({ teams }: Settings): ReadonlyMap<string, Team> =>
   new Map(
     teams.map(({ name, cpus, gpus, cpus_max, gpus_max }) => [
       name,
@@ -138,7 +165,7 @@
     ]),
   );
 
-const objectivesOf = ({ objectives }: Settings): Objective[] =>
+const toObjectives = ({ objectives }: Settings): Objective[] =>
   objectives.map((objective) => ({
     kind: objective.kind,
     jobClass: objective.class ?? null,
@@ -146,7 +173,7 @@
     share: objective.share ?? 0,
   }));
 
-const workerTimingOf = ({ workers }: Settings): WorkerTiming => ({
+const toWorkerTiming = ({ workers }: Settings): WorkerTiming => ({
   heartbeatIntervalS: workers.report_s,
   leaseS: workers.lease_s,
   gangWaitS: workers.gang_wait_s,
@@ -154,7 +181,7 @@
   cancelS: workers.cancel_s,
 });
 
-const storeLimitsOf = ({ state }: Settings): StoreServiceLimits => ({
+const toStoreLimits = ({ state }: Settings): StoreServiceLimits => ({
   rps: state.rps,
   writeRps: state.write_rps,
   valueBytes: Math.min(state.value_kb, state.next?.value_kb ?? Infinity) * BYTES_PER_KB,
@@ -175,15 +202,15 @@
   store: node.services.state,
   nodes: settings.nodes,
   zones: settings.zones,
-  teams: teamsOf(settings),
-  objectives: objectivesOf(settings),
-  workers: workerTimingOf(settings),
-  storeLimits: storeLimitsOf(settings),
+  teams: toTeams(settings),
+  objectives: toObjectives(settings),
+  workers: toWorkerTiming(settings),
+  storeLimits: toStoreLimits(settings),
   cloudLimits: { rps: settings.cloud.rps, listLagS: settings.cloud.list_lag_s },
   sockets: settings.quota.max_sockets,
 });
 
-/** Reads the settings from TOML text; throws a `ConfigError` that names every bad key. Unknown keys are ignored. */
+/** Parses TOML text; throws a `ConfigError` that names every invalid key. Unknown keys are ignored. */
 export const parsePlatformConfig = (file: string, text: string): PlatformConfig => {
   let raw: unknown;
   try {
@@ -201,8 +228,8 @@
   return toConfig(result.data);
 };
 
-/** The text of a settings file; throws a `ConfigError` if it cannot be read. */
-export const readText = (file: string): string => {
+/** Returns the text of a settings file; throws a `ConfigError` if it cannot be read. */
+export const readConfigFile = (file: string): string => {
   try {
     return readFileSync(file, 'utf8');
   } catch (error) {
@@ -210,6 +237,6 @@
   }
 };
 
-/** Reads and checks the platform's file. */
+/** Reads and validates the platform's settings file; throws a `ConfigError` that names every invalid key. */
 export const loadPlatformConfig = (file: string): PlatformConfig =>
-  parsePlatformConfig(file, readText(file));
+  parsePlatformConfig(file, readConfigFile(file));
--- a/src/config/singletons.ts
+++ b/src/config/singletons.ts
@@ -1,9 +1,9 @@
 /** Settings of the singleton controllers (`--duties`, INI). */
 import * as z from 'zod';
-import { parseIni, range } from './ini-file.js';
-import { readText } from './platform.js';
+import { parseIni, numberBetween } from './ini-file.js';
+import { readConfigFile } from './platform.js';
 
-/** Every key is documented in deploy/duties.ini. */
+/** Schema of the file; deploy/duties.ini documents every key. */
 const schema = z
   .object({
     returns: z
@@ -17,31 +17,31 @@
     clear: z
       .object({
         enabled: z.boolean().default(false),
-        final_keep_h: range(1, 87_600, 720),
-        writes_per_s: range(0.1, 1000, 2),
+        final_keep_h: numberBetween(1, 87_600, 720),
+        writes_per_s: numberBetween(0.1, 1000, 2),
       })
       .strict()
       .prefault({}),
   })
   .strict();
 
-/** Settings of the singleton controllers; they run only where a file gives them. */
+/** Settings of the singleton controllers, which are disabled unless a file is given. */
 export interface SingletonsConfig {
-  /** whether a write-ahead intent is recorded before machines are returned */
+  /** whether a write-ahead intent is stored before machines are returned to the cloud */
   readonly recordReturnIntents: boolean;
-  /** whether a singleton returns instances that no record names; otherwise a shard adopts them */
+  /** whether a singleton returns instances that no stored record names; if false, a shard adopts them */
   readonly collectOrphans: boolean;
-  /** whether a singleton deletes old stored state */
+  /** whether a singleton deletes obsolete stored state */
   readonly collectGarbage: boolean;
-  /** ms; final states of jobs are kept at least this long */
+  /** minimum time for which the final state of a job is kept */
   readonly finalStateRetentionMs: number;
-  /** store writes a second that garbage collection may use */
+  /** maximum rate of store writes by garbage collection */
   readonly garbageCollectionWritesPerS: number;
 }
 
 const MS_PER_HOUR = 3_600_000;
 
-/** Reads the settings from INI text; throws a `ConfigError` that names every bad key. */
+/** Parses the settings from INI text; throws a `ConfigError` that names every invalid key. */
 export const parseSingletonsConfig = (file: string, text: string): SingletonsConfig => {
   const { returns, reclaim, clear } = parseIni(schema, file, text);
   return {
@@ -53,6 +53,6 @@
   };
 };
 
-/** Null without a file: singleton controllers are off. */
+/** Reads the settings from a file; returns null if `file` is undefined, which disables the singleton controllers. */
 export const loadSingletonsConfig = (file: string | undefined): SingletonsConfig | null =>
-  file === undefined ? null : parseSingletonsConfig(file, readText(file));
+  file === undefined ? null : parseSingletonsConfig(file, readConfigFile(file));
--- a/src/log.ts
+++ b/src/log.ts
@@ -1,13 +1,17 @@
+/** Creates the process's logger. */
 import pino, { type Logger } from 'pino';
 import { ConfigError } from './config/platform.js';
 
 const LEVELS = ['error', 'info', 'debug'] as const;
 
-/** Structured lines on standard error, written at once and without worker threads. */
+/**
+ * Creates a logger that writes JSON lines to standard error, synchronously and without worker threads. `level` is the
+ * value of `LOG_LEVEL`; if it is undefined or empty, the level is `info`. Throws a `ConfigError` if it is invalid.
+ */
 export const createLogger = (level: string | undefined, node: string): Logger => {
-  const wanted = level === undefined || level === '' ? 'info' : level;
-  if (!(LEVELS as readonly string[]).includes(wanted)) {
-    throw new ConfigError('LOG_LEVEL', [`"${wanted}" is none of ${LEVELS.join(', ')}`]);
+  const effectiveLevel = level === undefined || level === '' ? 'info' : level;
+  if (!(LEVELS as readonly string[]).includes(effectiveLevel)) {
+    throw new ConfigError('LOG_LEVEL', [`"${effectiveLevel}" is none of ${LEVELS.join(', ')}`]);
   }
-  return pino({ level: wanted, base: { node } }, pino.destination({ dest: 2, sync: true }));
+  return pino({ level: effectiveLevel, base: { node } }, pino.destination({ dest: 2, sync: true }));
 };
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,4 +1,5 @@
 #!/usr/bin/env node
+/** The entry point of `sumacstep`: parses the command line and runs a command. */
 import { readFileSync } from 'node:fs';
 import { Command } from 'commander';
 import { EXIT } from './commands/exit-codes.js';
@@ -10,6 +11,7 @@
 import { createLogger } from './log.js';
 import { Service } from './service/service.js';
 
+/** Options of `serve` and `check`: paths of settings files. */
 interface Options {
   readonly config: string;
   readonly operator?: string;
@@ -17,76 +19,82 @@
   readonly shares?: string;
 }
 
-const version = (): string => {
+const readVersion = (): string => {
   const file = new URL('../package.json', import.meta.url);
   return (JSON.parse(readFileSync(file, 'utf8')) as { version: string }).version;
 };
 
-/** Runs `load` and collects what is wrong instead of stopping at the first problem. */
-const attempt = <T>(problems: string[], load: () => T): T | null => {
+/**
+ * Returns the result of `load`. If it throws a `ConfigError`, adds its problems to `problems` and returns null, so that
+ * the problems of all files can be reported together.
+ */
+const collectProblems = <T>(problems: string[], load: () => T): T | null => {
   try {
     return load();
   } catch (error) {
     if (!(error instanceof ConfigError)) throw error;
-    for (const p of error.problems) problems.push(`${error.file}: ${p}`);
+    for (const problem of error.problems) problems.push(`${error.file}: ${problem}`);
     return null;
   }
 };
 
-const load = (options: Options) => {
+/** Loads all settings files and creates the logger; what could not be loaded is null. */
+const loadConfigs = (options: Options) => {
   const problems: string[] = [];
-  const platform = attempt(problems, () => loadPlatformConfig(options.config));
-  const operator = attempt(problems, () => loadOperatorConfig(options.operator));
-  const duties = attempt(problems, () => loadSingletonsConfig(options.duties));
-  const shares = attempt(problems, () => loadRebalancingConfig(options.shares));
+  const platform = collectProblems(problems, () => loadPlatformConfig(options.config));
+  const operator = collectProblems(problems, () => loadOperatorConfig(options.operator));
+  const duties = collectProblems(problems, () => loadSingletonsConfig(options.duties));
+  const shares = collectProblems(problems, () => loadRebalancingConfig(options.shares));
   if (options.shares !== undefined && options.duties === undefined) {
     problems.push(`${options.shares}: needs --duties, since one of them moves machines`);
   }
-  const log = attempt(problems, () => createLogger(process.env['LOG_LEVEL'], platform?.node ?? ''));
+  const log = collectProblems(problems, () =>
+    createLogger(process.env['LOG_LEVEL'], platform?.node ?? ''),
+  );
   return { platform, operator, features: { duties, shares }, log, problems };
 };
 
-const complain = (problems: readonly string[]): never => {
-  for (const p of problems) process.stderr.write(`sumacstep: ${p}\n`);
+const exitWithProblems = (problems: readonly string[]): never => {
+  for (const problem of problems) process.stderr.write(`sumacstep: ${problem}\n`);
   process.exit(EXIT.badInput);
 };
 
 const serve = async (options: Options): Promise<void> => {
-  const { platform, operator, features, log, problems } = load(options);
+  const { platform, operator, features, log, problems } = loadConfigs(options);
   if (problems.length > 0 || platform === null || operator === null || log === null) {
-    return complain(problems);
+    return exitWithProblems(problems);
   }
-  // An error that nobody handles leaves the state unknown: say so and end.
-  const fatal = (error: unknown) => {
+  // After an unhandled error the state of the process is unknown: log the error and exit.
+  const exitOnUnhandledError = (error: unknown) => {
     log.error({ err: error }, 'unhandled error');
     process.exit(1);
   };
-  process.on('uncaughtException', fatal);
-  process.on('unhandledRejection', fatal);
+  process.on('uncaughtException', exitOnUnhandledError);
+  process.on('unhandledRejection', exitOnUnhandledError);
   await new Service(platform, operator, log, features).start();
 };
 
 const check = (options: Options): void => {
-  const { problems } = load(options);
-  if (problems.length > 0) complain(problems);
+  const { problems } = loadConfigs(options);
+  if (problems.length > 0) exitWithProblems(problems);
   process.stdout.write('the settings are valid\n');
 };
 
 const program = new Command('sumacstep')
   .description('A cluster scheduler: rents machines, places jobs on them, survives failures.')
-  .version(version());
+  .version(readVersion());
 
-const withFiles = (command: Command): Command =>
+const withConfigOptions = (command: Command): Command =>
   command
     .requiredOption('--config <file>', 'settings of the platform (TOML)')
     .option('--operator <file>', "the operator's own settings (INI)")
     .option('--duties <file>', 'switches exclusive duties on, by their settings (INI)')
     .option('--shares <file>', 'switches moves of machines between shards on (INI)');
 
-withFiles(program.command('serve').description('run one controller')).action(serve);
-withFiles(program.command('check').description('check the settings and name every problem')).action(
-  check,
-);
+withConfigOptions(program.command('serve').description('run one controller')).action(serve);
+withConfigOptions(
+  program.command('check').description('check the settings and name every problem'),
+).action(check);
 
 addLeadershipCommands(program);
 addRebalancingCommands(program);
--- a/src/transport/address.ts
+++ b/src/transport/address.ts
@@ -1,4 +1,6 @@
-/** Host and port of a socket address. */
+/** Parses socket addresses. */
+
+/** The host and port of a socket address. */
 export interface SocketAddress {
   readonly host: string;
   readonly port: number;
--- a/src/transport/constants.ts
+++ b/src/transport/constants.ts
@@ -1,4 +1,4 @@
 /** Limits of requests and responses. */
 
-/** bytes; the protocol's limit for request bodies. */
+/** The protocol's limit on request bodies. */
 export const MAX_BODY_BYTES = 64 * 1024;
--- a/src/transport/http.ts
+++ b/src/transport/http.ts
@@ -1,4 +1,4 @@
-/** HTTP with CBOR bodies: the client for all peers, and what the server side reads and answers with. */
+/** HTTP with CBOR bodies: a client, and functions with which servers read requests and send answers. */
 import { Agent, request, type IncomingMessage } from 'node:http';
 import type { Readable } from 'node:stream';
 import type Koa from 'koa';
@@ -6,13 +6,13 @@
 import { decodeCbor, encodeCbor } from '../wire/cbor.js';
 
 /**
- * A request got no answer in time, or none that could be read. It may have been carried out, or may yet
- * be, unless `connected` is false.
+ * A request got no answer in time, or none that could be decoded. The server may have executed it or may still do so,
+ * unless `connected` is false.
  */
 export class NoResponseError extends Error {
   constructor(
     message: string,
-    /** false if no connection came about, so that the server cannot have seen the request */
+    /** false if no connection was established, so that the server cannot have received the request */
     readonly connected: boolean,
     options?: ErrorOptions,
   ) {
@@ -20,18 +20,18 @@
   }
 }
 
-/** An answer of any status. */
+/** An HTTP response of any status. */
 export interface CborResponse {
   readonly status: number;
-  /** null if the answer has no body */
+  /** decoded CBOR; null if the response has no body */
   readonly body: unknown;
 }
 
 const STATUSES_WITHOUT_BODY = new Set([204, 304]);
 
 /**
- * Reads a stream up to `limitBytes`; null if it is longer. Works on events, since it runs for every
- * request and iterating the stream costs more.
+ * Reads a stream to its end; resolves with null if it is longer than `limitBytes`. Uses events instead of iterating
+ * the stream, since it runs for every request and iteration costs more.
  */
 export const readStream = (stream: Readable, limitBytes: number): Promise<Buffer | null> =>
   new Promise((resolve, reject) => {
@@ -60,7 +60,7 @@
   return { status, body: empty ? null : decodeCbor(bytes) };
 };
 
-/** Requests with CBOR bodies to one server, over connections that stay open. */
+/** Sends requests with CBOR bodies to one server over persistent connections. */
 export class CborClient {
   readonly #agent: Agent;
   readonly #host: string;
@@ -73,7 +73,7 @@
     this.#agent = new Agent({ keepAlive: true, maxSockets, maxFreeSockets: maxSockets });
   }
 
-  /** Sends one request; rejects with `NoResponseError` without an answer within `timeoutMs`. */
+  /** Sends one request; rejects with a `NoResponseError` if no valid answer arrives within `timeoutMs`. */
   call(method: string, path: string, body: unknown, timeoutMs: number): Promise<CborResponse> {
     return new Promise((resolve, reject) => {
       const bytes = body === undefined ? null : encodeCbor(body);
@@ -88,13 +88,13 @@
             ? {}
             : { 'content-type': 'application/cbor', 'content-length': bytes.length },
       });
-      // A connection of the agent's that is open already counts as connected.
+      // A kept-alive socket of the agent is already connected and emits no `connect` event.
       let connected = false;
       clientRequest.on('socket', (socket) => {
         if (!socket.connecting) connected = true;
         else socket.once('connect', () => (connected = true));
       });
-      // One limit for the whole call: a server that trickles bytes is as bad as a silent one.
+      // The timeout covers the whole call, so that a server that sends its answer byte by byte cannot extend it.
       const timer = setTimeout(() => {
         const message = `${method} ${path}: no answer within ${timeoutMs} ms`;
         clientRequest.destroy(new NoResponseError(message, connected));
@@ -122,13 +122,13 @@
     });
   }
 
-  /** Closes all connections. */
+  /** Closes all connections; calls in flight fail. */
   close(): void {
     this.#agent.destroy();
   }
 }
 
-/** Answers with a CBOR body. Koa's own way of sending would dominate the cost of a heartbeat. */
+/** Sends a response with a CBOR body, bypassing Koa, whose response handling would dominate the cost of a heartbeat. */
 export const sendCbor = (ctx: Koa.Context, status: number, body: unknown): void => {
   const bytes = encodeCbor(body);
   ctx.respond = false;
@@ -138,6 +138,6 @@
   ctx.res.end(bytes);
 };
 
-/** Reads a request body; null if it is over the protocol's limit. */
+/** Reads a request body; resolves with null if it exceeds the protocol's limit. */
 export const readBody = (stream: Readable): Promise<Buffer | null> =>
   readStream(stream, MAX_BODY_BYTES);
--- a/src/transport/token-bucket.ts
+++ b/src/transport/token-bucket.ts
@@ -1,6 +1,9 @@
-/** A token bucket that says how long to wait. Pure: the time is passed in, in steady ms. */
+/** A token bucket rate limiter. It reads no clock: callers pass the time of the steady clock in ms. */
 
-/** Tokens flow in at a rate, up to a capacity. A cost over the capacity needs a full bucket and leaves a debt. */
+/**
+ * A token bucket, refilled at a constant rate up to its capacity. A cost above the capacity requires a full bucket and
+ * leaves a negative balance.
+ */
 export class TokenBucket {
   #tokens: number;
   #refilledAt: number;
@@ -15,14 +18,14 @@
     this.#refilledAt = now;
   }
 
-  /** Changes the rate from now on. */
+  /** Changes the rate and the capacity from `now` on. */
   setRate(tokensPerSecond: number, capacity: number, now: number): void {
     this.#refill(now);
     this.tokensPerSecond = tokensPerSecond;
     this.capacity = capacity;
   }
 
-  /** Takes `cost` tokens if they are there; returns whether it has. */
+  /** Takes `cost` tokens if they are available; returns whether they were taken. */
   tryTake(cost: number, now: number): boolean {
     this.#refill(now);
     if (now < this.#blockedUntil) return false;
@@ -32,19 +35,19 @@
     return true;
   }
 
-  /** ms until one call of `cost` tokens may succeed. */
+  /** Returns the time in ms until a call that costs `cost` tokens can succeed. */
   waitMs(cost: number, now: number): number {
     return this.backlogWaitMs(Math.min(cost, this.capacity), now);
   }
 
-  /** ms until all of several calls may have succeeded, which cost `cost` tokens together. */
+  /** Returns the time in ms until several calls with a total cost of `cost` tokens can all have succeeded. */
   backlogWaitMs(cost: number, now: number): number {
     this.#refill(now);
     const missing = Math.max(0, cost - this.#tokens);
     return Math.max((missing / this.tokensPerSecond) * 1000, this.#blockedUntil - now, 0);
   }
 
-  /** Takes nothing for so long, since the budget that is shared with other nodes is spent. */
+  /** Refuses tokens for the next `ms`, because the budget that is shared with other nodes is used up. */
   block(ms: number, now: number): void {
     this.#blockedUntil = Math.max(this.#blockedUntil, now + ms);
   }
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -1,5 +1,5 @@
 /**
- * Messages between the service and the cloud. The protocol's words, mapped here and nowhere else:
+ * Messages between the service and the cloud. Only this module maps the protocol's names to those of the model:
  *
  * | wire                         | model                          |
  * | ---------------------------- | ------------------------------ |
@@ -9,23 +9,23 @@
  * | Hire                         | name of a rental request       |
  * | Hosts, Uid, Hosttype         | machines, name, machine type   |
  * | Reclaimable                  | spot                           |
- * | HeldS                        | age of a machine               |
+ * | HeldS                        | age of a machine since its rental |
  */
 import * as z from 'zod';
 import type { MachineType } from '../core/model.js';
-import { amount, name } from './fields.js';
+import { amountSchema, nameSchema } from './fields.js';
 
 const machineTypeSchema = z
   .object({
-    Label: name,
-    Vcpus: amount,
-    Cards: amount,
-    MemGb: amount,
-    CacheGb: amount.nullish(),
-    FetchGbPerS: amount.nullish(),
-    Price: amount,
-    LowPrice: amount.nullish(),
-    BootS: amount,
+    Label: nameSchema,
+    Vcpus: amountSchema,
+    Cards: amountSchema,
+    MemGb: amountSchema,
+    CacheGb: amountSchema.nullish(),
+    FetchGbPerS: amountSchema.nullish(),
+    Price: amountSchema,
+    LowPrice: amountSchema.nullish(),
+    BootS: amountSchema,
     Sites: z.array(z.string()),
   })
   .transform((type): MachineType => ({
@@ -41,12 +41,15 @@
     zones: type.Sites,
   }));
 
-/** All machine types. */
+/** The answer that lists all machine types. */
 export const machineTypesSchema = z
   .object({ Hosttypes: z.array(machineTypeSchema) })
   .transform((body) => body.Hosttypes);
 
-/** Machines to be rented; a request that is repeated under the same name rents nothing more. */
+/**
+ * A request to rent `count` machines. `request` is its idempotency key: a request that is repeated under the same key
+ * rents no further machines.
+ */
 export interface CloudRentalRequest {
   readonly request: string;
   readonly type: string;
@@ -55,7 +58,7 @@
   readonly count: number;
 }
 
-/** A rental request. */
+/** Returns the body of a rental request. */
 export const rentalRequestBody = (rental: CloudRentalRequest): unknown => ({
   Hire: rental.request,
   Hosttype: rental.type,
@@ -64,33 +67,33 @@
   Number: rental.count,
 });
 
-/** The names of the machines that a request has rented. */
+/** The answer to a rental request: the names of the machines that it has rented. */
 export const rentedMachinesSchema = z
-  .object({ Hosts: z.array(name) })
+  .object({ Hosts: z.array(nameSchema) })
   .transform((body) => body.Hosts);
 
-/** Machines to be returned, by name. */
+/** Returns the body of a request that returns machines, given by name, to the cloud. */
 export const returnBody = (machines: readonly string[]): unknown => ({ Hosts: machines });
 
-/** A machine that the cloud counts as rented. */
+/** A rented machine, as the cloud lists it. */
 export interface ListedMachine {
   readonly name: string;
-  /** null until it has booted */
+  /** address of the worker; null until the machine has booted */
   readonly address: string | null;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
   readonly status: string;
-  /** s since it was rented */
+  /** time since the machine was rented */
   readonly ageS: number;
 }
 
 const listedMachineSchema = z
   .object({
-    Uid: name,
+    Uid: nameSchema,
     Address: z.string().nullish(),
-    Hosttype: name,
-    Site: name,
+    Hosttype: nameSchema,
+    Site: nameSchema,
     Reclaimable: z.boolean(),
     Status: z.string(),
     HeldS: z.number().nullish(),
@@ -105,7 +108,7 @@
     ageS: machine.HeldS ?? 0,
   }));
 
-/** One page of the rented machines, in the order of their names. */
+/** One page of the list of rented machines, in the order of their names. */
 export const machineListSchema = z
   .object({ Hosts: z.array(listedMachineSchema), Truncated: z.boolean().nullish() })
   .transform((body) => ({ machines: body.Hosts, more: body.Truncated ?? false }));
--- a/src/wire/constants.ts
+++ b/src/wire/constants.ts
@@ -1,7 +1,7 @@
 /** Limits of the protocol's messages. */
 
-/** characters; names of a submission are stored in values, whose size is limited. */
+/** Maximum length of a name in characters. Names of a submission are stored in values, whose size is limited. */
 export const MAX_NAME_LENGTH = 200;
 
-/** tasks; the protocol's limit for one job. */
+/** The protocol's limit on the number of tasks of one job. */
 export const MAX_TASKS_PER_JOB = 100_000;
--- a/src/wire/fields.ts
+++ b/src/wire/fields.ts
@@ -1,16 +1,17 @@
-/** Kinds of fields that several messages have in common. */
+/** Schemas of fields that occur in several messages. */
 import * as z from 'zod';
 import { MAX_NAME_LENGTH } from './constants.js';
 
-/** A count or a number that only rises. */
-export const count = z.number().int().nonnegative().max(Number.MAX_SAFE_INTEGER);
+/** A count or a monotonically increasing number. */
+export const countSchema = z.number().int().nonnegative().max(Number.MAX_SAFE_INTEGER);
 
-/** An amount of a resource, money or time; no NaN, no infinity. */
-export const amount = z.number().nonnegative().max(1e9);
+/** An amount of a resource, money or time; NaN and infinity are rejected. */
+export const amountSchema = z.number().nonnegative().max(1e9);
 
-/** A name of a job class, team, machine, zone and the like. */
-export const name = z.string().min(1).max(MAX_NAME_LENGTH);
+/** The name of a job class, team, machine, zone or the like. */
+export const nameSchema = z.string().min(1).max(MAX_NAME_LENGTH);
 
-/** The words of a table from the wire to the model, for `z.enum`. */
-export const wordsOf = <Word extends string>(table: Record<Word, unknown>): [Word, ...Word[]] =>
-  Object.keys(table) as [Word, ...Word[]];
+/** Returns the wire values of a table that maps wire values to those of the model, for use with `z.enum`. */
+export const enumValues = <Value extends string>(
+  table: Record<Value, unknown>,
+): [Value, ...Value[]] => Object.keys(table) as [Value, ...Value[]];
--- a/src/wire/store.ts
+++ b/src/wire/store.ts
@@ -1,45 +1,48 @@
 /**
- * Messages between the service and the key-value store. The protocol's words, mapped here and nowhere else:
+ * Messages between the service and the key-value store. Only this module maps the protocol's names to those of the
+ * model:
  *
- * | wire                     | model                                        |
- * | ------------------------ | -------------------------------------------- |
- * | Epoch                    | revision that the store has reached          |
- * | Stamp                    | revision of a key's last change; 0: none     |
- * | When, Writes             | guards, writes of a compare-and-swap         |
- * | Permit                   | lease                                        |
- * | News, Put, Drop          | changes of a watch: key written, key removed |
- * | Entries, Truncated       | a page of a listing, more                    |
+ * | wire                     | model                                                      |
+ * | ------------------------ | ---------------------------------------------------------- |
+ * | Epoch                    | current revision of the store                              |
+ * | Stamp                    | revision of a key's last change; 0: the key does not exist |
+ * | When, Writes             | guards, writes of a compare-and-swap                       |
+ * | Permit                   | lease                                                      |
+ * | News, Put, Drop          | changes of a watch: key written, key removed               |
+ * | Entries, Truncated       | a page of a listing, whether more pages follow             |
  */
 import type { Guard, Write } from '@sumacstep/leader-election';
 import * as z from 'zod';
 import type { Changes, Entry, Page } from '../store/types.js';
 
-const revision = z.number().int().nonnegative();
+const revisionSchema = z.number().int().nonnegative();
 
-const entryFields = z.object({
+const entryFieldsSchema = z.object({
   K: z.string(),
   Value: z.unknown().optional(),
-  Stamp: revision,
+  Stamp: revisionSchema,
   Permit: z.number().nullish(),
 });
 
-/** One key and its value. */
-export const entrySchema = entryFields.transform((entry): Entry => ({
+/** The answer for one key: its value, revision and lease. */
+export const entrySchema = entryFieldsSchema.transform((entry): Entry => ({
   key: entry.K,
   value: entry.Value,
   revision: entry.Stamp,
   lease: entry.Permit ?? null,
 }));
 
-/** The store's revision, which is all that the answers for a missing key and for a commit hold. */
-export const storeRevisionSchema = z.object({ Epoch: revision }).transform((body) => body.Epoch);
+/** The answer for a missing key and for a commit, which contains only the store's revision. */
+export const storeRevisionSchema = z
+  .object({ Epoch: revisionSchema })
+  .transform((body) => body.Epoch);
 
 /** One page of a listing. */
 export const listingSchema = z
   .object({
-    Entries: z.array(entryFields),
+    Entries: z.array(entryFieldsSchema),
     Truncated: z.boolean().nullish(),
-    Epoch: revision,
+    Epoch: revisionSchema,
   })
   .transform((body): Page => ({
     entries: body.Entries.map((entry) => ({
@@ -51,24 +54,24 @@
     storeRevision: body.Epoch,
   }));
 
-/** The keys whose guards have failed. */
+/** The answer to a compare-and-swap that was not applied: the keys whose guards have failed. */
 export const conflictSchema = z
-  .object({ failed: z.array(z.string()).nullish(), Epoch: revision.nullish() })
+  .object({ failed: z.array(z.string()).nullish(), Epoch: revisionSchema.nullish() })
   .transform((body) => body.failed ?? []);
 
-/** The id of a new lease. */
+/** The answer to a lease request: the id of the new lease. */
 export const leaseSchema = z.object({ Permit: z.number() }).transform((body) => body.Permit);
 
-/** Changes since the revision that was asked for; a removal carries no value. */
+/** The answer to a watch: the changes since the requested revision. A removal carries no value. */
 export const watchSchema = z
   .object({
-    Epoch: revision,
+    Epoch: revisionSchema,
     News: z.array(
       z.object({
         Put: z.string().nullish(),
         Drop: z.string().nullish(),
         Value: z.unknown().optional(),
-        Stamp: revision,
+        Stamp: revisionSchema,
       }),
     ),
   })
@@ -81,7 +84,7 @@
     }),
   }));
 
-/** A compare-and-swap: the writes happen together, and only if every guard holds. */
+/** Returns the body of a compare-and-swap: all writes are applied atomically, and only if every guard holds. */
 export const transactionBody = (guards: readonly Guard[], writes: readonly Write[]): unknown => ({
   When: guards.map((guard) => ({ K: guard.key, Stamp: guard.revision })),
   Writes: writes.map((write) => {
@@ -91,5 +94,5 @@
   }),
 });
 
-/** A request for a lease. */
+/** Returns the body of a request for a lease with a time to live in ms. */
 export const leaseBody = (ttlMs: number): unknown => ({ TtlMs: ttlMs });
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -1,30 +1,30 @@
 /**
- * Messages between workers and the service. The protocol's words, mapped here and nowhere else:
+ * Messages between workers and the service. Only this module maps the protocol's names to those of the model:
  *
  * | wire                               | model                                 |
  * | ---------------------------------- | ------------------------------------- |
  * | Host, Hosttype, Site, Reclaimable  | machine, type, zone, spot             |
  * | Tenure                             | agent epoch                           |
  * | Mandate                            | fencing token                         |
- * | WarningS                           | preemption notice                     |
+ * | WarningS                           | preemption notice (s)                 |
  * | Piece, Try, Status, Cause          | task, attempt, state, exit reason     |
  * | gathering, flushing, ended         | waiting, saving, exited               |
  * | Orders, Verb: start, stop, reap    | commands, op: start, stop, forget     |
- * | WindupS                            | grace period                          |
- * | ReportsTo                          | the node that owns the machine's shard |
+ * | WindupS                            | grace period (s)                      |
+ * | ReportsTo                          | node that owns the machine's shard    |
  */
 import * as z from 'zod';
 import type { Command, ExitReason, Heartbeat, ReportedTask, TaskState } from '../core/model.js';
-import { count, name, wordsOf } from './fields.js';
+import { countSchema, nameSchema, enumValues } from './fields.js';
 
-const STATES = {
+const STATE_BY_STATUS = {
   fetching: 'fetching',
   gathering: 'waiting',
   running: 'running',
   flushing: 'saving',
   ended: 'exited',
 } as const satisfies Record<string, TaskState>;
-const REASONS = {
+const EXIT_REASON_BY_CAUSE = {
   done: 'done',
   stopped: 'stopped',
   peers: 'peers',
@@ -35,12 +35,12 @@
   unknown: 'unknown',
 } as const satisfies Record<string, ExitReason>;
 
-/** `job-000412/3` */
+/** The form of a task's id: the uid of its job and its index, such as `job-000412/3`. */
 const TASK_PATTERN = /^[^/]+\/[0-9]{1,15}$/;
 const reportedTaskSchema = z.object({
   Piece: z.string().regex(TASK_PATTERN),
-  Try: count,
-  Status: z.enum(wordsOf(STATES)),
+  Try: countSchema,
+  Status: z.enum(enumValues(STATE_BY_STATUS)),
   Cause: z.string().nullish(),
   Saved: z.boolean().nullish(),
 });
@@ -52,24 +52,30 @@
     uid: task.Piece.slice(0, slash),
     index: Number(task.Piece.slice(slash + 1)),
     attempt: task.Try,
-    state: STATES[task.Status],
-    // A reason that only newer workers know counts as an error of the task.
-    why: reason === null ? null : ((REASONS as Record<string, ExitReason>)[reason] ?? 'error'),
+    state: STATE_BY_STATUS[task.Status],
+    // Newer workers may report reasons that this version does not know: these count as an error of the task.
+    why:
+      reason === null
+        ? null
+        : ((EXIT_REASON_BY_CAUSE as Record<string, ExitReason>)[reason] ?? 'error'),
     saved: task.Saved ?? false,
   };
 };
 
-/** A heartbeat. One conversion for the whole message: one for each task would dominate its cost. */
+/**
+ * A heartbeat of a worker. The whole message is transformed at once, since a transformation for each task would
+ * dominate the cost of a heartbeat.
+ */
 export const heartbeatSchema = z
   .object({
-    Host: name,
-    Address: name,
-    Hosttype: name,
-    Site: name,
+    Host: nameSchema,
+    Address: nameSchema,
+    Hosttype: nameSchema,
+    Site: nameSchema,
     Reclaimable: z.boolean(),
-    Tenure: count,
-    Counter: count,
-    Mandate: count,
+    Tenure: countSchema,
+    Counter: countSchema,
+    Mandate: countSchema,
     WarningS: z.number().nullish(),
     Pieces: z.array(reportedTaskSchema).nullish(),
   })
@@ -98,13 +104,16 @@
   }
 };
 
-/** The answer to a heartbeat: commands under the fencing token of the shard's owner. */
+/** Returns the answer to a heartbeat: commands with the fencing token of the shard's owner. */
 export const heartbeatResponseBody = (
   fencingToken: number,
   commands: readonly Command[],
 ): unknown => ({ Mandate: fencingToken, Orders: commands.map(commandBody) });
 
-/** Commands that are sent to a worker between its heartbeats; only that agent epoch obeys them. */
+/**
+ * Returns the body of a message that sends commands to a worker between its heartbeats. The worker executes them only
+ * if its agent epoch is still the given one.
+ */
 export const commandsBody = (
   fencingToken: number,
   agentEpoch: number,
@@ -115,6 +124,6 @@
   Orders: commands.map(commandBody),
 });
 
-/** Names the node that a worker is to send its heartbeats to; null: it is unknown. */
+/** Returns an answer that names the node to send heartbeats to, or names none if `node` is null (unknown). */
 export const redirectBody = (node: string | null): unknown =>
   node === null ? {} : { ReportsTo: node };
--- a/test/wire.test.ts
+++ b/test/wire.test.ts
@@ -1,3 +1,4 @@
+/** Messages of the protocol: validation, decoding, and the mapping between the names of the wire and the model. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { decodeCbor, encodeCbor, WireError } from '../src/wire/cbor.js';
@@ -5,7 +6,7 @@
 import { watchSchema } from '../src/wire/store.js';
 import { submissionSchema } from '../src/wire/users.js';
 
-const GOOD = {
+const VALID_SUBMISSION = {
   Uid: 'job-000412',
   Jobclass: 'train',
   Owner: 'vision',
@@ -28,45 +29,54 @@
   DueS: 900,
 };
 
-test('submissions: what is taken and what is malformed', () => {
+test('submissions: valid ones are accepted, malformed ones are rejected', () => {
   const cases: [string, Record<string, unknown>, boolean][] = [
-    ['the example', {}, true],
+    ['the valid example', {}, true],
     ['unknown fields are ignored', { Extra: 1 }, true],
-    ['nulls may be left out', { Hosttypes: undefined, Site: undefined, DueS: undefined }, true],
+    [
+      'optional fields may be missing',
+      { Hosttypes: undefined, Site: undefined, DueS: undefined },
+      true,
+    ],
     ['a missing field', { Pieces: undefined }, false],
-    ['an id of another form', { Uid: 'task-1' }, false],
+    ['an id of an invalid form', { Uid: 'task-1' }, false],
     ['an id with a path in it', { Uid: 'job-1/../2' }, false],
     ['no tasks', { Pieces: 0 }, false],
     ['too many tasks', { Pieces: 100_001 }, false],
-    ['half a task', { Pieces: 1.5 }, false],
+    ['a fractional number of tasks', { Pieces: 1.5 }, false],
     ['a negative amount', { Vcpus: -1 }, false],
-    ['text for an amount', { MemGb: '64' }, false],
+    ['text instead of an amount', { MemGb: '64' }, false],
     ['an unknown kind', { Shape: 'daemon' }, false],
     ['an unknown rank', { Rank: 'top' }, false],
-    ['a number for a flag', { Spread: 0 }, false],
+    ['a number instead of a boolean', { Spread: 0 }, false],
     ['infinity', { GuessS: Infinity }, false],
   ];
-  for (const [name, over, good] of cases) {
-    assert.equal(submissionSchema.safeParse({ ...GOOD, ...over }).success, good, name);
+  for (const [description, changes, valid] of cases) {
+    assert.equal(
+      submissionSchema.safeParse({ ...VALID_SUBMISSION, ...changes }).success,
+      valid,
+      description,
+    );
   }
   assert.equal(submissionSchema.safeParse([]).success, false, 'not a map');
 });
 
-test('CBOR: bytes that are none of the protocol', () => {
-  const good = encodeCbor(GOOD);
-  assert.deepEqual(decodeCbor(good), GOOD);
+test('CBOR: bytes outside the subset of the protocol are rejected', () => {
+  const encoded = encodeCbor(VALID_SUBMISSION);
+  assert.deepEqual(decodeCbor(encoded), VALID_SUBMISSION);
   const cases: [string, Uint8Array][] = [
-    ['nothing', new Uint8Array()],
-    ['cut short', good.slice(0, -1)],
-    ['trailing bytes', Uint8Array.of(...good, 0)],
+    ['no bytes', new Uint8Array()],
+    ['truncated', encoded.slice(0, -1)],
+    ['trailing bytes', Uint8Array.of(...encoded, 0)],
     ['NaN', Uint8Array.of(0xf9, 0x7e, 0x00)],
     ['undefined', Uint8Array.of(0xf7)],
-    ['a key twice', Uint8Array.of(0xa2, 0x61, 0x61, 1, 0x61, 0x61, 2)],
+    ['a duplicate key', Uint8Array.of(0xa2, 0x61, 0x61, 1, 0x61, 0x61, 2)],
   ];
-  for (const [name, bytes] of cases) assert.throws(() => decodeCbor(bytes), WireError, name);
+  for (const [description, bytes] of cases)
+    assert.throws(() => decodeCbor(bytes), WireError, description);
 });
 
-test('reports: the words of the wire become those of the model', () => {
+test('heartbeats: states and exit reasons are mapped to those of the model', () => {
   const parsed = heartbeatSchema.parse({
     Host: 'vm-1',
     Address: 'a:1',
@@ -83,7 +93,7 @@
     ],
   });
   assert.deepEqual(
-    parsed.tasks.map((t) => [t.uid, t.index, t.state, t.why]),
+    parsed.tasks.map((task) => [task.uid, task.index, task.state, task.why]),
     [
       ['job-000412', 3, 'waiting', null],
       ['job-000398', 0, 'exited', 'no_room'],
@@ -93,7 +103,7 @@
   assert.equal(parsed.preemptionNoticeS, null);
 });
 
-test('orders: the verbs of the wire', () => {
+test('commands: operations are mapped to the verbs of the wire', () => {
   const task = { uid: 'job-1', index: 4, attempt: 2 };
   assert.deepEqual(
     heartbeatResponseBody(41, [
@@ -112,8 +122,8 @@
   );
 });
 
-// The first feed stood still from the first finished job on: removals carry no value.
-test('changes: a removal has no value', () => {
+// Removals carry no value. A decoder that required one stopped the watch at the first finished job.
+test('watch: a removal without a value is accepted', () => {
   const parsed = watchSchema.parse({ Epoch: 433, News: [{ Drop: 'c/d', Stamp: 432 }] });
   const removal = { key: 'c/d', revision: 432, value: undefined, removed: true };
   assert.deepEqual(parsed, { storeRevision: 433, changes: [removal] });
