--- a/scripts/answer-soak.sh
+++ b/scripts/answer-soak.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# The long run of the answer soak: several seeds, hundreds of jobs each. Not a part of CI.
+# Runs the answer soak test at length: several seeds with hundreds of jobs each. Not part of CI.
 # Usage: scripts/answer-soak.sh [FIRST_SEED [LAST_SEED]]
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/scripts/duty-takeover.sh
+++ b/scripts/duty-takeover.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# How long a part and a duty are without a holder after its end, and what duties cost. Not a part of CI.
+# Measures for how long a part and a duty have no holder after the previous one has failed, and what duties cost. Not
+# part of CI.
 # Usage: scripts/duty-takeover.sh [ROUNDS [REPORT.html]]
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/scripts/production-fixture.sh
+++ b/scripts/production-fixture.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Bundles the controller of the version in production into test/fixtures/production/controller.js, so
-# that tests can run it beside the present one. The commit is the one named in deploy/service.toml.
+# Bundles the controller of the version in production into test/fixtures/production/controller.js, so that tests can run
+# it together with the current version. The key `production` in deploy/service.toml names its commit.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 root=$PWD
--- a/scripts/share-moves.sh
+++ b/scripts/share-moves.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Machines move between parts every few seconds for ten minutes, with faults mixed in. Not a part of CI.
+# Moves machines between parts every few seconds for ten minutes by default, while faults are injected. Not part of CI.
 # Usage: scripts/share-moves.sh [SECONDS [REPORT.html [SEED ...]]]
 set -euo pipefail
 cd "$(dirname "$0")/.."
