--- a/src/cloud/cloud-client.ts
+++ b/src/cloud/cloud-client.ts
@@ -37,7 +37,7 @@
 const CALL_PRIORITY = { return: 0, rent: 1, list: 2 } as const;
 type CallPriority = (typeof CALL_PRIORITY)[keyof typeof CALL_PRIORITY];
 
-interface Call {
+interface CloudCall {
   readonly priority: CallPriority;
   readonly method: 'GET' | 'POST';
   readonly path: string;
@@ -53,10 +53,10 @@
   readonly #http: CborClient;
   readonly #tokens: TokenBucket;
   /** calls that wait for a token, by priority */
-  readonly #waiting = [0, 0, 0];
+  readonly #waitingCalls = [0, 0, 0];
   #rps: number;
   /** pages of the last complete list */
-  #pages = 1;
+  #listPageCount = 1;
 
   constructor(
     address: string,
@@ -76,7 +76,7 @@
 
   /** ms between two lists so that reading them leaves the other calls their share of the limit. */
   minListIntervalMs(): number {
-    return (this.#pages * 1000) / (this.#rps * LIST_RATE_SHARE);
+    return (this.#listPageCount * 1000) / (this.#rps * LIST_RATE_SHARE);
   }
 
   /** Reads all machine types. */
@@ -142,7 +142,7 @@
       machines.push(...page.machines);
       const last = page.machines.at(-1);
       if (!page.more || last === undefined) {
-        this.#pages = pages;
+        this.#listPageCount = pages;
         return machines;
       }
       since = last.name;
@@ -155,19 +155,19 @@
   }
 
   async #takeToken(priority: CallPriority): Promise<void> {
-    this.#waiting[priority]! += 1;
+    this.#waitingCalls[priority]! += 1;
     try {
       for (;;) {
-        const precededByOthers = this.#waiting.slice(0, priority).some((calls) => calls > 0);
+        const precededByOthers = this.#waitingCalls.slice(0, priority).some((calls) => calls > 0);
         if (!precededByOthers && this.#tokens.tryTake(1, this.now())) return;
         await sleep(Math.max(TOKEN_POLL_MS, Math.ceil(this.#tokens.waitMs(1, this.now()))));
       }
     } finally {
-      this.#waiting[priority]! -= 1;
+      this.#waitingCalls[priority]! -= 1;
     }
   }
 
-  async #call({ priority, method, path, body, authorization }: Call): Promise<CborResponse> {
+  async #call({ priority, method, path, body, authorization }: CloudCall): Promise<CborResponse> {
     await this.#takeToken(priority);
     // The authorization may have ended while the call waited or the process was suspended.
     authorization?.ensureValid();
--- a/src/commands/duties.ts
+++ b/src/commands/duties.ts
@@ -11,7 +11,7 @@
 import { SINGLETON_ROLES } from '../singletons/roles.js';
 import { electionView } from '../singletons/singleton-election.js';
 import { CALL_PRIORITY } from '../store/call-priority.js';
-import { key } from '../store/keys.js';
+import { storeKey } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import { CommandError, EXIT } from './exit-codes.js';
 import { StoreAccess } from './store-access.js';
@@ -45,7 +45,7 @@
   [...tables.shards].map(([index, { value }]) => {
     const live = tables.nodes.has(`${value.owner}/${value.incarnation}`);
     return {
-      duty: key.shard(Number(index)),
+      duty: storeKey.shard(Number(index)),
       holder: value.owner,
       incarnation: value.incarnation,
       token: value.term,
--- a/src/core/capacity/allocation-ratio.ts
+++ b/src/core/capacity/allocation-ratio.ts
@@ -36,7 +36,7 @@
 
 /** Whether the machine counts as capacity: it stays, and is either still booting or heard from lately. */
 const countsForRouting = (state: ShardState, machine: MachineState, now: number): boolean => {
-  const leaves = isLeaving(machine) || machine.preemptionNoticeAt !== null;
+  const leaves = isLeaving(machine) || machine.preemptionAt !== null;
   return !leaves && (!machine.everConfirmed || state.health.isFresh(machine, now));
 };
 
@@ -65,7 +65,7 @@
     const lowestRank = state.settings.preempt ? rank : 0;
     for (const pools of [[ordinary], [ordinary, spot]]) {
       const allocated = [waitingByRank, ...pools.map((pool) => pool.allocatedByRank)];
-      ratios.push(largestRatio(allocated, pools, lowestRank, state.largest));
+      ratios.push(largestRatio(allocated, pools, lowestRank, state.largestCapacity));
     }
   }
   return ratios;
--- a/src/core/capacity/capacity-planner.ts
+++ b/src/core/capacity/capacity-planner.ts
@@ -1,7 +1,7 @@
 /** Plans which machines a shard rents and returns, from the machines it has and its demand for them. */
 import { BOOT_TIMEOUT_FACTOR } from './constants.js';
 import { tasksNeedingCapacity } from '../reachability/failure-tracker.js';
-import { timesIn, type JobSpec, type MachineType } from '../model.js';
+import { fitCount, type JobSpec, type MachineType } from '../model.js';
 import type { JobState, MachineState } from '../shard/shard.js';
 import { ReachableCapacity, zoneForNewMachines } from './reachable-capacity.js';
 import {
@@ -144,7 +144,7 @@
     const reason = this.#faultOf(machine);
     if (reason !== null) this.#return(machine, reason);
     else if (machine.faultStatus === 'quarantined') this.#drain(machine);
-    else if (machine.preemptionNoticeAt === null && !machine.cordoned) this.#retained.push(machine);
+    else if (machine.preemptionAt === null && !machine.cordoned) this.#retained.push(machine);
   }
 
   /** Returns the fault for which the machine has to be returned now; null: none. */
@@ -321,7 +321,7 @@
     const { spec } = job;
     const type = cheapestType(spec, this.input.types.values());
     if (type === null) return;
-    const count = Math.ceil(tasks / Math.max(1, timesIn(spec.demand, type)));
+    const count = Math.ceil(tasks / Math.max(1, fitCount(spec.demand, type)));
     const zone = zoneForNewMachines(job, type, this.#retained);
     const expected = spec.spot ? this.#rent(type, true, count, zone) : 0;
     if (expected < count) this.#rent(type, false, count - expected, zone);
--- a/src/peers/shard-directory.ts
+++ b/src/peers/shard-directory.ts
@@ -2,7 +2,7 @@
 import { BALANCE_MARGIN, BALANCE_RATIO, UNKNOWN_LOAD } from './constants.js';
 import { loadIndex } from '../core/capacity/allocation-ratio.js';
 import type { ShardLoad } from '../core/jobs/jobs.js';
-import { fits, PRIORITY_RANK, timesIn, type JobSpec, type Resources } from '../core/model.js';
+import { fits, PRIORITY_RANK, fitCount, type JobSpec, type Resources } from '../core/model.js';
 import type { MachineState, Shard } from '../core/shard/shard.js';
 import type { PeerStatus, FreeCapacity } from './frames.js';
 
@@ -173,7 +173,7 @@
           : own.waitingTasks(rank, this.now());
       if (waiting > 0) continue;
       const rooms = this.#freeCapacity(shard).filter((r) => capacityFits(spec, r));
-      const tasks = rooms.reduce((sum, r) => sum + timesIn(spec.demand, r) * r.count, 0);
+      const tasks = rooms.reduce((sum, r) => sum + fitCount(spec.demand, r) * r.count, 0);
       const image = rooms.some((r) => r.images.includes(spec.image));
       if (tasks === 0) continue;
       if (best === null || (image && !best.image)) best = { shard, tasks, image };
@@ -277,5 +277,5 @@
   const job = shard.jobs.get(uid);
   if (job === undefined) return { done: 0, running: 0 };
   const running = [...job.placements.values()].filter((p) => p.state === 'running').length;
-  return { done: job.savedTasks.size + job.unsavedTasks.size, running };
+  return { done: job.savedCompletions.size + job.unsavedCompletions.size, running };
 };
--- a/src/rebalancing/move-candidates.ts
+++ b/src/rebalancing/move-candidates.ts
@@ -10,7 +10,7 @@
 /** Returns why a machine cannot move now regardless of the tasks on it, or null. The text is stored and printed. */
 const findIneligibleReason = (shard: Shard, machine: MachineState, now: number): string | null => {
   if (isLeaving(machine)) return 'is to be returned';
-  if (machine.preemptionNoticeAt !== null) return 'has a notice';
+  if (machine.preemptionAt !== null) return 'has a notice';
   if (!machine.record.up) return 'is not up yet';
   if (!shard.isFresh(machine, now) || machine.commandsLostSince !== null) {
     return 'cannot be reached';
--- a/src/rebalancing/shard-mover.ts
+++ b/src/rebalancing/shard-mover.ts
@@ -80,7 +80,7 @@
       const { source, target } = moveEndpoints(move.value);
       if (!this.#hasNewerTerm(source, target)) shardController.renewTerm(target);
       const owned = shardController.owned.get(source);
-      if (owned !== undefined && shardController.actsFor(owned)) {
+      if (owned !== undefined && shardController.mayActFor(owned)) {
         this.#advanceAsSource(move, owned, target);
       }
     }
--- a/src/service/service.ts
+++ b/src/service/service.ts
@@ -137,8 +137,8 @@
       client,
       cloud: this.#cloud,
       cache,
-      authority: () => this.#shardController.authority(now()),
-      current: () => linearizable.waitUntilCurrent(),
+      hasAuthority: () => this.#shardController.hasAuthority(now()),
+      waitUntilCurrent: () => linearizable.waitUntilCurrent(),
       fencingRejections: this.#fencingRejections,
       now,
       timeOfDay,
@@ -217,7 +217,7 @@
   #shareRateLimits(): void {
     const { ready } = this.#store.cache;
     const { nodes } = this.#context.config;
-    this.#rateLimits.update(ready ? this.#shardController.aliveNodes() : nodes);
+    this.#rateLimits.update(ready ? this.#shardController.liveNodeCount() : nodes);
   }
 
   #startObjectives(jobClass: string): number[] {
--- a/src/shards/machine-records/group-edits.ts
+++ b/src/shards/machine-records/group-edits.ts
@@ -3,7 +3,7 @@
  * one rental, so that many machines that boot or are returned together cost a few writes instead of one each.
  */
 import { encodeMachineGroup, type MachineGroup } from '../../store/codecs/machine-group.js';
-import { key } from '../../store/keys.js';
+import { storeKey } from '../../store/keys.js';
 import type { WatchCache } from '../../store/watch-cache.js';
 import type { Guard, Write } from '@sumacstep/leader-election';
 import { MACHINE_ENTRY_BYTES, MACHINE_GROUP_OVERHEAD_BYTES } from './constants.js';
@@ -66,7 +66,7 @@
     const guards: Guard[] = [];
     const writes: Write[] = [];
     for (const [id, { revision, machines, group }] of this.#byGroup) {
-      const name = key.machineGroup(id);
+      const name = storeKey.machineGroup(id);
       guards.push({ key: name, revision });
       if (machines.size === 0) writes.push({ drop: name });
       else writes.push({ put: name, value: encodeMachineGroup(group) });
--- a/src/shards/scale-out/rental-requests.ts
+++ b/src/shards/scale-out/rental-requests.ts
@@ -9,7 +9,7 @@
 import type { CloudClient, RentResult } from '../../cloud/cloud-client.js';
 import type { RentalRequest } from '../../core/capacity/capacity-planner.js';
 import { CALL_PRIORITY } from '../../store/call-priority.js';
-import { key } from '../../store/keys.js';
+import { storeKey } from '../../store/keys.js';
 import { encodeRental, type RentalRecord } from '../../store/codecs/rental.js';
 import type { WatchCache } from '../../store/watch-cache.js';
 import type { Write } from '@sumacstep/leader-election';
@@ -70,7 +70,7 @@
       const writes = rentals.map((rental): Write => {
         this.#sequence += 1;
         const name = `${config.node}-${this.dependencies.incarnation}-${this.#sequence}`;
-        return { put: key.rental(index, name), value: encodeRental(rental) };
+        return { put: storeKey.rental(index, name), value: encodeRental(rental) };
       });
       const transaction = { guards: [], writes };
       await commit(this.dependencies, owned.authorization, CALL_PRIORITY.completion, transaction);
@@ -101,8 +101,8 @@
     for (const { value: rental, revision } of cache.tables.rentals.values()) {
       if (rental.shard !== index || this.#retryAt.has(rental.name)) continue;
       this.#retryAt.set(rental.name, Infinity);
-      const stored = { key: key.rental(index, rental.name), revision };
-      const intent = RecordedIntent.found(owned.authorization, stored);
+      const stored = { key: storeKey.rental(index, rental.name), revision };
+      const intent = RecordedIntent.fromStored(owned.authorization, stored);
       void attempt(log, 'rental request failed', () => this.#rent(owned, rental, intent)).finally(
         () => this.#retryAt.set(rental.name, now() + RENTAL_RETRY_MS),
       );
--- a/src/shards/scale-out/scale-out.ts
+++ b/src/shards/scale-out/scale-out.ts
@@ -68,7 +68,7 @@
     const { shardController, machineTypes } = this.dependencies;
     const now = this.dependencies.now();
     const types = machineTypes();
-    if (types === null || !shardController.authority(now)) return;
+    if (types === null || !shardController.hasAuthority(now)) return;
     for (const owned of shardController.owned.values()) {
       if (owned.isActive) this.#rentals.requestRecorded(owned);
     }
--- a/src/store/node-session.ts
+++ b/src/store/node-session.ts
@@ -4,10 +4,10 @@
 import { MAX_RELATIVE_CLOCK_DRIFT } from '../constants.js';
 import { encodeNode, type NodeRecord } from './codecs/node.js';
 import { LEASE_MARGIN_MS, LEASE_RENEW_MS, LEASE_RETRY_MS, LEASE_TTL_MS } from './constants.js';
-import { key } from './keys.js';
+import { storeKey } from './keys.js';
 import type { StoreClient } from './store-client.js';
 
-const TIMING = {
+const LEASE_TIMING = {
   ttlMs: LEASE_TTL_MS,
   renewMs: LEASE_RENEW_MS,
   retryMs: LEASE_RETRY_MS,
@@ -23,8 +23,8 @@
   log: Logger,
 ): SessionLease => {
   const registration = {
-    key: key.node(node, incarnation),
+    key: storeKey.node(node, incarnation),
     value: encodeNode(incarnation, capabilities),
   };
-  return new SessionLease(client, registration, TIMING, now, log);
+  return new SessionLease(client, registration, LEASE_TIMING, now, log);
 };
--- a/src/users/job-reader.ts
+++ b/src/users/job-reader.ts
@@ -1,6 +1,6 @@
 import type { JobRecord } from '../core/model.js';
 import type { StoreClient } from '../store/store-client.js';
-import { key } from '../store/keys.js';
+import { storeKey } from '../store/keys.js';
 import type { FinalState } from '../store/codecs/final-state.js';
 import type { LinearizableReads } from '../store/linearizable-reads.js';
 import { SharedReads } from '../store/shared-reads.js';
@@ -61,9 +61,9 @@
     }
     const shown = this.knownFinal(uid);
     if (shown !== undefined) return finalReading(shown);
-    const found = await this.#finals.read(key.finalState(uid));
+    const found = await this.#finals.read(storeKey.finalState(uid));
     if ('missing' in found) return { answer: { kind: 'missing' }, currentSince };
-    return finalReading(this.cache.learnFinalState(uid, found.value, found.revision));
+    return finalReading(this.cache.recordFinalState(uid, found.value, found.revision));
   }
 
   /**
--- a/test/move-candidates.test.ts
+++ b/test/move-candidates.test.ts
@@ -45,7 +45,7 @@
   ['it has not confirmed its tasks under this term', (m) => (m.confirmedSince = null), false],
   ['it is unreachable', (m) => (m.lastStatusAt = m.lastHeartbeatAt = -1e6), false],
   ['commands to it were lost', (m) => (m.commandsLostSince = NOW), false],
-  ['it has a preemption notice', (m) => (m.preemptionNoticeAt = NOW), false],
+  ['it has a preemption notice', (m) => (m.preemptionAt = NOW), false],
   ['it is being returned to the cloud', (m) => (m.terminating = true), false],
   ['it is draining', (m) => (m.lifecycle = 'draining'), false],
   ['its record belongs to another shard', (m) => (m.lifecycle = 'orphaned'), false],
--- a/test/services.test.ts
+++ b/test/services.test.ts
@@ -89,7 +89,7 @@
   const cluster = scene(['a', 'b'], { tasks: 2 }, HEARTBEAT_MS);
   cluster.run(0, 60 * HEARTBEAT_MS);
   const state = cluster.shard.jobs.get(UID)!;
-  assert.equal(state.savedTasks.size + state.unsavedTasks.size, 0);
+  assert.equal(state.savedCompletions.size + state.unsavedCompletions.size, 0);
   assert.equal(state.ended, false);
   assert.ok(cluster.world.started > 4, `${cluster.world.started} starts`);
   assert.ok(cluster.world.started < 60, `${cluster.world.started} starts: the pauses do not grow`);
@@ -101,7 +101,7 @@
 
 test('what somebody has saved as done of a service counts for nothing', () => {
   const store = new Store().add(machine('a'), service({ tasks: 2 }));
-  store.bits.set(`${UID}/0`, 'c');
+  store.doneBitmaps.set(`${UID}/0`, 'c');
   const shard = shardWith(store, 2);
   assert.equal(shard.jobs.get(UID)?.waitingTasks.length, 2);
 });
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -79,9 +79,9 @@
     const shard = shardOf(store, machines);
     shard.placeAll(1);
     const placed = placedTasks(shard);
-    const firstPass = { ...shard.state.work };
+    const firstPass = { ...shard.state.workCounters };
     shard.placeAll(2);
-    const secondPassVisits = shard.state.work.machinesVisited - firstPass.machinesVisited;
+    const secondPassVisits = shard.state.workCounters.machinesVisited - firstPass.machinesVisited;
     assert.ok(placed > 2 * machines, `${placed} tasks placed on ${machines} machines`);
     return {
       visited: firstPass.machinesVisited / placed,
@@ -113,7 +113,7 @@
   const shard = shardOf(store, 100);
   shard.placeAll(1);
   assert.equal(placedTasks(shard), 200);
-  const before = shard.state.work.machinesVisited;
+  const before = shard.state.workCounters.machinesVisited;
   for (let i = 0; i < 100; i++) {
     const { zone, spot } = store.machines.get(nameOf(i))!.value;
     const { tasks: placements } = shard.machines.get(nameOf(i))!;
@@ -135,7 +135,7 @@
     );
     assert.equal(result.kind, 'answer');
   }
-  assert.equal(shard.state.work.machinesVisited - before, 0);
+  assert.equal(shard.state.workCounters.machinesVisited - before, 0);
 });
 
 test('returning thousands of idle machines looks at each machine a limited number of times', () => {
@@ -226,7 +226,7 @@
     const random = seededRandomInt(seed);
     const store = new Store();
     const shard = shardOf(store, 60);
-    const { largest } = shard.state;
+    const { largestCapacity: largest } = shard.state;
     const machines = [...shard.machines.values()];
     const changeFree = (state: (typeof machines)[number]) => {
       state.free = { cpus: random(9), gpus: random(3), memoryGb: 8 * random(9) };
--- a/test/socket-budget.test.ts
+++ b/test/socket-budget.test.ts
@@ -97,7 +97,7 @@
     let may = true;
     const rental = { request: 'r', type: 'm', zone: 'z', spot: false, count: 1 };
     const held = authorization('parts/0', 1, 1, () => may);
-    const intent = RecordedIntent.found(held, { key: 'hires/0/r', revision: 2 });
+    const intent = RecordedIntent.fromStored(held, { key: 'hires/0/r', revision: 2 });
     const call = () =>
       what === 'rent' ? cloud.rent(rental, intent) : cloud.returnMachines(['a'], held);
     try {
--- a/test/standins/user-node.ts
+++ b/test/standins/user-node.ts
@@ -2,7 +2,7 @@
 import type { AddressInfo } from 'node:net';
 import Koa from 'koa';
 import { CborClient, type CborResponse } from '../../src/transport/http.js';
-import type { Found } from '../../src/store/types.js';
+import type { ReadResult } from '../../src/store/types.js';
 import type { CompareAndSwapResult, Guard, Write } from '@sumacstep/leader-election';
 import { LinearizableReads } from '../../src/store/linearizable-reads.js';
 import { WatchCache } from '../../src/store/watch-cache.js';
@@ -170,7 +170,7 @@
     return client.call('POST', `${path}/withdraw`, undefined, USER_PATIENCE_MS);
   }
 
-  async #get(key: string): Promise<Found> {
+  async #get(key: string): Promise<ReadResult> {
     await this.readRequest.pass();
     const item = this.state.items.get(key);
     const epoch = this.state.revision;
--- a/test/user-answers.test.ts
+++ b/test/user-answers.test.ts
@@ -2,7 +2,7 @@
 import { describe, test } from 'node:test';
 import { setImmediate as turn } from 'node:timers/promises';
 import type { CborResponse } from '../src/transport/http.js';
-import { key } from '../src/store/keys.js';
+import { storeKey } from '../src/store/keys.js';
 import { AnswerHistory, type UserCall } from './standins/answer-history.js';
 import { FakeStore } from './standins/store.js';
 import { UserNode } from './standins/user-node.js';
@@ -74,12 +74,15 @@
   },
   done: async ({ nodes, state, history }: Scene) => {
     await nodes.b.ask('submit', BODY);
-    const active = state.items.get(key.activeJob(BODY.Uid));
+    const active = state.items.get(storeKey.activeJob(BODY.Uid));
     // A cancellation that is sent first may have ended it already.
     if (active !== undefined) {
-      const When = [{ K: key.activeJob(BODY.Uid), Stamp: active.revision }];
+      const When = [{ K: storeKey.activeJob(BODY.Uid), Stamp: active.revision }];
       const Value = { status: 'done', tasks: 2, done: 2 };
-      const Writes = [{ Drop: key.activeJob(BODY.Uid) }, { Put: key.finalState(BODY.Uid), Value }];
+      const Writes = [
+        { Drop: storeKey.activeJob(BODY.Uid) },
+        { Put: storeKey.finalState(BODY.Uid), Value },
+      ];
       const query = new URLSearchParams();
       await state.handle({ method: 'POST', path: '/multi', query, body: { When, Writes } });
     }
