--- a/src/commands/duties.ts
+++ b/src/commands/duties.ts
@@ -1,4 +1,4 @@
-/** `sumacstep duties`: who leads which singleton controller, and requests to transfer a leadership. */
+/** `sumacstep duties`: shows the leader of each singleton controller, and requests transfers of leadership. */
 import {
   decodeTransferRequest,
   describeLeadership,
@@ -17,20 +17,27 @@
 import { StoreAccess } from './store-access.js';
 import { formatTable } from './table.js';
 
-/** attempts of a request that meets another one at the same moment */
+/** attempts to write a request that conflicts with a concurrent one */
 const MAX_ATTEMPTS = 3;
 
-/** A shard's owner, which leads the shard under its term. A part of the `--json` output. */
+/**
+ * The owner of a shard, reported as the leader of a role: the shard's key is the role and its term the fencing token.
+ * Part of the `--json` output.
+ */
 export interface ShardOwnerStatus {
+  /** key of the shard */
   readonly duty: string;
+  /** node that owns the shard */
   readonly holder: string;
   readonly incarnation: string;
+  /** term of the shard */
   readonly token: number;
   readonly until: LeadershipStatus['until'];
 }
 
-/** What `sumacstep duties --json` prints, name by name. */
+/** The output of `sumacstep duties --json`; its property names are printed as they are. */
 export interface LeadershipOutput extends LeadershipReport {
+  /** owners of the shards */
   readonly parts: readonly ShardOwnerStatus[];
 }
 
@@ -83,7 +90,10 @@
   return `${text}paused: duties are not known to ${pausedBy.join(', ')}\n`;
 };
 
-/** Who leads each role, since and until when, as JSON or as a table. Rejects with `CommandError`. */
+/**
+ * Returns the leader of each role and shard, with the start and validity of the leadership, as JSON or as a table.
+ * Rejects with `CommandError`.
+ */
 export const showLeadership = async (config: PlatformConfig, json: boolean): Promise<string> => {
   const store = new StoreAccess(config);
   try {
@@ -111,13 +121,13 @@
 export interface TransferRequestOutput {
   readonly duty: string;
   readonly request: LeadershipTransferRequest;
-  /** false: the same request was stored already */
+  /** false if the same request had been stored before */
   readonly written: boolean;
 }
 
 /**
- * Stores a request that another node leads the role. The same id is the same request; a request with another id is
- * a conflict. Rejects with `CommandError`.
+ * Stores a request to transfer the leadership of a role to another node. The request is idempotent by its id; a stored
+ * request with another id is a conflict. Rejects with `CommandError`.
  */
 export const requestTransfer = async (
   config: PlatformConfig,
@@ -152,7 +162,10 @@
   }
 };
 
-/** Deletes a request that is not carried out yet; resolves with false if there was none. Rejects with `CommandError`. */
+/**
+ * Deletes a request that has not been executed yet. Resolves with false if no request is stored or the stored one
+ * changed before the deletion. Rejects with `CommandError`.
+ */
 export const withdrawTransfer = async (config: PlatformConfig, role: string): Promise<boolean> => {
   assertKnownRole(role);
   const store = new StoreAccess(config);
--- a/src/commands/shares.ts
+++ b/src/commands/shares.ts
@@ -1,4 +1,4 @@
-/** `sumacstep shares`: machines by shard, and moves of machines between shards. */
+/** `sumacstep shares`: shows the machines of each shard, and plans, requests and aborts moves of machines. */
 import {
   decodeShardLock,
   decodeMove,
@@ -23,14 +23,14 @@
 import { StoreAccess } from './store-access.js';
 import { formatTable } from './table.js';
 
-/** attempts of a request that meets another one at the same moment */
+/** attempts to write a move that conflicts with a concurrent write */
 const MAX_ATTEMPTS = 3;
-/** bytes of a stored move besides the names of its machines */
+/** size of a stored move without the names of its machines */
 const MOVE_OVERHEAD_BYTES = 700;
-/** bytes of a machine's name in a stored move: it may be among the chosen and among the moved machines */
+/** space for each machine's name in a stored move: it may be among the chosen and among the moved machines */
 const MACHINE_NAME_BYTES = 40;
 
-/** Machines of one kind in a shard. A part of the `--json` output. */
+/** The number of machines of one kind in a shard. Part of the `--json` output. */
 interface KindCount {
   readonly type: string;
   readonly zone: string;
@@ -38,37 +38,43 @@
   readonly machines: number;
 }
 
-/** The machines of one shard. A part of the `--json` output. */
+/** The machines of one shard, counted by kind. Part of the `--json` output. */
 export interface ShardMachines {
+  /** index of the shard */
   readonly part: number;
+  /** node that owns the shard, or null if the shard has no owner record */
   readonly owner: string | null;
   readonly term: number | null;
   readonly machines: number;
   readonly kinds: readonly KindCount[];
 }
 
-/** What `sumacstep shares show --json` prints, name by name. */
+/** The output of `sumacstep shares show --json`; its property names are printed as they are. */
 export interface ShardsOutput {
+  /** machines of all shards, by index */
   readonly shares: readonly ShardMachines[];
   readonly moves: readonly Move[];
 }
 
-/** What a move would do. `sumacstep shares plan --json` prints it, name by name. */
+/**
+ * The expected effects of a move: the output of `sumacstep shares plan --json`, whose property names are printed as they
+ * are.
+ */
 export interface PlanOutput {
   readonly request: MoveRequest;
-  /** machines of the shard that match, by their records; as many as `count` of them move */
+  /** names of the machines of the source shard that match by their records; up to `count` of them would move */
   readonly matching: readonly string[];
-  /** fewer machines match than are asked for: the rest would be waited for until the deadline */
+  /** how many fewer machines match than are requested; the move would wait for the rest until the deadline */
   readonly lacking: number;
-  /** the target's shard would get a newer term: what waits there starts again once its machines have answered */
+  /** whether the target shard would get a newer term; its waiting tasks start only once its machines have answered */
   readonly renewsTerm: boolean;
-  /** teams that are confined to the source shard, since they have a limit or a guarantee */
+  /** teams whose jobs run only in the source shard, since the teams have a limit or a guarantee */
   readonly teamsOfSource: readonly string[];
-  /** jobs with tasks in the source's shard; no task is stopped for the move */
+  /** number of jobs with tasks in the source shard; no task is stopped for the move */
   readonly jobsInSource: number;
-  /** the move that has locked one of the shards, or null */
+  /** id of the move that holds the lock of one of the shards, or null */
   readonly heldBy: string | null;
-  /** what the move would have to wait for first, or null */
+  /** what the move would have to wait for before it starts, or null */
   readonly obstacle: string | null;
 }
 
@@ -136,7 +142,7 @@
   return `${text}\n${formatTable(titles, rows)}`;
 };
 
-/** The machines of each shard, and all moves, as JSON or as tables. Rejects with `CommandError`. */
+/** Returns the machines of each shard and all moves, as JSON or as tables. Rejects with `CommandError`. */
 export const showShards = (config: PlatformConfig, json: boolean): Promise<string> =>
   withStore(config, async (store) => {
     const cache = await store.readPrefixes(['parts/', 'machines/', 'shares/']);
@@ -146,7 +152,7 @@
     return json ? `${JSON.stringify(output, null, 2)}\n` : formatShards(output);
   });
 
-/** Reads a request as an operator wrote it; throws a `CommandError` that names each invalid field. */
+/** Validates and parses an operator's request; throws a `CommandError` that names each invalid field. */
 export const validateRequest = (
   config: PlatformConfig,
   value: unknown,
@@ -170,7 +176,7 @@
   return parseMoveRequest(value);
 };
 
-/** The move that has locked one of the shards; null if none has. */
+/** Returns the id of the move that holds the lock of one of the two shards; null if both are unlocked. */
 const findLockingMove = (cache: WatchCache, { from, to }: MoveRequest): string | null => {
   for (const { value } of cache.tables.moves.values()) {
     if (value.kind === 'lock' && (value.shard === from || value.shard === to)) return value.move;
@@ -178,7 +184,7 @@
   return null;
 };
 
-/** What a move would do and disrupt. Nothing is written. Rejects with `CommandError`. */
+/** Returns the expected effects of a move without writing anything. Rejects with `CommandError`. */
 export const planMove = (config: PlatformConfig, request: MoveRequest): Promise<PlanOutput> =>
   withStore(config, async (store) => {
     const cache = await store.readPrefixes(['parts/', 'nodes/', 'machines/', 'shares/', 'active/']);
@@ -204,16 +210,17 @@
     };
   });
 
-/** The outcome of a request. `--json` prints it, name by name. */
+/** The outcome of a request, as `--json` prints it. */
 export interface MoveOutput {
   readonly move: Move;
-  /** false: the same request was stored already */
+  /** false if the same request had been stored before */
   readonly written: boolean;
 }
 
 /**
- * Stores a move in its first state, with locks on both shards, or nothing. The same id is the same move; another
- * move that has locked one of the shards is a conflict, and named. Rejects with `CommandError`.
+ * Stores a move in its initial state together with the locks of both shards, in one transaction. The request is
+ * idempotent by its id. If another move holds one of the locks, the request is a conflict, and the error names that
+ * move. Rejects with `CommandError`.
  */
 export const requestMove = (config: PlatformConfig, request: MoveRequest): Promise<MoveOutput> =>
   withStore(config, async (store) => {
@@ -239,14 +246,14 @@
       const holder = await store.callWithRetries(() => store.client.get(held, CALL_PRIORITY.read));
       if ('missing' in holder) continue;
       const id = decodeShardLock(holder.value) ?? 'one of another version';
-      // An answer that got lost: the lock is this move's own.
+      // The answer to an earlier attempt was lost: the move is stored and holds the lock itself.
       if (id === request.id) continue;
       throw new CommandError(EXIT.conflict, `${held}: another move holds it (${id})`);
     }
     throw new CommandError(EXIT.conflict, `${request.id}: others write at the same moment`);
   });
 
-/** Requests the abort of a move: what has moved goes back. Rejects with `CommandError`. */
+/** Requests the abort of a move; machines that have moved are returned. Rejects with `CommandError`. */
 export const abortMove = (config: PlatformConfig, id: string): Promise<MoveOutput> =>
   withStore(config, async (store) => {
     const key = moveKey(id);
--- a/src/commands/table.ts
+++ b/src/commands/table.ts
@@ -1,8 +1,8 @@
-/** Plain text tables for the terminal. */
+/** Formats plain text tables for the terminal. */
 
 const COLUMN_GAP = '  ';
 
-/** Rows below their titles, in columns as wide as their widest cell. */
+/** Returns a table of titles and rows, in which each column is as wide as its widest cell. */
 export const formatTable = (
   titles: readonly string[],
   rows: readonly (readonly string[])[],
--- a/src/config/operator.ts
+++ b/src/config/operator.ts
@@ -3,7 +3,7 @@
 import { parseIni, numberBetween } from './ini-file.js';
 import { readConfigFile } from './platform.js';
 
-/** Every key is documented in deploy/operator.ini. */
+/** Schema of the file; deploy/operator.ini documents every key. */
 const schema = z
   .object({
     placement: z
@@ -33,7 +33,7 @@
   })
   .strict();
 
-/** The operator's settings; deploy/operator.ini documents each. */
+/** The operator's settings; deploy/operator.ini documents every one of them. */
 export interface OperatorConfig {
   readonly loadThreshold: number;
   readonly preempt: boolean;
@@ -46,7 +46,7 @@
   readonly cloudRequestShare: number;
 }
 
-/** Reads the settings from INI text; throws a `ConfigError` that names every bad key. */
+/** Parses the settings from INI text; throws a `ConfigError` that names every invalid key. */
 export const parseOperatorConfig = (file: string, text: string): OperatorConfig => {
   const { placement, capacity, state, cloud } = parseIni(schema, file, text);
   return {
@@ -62,7 +62,7 @@
   };
 };
 
-/** Reads the settings from a file, or the defaults without one. */
+/** Reads the settings from a file; returns the defaults if `file` is undefined. Throws a `ConfigError`. */
 export const loadOperatorConfig = (file: string | undefined): OperatorConfig =>
   file === undefined
     ? parseOperatorConfig('(defaults)', '')
--- a/src/config/platform.ts
+++ b/src/config/platform.ts
@@ -1,10 +1,13 @@
-/** The settings that the platform hands over (`--config`, TOML); its field names end here. */
+/**
+ * The settings that the platform provides (`--config`, TOML). Only this module knows the field names of the file; all
+ * other modules use those of `PlatformConfig`.
+ */
 import { readFileSync } from 'node:fs';
 import { parse } from 'smol-toml';
 import * as z from 'zod';
 import type { Objective, Team } from '../core/model.js';
 
-/** A settings file is unusable; `problems` names every bad key, one line each. */
+/** A settings file is missing or invalid; `problems` has one line for each invalid key. */
 export class ConfigError extends Error {
   constructor(
     readonly file: string,
@@ -87,49 +90,69 @@
 /** Timing that the platform prescribes for workers, in seconds. */
 export interface WorkerTiming {
   readonly heartbeatIntervalS: number;
-  /** a worker kills its tasks when its lease was not renewed for this long */
+  /** a worker kills its tasks if its lease was not renewed for this long */
   readonly leaseS: number;
+  /** `gang_wait_s` of the file; only workers apply it */
   readonly gangWaitS: number;
+  /** `gang_peer_s` of the file; only workers apply it */
   readonly gangPeerS: number;
-  /** a confirmed cancellation takes effect within this */
+  /** a confirmed cancellation takes effect within this time */
   readonly cancelS: number;
 }
 
-/** Limits of the store, for all nodes together. */
+/** Limits of the store that all nodes share. */
 export interface StoreServiceLimits {
+  /** requests per second */
   readonly rps: number;
+  /** writes per second */
   readonly writeRps: number;
-  /** sizes are the smaller ones of now and of `next`: nothing tells when those come */
+  /**
+   * maximum size of a value; the smaller of the present and the announced limit, since it is not announced when the
+   * latter takes effect
+   */
   readonly valueBytes: number;
+  /** maximum number of operations in a transaction; the smaller of the present and the announced limit as well */
   readonly transactionOps: number;
-  /** rates from some unannounced moment on; as now if nothing is announced */
+  /**
+   * rate limits that take effect at an unannounced time, each at most the present limit; equal to the present ones if
+   * none are announced
+   */
   readonly next: { readonly rps: number; readonly writeRps: number };
 }
 
-/** The platform's settings of one node. Addresses are `HOST:PORT`. */
+/** The settings of one node that the platform provides. Addresses have the form `HOST:PORT`. */
 export interface PlatformConfig {
+  /** name of this node */
   readonly node: string;
+  /** zone of this node */
   readonly zone: string;
+  /** address on which this node serves users and workers */
   readonly listen: string;
+  /** address on which this node receives messages from other nodes */
   readonly peerListen: string;
+  /** all other nodes */
   readonly peers: readonly { readonly node: string; readonly address: string }[];
+  /** address of the cloud's API */
   readonly cloud: string;
+  /** address of the key-value store */
   readonly store: string;
-  /** number of nodes, and of shards */
+  /** number of nodes, which is also the number of shards */
   readonly nodes: number;
+  /** all zones of the cluster */
   readonly zones: readonly string[];
   readonly teams: ReadonlyMap<string, Team>;
   readonly objectives: readonly Objective[];
   readonly workers: WorkerTiming;
   readonly storeLimits: StoreServiceLimits;
+  /** the cloud's limit on requests per second, shared by all nodes, and the lag of its list of machines in s */
   readonly cloudLimits: { readonly rps: number; readonly listLagS: number };
-  /** sockets that this process may use */
+  /** maximum number of sockets that this process may use */
   readonly sockets: number;
 }
 
-/** The problems that a schema found, one line for each key. */
+/** Returns the problems that a schema found, one line for each invalid key. */
 export const describeIssues = (error: z.ZodError): string[] =>
-  error.issues.map((i) => `${i.path.map(String).join('.') || '(file)'}: ${i.message}`);
+  error.issues.map((issue) => `${issue.path.map(String).join('.') || '(file)'}: ${issue.message}`);
 
 type PlatformFile = z.infer<typeof schema>;
 type Settings = PlatformFile['settings'];
@@ -187,7 +210,7 @@
   sockets: settings.quota.max_sockets,
 });
 
-/** Reads the settings from TOML text; throws a `ConfigError` that names every bad key. Unknown keys are ignored. */
+/** Parses TOML text; throws a `ConfigError` that names every invalid key. Unknown keys are ignored. */
 export const parsePlatformConfig = (file: string, text: string): PlatformConfig => {
   let raw: unknown;
   try {
@@ -205,7 +228,7 @@
   return toConfig(result.data);
 };
 
-/** The text of a settings file; throws a `ConfigError` if it cannot be read. */
+/** Returns the text of a settings file; throws a `ConfigError` if it cannot be read. */
 export const readConfigFile = (file: string): string => {
   try {
     return readFileSync(file, 'utf8');
@@ -214,6 +237,6 @@
   }
 };
 
-/** Reads and checks the platform's file. */
+/** Reads and validates the platform's settings file; throws a `ConfigError` that names every invalid key. */
 export const loadPlatformConfig = (file: string): PlatformConfig =>
   parsePlatformConfig(file, readConfigFile(file));
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,4 +1,5 @@
 #!/usr/bin/env node
+/** The entry point of `sumacstep`: parses the command line and runs a command. */
 import { readFileSync } from 'node:fs';
 import { Command } from 'commander';
 import { EXIT } from './commands/exit-codes.js';
@@ -10,6 +11,7 @@
 import { createLogger } from './log.js';
 import { Service } from './service/service.js';
 
+/** Options of `serve` and `check`: paths of settings files. */
 interface Options {
   readonly config: string;
   readonly operator?: string;
@@ -22,17 +24,21 @@
   return (JSON.parse(readFileSync(file, 'utf8')) as { version: string }).version;
 };
 
-/** Runs `load` and collects what is wrong instead of stopping at the first problem. */
+/**
+ * Returns the result of `load`. If it throws a `ConfigError`, adds its problems to `problems` and returns null, so that
+ * the problems of all files can be reported together.
+ */
 const collectProblems = <T>(problems: string[], load: () => T): T | null => {
   try {
     return load();
   } catch (error) {
     if (!(error instanceof ConfigError)) throw error;
-    for (const p of error.problems) problems.push(`${error.file}: ${p}`);
+    for (const problem of error.problems) problems.push(`${error.file}: ${problem}`);
     return null;
   }
 };
 
+/** Loads all settings files and creates the logger; what could not be loaded is null. */
 const loadConfigs = (options: Options) => {
   const problems: string[] = [];
   const platform = collectProblems(problems, () => loadPlatformConfig(options.config));
@@ -49,7 +55,7 @@
 };
 
 const exitWithProblems = (problems: readonly string[]): never => {
-  for (const p of problems) process.stderr.write(`sumacstep: ${p}\n`);
+  for (const problem of problems) process.stderr.write(`sumacstep: ${problem}\n`);
   process.exit(EXIT.badInput);
 };
 
@@ -58,13 +64,13 @@
   if (problems.length > 0 || platform === null || operator === null || log === null) {
     return exitWithProblems(problems);
   }
-  // An error that nobody handles leaves the state unknown: say so and end.
-  const fatal = (error: unknown) => {
+  // After an unhandled error the state of the process is unknown: log the error and exit.
+  const exitOnUnhandledError = (error: unknown) => {
     log.error({ err: error }, 'unhandled error');
     process.exit(1);
   };
-  process.on('uncaughtException', fatal);
-  process.on('unhandledRejection', fatal);
+  process.on('uncaughtException', exitOnUnhandledError);
+  process.on('unhandledRejection', exitOnUnhandledError);
   await new Service(platform, operator, log, features).start();
 };
 
--- a/src/rebalancing/move-coordinator.ts
+++ b/src/rebalancing/move-coordinator.ts
@@ -1,4 +1,4 @@
-/** The singleton controller of machine moves, and what the cache shows of moves. */
+/** The singleton controller that coordinates moves of machines, and queries about moves in the watch cache. */
 import {
   fencedCompareAndSwap,
   type Authorization,
@@ -22,7 +22,7 @@
 
 type Tables = Pick<WatchCache['tables'], 'nodes' | 'shards' | 'moves'>;
 
-/** All stored moves, by id. */
+/** Returns all cached moves by id, terminal ones included. */
 export const movesById = ({
   moves: table,
 }: Pick<Tables, 'moves'>): Map<string, Versioned<Move>> => {
@@ -33,13 +33,13 @@
   return moves;
 };
 
-/** Whether every live node takes part in moves: before that no move begins. */
+/** Returns whether every live node supports moves; until then no move starts. */
 export const allNodesSupportRebalancing = ({ nodes }: Pick<Tables, 'nodes'>): boolean => {
   for (const { value } of nodes.values()) if (!value.supportsRebalancing) return false;
   return nodes.size > 0;
 };
 
-/** Why no step of a move may be taken now; null if nothing prevents it. The text is stored and printed. */
+/** Returns why no machine of a move may move now; null if nothing prevents it. The text is stored and printed. */
 export const findObstacle = (tables: Tables, move: Move): string | null => {
   if (!allNodesSupportRebalancing(tables)) return 'a node that does not know moves';
   for (const shard of [move.from, move.to]) {
@@ -50,24 +50,24 @@
   return null;
 };
 
-/** What the coordinator needs of the process. */
+/** Dependencies of the coordinator. */
 export interface MoveCoordinatorDependencies {
   readonly election: Pick<SingletonElection, 'authorize'>;
   readonly client: Pick<StoreClient, 'compareAndSwap'>;
   readonly cache: WatchCache;
-  /** time of day, ms */
+  /** returns the time of day, ms since the epoch */
   readonly timeOfDay: () => number;
   readonly log: Logger;
 }
 
-/** Begins and ends moves, and sends machines back at a move's deadline or at the stated time. */
+/** Starts and ends moves, and starts the return of machines on abort, at the deadline or at the return time. */
 export class MoveCoordinator {
-  /** moves with a write under way */
+  /** ids of the moves with a write in flight */
   readonly #writesInFlight = new Set<string>();
 
   constructor(private readonly dependencies: MoveCoordinatorDependencies) {}
 
-  /** One round over all moves, if this node is the leader. */
+  /** Advances every move that has a transition due, if this node leads the coordinator role. */
   tick(): void {
     const { cache, election, timeOfDay } = this.dependencies;
     const moves = movesById(cache.tables);
@@ -105,7 +105,7 @@
       log.info({ move: id, state, direction, waitsFor }, 'move updated');
     } catch (error) {
       if (!(error instanceof StoreRequestError)) throw error;
-      log.debug({ move: move.id, error: error.message }, 'move not written');
+      log.debug({ move: move.id, error: error.message }, 'move write failed');
     } finally {
       this.#writesInFlight.delete(move.id);
     }
--- a/src/rebalancing/shard-mover.ts
+++ b/src/rebalancing/shard-mover.ts
@@ -1,4 +1,4 @@
-/** The shard owners' side of machine moves. */
+/** The part of machine moves that the owners of the source and target shards carry out. */
 import { fencedCompareAndSwap, type Versioned } from '@sumacstep/leader-election';
 import {
   isTerminal,
@@ -22,7 +22,7 @@
 const sameNames = (a: readonly string[], b: readonly string[]): boolean =>
   a.length === b.length && a.every((name, i) => name === b[i]);
 
-/** The move once the machines belong to the target shard. */
+/** Returns the move after the named machines have been assigned to the target shard. */
 const withMoved = (move: Move, names: readonly string[]): Move => ({
   ...move,
   chosen: move.chosen.filter((name) => !names.includes(name)),
@@ -32,17 +32,17 @@
       : move.moved.filter((name) => !names.includes(name)),
 });
 
-/** What the owners' side of moves needs of the process. */
+/** Dependencies of `ShardMover`. */
 export interface ShardMoverDependencies {
   readonly client: Pick<StoreClient, 'compareAndSwap'>;
   readonly cache: WatchCache;
   readonly shardController: ShardController;
-  /** the steady clock, ms */
+  /** returns the time of the steady clock, ms */
   readonly now: () => number;
   readonly log: Logger;
 }
 
-/** Machines that are ready to move in one transaction. */
+/** Machines that can move to another shard in one transaction. */
 interface ReadyMachines {
   readonly owned: OwnedShard;
   readonly target: number;
@@ -50,24 +50,24 @@
 }
 
 /**
- * The source shard's owner selects machines, cordons them, and moves each in one transaction when nothing is on it
- * and nothing may still arrive there. The target shard's owner keeps its term the higher one, so that workers accept
- * its commands after those of the source.
+ * Moves machines between shards. The owner of the source shard selects machines, cordons them, and moves each one in
+ * a single transaction once no task is on it and none can still arrive there. The owner of the target shard keeps its
+ * term higher than that of the source shard, so that workers accept its commands after those of the source's owner.
  */
 export class ShardMover {
-  /** moves with a write under way */
+  /** ids of the moves with a write in flight */
   readonly #writesInFlight = new Set<string>();
-  /** whether machines may be cordoned since an earlier round */
+  /** whether an earlier round may have left machines cordoned */
   #mayHaveCordoned = false;
-  /** when what a move waits for was last written, steady ms */
-  readonly #reasonWrittenAt = new Map<string, number>();
+  /** by move id: when this owner last wrote the move, which includes its wait reason; steady clock, ms */
+  readonly #lastWriteAt = new Map<string, number>();
 
   constructor(
     private readonly config: RebalancingConfig,
     private readonly dependencies: ShardMoverDependencies,
   ) {}
 
-  /** One round over the moves that concern shards of this node. */
+  /** Runs one round over the moves whose source or target shard this node owns. */
   tick(): void {
     const { cache, shardController } = this.dependencies;
     const moves = [...movesById(cache.tables).values()].filter(({ value }) => !isTerminal(value));
@@ -87,8 +87,8 @@
   }
 
   /**
-   * Cordons the chosen machines, and uncordons all others. A machine may be uncordoned as soon as the stored move
-   * does not name it: a transaction that would move it is guarded by the move as it was before.
+   * Cordons the chosen machines, and uncordons all other machines. Uncordoning a machine as soon as the stored move
+   * no longer names it is safe: a transaction that would still move it is guarded by an older revision of the move.
    */
   #cordonChosen(moves: readonly Versioned<Move>[]): void {
     const chosenBySource = new Map<number, Set<string>>();
@@ -106,6 +106,7 @@
     }
   }
 
+  /** Returns whether the term of the target shard is higher than that of the source shard. */
   #hasNewerTerm(source: number, target: number): boolean {
     const { shardController } = this.dependencies;
     return (shardController.termOf(target) ?? 0) > (shardController.termOf(source) ?? Infinity);
@@ -146,7 +147,7 @@
     }
   }
 
-  /** On the way back, machines that are gone, or back already, need nothing more. */
+  /** On the way back, drops machines from `moved` that no longer exist or have left the shard `source` already. */
   #withoutReturned(move: Move, source: number): Move {
     if (move.direction === 'forth') return move;
     const { machines } = this.dependencies.cache;
@@ -154,7 +155,10 @@
     return { ...move, moved };
   }
 
-  /** What a move waits for changes with every task, and is written at intervals; everything else at once. */
+  /**
+   * Returns whether the move must be written now. The wait reason changes with every task, so a change of it alone is
+   * written at intervals only; all other changes are written at once.
+   */
   #isWriteDue(stored: Move, next: Move, now: number): boolean {
     const changed =
       stored.state !== next.state ||
@@ -162,17 +166,17 @@
       !sameNames(stored.moved, next.moved);
     if (changed) return true;
     if (stored.waitsFor === next.waitsFor) return false;
-    return now - (this.#reasonWrittenAt.get(next.id) ?? -Infinity) >= WAIT_REASON_WRITE_INTERVAL_MS;
+    return now - (this.#lastWriteAt.get(next.id) ?? -Infinity) >= WAIT_REASON_WRITE_INTERVAL_MS;
   }
 
-  /** One write at a time for each move; while the store is unavailable, a later round tries again. */
-  async #withWriteInFlight(id: string, work: () => Promise<void>): Promise<void> {
+  /** Marks the move as having a write in flight while `write` runs. If the store fails, a later round tries again. */
+  async #withWriteInFlight(id: string, write: () => Promise<void>): Promise<void> {
     this.#writesInFlight.add(id);
     try {
-      await work();
+      await write();
     } catch (error) {
       if (!(error instanceof StoreRequestError)) throw error;
-      this.dependencies.log.debug({ move: id, error: error.message }, 'move not written');
+      this.dependencies.log.debug({ move: id, error: error.message }, 'move write failed');
     } finally {
       this.#writesInFlight.delete(id);
     }
@@ -192,7 +196,7 @@
     );
     if (!outcome.ok) return;
     cache.applyOwn(writes, outcome.epoch);
-    this.#reasonWrittenAt.set(move.id, now());
+    this.#lastWriteAt.set(move.id, now());
   }
 
   async #moveReady(
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -1,5 +1,5 @@
 /**
- * Messages between users and the service. The protocol's words for a job, mapped here and nowhere else:
+ * Messages between users and the service. Only this module maps the protocol's names for a job to those of the model:
  *
  * | wire                              | model                                  |
  * | --------------------------------- | -------------------------------------- |
@@ -19,7 +19,7 @@
 import { MAX_TASKS_PER_JOB } from './constants.js';
 import { amountSchema, nameSchema, enumValues } from './fields.js';
 
-/** `job-000412` */
+/** The form of a job's uid, such as `job-000412`. */
 export const JOB_UID_PATTERN = /^job-[0-9]{1,20}$/;
 
 const PRIORITY_BY_RANK = {
@@ -28,7 +28,7 @@
   normal: 'normal',
   idle: 'low',
 } as const;
-/** `service` is not in the protocol's page; see docs/questions.md. */
+/** The protocol's specification does not list `service`; see docs/questions.md. */
 const KIND_BY_SHAPE = { batch: 'array', ensemble: 'gang', service: 'service' } as const;
 
 /** A job as a user submits it. */
@@ -76,10 +76,13 @@
     deadlineS: submission.DueS ?? null,
   }));
 
-/** What users are told of a job. */
+/** The status of a job in answers to users. */
 export type JobStatus = 'queued' | 'running' | 'done' | 'cancelled';
 
-/** The answer about a job; the numbers of tasks are left out if `done` is. */
+/**
+ * Returns the body of an answer about a job. The numbers of done and running tasks are left out if `done` is not
+ * given.
+ */
 export const statusBody = (
   uid: string,
   status: JobStatus,
