--- a/src/service/service.ts
+++ b/src/service/service.ts
@@ -14,7 +14,7 @@
 import { ShardController } from '../shards/shard-controller.js';
 import { SingletonControllers } from '../singletons/singleton-controllers.js';
 import { heartbeatRoutes } from '../workers/heartbeat-routes.js';
-import { IDLE_LEASES } from './constants.js';
+import { IDLE_TIMEOUT_LEASES } from './constants.js';
 import { ControlLoops } from './control-loops.js';
 import { HttpServer } from './http-server.js';
 import { createNodeContext, type NodeContext } from './node-context.js';
@@ -115,7 +115,7 @@
   }
 
   #createShardController(): ShardController {
-    const { client, cache, lease, linearizable } = this.#store;
+    const { client, cache, lease, linearizableReads: linearizable } = this.#store;
     return new ShardController({
       ...this.#context,
       client,
@@ -132,7 +132,7 @@
   #createSingletons({ duties, shares }: OptionalFeatures): SingletonControllers | null {
     if (duties === null) return null;
     const { config, incarnation, now, timeOfDay, log } = this.#context;
-    const { client, cache, linearizable } = this.#store;
+    const { client, cache, linearizableReads: linearizable } = this.#store;
     return new SingletonControllers(config, duties, shares, incarnation, {
       client,
       cloud: this.#cloud,
@@ -193,22 +193,22 @@
       () => this.#store.cache.ready,
     );
     return this.#server.listen([workers, this.#users.routes()], config.listen, {
-      connections: socketBudget(config.sockets, config.peers.length).inbound,
-      idleMs: config.workers.leaseS * 1000 * IDLE_LEASES,
-      dropped: () => this.#summary.connectionDropped(),
+      maxConnections: socketBudget(config.sockets, config.peers.length).inboundConnections,
+      idleTimeoutMs: config.workers.leaseS * 1000 * IDLE_TIMEOUT_LEASES,
+      onDropped: () => this.#summary.recordDroppedConnection(),
     });
   }
 
   #isReady(): boolean {
     if (!this.#store.cache.ready || this.#machineTypes.current === null) return false;
-    return this.#readiness.ready(this.#context.now());
+    return this.#readiness.isReady(this.#context.now());
   }
 
   #observeReadiness(): void {
     const inputs = {
       storeAvailable: this.#store.client.available,
       peerHasStore: this.#peers.reachablePeerWithStore() !== null,
-      noPeerReachable: this.#peers.isolated,
+      noPeerReachable: this.#peers.isIsolated,
     };
     this.#readiness.observe(inputs, this.#context.now());
   }
@@ -227,7 +227,7 @@
 
   /** The fencing token of a role's present leader, by a current read; null if it has none. */
   async #currentToken(role: string): Promise<number | null> {
-    await this.#store.linearizable.waitUntilCurrent();
+    await this.#store.linearizableReads.waitUntilCurrent();
     const shard = SHARD_ROLE.exec(role)?.[1];
     if (shard !== undefined) return this.#shardController.termOf(Number(shard));
     return this.#singletons?.fencingTokenOf(role) ?? null;
--- a/src/shards/shard-controller.ts
+++ b/src/shards/shard-controller.ts
@@ -91,7 +91,7 @@
       },
     });
     this.#directCommands = new DirectCommands({
-      maxInFlight: socketBudget(config.sockets, config.peers.length).direct,
+      maxInFlight: socketBudget(config.sockets, config.peers.length).directCommands,
       isOwned: (shard) => this.#shards.isCurrentState(shard),
       now,
     });
--- a/test/socket-budget.test.ts
+++ b/test/socket-budget.test.ts
@@ -20,7 +20,10 @@
 ];
 for (const { maxConnections, peers, workers } of QUOTAS) {
   test(`${maxConnections} sockets and ${peers} other nodes: all workers, direct commands, the rest`, () => {
-    const { direct, inbound } = socketBudget(maxConnections, peers);
+    const { directCommands: direct, inboundConnections: inbound } = socketBudget(
+      maxConnections,
+      peers,
+    );
     assert.ok(direct >= 1 && inbound >= 1);
     assert.ok(
       direct + inbound < maxConnections,
@@ -35,7 +38,7 @@
   const callers = 40;
   let connections: InboundConnections | null = null;
   const server = createServer((request, response) => {
-    connections?.onResponse(response);
+    connections?.beforeResponse(response);
     request.resume();
     request.on('end', () => response.end(encodeCbor({ ok: true })));
   });
