--- a/src/service/service.ts
+++ b/src/service/service.ts
@@ -193,7 +193,7 @@
       () => this.#store.cache.ready,
     );
     return this.#server.listen([workers, this.#users.routes()], config.listen, {
-      connections: socketBudget(config.sockets, config.peers.length).inbound,
+      connections: socketBudget(config.sockets, config.peers.length).inboundConnections,
       idleMs: config.workers.leaseS * 1000 * IDLE_LEASES,
       dropped: () => this.#summary.connectionDropped(),
     });
--- a/src/service/socket-budget.ts
+++ b/src/service/socket-budget.ts
@@ -39,9 +39,9 @@
 /** How the sockets of this process are shared out. */
 export interface SocketBudget {
   /** direct commands to workers at the same time */
-  readonly direct: number;
+  readonly directCommands: number;
   /** connections of workers and users */
-  readonly inbound: number;
+  readonly inboundConnections: number;
 }
 
 /** What each use may have of the sockets that the platform allows this process. */
@@ -49,5 +49,5 @@
   const direct = Math.max(1, Math.floor(maxConnections * DIRECT_COMMAND_SOCKET_SHARE));
   const others =
     direct + MAX_STORE_SOCKETS + MAX_CLOUD_SOCKETS + peers * PEER_SOCKETS + RESERVED_SOCKETS;
-  return { direct, inbound: Math.max(1, maxConnections - others) };
+  return { directCommands: direct, inboundConnections: Math.max(1, maxConnections - others) };
 };
--- a/src/service/user-interface.ts
+++ b/src/service/user-interface.ts
@@ -51,8 +51,8 @@
       },
       {
         teams: config.teams,
-        shards: config.nodes,
-        valueBytes: config.storeLimits.valueBytes,
+        shardCount: config.nodes,
+        maxValueBytes: config.storeLimits.valueBytes,
         loadThreshold: operator.loadThreshold,
       },
     );
--- a/src/shards/shard-controller.ts
+++ b/src/shards/shard-controller.ts
@@ -90,7 +90,7 @@
       },
     });
     this.#direct = new DirectCommands({
-      maxInFlight: socketBudget(config.sockets, config.peers.length).direct,
+      maxInFlight: socketBudget(config.sockets, config.peers.length).directCommands,
       isOwned: (shard) => this.#shards.isCurrentState(shard),
       now,
     });
--- a/src/users/job-service.ts
+++ b/src/users/job-service.ts
@@ -52,9 +52,9 @@
 export interface JobServiceSettings {
   readonly teams: ReadonlyMap<string, Team>;
   /** number of shards */
-  readonly shards: number;
+  readonly shardCount: number;
   /** limit of a stored value */
-  readonly valueBytes: number;
+  readonly maxValueBytes: number;
   /** allocation ratio below which a shard may be chosen at random */
   readonly loadThreshold: number;
 }
@@ -153,7 +153,7 @@
     if (ranges === null) return { kind: 'unavailable', reason: 'parts have no owner yet' };
     const job: JobRecord = { spec: this.#withoutUnknownTypes(spec, types), at: acceptedAt, ranges };
     const value = encodeJob(job);
-    if (JSON.stringify(value).length > this.settings.valueBytes) {
+    if (JSON.stringify(value).length > this.settings.maxValueBytes) {
       return this.#duplicateOr(spec.uid, { kind: 'rejected', reason: 'record_too_large' });
     }
     return this.#writeAcceptance(job, value, ACCEPTANCE_ATTEMPTS);
@@ -193,14 +193,14 @@
 
   /** Long lists of machine types are cut to those that exist, to fit a value's size. */
   #withoutUnknownTypes(spec: JobSpec, types: ReadonlyMap<string, MachineType>): JobSpec {
-    const limitBytes = Math.min(TYPE_LIST_LIMIT_BYTES, this.settings.valueBytes / 4);
+    const limitBytes = Math.min(TYPE_LIST_LIMIT_BYTES, this.settings.maxValueBytes / 4);
     if (spec.types === null || spec.types.length * MAX_NAME_LENGTH < limitBytes) return spec;
     return { ...spec, types: [...new Set(spec.types)].filter((name) => types.has(name)) };
   }
 
   /** Cuts the job into ranges and chooses a shard for each; null while a shard has no owner. */
   #route(spec: JobSpec): TaskRange[] | null {
-    const { teams, shards, valueBytes, loadThreshold } = this.settings;
+    const { teams, shardCount: shards, maxValueBytes: valueBytes, loadThreshold } = this.settings;
     const team = teams.get(spec.team);
     const whole = staysWhole(spec, team);
     const hasQuota = hasLimit(team) || hasGuarantee(team);
--- a/test/socket-budget.test.ts
+++ b/test/socket-budget.test.ts
@@ -20,7 +20,10 @@
 ];
 for (const { maxConnections, peers, workers } of QUOTAS) {
   test(`${maxConnections} sockets and ${peers} other nodes: all workers, direct commands, the rest`, () => {
-    const { direct, inbound } = socketBudget(maxConnections, peers);
+    const { directCommands: direct, inboundConnections: inbound } = socketBudget(
+      maxConnections,
+      peers,
+    );
     assert.ok(direct >= 1 && inbound >= 1);
     assert.ok(
       direct + inbound < maxConnections,
--- a/test/standins/user-node.ts
+++ b/test/standins/user-node.ts
@@ -122,7 +122,12 @@
     };
     const jobs = new ObservedJobs(
       { client, cache: this.cache, reader, routing, acceptanceGuard: () => null, now: steadyMs },
-      { teams: settings().teams, shards: 1, valueBytes: this.valueBytes, loadThreshold: 0.85 },
+      {
+        teams: settings().teams,
+        shardCount: 1,
+        maxValueBytes: this.valueBytes,
+        loadThreshold: 0.85,
+      },
     );
     this.#jobs = jobs;
     const app = new Koa();
