--- a/src/peers/constants.ts
+++ b/src/peers/constants.ts
@@ -3,23 +3,29 @@
 /** ms; gossip interval between nodes. */
 export const GOSSIP_INTERVAL_MS = 1000;
 
-/** messages; one in so many carries what is large and changes slowly. */
-export const DETAILED_STATUS_INTERVAL = 8;
+/** One message in this many is detailed: it includes images and job progress, which are large and change slowly. */
+export const MESSAGES_PER_DETAILED_STATUS = 8;
 
-/** ms; a peer not heard for this long counts as unreachable. */
-export const PEER_FRESH_MS = 3500;
+/** ms; a peer from which no status arrives for this long counts as unreachable. */
+export const PEER_TIMEOUT_MS = 3500;
 
-/** bytes; a longer frame is an error of the sender: what does not fit is left out before. */
+/**
+ * bytes; longest frame that a receiver accepts. A longer frame is an error of its sender, which has to leave out
+ * what does not fit.
+ */
 export const MAX_FRAME_BYTES = 1024 * 1024;
 
-/** ms; a cancellation is told to the other nodes this soon, together with those of the same moment. */
-export const CANCELLATION_FLUSH_MS = 50;
+/** ms; a confirmed cancellation is broadcast after this delay, in one message with those confirmed meanwhile. */
+export const CANCELLATION_FLUSH_DELAY_MS = 50;
 
-/** a shard of which nothing is known is neither light nor heavy */
+/** Load assumed for a shard whose load is unknown: routing then treats it as neither light nor heavy. */
 export const UNKNOWN_LOAD = 0.85;
 
-/** times; the booked share of a shard must be so much larger than the other's: no passing to and fro. */
-export const BALANCE_RATIO = 1.5;
+/**
+ * Tasks migrate to a less allocated shard only if the load of their own shard is at least this many times as high, so
+ * that they don't migrate back and forth.
+ */
+export const MIN_LOAD_RATIO = 1.5;
 
-/** booked share that it must be larger by as well: little differences are not worth a write. */
-export const BALANCE_MARGIN = 0.5;
+/** The load must also be higher by at least this much: a small difference is not worth a write. */
+export const MIN_LOAD_DIFFERENCE = 0.5;
--- a/src/peers/frames.ts
+++ b/src/peers/frames.ts
@@ -1,6 +1,7 @@
 /**
- * Messages between the nodes: the typed form of `status.proto`, and the streams that encode and decode them as
- * length-delimited protobuf. Field numbers are the wire form; an older version reads them by its own names.
+ * Messages between the nodes: the TypeScript types that mirror `status.proto`, and the streams that encode and decode
+ * the messages as length-delimited protobuf. Only field numbers are sent, so versions that name a field differently
+ * understand each other.
  */
 import { readFileSync } from 'node:fs';
 import { Transform, type TransformCallback } from 'node:stream';
@@ -8,7 +9,7 @@
 import { MAX_FRAME_BYTES } from './constants.js';
 import type { Cancellation } from '../core/cancellation/cancellation.js';
 
-/** Free resources of each of `count` machines that are alike. */
+/** Free resources of each of `count` identical machines. */
 export interface FreeCapacity {
   cpus: number;
   gpus: number;
@@ -16,11 +17,11 @@
   type: string;
   zone: string;
   spot: boolean;
-  /** machines that are alike */
+  /** number of identical machines */
   count: number;
-  /** lowest priority rank that may use it, by preempting what runs there; 0: it is free */
+  /** lowest priority rank that may use this capacity, by preempting running tasks; 0: no preemption is needed */
   minimumRank: number;
-  /** images cached on any of them */
+  /** images cached on at least one of these machines */
   images: string[];
 }
 
@@ -31,17 +32,20 @@
   gb: number[];
 }
 
-/** What the owner of a shard tells of it. */
+/** Status of a shard, as its owner sends it to the peers. */
 export interface ShardStatus {
   shard: number;
-  /** allocation ratios by rank, each for jobs without and with spot machines; see `loadIndex` */
+  /**
+   * allocation ratios, two for each rank: for jobs that may not use spot machines and for jobs that may; see
+   * `loadIndex`
+   */
   loads: number[];
   freeCapacity: FreeCapacity[];
-  /** unschedulable tasks of a rank or a higher one, by rank */
+  /** by rank: number of unschedulable tasks of that rank or a higher one */
   waiting: number[];
-  /** tasks of each class, waiting or placed */
+  /** number of tasks of each job class, waiting or placed */
   activeTasks: { jobClass: string; tasks: number }[];
-  /** only in a detailed status */
+  /** empty unless the status is detailed */
   images: MachineImages[];
 }
 
@@ -53,11 +57,12 @@
   shard: number;
 }
 
-/** Acknowledges the newest message that the sender has received from a node. */
+/** Acknowledges the newest message that the sender of the status has received from `node`. */
 export interface Echo {
   node: string;
-  /** the acknowledged message's `sentAt`, by the clock of `node` */
+  /** `sentAt` of the acknowledged message, ms of the monotonic clock of `node` */
   sentAt: number;
+  /** incarnation of `node` that sent the acknowledged message */
   incarnation: string;
 }
 
@@ -65,27 +70,27 @@
 export interface PeerStatus {
   node: string;
   incarnation: string;
-  /** ms of the sender's monotonic clock */
+  /** time of sending, ms of the sender's monotonic clock */
   sentAt: number;
-  /** whether the store answers the sender */
+  /** whether the sender can reach the store */
   hasStore: boolean;
-  /** whether jobs' progress and images are in this message; they are left out of most */
+  /** whether the message includes job progress and images, which most messages leave out */
   detailed: boolean;
   shards: ShardStatus[];
   jobs: JobProgress[];
   echoes: Echo[];
-  /** workers whose heartbeats reached the sender although another node owns their shard */
+  /** by shard: number of workers that send heartbeats to the sender although another node owns their shard */
   observedWorkers: { shard: number; workers: number }[];
-  /** learned run times of job classes */
+  /** learned run times of job classes, in seconds, and the number of finished tasks behind each */
   classes: { jobClass: string; runS: number; finished: number }[];
   cancellations: Cancellation[];
-  /** whether `cancellations` names all that another node may not know */
+  /** whether `cancellations` lists every cancellation that some peer may not know */
   cancellationsComplete: boolean;
 }
 
 /**
- * The schema lies beside the compiled module, or beside the bundle: the build copies it there. It is looked up in no
- * other place, since an installation inside the repository of another version would find that version's schema.
+ * The build copies the schema next to the compiled module or the bundle. It is not looked up anywhere else, since an
+ * installation inside the repository of another version would then load that version's schema.
  */
 const SCHEMA_FILE = new URL('./status.proto', import.meta.url);
 
@@ -96,12 +101,12 @@
 const encode = (status: PeerStatus): Buffer =>
   Buffer.from(Status.encodeDelimited(Status.fromObject(status)).finish());
 
-const withoutImages = (status: PeerStatus): PeerStatus => ({
+const withoutMachineImages = (status: PeerStatus): PeerStatus => ({
   ...status,
   shards: status.shards.map((shard) => ({ ...shard, images: [] })),
 });
 
-const withoutProgress = (status: PeerStatus): PeerStatus => ({
+const withoutProgressAndCapacityImages = (status: PeerStatus): PeerStatus => ({
   ...status,
   jobs: [],
   shards: status.shards.map((shard) => ({
@@ -111,51 +116,60 @@
 });
 
 /**
- * Transforms statuses into length-delimited frames, one buffer each, encoded once for all peers. Images and
- * progress grow with machines and jobs; they are left out of a status that would exceed `MAX_FRAME_BYTES`, since
- * they only improve placement and display.
+ * Transforms each status into one buffer that holds a length-delimited frame, encoded once for all peers. The size of
+ * images and progress grows with the number of machines and jobs. A status that would exceed `MAX_FRAME_BYTES` is
+ * sent without images, and if it is still too long without progress, since both only improve placement and display.
  */
 export class StatusEncoder extends Transform {
   constructor(
-    /** called with the size of a status that exceeded the limit */
+    /** called with the size in bytes of a status that exceeds `MAX_FRAME_BYTES` */
     private readonly onOversized: (bytes: number) => void = () => undefined,
   ) {
     super({ writableObjectMode: true, readableObjectMode: true });
   }
 
-  override _transform(status: PeerStatus, _: BufferEncoding, callback: TransformCallback): void {
-    const whole = encode(status);
-    if (whole.length <= MAX_FRAME_BYTES) {
-      callback(null, whole);
+  override _transform(
+    status: PeerStatus,
+    _encoding: BufferEncoding,
+    callback: TransformCallback,
+  ): void {
+    const frame = encode(status);
+    if (frame.length <= MAX_FRAME_BYTES) {
+      callback(null, frame);
       return;
     }
-    this.onOversized(whole.length);
-    const shorter = withoutImages(status);
-    const bytes = encode(shorter);
-    callback(null, bytes.length <= MAX_FRAME_BYTES ? bytes : encode(withoutProgress(shorter)));
+    this.onOversized(frame.length);
+    const reduced = withoutMachineImages(status);
+    const reducedFrame = encode(reduced);
+    callback(
+      null,
+      reducedFrame.length <= MAX_FRAME_BYTES
+        ? reducedFrame
+        : encode(withoutProgressAndCapacityImages(reduced)),
+    );
   }
 }
 
-/** A peer announced a frame longer than `MAX_FRAME_BYTES`; its connection is closed. */
+/** Thrown if a peer announces a frame longer than `MAX_FRAME_BYTES`; the connection is then closed. */
 export class FrameTooLongError extends Error {
   constructor(readonly bytes: number) {
     super(`peer frame of ${bytes} bytes exceeds the limit of ${MAX_FRAME_BYTES} bytes`);
   }
 }
 
-/** Transforms a byte stream of length-delimited frames into statuses; a malformed frame ends it with an error. */
+/** Transforms a byte stream of length-delimited frames into statuses; a malformed frame fails the stream. */
 export class StatusDecoder extends Transform {
-  /** bytes of a frame that is not complete yet */
-  #rest: Buffer = Buffer.alloc(0);
+  /** received bytes of a frame that is still incomplete */
+  #buffered: Buffer = Buffer.alloc(0);
 
   constructor() {
     super({ readableObjectMode: true });
   }
 
-  override _transform(chunk: Buffer, _: BufferEncoding, callback: TransformCallback): void {
-    this.#rest = this.#rest.length === 0 ? chunk : Buffer.concat([this.#rest, chunk]);
+  override _transform(chunk: Buffer, _encoding: BufferEncoding, callback: TransformCallback): void {
+    this.#buffered = this.#buffered.length === 0 ? chunk : Buffer.concat([this.#buffered, chunk]);
     try {
-      for (let frame = this.#next(); frame !== null; frame = this.#next()) {
+      for (let frame = this.#nextFrame(); frame !== null; frame = this.#nextFrame()) {
         const message = Status.decode(frame);
         this.push(Status.toObject(message, { arrays: true, defaults: true, longs: Number }));
       }
@@ -165,21 +179,21 @@
     }
   }
 
-  /** The next complete frame; null if more bytes are needed. */
-  #next(): Uint8Array | null {
-    const reader = protobuf.Reader.create(this.#rest);
+  /** Removes the next complete frame from the buffer and returns its payload; null if more bytes are needed. */
+  #nextFrame(): Uint8Array | null {
+    const reader = protobuf.Reader.create(this.#buffered);
     let length: number;
     try {
       length = reader.uint32();
     } catch {
-      // The length prefix itself is not complete yet.
+      // The length prefix is incomplete.
       return null;
     }
     if (length > MAX_FRAME_BYTES) throw new FrameTooLongError(length);
     const end = reader.pos + length;
-    if (this.#rest.length < end) return null;
-    const frame = this.#rest.subarray(reader.pos, end);
-    this.#rest = this.#rest.subarray(end);
+    if (this.#buffered.length < end) return null;
+    const frame = this.#buffered.subarray(reader.pos, end);
+    this.#buffered = this.#buffered.subarray(end);
     return frame;
   }
 }
--- a/src/peers/gossip.ts
+++ b/src/peers/gossip.ts
@@ -1,13 +1,16 @@
-/** Status gossip between the nodes: one outbound connection to each peer, one message to all per interval. */
+/**
+ * Status gossip between the nodes: each node keeps one outbound connection to every peer and sends all of them the
+ * same message once per interval.
+ */
 import { connect, createServer, type Server, type Socket } from 'node:net';
 import { finished, pipeline } from 'node:stream';
 import type { Logger } from 'pino';
 import { SUMMARY_MS } from '../constants.js';
 import {
-  DETAILED_STATUS_INTERVAL,
+  MESSAGES_PER_DETAILED_STATUS,
   GOSSIP_INTERVAL_MS,
-  PEER_FRESH_MS,
-  CANCELLATION_FLUSH_MS,
+  PEER_TIMEOUT_MS,
+  CANCELLATION_FLUSH_DELAY_MS,
 } from './constants.js';
 import { StatusDecoder, StatusEncoder, type Echo, type PeerStatus } from './frames.js';
 import { parseAddress } from '../transport/address.js';
@@ -21,52 +24,56 @@
 /** The newest status of a peer. */
 interface ReceivedStatus {
   readonly status: PeerStatus;
-  /** when it arrived, monotonic ms */
-  readonly at: number;
-  /** `sentAt` of the newest message of ours that the peer acknowledged; -Infinity if none of this incarnation */
+  /** time of arrival, monotonic ms */
+  readonly receivedAt: number;
+  /** `sentAt` of the newest message of this incarnation that the peer has acknowledged; -Infinity if none */
   readonly acknowledgedAt: number;
 }
 
-/** What a node tells of itself; the gossip adds the envelope. */
+/** The part of a status that the node provides; `Gossip` adds the envelope. */
 export type OwnStatus = Omit<PeerStatus, 'node' | 'incarnation' | 'sentAt' | 'echoes' | 'detailed'>;
 
-/** A brief status, completed with the details of the last detailed one. */
-const withDetails = (status: PeerStatus, last: PeerStatus): PeerStatus => ({
+/** Completes a status that is not detailed with job progress and images of the last detailed one, `last`. */
+const mergeDetails = (status: PeerStatus, last: PeerStatus): PeerStatus => ({
   ...status,
   jobs: last.jobs,
-  shards: status.shards.map((p) => ({
-    ...p,
-    images: last.shards.find((x) => x.shard === p.shard)?.images ?? [],
+  shards: status.shards.map((shard) => ({
+    ...shard,
+    images: last.shards.find((other) => other.shard === shard.shard)?.images ?? [],
   })),
 });
 
-/** Gossip intervals without any traffic after which a connection is closed. */
-const IDLE_INTERVALS = 5;
+/** Gossip intervals without traffic after which an outbound connection is closed. */
+const IDLE_TIMEOUT_INTERVALS = 5;
 
-/** What the gossip needs of the rest of the node. */
+/** Dependencies of `Gossip`. */
 export interface GossipDependencies {
   readonly node: string;
   readonly incarnation: string;
   readonly peers: readonly Peer[];
-  /** this node's status for the message that leaves at `sentAt` */
+  /** returns this node's status for the message that is sent at `sentAt`, monotonic ms */
   readonly ownStatus: (detailed: boolean, sentAt: number) => OwnStatus;
   /**
-   * Told of every new status. `acknowledgedAt` is the `sentAt` of the newest message of ours that its sender had
-   * received; -Infinity if none of this incarnation.
+   * Called with every new status. `acknowledgedAt` is the `sentAt` of the newest message of this incarnation that the
+   * peer had received when it sent the status; -Infinity if none.
    */
   readonly onStatus: (status: PeerStatus, acknowledgedAt: number) => void;
+  /** monotonic clock, ms */
   readonly now: () => number;
   readonly log: Logger;
 }
 
 /** Sends this node's status to every peer once per interval and keeps the newest status of each. */
 export class Gossip {
+  /** newest status of each peer, by node */
   readonly #received = new Map<string, ReceivedStatus>();
+  /** connections to peers, by node */
   readonly #outbound = new Map<string, Socket>();
   readonly #encoder: StatusEncoder;
+  /** all open connections, outbound and inbound */
   readonly #sockets = new Set<Socket>();
   #lastOversizedAt = -Infinity;
-  #ticks = 0;
+  #intervalBroadcasts = 0;
   #server: Server | null = null;
   #timer: NodeJS.Timeout | null = null;
   #flushTimer: NodeJS.Timeout | null = null;
@@ -76,7 +83,7 @@
     this.#encoder.on('data', (bytes: Buffer) => this.#send(bytes));
   }
 
-  /** Accepts the peers' connections on `address` (`HOST:PORT`) and starts to broadcast; resolves once it listens. */
+  /** Accepts connections of peers on `address` (`HOST:PORT`) and starts to broadcast; resolves once it listens. */
   listen(address: string): Promise<void> {
     const { host, port } = parseAddress(address);
     const server = createServer((socket) => {
@@ -84,11 +91,11 @@
       socket.on('close', () => this.#sockets.delete(socket));
       const decoder = new StatusDecoder();
       decoder.on('data', (status: PeerStatus) => this.#receive(status));
-      // Errors end this connection only; the peer dials again.
+      // An error ends only this connection; the peer reconnects.
       pipeline(socket, decoder, () => undefined);
     });
     this.#server = server;
-    this.#timer = setInterval(() => this.#tick(), GOSSIP_INTERVAL_MS);
+    this.#timer = setInterval(() => this.#broadcastAtInterval(), GOSSIP_INTERVAL_MS);
     return new Promise((resolve, reject) => {
       server.once('error', reject);
       server.listen(port, host, resolve);
@@ -100,19 +107,20 @@
     const known = this.#received.get(status.node);
     const sameIncarnation = known?.status.incarnation === status.incarnation;
     if (sameIncarnation && known.status.sentAt >= status.sentAt) return;
-    // An echo of an earlier incarnation of ours counts by another clock.
-    const isOurs = (echo: Echo) =>
+    // An echo of a message that an earlier incarnation of this node sent has a time of another monotonic clock.
+    // An empty incarnation means that the peer has not set the field.
+    const isAcknowledgement = (echo: Echo) =>
       echo.node === node && (echo.incarnation === '' || echo.incarnation === incarnation);
-    const acknowledgedAt = status.echoes.find(isOurs)?.sentAt ?? -Infinity;
+    const acknowledgedAt = status.echoes.find(isAcknowledgement)?.sentAt ?? -Infinity;
     const complete =
-      status.detailed || !sameIncarnation ? status : withDetails(status, known.status);
-    this.#received.set(status.node, { status: complete, at: now(), acknowledgedAt });
+      status.detailed || !sameIncarnation ? status : mergeDetails(status, known.status);
+    this.#received.set(status.node, { status: complete, receivedAt: now(), acknowledgedAt });
     onStatus(status, acknowledgedAt);
   }
 
-  #tick(): void {
-    const detailed = this.#ticks % DETAILED_STATUS_INTERVAL === 0;
-    this.#ticks += 1;
+  #broadcastAtInterval(): void {
+    const detailed = this.#intervalBroadcasts % MESSAGES_PER_DETAILED_STATUS === 0;
+    this.#intervalBroadcasts += 1;
     this.#broadcast(detailed);
   }
 
@@ -127,12 +135,12 @@
     this.#encoder.write(message);
   }
 
-  /** Broadcasts soon, without waiting for the interval: there is a cancellation to pass on. */
-  flush(): void {
+  /** Broadcasts after `CANCELLATION_FLUSH_DELAY_MS` instead of at the next interval, to pass on a cancellation. */
+  broadcastSoon(): void {
     this.#flushTimer ??= setTimeout(() => {
       this.#flushTimer = null;
       this.#broadcast(false);
-    }, CANCELLATION_FLUSH_MS);
+    }, CANCELLATION_FLUSH_DELAY_MS);
   }
 
   #warnOversized(bytes: number): void {
@@ -140,10 +148,10 @@
     const at = now();
     if (at - this.#lastOversizedAt < SUMMARY_MS) return;
     this.#lastOversizedAt = at;
-    log.info({ bytes }, 'status shortened');
+    log.info({ bytes }, 'status exceeds the frame limit, details left out');
   }
 
-  /** The same bytes go to every peer; one that is behind with reading is skipped, so that no buffer grows. */
+  /** Sends `bytes` to every peer, except those that read too slowly: otherwise their send buffers would grow. */
   #send(bytes: Buffer): void {
     for (const peer of this.dependencies.peers) {
       const socket = this.#outbound.get(peer.node) ?? this.#connect(peer);
@@ -154,7 +162,7 @@
   #connect(peer: Peer): Socket {
     const { host, port } = parseAddress(peer.address);
     const socket = connect(port, host);
-    socket.setTimeout(GOSSIP_INTERVAL_MS * IDLE_INTERVALS, () => socket.destroy());
+    socket.setTimeout(GOSSIP_INTERVAL_MS * IDLE_TIMEOUT_INTERVALS, () => socket.destroy());
     socket.setNoDelay(true);
     this.#sockets.add(socket);
     this.#outbound.set(peer.node, socket);
@@ -171,26 +179,33 @@
     return socket;
   }
 
-  /** Peers that acknowledged a message of ours within `PEER_FRESH_MS`: both directions work. */
+  /**
+   * Returns the statuses of the peers that have acknowledged a message sent within the last `PEER_TIMEOUT_MS`: both
+   * directions of the connection work.
+   */
   reachable(): PeerStatus[] {
-    const since = this.dependencies.now() - PEER_FRESH_MS;
+    const since = this.dependencies.now() - PEER_TIMEOUT_MS;
     return [...this.#received.values()]
       .filter(({ acknowledgedAt }) => acknowledgedAt >= since)
       .map(({ status }) => status);
   }
 
-  /** The newest status of every peer, however old, the newest first: for what changes slowly. */
+  /** Returns the newest status of every peer regardless of age, newest first; for data that changes slowly. */
   latest(): PeerStatus[] {
-    return [...this.#received.values()].sort((a, b) => b.at - a.at).map(({ status }) => status);
+    return [...this.#received.values()]
+      .sort((a, b) => b.receivedAt - a.receivedAt)
+      .map(({ status }) => status);
   }
 
-  /** Statuses that arrived within `PEER_FRESH_MS`. */
+  /** Returns the newest status of each peer from which one has arrived within the last `PEER_TIMEOUT_MS`. */
   recent(): PeerStatus[] {
-    const since = this.dependencies.now() - PEER_FRESH_MS;
-    return [...this.#received.values()].filter(({ at }) => at >= since).map(({ status }) => status);
+    const since = this.dependencies.now() - PEER_TIMEOUT_MS;
+    return [...this.#received.values()]
+      .filter(({ receivedAt }) => receivedAt >= since)
+      .map(({ status }) => status);
   }
 
-  /** Ends the broadcast and all connections. */
+  /** Stops broadcasting and closes all connections. */
   close(): void {
     if (this.#timer !== null) clearInterval(this.#timer);
     if (this.#flushTimer !== null) clearTimeout(this.#flushTimer);
--- a/src/peers/shard-directory.ts
+++ b/src/peers/shard-directory.ts
@@ -1,87 +1,89 @@
+/**
+ * Directory of all shards: this node's own shards by their state, all others by the newest status from their owners.
+ * Entries may be some seconds old. They serve only routing and planning, and never decide whether a task may start.
+ */
 import { DEBOUNCE_MS } from '../constants.js';
-import { BALANCE_MARGIN, BALANCE_RATIO, UNKNOWN_LOAD } from './constants.js';
+import { MIN_LOAD_DIFFERENCE, MIN_LOAD_RATIO, UNKNOWN_LOAD } from './constants.js';
 import { loadIndex } from '../core/capacity/allocation-ratio.js';
 import type { ShardLoad } from '../core/jobs/jobs.js';
 import { fits, PRIORITY_RANK, timesIn, type JobSpec, type Resources } from '../core/model.js';
 import type { MachineState, Shard } from '../core/shard/shard.js';
 import type { PeerStatus, FreeCapacity } from './frames.js';
 
-/**
- * What this node knows of all shards: its own from their state, the others from what their owners said
- * last. Everything here may be some seconds old and is only used to route and to plan, never to decide
- * whether a task may start.
- */
-
-/** The other nodes' last messages. */
+/** Newest statuses of the peers. */
 export interface PeerStatuses {
-  /** of every node heard of lately */
+  /** statuses that arrived lately */
   recent(): readonly PeerStatus[];
-  /** of every node, however old */
+  /** the newest status of every peer, regardless of its age */
   latest(): readonly PeerStatus[];
-  /** of the nodes in touch now */
+  /** statuses of the peers that are reachable now */
   reachable(): readonly PeerStatus[];
 }
 
 type OwnedShards = ReadonlyMap<number, { readonly shard: Shard }>;
 
-/** All ranks, the lowest first. */
+/** All priority ranks in ascending order. */
 const RANKS = Object.values(PRIORITY_RANK).sort((a, b) => a - b);
 
-const capacityFits = (spec: JobSpec, room: FreeCapacity): boolean =>
-  fits(spec.demand, room) &&
-  PRIORITY_RANK[spec.priority] >= room.minimumRank &&
-  (spec.types === null || spec.types.includes(room.type)) &&
-  (spec.zone === null || spec.zone === room.zone) &&
-  (!room.spot || spec.spot);
+/** Whether a task of the job fits into the capacity and satisfies its rank, machine type, zone and spot constraints. */
+const isFeasible = (spec: JobSpec, capacity: FreeCapacity): boolean =>
+  fits(spec.demand, capacity) &&
+  PRIORITY_RANK[spec.priority] >= capacity.minimumRank &&
+  (spec.types === null || spec.types.includes(capacity.type)) &&
+  (spec.zone === null || spec.zone === capacity.zone) &&
+  (!capacity.spot || spec.spot);
 
-/** Machines with room, those alike put together: after a boot wave there are a hundred of them. */
-const freeCapacityOf = (shard: Shard, now: number): FreeCapacity[] => {
-  const out = new Map<string, FreeCapacity>();
-  const note = (machine: MachineState, free: Resources, rank: number) => {
+/**
+ * Lists the free capacity of a shard, with identical machines grouped: after many machines have booted at once, a
+ * hundred of them may be free.
+ */
+const groupFreeCapacity = (shard: Shard, now: number): FreeCapacity[] => {
+  const groups = new Map<string, FreeCapacity>();
+  const add = (machine: MachineState, free: Resources, minimumRank: number) => {
     const { type, zone, spot } = machine.record;
     const { cpus, gpus, memoryGb } = free;
-    const alike = `${type} ${zone} ${spot} ${rank} ${cpus} ${gpus} ${memoryGb}`;
-    const known = out.get(alike);
-    if (known === undefined) {
+    const groupKey = `${type} ${zone} ${spot} ${minimumRank} ${cpus} ${gpus} ${memoryGb}`;
+    const group = groups.get(groupKey);
+    if (group === undefined) {
       const images = [...machine.images.keys()];
-      out.set(alike, {
+      groups.set(groupKey, {
         cpus,
         gpus,
         memoryGb,
         type,
         zone,
         spot,
-        minimumRank: rank,
+        minimumRank,
         count: 1,
         images,
       });
       return;
     }
-    known.count += 1;
+    group.count += 1;
     for (const image of machine.images.keys()) {
-      if (!known.images.includes(image)) known.images.push(image);
+      if (!group.images.includes(image)) group.images.push(image);
     }
   };
-  for (const machine of shard.machinesWithFreeCapacity(now)) note(machine, machine.free, 0);
-  for (const { machine: m, rank } of shard.preemptibleMachines(now))
-    if (m.type !== null) note(m, m.type, rank);
-  return [...out.values()];
+  for (const machine of shard.machinesWithFreeCapacity(now)) add(machine, machine.free, 0);
+  for (const { machine, rank } of shard.preemptibleMachines(now))
+    if (machine.type !== null) add(machine, machine.type, rank);
+  return [...groups.values()];
 };
 
-/** Loads, room and progress of all shards. */
+/** Answers queries about loads, free capacity, active tasks, job progress and cached images of all shards. */
 export class ShardDirectory {
-  /** the loads of our own shards as last told to the others */
-  readonly #announcedLoads = new Map<number, number[]>();
-  /** the room of our own shards as of some moments ago */
-  readonly #freeCapacityCache = new Map<
+  /** by index: loads of this node's own shards as of its last broadcast status */
+  readonly #ownLoads = new Map<number, number[]>();
+  /** by index: free capacity of this node's own shards, computed within the last `DEBOUNCE_MS` */
+  readonly #ownFreeCapacityCache = new Map<
     number,
-    { of: Shard; at: number; rooms: readonly FreeCapacity[] }
+    { shard: Shard; computedAt: number; capacities: readonly FreeCapacity[] }
   >();
-  /** what each node told of its jobs, by job: users ask many times a second */
-  readonly #progressIndex = new WeakMap<PeerStatus['jobs'], Map<string, PeerStatus['jobs']>>();
+  /** index of each peer's job progress by uid, since users query progress many times a second */
+  readonly #progressIndexes = new WeakMap<PeerStatus['jobs'], Map<string, PeerStatus['jobs']>>();
 
   constructor(
-    private readonly shards: number,
+    private readonly shardCount: number,
     private readonly owned: () => OwnedShards,
     private readonly peers: PeerStatuses,
     private readonly now: () => number,
@@ -91,10 +93,10 @@
     return this.owned().get(shard)?.shard;
   }
 
-  #announced(shard: number): PeerStatus['shards'][number] | undefined {
+  #announcedStatus(shard: number): PeerStatus['shards'][number] | undefined {
     for (const { shards } of this.peers.recent()) {
-      const told = shards.find((p) => p.shard === shard);
-      if (told !== undefined) return told;
+      const status = shards.find((candidate) => candidate.shard === shard);
+      if (status !== undefined) return status;
     }
     return undefined;
   }
@@ -102,180 +104,196 @@
   #freeCapacity(shard: number): readonly FreeCapacity[] {
     const own = this.#ownShard(shard);
     return own === undefined
-      ? (this.#announced(shard)?.freeCapacity ?? [])
+      ? (this.#announcedStatus(shard)?.freeCapacity ?? [])
       : this.#ownFreeCapacity(shard, own);
   }
 
-  /** Looking through the machines takes time, and a burst of submissions asks again and again. */
+  /** Cached for `DEBOUNCE_MS`: every submission of a burst queries it, and computing it visits every machine. */
   #ownFreeCapacity(index: number, shard: Shard): readonly FreeCapacity[] {
     const now = this.now();
-    const known = this.#freeCapacityCache.get(index);
-    if (known !== undefined && known.of === shard && now - known.at < DEBOUNCE_MS)
-      return known.rooms;
-    const rooms = freeCapacityOf(shard, now);
-    this.#freeCapacityCache.set(index, { of: shard, at: now, rooms });
-    return rooms;
+    const cached = this.#ownFreeCapacityCache.get(index);
+    if (cached !== undefined && cached.shard === shard && now - cached.computedAt < DEBOUNCE_MS)
+      return cached.capacities;
+    const capacities = groupFreeCapacity(shard, now);
+    this.#ownFreeCapacityCache.set(index, { shard, computedAt: now, capacities });
+    return capacities;
   }
 
-  /** What the others are told of one of this node's shards; `detailed` adds its machines' images. */
+  /**
+   * Returns the status of one of this node's shards for a broadcast, and keeps its loads for routing. `detailed`
+   * adds the images on each machine.
+   */
   describeShard(index: number, shard: Shard, detailed: boolean): PeerStatus['shards'][number] {
     const now = this.now();
     const images = [...(detailed ? shard.machines.values() : [])]
-      .filter((m) => m.images.size > 0)
-      .map((m) => ({
-        machine: m.record.name,
-        images: [...m.images.keys()],
-        gb: [...m.images.values()],
+      .filter((machine) => machine.images.size > 0)
+      .map((machine) => ({
+        machine: machine.record.name,
+        images: [...machine.images.keys()],
+        gb: [...machine.images.values()],
       }));
     const loads = shard.allocationRatios(now);
-    this.#announcedLoads.set(index, loads);
+    this.#ownLoads.set(index, loads);
     const waiting = RANKS.map((rank) => shard.waitingTasks(rank, now));
     return {
       shard: index,
       loads,
-      freeCapacity: freeCapacityOf(shard, now),
+      freeCapacity: groupFreeCapacity(shard, now),
       waiting,
       images,
       activeTasks: shard.activeTasksByClass(now),
     };
   }
 
-  /** The load of every shard for the job, and whether it would find room there now. */
+  /** Returns the load of every shard for the job, and whether a task of the job would fit on a machine there now. */
   loads(spec: JobSpec): ShardLoad[] {
     const rank = PRIORITY_RANK[spec.priority];
-    const out: ShardLoad[] = [];
-    for (let shard = 0; shard < this.shards; shard++) {
+    const shardLoads: ShardLoad[] = [];
+    for (let shard = 0; shard < this.shardCount; shard++) {
       const own = this.#ownShard(shard);
-      // Our own figures are as old as those of the others, at most a second: submissions are many.
+      // For own shards, too, the loads of the last broadcast are used, which are at most a second old: computing them
+      // for each of many submissions would cost too much.
       const loads =
-        own === undefined ? this.#announced(shard)?.loads : this.#announcedLoads.get(shard);
+        own === undefined ? this.#announcedStatus(shard)?.loads : this.#ownLoads.get(shard);
       const load = loads?.[loadIndex(rank, spec.spot)] ?? UNKNOWN_LOAD;
       const fitting = this.#freeCapacity(shard).filter(
-        (r) => r.minimumRank === 0 && capacityFits(spec, r),
+        (capacity) => capacity.minimumRank === 0 && isFeasible(spec, capacity),
       );
-      const hasImage = fitting.some((r) => r.images.includes(spec.image));
-      out.push({ shard, load, fitsNow: fitting.length > 0, hasImage });
+      const hasImage = fitting.some((capacity) => capacity.images.includes(spec.image));
+      shardLoads.push({ shard, load, fitsNow: fitting.length > 0, hasImage });
     }
-    return out;
+    return shardLoads;
   }
 
-  /** The shard other than `not` with room for the job, rather one that holds its image. */
-  capacityElsewhere(spec: JobSpec, not: number): { shard: number; tasks: number } | null {
+  /**
+   * Finds a shard other than `excluded` with capacity for tasks of the job, free or by preemption, and returns how
+   * many tasks fit. Prefers a shard where a feasible machine has cached the job's image; null if none has capacity.
+   */
+  capacityElsewhere(spec: JobSpec, excluded: number): { shard: number; tasks: number } | null {
     const rank = PRIORITY_RANK[spec.priority];
-    let best: { shard: number; tasks: number; image: boolean } | null = null;
-    for (let shard = 0; shard < this.shards; shard++) {
-      if (shard === not) continue;
-      // A shard with tasks of its own waiting, of this rank or above, has no room to offer.
+    let best: { shard: number; tasks: number; hasImage: boolean } | null = null;
+    for (let shard = 0; shard < this.shardCount; shard++) {
+      if (shard === excluded) continue;
+      // A shard with waiting tasks of this rank or a higher one needs its capacity for them.
       const own = this.#ownShard(shard);
       const waiting =
         own === undefined
-          ? (this.#announced(shard)?.waiting[rank] ?? 1)
+          ? (this.#announcedStatus(shard)?.waiting[rank] ?? 1)
           : own.waitingTasks(rank, this.now());
       if (waiting > 0) continue;
-      const rooms = this.#freeCapacity(shard).filter((r) => capacityFits(spec, r));
-      const tasks = rooms.reduce((sum, r) => sum + timesIn(spec.demand, r) * r.count, 0);
-      const image = rooms.some((r) => r.images.includes(spec.image));
+      const feasible = this.#freeCapacity(shard).filter((capacity) => isFeasible(spec, capacity));
+      const tasks = feasible.reduce(
+        (sum, capacity) => sum + timesIn(spec.demand, capacity) * capacity.count,
+        0,
+      );
+      const hasImage = feasible.some((capacity) => capacity.images.includes(spec.image));
       if (tasks === 0) continue;
-      if (best === null || (image && !best.image)) best = { shard, tasks, image };
+      if (best === null || (hasImage && !best.hasImage)) best = { shard, tasks, hasImage };
     }
     return best;
   }
 
   /**
-   * The least booked shard for the job, if it is booked so much less than `than` that the job begins
-   * sooner there although it has no room now either. Null if none is, or too little is known.
+   * Returns the least loaded shard for the job if its load is so much lower than that of `reference` that the job
+   * starts sooner there, although that shard has no free capacity now either. Null if there is none, or if the load
+   * of `reference` or of every other shard is unknown.
    */
-  lessAllocated(spec: JobSpec, than: number): number | null {
+  lessAllocated(spec: JobSpec, reference: number): number | null {
     const index = loadIndex(PRIORITY_RANK[spec.priority], spec.spot);
-    const own = this.#announcedLoads.get(than)?.[index];
-    if (own === undefined) return null;
+    const referenceLoad = this.#ownLoads.get(reference)?.[index];
+    if (referenceLoad === undefined) return null;
     let least: { shard: number; load: number } | null = null;
-    for (let shard = 0; shard < this.shards; shard++) {
+    for (let shard = 0; shard < this.shardCount; shard++) {
       const loads =
         this.#ownShard(shard) === undefined
-          ? this.#announced(shard)?.loads
-          : this.#announcedLoads.get(shard);
+          ? this.#announcedStatus(shard)?.loads
+          : this.#ownLoads.get(shard);
       const load = loads?.[index];
-      if (shard === than || load === undefined) continue;
+      if (shard === reference || load === undefined) continue;
       if (least === null || load < least.load) least = { shard, load };
     }
     if (least === null) return null;
-    const worthIt = own > Math.max(least.load * BALANCE_RATIO, least.load + BALANCE_MARGIN);
-    return worthIt ? least.shard : null;
+    const worthMigrating =
+      referenceLoad > Math.max(least.load * MIN_LOAD_RATIO, least.load + MIN_LOAD_DIFFERENCE);
+    return worthMigrating ? least.shard : null;
   }
 
-  /** Tasks of each class, waiting or placed, in all shards but one. */
-  activeTasksElsewhere(not: number): Map<string, number> {
-    const out = new Map<string, number>();
-    for (let shard = 0; shard < this.shards; shard++) {
-      if (shard === not) continue;
+  /** Returns the number of tasks of each job class, waiting or placed, in all shards but `excluded`. */
+  activeTasksElsewhere(excluded: number): Map<string, number> {
+    const tasksByClass = new Map<string, number>();
+    for (let shard = 0; shard < this.shardCount; shard++) {
+      if (shard === excluded) continue;
       for (const { jobClass, tasks } of this.#ownShard(shard)?.activeTasksByClass(this.now()) ??
-        this.#announced(shard)?.activeTasks ??
+        this.#announcedStatus(shard)?.activeTasks ??
         []) {
-        out.set(jobClass, (out.get(jobClass) ?? 0) + tasks);
+        tasksByClass.set(jobClass, (tasksByClass.get(jobClass) ?? 0) + tasks);
       }
     }
-    return out;
+    return tasksByClass;
   }
 
-  /** Counts of a job's tasks that are done and that run, for display. */
+  /** Returns how many tasks of a job are done and how many are running, over all shards; for display. */
   progress(uid: string): { done: number; running: number } {
     let done = 0;
     let running = 0;
     for (const { shard } of this.owned().values()) {
-      const counts = progressIn(shard, uid);
+      const counts = jobProgressInShard(shard, uid);
       done += counts.done;
       running += counts.running;
     }
     for (const { jobs } of this.peers.recent()) {
-      for (const told of this.#byUid(jobs).get(uid) ?? []) {
-        if (this.owned().has(told.shard)) continue;
-        done += told.done;
-        running += told.running;
+      for (const progress of this.#progressByUid(jobs).get(uid) ?? []) {
+        if (this.owned().has(progress.shard)) continue;
+        done += progress.done;
+        running += progress.running;
       }
     }
     return { done, running };
   }
 
-  /** The list is the same until the node tells another one. */
-  #byUid(jobs: PeerStatus['jobs']): Map<string, PeerStatus['jobs']> {
-    let byUid = this.#progressIndex.get(jobs);
+  /** Indexes a peer's list once: its array object stays the same until a new list arrives. */
+  #progressByUid(jobs: PeerStatus['jobs']): Map<string, PeerStatus['jobs']> {
+    let byUid = this.#progressIndexes.get(jobs);
     if (byUid === undefined) {
       byUid = new Map();
       for (const job of jobs) {
-        const same = byUid.get(job.uid);
-        if (same === undefined) byUid.set(job.uid, [job]);
-        else same.push(job);
+        const entries = byUid.get(job.uid);
+        if (entries === undefined) byUid.set(job.uid, [job]);
+        else entries.push(job);
       }
-      this.#progressIndex.set(jobs, byUid);
+      this.#progressIndexes.set(jobs, byUid);
     }
     return byUid;
   }
 
-  /** Images that another owner knew on a machine, with their sizes. */
+  /** Returns the images, with their sizes in GB, that another owner of the machine has announced; empty if none. */
   imagesOf(machine: string): ReadonlyMap<string, number> {
-    for (const { images } of this.peers.latest().flatMap((s) => s.shards)) {
-      const known = images.find((i) => i.machine === machine);
-      if (known !== undefined) return new Map(known.images.map((n, i) => [n, known.gb[i] ?? 0]));
+    for (const { images } of this.peers.latest().flatMap((status) => status.shards)) {
+      const cached = images.find((entry) => entry.machine === machine);
+      if (cached !== undefined)
+        return new Map(cached.images.map((image, index) => [image, cached.gb[index] ?? 0]));
     }
     return new Map();
   }
 
-  /** The node in touch to which most workers of the shard report. */
-  nodeReachingMostWorkers(shard: number): string | null {
+  /** Returns the reachable peer that receives heartbeats of most workers of the shard; null if none receives any. */
+  peerReceivingHeartbeats(shard: number): string | null {
     let best: { node: string; workers: number } | null = null;
-    for (const s of this.peers.reachable()) {
-      const workers = s.observedWorkers.find((x) => x.shard === shard)?.workers ?? 0;
-      if (workers > (best?.workers ?? 0)) best = { node: s.node, workers };
+    for (const { node, observedWorkers } of this.peers.reachable()) {
+      const workers = observedWorkers.find((observed) => observed.shard === shard)?.workers ?? 0;
+      if (workers > (best?.workers ?? 0)) best = { node, workers };
     }
     return best?.node ?? null;
   }
 }
 
-/** Tasks of a job in one shard that are done, saved or not, and that run. */
-export const progressIn = (shard: Shard, uid: string): { done: number; running: number } => {
+/** Returns how many tasks of a job are done in a shard, saved or not, and how many are running there. */
+export const jobProgressInShard = (
+  shard: Shard,
+  uid: string,
+): { done: number; running: number } => {
   const job = shard.jobs.get(uid);
   if (job === undefined) return { done: 0, running: 0 };
-  const running = [...job.placements.values()].filter((p) => p.state === 'running').length;
+  const running = [...job.placements.values()].filter(({ state }) => state === 'running').length;
   return { done: job.savedTasks.size + job.unsavedTasks.size, running };
 };
--- a/src/service/constants.ts
+++ b/src/service/constants.ts
@@ -1,39 +1,43 @@
 /** Timing and limits of the node's process. */
 
-/** ms; a request that takes longer is cut off */
+/** ms; limit for receiving a request from a worker or user. */
 export const REQUEST_TIMEOUT_MS = 10_000;
 
-/** share of the process's sockets that direct commands may use at once: after a failover of every shard, probes of
- * all workers must leave sockets for heartbeats and users. */
+/**
+ * Share of the process's sockets that direct commands may use at a time: after a failover of every shard all workers
+ * are probed, and sockets must remain for heartbeats and users.
+ */
 export const DIRECT_COMMAND_SOCKET_SHARE = 0.08;
 
-/** share of the inbound connections beyond which responses close their connection */
-export const CLOSE_AFTER_RESPONSE_SHARE = 0.7;
+/** Share of the allowed inbound connections above which every response closes its connection. */
+export const CLOSE_AFTER_RESPONSE_THRESHOLD = 0.7;
 
-/** sockets for each peer: one in each direction, and as many that are still closing */
-export const PEER_SOCKETS = 4;
+/** Sockets reserved for each peer: one for each direction, and as many that are still closing. */
+export const SOCKETS_PER_PEER = 4;
 
-/** sockets for listeners, health checks and watches */
+/** Sockets reserved for listeners, health checks and watches. */
 export const RESERVED_SOCKETS = 24;
 
-/** worker leases; an inbound connection that was idle for longer is closed */
-export const IDLE_LEASES = 2;
+/** Idle timeout of an inbound connection, in worker lease times. */
+export const IDLE_TIMEOUT_LEASES = 2;
 
-/** share of a node's store requests that the watch may use */
+/** Share of a node's store requests that the watch may use. */
 export const WATCH_REQUEST_SHARE = 0.3;
 
-/** ms; shortest pause between two reads of the watch */
-export const WATCH_PAUSE_MS = 400;
+/** ms; shortest pause between two reads of the watch. */
+export const MIN_WATCH_PAUSE_MS = 400;
 
-/** ms; the store counts as reachable for this long after an answer */
-export const STORE_FRESH_MS = 4000;
+/** ms; the store counts as reachable for this long after its last successful response. */
+export const STORE_REACHABLE_MS = 4000;
 
-/** ms; a node without the store stays ready for this long although a peer has it: at both ends of an outage the
- * nodes notice it a little apart. */
-export const READY_GRACE_MS = 3000;
+/**
+ * ms; a node that cannot reach the store, although a peer can, stays ready for this long: nodes notice the start and
+ * the end of an outage at slightly different times.
+ */
+export const STORE_LOST_GRACE_MS = 3000;
 
-/** ms; a node without the store and without peers is not ready after this: its lease is over by then. */
+/** ms; a node that can reach neither the store nor any peer stays ready for this long. By then its lease is over. */
 export const ISOLATED_GRACE_MS = 8000;
 
-/** ms; a heartbeat of another shard's worker is told to the peers for this long */
-export const OBSERVED_WORKER_MS = 6000;
+/** ms; a heartbeat from a worker of another node's shard is reported to the peers for this long. */
+export const OBSERVED_WORKER_TTL_MS = 6000;
--- a/src/service/control-loops.ts
+++ b/src/service/control-loops.ts
@@ -1,4 +1,4 @@
-/** The control loops of a node, in their order, and when a round of them is due. */
+/** The control loops of a node: their order within a round, and the schedule of the rounds. */
 import { DEBOUNCE_MS, LOOP_MS } from '../constants.js';
 import type { CloudClient } from '../cloud/cloud-client.js';
 import type { MachineTypes } from '../cloud/machine-types.js';
@@ -16,7 +16,7 @@
 import type { StoreAccess } from './store-access.js';
 import type { HeartbeatResponse } from '../workers/heartbeat-routes.js';
 
-/** What the loops run on. */
+/** Dependencies of `ControlLoops`. */
 export interface ControlLoopsDependencies {
   readonly context: NodeContext;
   readonly store: StoreAccess;
@@ -25,12 +25,12 @@
   readonly peers: PeerExchange;
   readonly workload: WorkloadStatistics;
   readonly shardController: ShardController;
-  /** null: switched off */
+  /** null: singleton controllers are disabled */
   readonly singletons: SingletonControllers | null;
   readonly features: OptionalFeatures;
-  /** jobs whose users were told to retry */
+  /** jobs whose users were lately told to retry their submission */
   readonly expectedJobs: () => readonly JobSpec[];
-  /** called at the beginning of each round */
+  /** called at the start of each round */
   readonly onRound: () => void;
 }
 
@@ -39,12 +39,13 @@
   readonly #scaleIn: ScaleIn;
   readonly #scaleOut: ScaleOut;
   readonly #orphanedInstances: OrphanedInstances;
-  /** null: rebalancing is switched off */
+  /** null: shard rebalancing is disabled */
   readonly #shardMover: ShardMover | null;
   #timer: NodeJS.Timeout | null = null;
+  /** monotonic ms; start of the next round */
   #nextRoundAt = Infinity;
-  /** the cache's version whose jobs the workload statistics have seen */
-  #observedVersion = -1;
+  /** version of the cache whose jobs the workload statistics include; -1: none */
+  #observedCacheVersion = -1;
   #closed = false;
 
   constructor(private readonly dependencies: ControlLoopsDependencies) {
@@ -68,12 +69,12 @@
     });
   }
 
-  /** Begins the rounds. */
+  /** Schedules the first round. */
   start(): void {
     this.#scheduleRound(LOOP_MS);
   }
 
-  /** Runs a round soon, for this change together with those that come right after it. */
+  /** Runs a round within `DEBOUNCE_MS`, so that one round handles a whole burst of changes. */
   runSoon(): void {
     const { now } = this.dependencies.context;
     if (this.#timer === null || this.#nextRoundAt - now() <= DEBOUNCE_MS) return;
@@ -81,7 +82,7 @@
     this.#scheduleRound(DEBOUNCE_MS);
   }
 
-  /** The reply to a worker's heartbeat, which may make a round due. */
+  /** Returns the response to a worker's heartbeat. If one of the own shards answers it, a round runs soon. */
   handleHeartbeat(heartbeat: Heartbeat): HeartbeatResponse {
     const response = this.dependencies.shardController.handleHeartbeat(heartbeat);
     if (response.kind === 'unavailable') this.#orphanedInstances.handleHeartbeat(heartbeat);
@@ -89,18 +90,18 @@
     return response;
   }
 
-  /** Ends the rounds. */
+  /** Stops the rounds. */
   close(): void {
     this.#closed = true;
     if (this.#timer !== null) clearTimeout(this.#timer);
   }
 
-  #scheduleRound(ms: number): void {
-    this.#nextRoundAt = this.dependencies.context.now() + ms;
-    this.#timer = setTimeout(() => this.#round(), ms);
+  #scheduleRound(delayMs: number): void {
+    this.#nextRoundAt = this.dependencies.context.now() + delayMs;
+    this.#timer = setTimeout(() => this.#runRound(), delayMs);
   }
 
-  #round(): void {
+  #runRound(): void {
     if (this.#closed) return;
     this.#scheduleRound(LOOP_MS);
     const { shardController, singletons, onRound } = this.dependencies;
@@ -109,19 +110,22 @@
     this.#scaleIn.markRecordedReturns();
     this.#shardMover?.tick();
     shardController.tick();
-    this.#collectEvents();
+    this.#drainTaskEvents();
     this.#scaleIn.markRecordedReturns();
     this.#orphanedInstances.tick();
     this.#scaleOut.tick();
     singletons?.tick();
   }
 
-  /** Takes in arrivals, when there are new ones, and run times that peers have learned. */
+  /**
+   * Adds new job arrivals and the run times that peers have learned to the workload statistics, if the cache has
+   * changed.
+   */
   #observeWorkload(): void {
     const { context, store, peers, workload } = this.dependencies;
     const { version, tables } = store.cache;
-    if (this.#observedVersion === version) return;
-    this.#observedVersion = version;
+    if (this.#observedCacheVersion === version) return;
+    this.#observedCacheVersion = version;
     const nowS = context.timeOfDay() / 1000;
     for (const { value } of tables.activeJobs.values()) {
       workload.arrived(value.spec, Math.min(nowS, value.at / 1000));
@@ -132,8 +136,8 @@
     }
   }
 
-  /** Hands on what happened to tasks: run times to the statistics, events to the log. */
-  #collectEvents(): void {
+  /** Moves the run times of finished tasks to the workload statistics, and task events to the log. */
+  #drainTaskEvents(): void {
     const { context, shardController, workload } = this.dependencies;
     for (const [index, { shard }] of shardController.owned) {
       for (const run of shard.finishedRuns.splice(0)) workload.ran(run.jobClass, run.runS);
--- a/src/service/http-server.ts
+++ b/src/service/http-server.ts
@@ -1,3 +1,4 @@
+/** The HTTP server of a node: one listener for workers, users and health checks. */
 import { createServer, type Server } from 'node:http';
 import Koa, { type Middleware } from 'koa';
 import type { Logger } from 'pino';
@@ -5,17 +6,17 @@
 import { REQUEST_TIMEOUT_MS } from './constants.js';
 import { InboundConnections } from './socket-budget.js';
 
-/** How connections of workers and users are bounded. */
+/** Limits on inbound connections. */
 export interface ConnectionLimits {
-  /** connections at once */
-  readonly connections: number;
+  /** number of connections that may be open at a time */
+  readonly maxConnections: number;
   /** ms after which an idle connection is closed */
-  readonly idleMs: number;
-  /** told of each connection that was closed at once for want of room */
-  readonly dropped: () => void;
+  readonly idleTimeoutMs: number;
+  /** called for each connection that was closed on arrival because `maxConnections` were open */
+  readonly onDropped: () => void;
 }
 
-/** The HTTP server that workers, users and health checks reach. */
+/** Serves the routes of workers, users and health checks. */
 export class HttpServer {
   #server: Server | null = null;
 
@@ -32,13 +33,13 @@
     for (const route of routes) app.use(route);
     const handler = app.callback();
     const server = createServer((request, response) => {
-      connections.onResponse(response);
+      connections.beforeResponse(response);
       void handler(request, response);
     });
-    const connections = new InboundConnections(server, limits.connections);
-    server.keepAliveTimeout = limits.idleMs;
+    const connections = new InboundConnections(server, limits.maxConnections);
+    server.keepAliveTimeout = limits.idleTimeoutMs;
     server.requestTimeout = REQUEST_TIMEOUT_MS;
-    server.on('drop', limits.dropped);
+    server.on('drop', limits.onDropped);
     this.#server = server;
     const { host, port } = parseAddress(address);
     await new Promise<void>((resolve, reject) => {
@@ -47,7 +48,7 @@
     });
   }
 
-  /** Ends all connections. */
+  /** Stops listening and closes all connections. */
   close(): void {
     this.#server?.close();
     this.#server?.closeAllConnections();
--- a/src/service/node-context.ts
+++ b/src/service/node-context.ts
@@ -1,29 +1,32 @@
-/** What every part of a node's process shares: settings, identity, clocks, randomness and the log. */
+/** Context shared by all components of a node's process: settings, incarnation, clocks, randomness and log. */
 import type { Logger } from 'pino';
 import { steadyMs, timeOfDayMs } from '../clock.js';
 import type { OperatorConfig } from '../config/operator.js';
 import type { PlatformConfig } from '../config/platform.js';
 import { randomFrom } from '../random.js';
 
-/** Random part of an incarnation's name: it tells lives apart that began within the same millisecond. */
+/**
+ * Exclusive upper bound of the random part of an incarnation, which distinguishes incarnations that started within
+ * the same millisecond.
+ */
 const INCARNATION_RANDOM_LIMIT = 2 ** 30;
 
-/** One life of a node. */
+/** Settings, identity and clocks of one incarnation of a node. */
 export interface NodeContext {
   readonly config: PlatformConfig;
   readonly operator: OperatorConfig;
-  /** names this life: a restarted node has another one */
+  /** identifies this run of the node's process; every restart gets a new one */
   readonly incarnation: string;
-  /** a random whole number below the given one */
+  /** returns a random integer from 0 to `below` - 1 */
   readonly random: (below: number) => number;
-  /** the steady clock, ms */
+  /** monotonic clock, ms */
   readonly now: () => number;
-  /** the time of day, ms */
+  /** wall clock, ms */
   readonly timeOfDay: () => number;
   readonly log: Logger;
 }
 
-/** Begins a new life of the node with its real clocks. */
+/** Creates the context of a new incarnation, with the clocks of the system. */
 export const createNodeContext = (
   config: PlatformConfig,
   operator: OperatorConfig,
--- a/src/service/optional-features.ts
+++ b/src/service/optional-features.ts
@@ -1,10 +1,11 @@
+/** Features of a node that are disabled by default. */
 import type { RebalancingConfig } from '../config/rebalancing.js';
 import type { SingletonsConfig } from '../config/singletons.js';
 
-/** Features that a settings file of their own switches on; null: off. */
+/** Settings of the optional features. Each has its own settings file, which enables it; null: disabled. */
 export interface OptionalFeatures {
-  /** singleton controllers (`--duties`) */
+  /** settings of the singleton controllers (`--duties <file>`) */
   readonly duties: SingletonsConfig | null;
-  /** shard rebalancing (`--shares`) */
+  /** settings of shard rebalancing (`--shares <file>`) */
   readonly shares: RebalancingConfig | null;
 }
--- a/src/service/peer-exchange.ts
+++ b/src/service/peer-exchange.ts
@@ -1,4 +1,4 @@
-/** What this node exchanges with its peers: status, known cancellations and learned run times. */
+/** Exchange of status, confirmed cancellations and learned run times with the peers. */
 import type { Cancellation } from '../core/cancellation/cancellation.js';
 import { CancellationBroadcast } from '../core/cancellation/cancellation-broadcast.js';
 import { CancellationCoverage } from '../core/cancellation/cancellation-coverage.js';
@@ -9,19 +9,19 @@
 import type { PeerView } from '../shards/peer-view.js';
 import type { ShardController } from '../shards/shard-controller.js';
 import type { NodeContext } from './node-context.js';
-import { describeShards } from './shard-status.js';
+import { describeOwnShards } from './shard-status.js';
 import type { StoreAccess } from './store-access.js';
 
-/** What the exchange tells of, and takes in. */
+/** Dependencies of `PeerExchange`. */
 export interface PeerExchangeDependencies {
   readonly context: NodeContext;
   readonly store: StoreAccess;
   readonly workload: WorkloadStatistics;
-  /** asked for only once the node runs: the controller itself depends on the exchange */
+  /** called only after construction, since the shard controller itself depends on the peer exchange */
   readonly shardController: () => ShardController;
 }
 
-/** Owns the gossip with the peers and the cancellations that go with it. */
+/** Owns the gossip, the shard directory that is built on it, and the broadcast of confirmed cancellations. */
 export class PeerExchange {
   readonly gossip: Gossip;
   readonly directory: ShardDirectory;
@@ -47,19 +47,19 @@
     this.directory = new ShardDirectory(config.nodes, owned, this.gossip, now);
   }
 
-  /** A reachable peer that the store answers; null if none. */
+  /** Returns a reachable peer that can reach the store; null if there is none. */
   reachablePeerWithStore(): string | null {
     return this.gossip.reachable().find((status) => status.hasStore)?.node ?? null;
   }
 
-  /** Whether there are peers, and none of them is reachable. */
-  get isolated(): boolean {
+  /** Whether the node has peers but can reach none of them. */
+  get isIsolated(): boolean {
     return (
       this.dependencies.context.config.peers.length > 0 && this.gossip.reachable().length === 0
     );
   }
 
-  /** The peers as the control loops of the shards see them. */
+  /** Returns the view of the peers that the shard controller works with. */
   view(): PeerView {
     const { cache } = this.dependencies.store;
     return {
@@ -68,19 +68,22 @@
       capacityElsewhere: (spec, excluded) => this.directory.capacityElsewhere(spec, excluded),
       lessAllocated: (spec, shard) => this.directory.lessAllocated(spec, shard),
       imagesOf: (machine) => this.directory.imagesOf(machine),
-      peerReceivingHeartbeats: (shard) => this.directory.nodeReachingMostWorkers(shard),
+      peerReceivingHeartbeats: (shard) => this.directory.peerReceivingHeartbeats(shard),
       cancellationsKnownUntil: () => this.#coverage.knownUntil(cache.currentAt),
     };
   }
 
-  /** A cancellation is confirmed: it is broadcast until every peer has acknowledged it. */
+  /** Broadcasts a confirmed cancellation in every message until every peer has acknowledged it. */
   addCancellation(cancellation: Cancellation): void {
     this.#broadcast.add(cancellation, this.dependencies.context.now());
   }
 
-  /** Broadcasts at once if peers may not know the job's cancellation: its owner should stop the tasks now. */
+  /**
+   * Broadcasts without waiting for the next interval if some peer may not know the job's cancellation, so that the
+   * owners of its tasks stop them soon.
+   */
   flushCancellation(uid: string): void {
-    if (this.#broadcast.isPending(uid)) this.gossip.flush();
+    if (this.#broadcast.isPending(uid)) this.gossip.broadcastSoon();
   }
 
   #incarnationWithStore(node: string): string | null {
@@ -93,8 +96,8 @@
     return {
       cancellations: this.#broadcast.nextMessage(sentAt),
       cancellationsComplete: this.#broadcast.isComplete(sentAt),
-      hasStore: store.answeredLately,
-      ...describeShards(shardController(), this.directory, detailed, context.now()),
+      hasStore: store.isReachable,
+      ...describeOwnShards(shardController(), this.directory, detailed, context.now()),
       classes: workload.runs(),
     };
   }
@@ -103,8 +106,8 @@
     const { context, store } = this.dependencies;
     const { node, incarnation, cancellations, cancellationsComplete: complete } = status;
     for (const cancellation of cancellations) store.cache.learnCancelled(cancellation);
-    const broadcast = { node, incarnation, complete, acknowledgedSentAt };
-    this.#coverage.receive(broadcast, store.cache.currentAt, context.now());
+    const receivedBroadcast = { node, incarnation, complete, acknowledgedSentAt };
+    this.#coverage.receive(receivedBroadcast, store.cache.currentAt, context.now());
     this.#broadcast.acknowledge(node, acknowledgedSentAt);
   }
 }
--- a/src/service/rate-limit-sharing.ts
+++ b/src/service/rate-limit-sharing.ts
@@ -1,3 +1,4 @@
+/** Division of the rate limits of store and cloud, which hold for all nodes together, among the alive nodes. */
 import type { CloudClient } from '../cloud/cloud-client.js';
 import type { OperatorConfig } from '../config/operator.js';
 import type { PlatformConfig } from '../config/platform.js';
@@ -5,40 +6,50 @@
 import type { StoreLimits } from '../store/request-scheduler.js';
 
 type Config = Pick<PlatformConfig, 'nodes' | 'storeLimits' | 'cloudLimits'>;
-type Shares = Pick<OperatorConfig, 'storeRequestShare' | 'storeWriteShare' | 'cloudRequestShare'>;
+type RateLimitShares = Pick<
+  OperatorConfig,
+  'storeRequestShare' | 'storeWriteShare' | 'cloudRequestShare'
+>;
 
-/** One node's share of the state service's limits when so many nodes live. */
-export const storeLimitsPerNode = (config: Config, shares: Shares, nodes: number): StoreLimits => {
+/** Returns the part of the store's rate limits that each of `nodes` nodes may use. */
+export const storeLimitsPerNode = (
+  config: Config,
+  shares: RateLimitShares,
+  nodes: number,
+): StoreLimits => {
   const { rps, writeRps, next } = config.storeLimits;
-  const share = (l: { rps: number; writeRps: number }) => ({
-    rps: (l.rps * shares.storeRequestShare) / nodes,
-    writeRps: (l.writeRps * shares.storeWriteShare) / nodes,
+  const perNode = (limits: { rps: number; writeRps: number }) => ({
+    rps: (limits.rps * shares.storeRequestShare) / nodes,
+    writeRps: (limits.writeRps * shares.storeWriteShare) / nodes,
   });
-  return { ...share({ rps, writeRps }), next: share(next) };
+  return { ...perNode({ rps, writeRps }), next: perNode(next) };
 };
 
-/** One node's share of the cloud's requests a second. */
-export const cloudRateLimitPerNode = (config: Config, shares: Shares, nodes: number): number =>
-  (config.cloudLimits.rps * shares.cloudRequestShare) / nodes;
+/** Returns the part of the cloud's rate limit, in requests per second, that each of `nodes` nodes may use. */
+export const cloudRateLimitPerNode = (
+  config: Config,
+  shares: RateLimitShares,
+  nodes: number,
+): number => (config.cloudLimits.rps * shares.cloudRequestShare) / nodes;
 
-/** The limits of state service and cloud are for all nodes together: those that live share them. */
+/** Adjusts the rate limits of the store client and the cloud client to the number of alive nodes. */
 export class RateLimitSharing {
-  #nodes: number;
+  #aliveNodes: number;
 
   constructor(
     private readonly config: Config,
-    private readonly shares: Shares,
+    private readonly shares: RateLimitShares,
     private readonly store: Pick<StoreClient, 'setLimits'>,
     private readonly cloud: Pick<CloudClient, 'setRate'>,
   ) {
-    this.#nodes = config.nodes;
+    this.#aliveNodes = config.nodes;
   }
 
-  /** Sets the rates of both clients anew if the number of living nodes has changed. */
-  update(living: number): void {
-    const nodes = Math.min(this.config.nodes, Math.max(1, living));
-    if (nodes === this.#nodes) return;
-    this.#nodes = nodes;
+  /** Updates the rates of both clients if the number of alive nodes has changed. */
+  update(aliveNodes: number): void {
+    const nodes = Math.min(this.config.nodes, Math.max(1, aliveNodes));
+    if (nodes === this.#aliveNodes) return;
+    this.#aliveNodes = nodes;
     this.store.setLimits(storeLimitsPerNode(this.config, this.shares, nodes));
     this.cloud.setRate(cloudRateLimitPerNode(this.config, this.shares, nodes));
   }
--- a/src/service/readiness.ts
+++ b/src/service/readiness.ts
@@ -1,35 +1,40 @@
-import { ISOLATED_GRACE_MS, READY_GRACE_MS } from './constants.js';
+/** Readiness of a node as reported to the load balancer. */
+import { ISOLATED_GRACE_MS, STORE_LOST_GRACE_MS } from './constants.js';
 
-/** What readiness depends on, as of one look. */
+/** Observations that readiness depends on, all made at the same time. */
 export interface ReadinessInputs {
-  /** the state service answers this node */
+  /** whether this node can reach the store */
   readonly storeAvailable: boolean;
-  /** another node in touch has state */
+  /** whether a reachable peer can reach the store */
   readonly peerHasStore: boolean;
-  /** there are other nodes, and none of them is in touch */
+  /** whether the node has peers but can reach none of them */
   readonly noPeerReachable: boolean;
 }
 
 /**
- * Whether the load balancer should send users here. Without state that is only so if no reachable node
- * has any: in an outage all stay, rather than leave the load balancer with nobody.
+ * Decides whether the load balancer should route users to this node. A node that cannot reach the store is ready only
+ * if no reachable peer can reach it either: in an outage of the store all nodes stay ready, since otherwise the load
+ * balancer would have no target.
  */
 export class Readiness {
+  /** monotonic ms; since when a reachable peer, but not this node, can reach the store; null: not the case */
+  #storeLostSince: number | null = null;
+  /** monotonic ms; since when this node can reach neither the store nor any peer; null: not the case */
   #isolatedSince: number | null = null;
-  #cutOffSince: number | null = null;
 
-  /** Notes since when this node alone has been without state, or without state and anybody else. */
+  /** Records since when this node alone has lost the store, or has lost the store and all peers. */
   observe({ storeAvailable, peerHasStore, noPeerReachable }: ReadinessInputs, now: number): void {
-    const alone = !storeAvailable && peerHasStore;
-    this.#isolatedSince = alone ? (this.#isolatedSince ?? now) : null;
-    const cutOff = !storeAvailable && noPeerReachable;
-    this.#cutOffSince = cutOff ? (this.#cutOffSince ?? now) : null;
+    const storeLost = !storeAvailable && peerHasStore;
+    this.#storeLostSince = storeLost ? (this.#storeLostSince ?? now) : null;
+    const isolated = !storeAvailable && noPeerReachable;
+    this.#isolatedSince = isolated ? (this.#isolatedSince ?? now) : null;
   }
 
-  /** True unless one of the two has lasted too long. */
-  ready(now: number): boolean {
-    if (this.#cutOffSince !== null && now - this.#cutOffSince >= ISOLATED_GRACE_MS) return false;
-    const since = this.#isolatedSince;
-    return since === null || now - since < READY_GRACE_MS;
+  /** Returns false once either state has lasted for its grace period. */
+  isReady(now: number): boolean {
+    if (this.#isolatedSince !== null && now - this.#isolatedSince >= ISOLATED_GRACE_MS)
+      return false;
+    const since = this.#storeLostSince;
+    return since === null || now - since < STORE_LOST_GRACE_MS;
   }
 }
--- a/src/service/service.ts
+++ b/src/service/service.ts
@@ -1,6 +1,6 @@
 /**
- * One node of the service, put together: access to the store, exchange with the peers, the shard controller, the
- * control loops and the users' interface. Everything that has a life of its own is started and closed here.
+ * Composition of one node of the service: store access, peer exchange, shard controller, control loops and user
+ * interface. Starts and closes every component that holds timers or connections.
  */
 import { FencingRejections } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
@@ -14,7 +14,7 @@
 import { ShardController } from '../shards/shard-controller.js';
 import { SingletonControllers } from '../singletons/singleton-controllers.js';
 import { heartbeatRoutes } from '../workers/heartbeat-routes.js';
-import { IDLE_LEASES } from './constants.js';
+import { IDLE_TIMEOUT_LEASES } from './constants.js';
 import { ControlLoops } from './control-loops.js';
 import { HttpServer } from './http-server.js';
 import { createNodeContext, type NodeContext } from './node-context.js';
@@ -30,10 +30,10 @@
 
 export type { OptionalFeatures } from './optional-features.js';
 
-/** Key of a shard's record, which is also the role of renting and returning the shard's machines. */
+/** Key of a shard's record. It is also the name of the role that rents and returns the shard's machines. */
 const SHARD_ROLE = /^parts\/(\d+)$/;
 
-/** One controller process: wires the core to the store, the cloud, the workers, the users and the peers. */
+/** Runs one node: connects the core to the store, the cloud, the workers, the users and the peers. */
 export class Service {
   readonly #context: NodeContext;
   readonly #store: StoreAccess;
@@ -43,7 +43,7 @@
   readonly #peers: PeerExchange;
   readonly #fencingRejections: FencingRejections;
   readonly #shardController: ShardController;
-  /** null: singleton controllers are switched off */
+  /** null: singleton controllers are disabled */
   readonly #singletons: SingletonControllers | null;
   readonly #users: UserInterface;
   readonly #loops: ControlLoops;
@@ -87,7 +87,7 @@
     });
   }
 
-  /** Listens and starts all loops; resolves once the node can be reached. */
+  /** Opens the listeners and starts all loops; resolves once the node accepts connections. */
   async start(): Promise<void> {
     const { config, incarnation, log } = this.#context;
     const { signal } = this.#stop;
@@ -98,10 +98,10 @@
     this.#supervise('machine types', this.#machineTypes.run(signal));
     this.#loops.start();
     this.#summaryTimer = setInterval(() => this.#summarize(), SUMMARY_MS);
-    log.info({ listen: config.listen, incarnation }, 'started');
+    log.info({ listen: config.listen, incarnation }, 'node started');
   }
 
-  /** Ends everything without any farewell: as far as others can tell, the process is gone. */
+  /** Stops all components without notifying anyone: to peers and workers it looks like a crash. */
   close(): void {
     this.#stop.abort();
     if (this.#summaryTimer !== null) clearInterval(this.#summaryTimer);
@@ -115,13 +115,13 @@
   }
 
   #createShardController(): ShardController {
-    const { client, cache, lease, linearizable } = this.#store;
+    const { client, cache, lease, linearizableReads } = this.#store;
     return new ShardController({
       ...this.#context,
       client,
       cache,
       lease,
-      waitForCurrentCache: () => linearizable.waitUntilCurrent(),
+      waitForCurrentCache: () => linearizableReads.waitUntilCurrent(),
       peers: this.#peers.view(),
       fencingRejections: this.#fencingRejections,
       machineTypes: () => this.#machineTypes.current,
@@ -132,13 +132,13 @@
   #createSingletons({ duties, shares }: OptionalFeatures): SingletonControllers | null {
     if (duties === null) return null;
     const { config, incarnation, now, timeOfDay, log } = this.#context;
-    const { client, cache, linearizable } = this.#store;
+    const { client, cache, linearizableReads } = this.#store;
     return new SingletonControllers(config, duties, shares, incarnation, {
       client,
       cloud: this.#cloud,
       cache,
       authority: () => this.#shardController.authority(now()),
-      current: () => linearizable.waitUntilCurrent(),
+      current: () => linearizableReads.waitUntilCurrent(),
       fencingRejections: this.#fencingRejections,
       now,
       timeOfDay,
@@ -178,11 +178,11 @@
     });
   }
 
-  /** Fails the process if a loop ends that must never end: its state would be unknown. */
+  /** Crashes the process if a loop that must never end fails, since the node's state would be unknown. */
   #supervise(name: string, loop: Promise<void>): void {
     loop.catch((error: unknown) => {
       if (this.#stop.signal.aborted) return;
-      throw new Error(`the loop "${name}" ended`, { cause: error });
+      throw new Error(`background loop "${name}" failed`, { cause: error });
     });
   }
 
@@ -193,27 +193,27 @@
       () => this.#store.cache.ready,
     );
     return this.#server.listen([workers, this.#users.routes()], config.listen, {
-      connections: socketBudget(config.sockets, config.peers.length).inboundConnections,
-      idleMs: config.workers.leaseS * 1000 * IDLE_LEASES,
-      dropped: () => this.#summary.connectionDropped(),
+      maxConnections: socketBudget(config.sockets, config.peers.length).inboundConnections,
+      idleTimeoutMs: config.workers.leaseS * 1000 * IDLE_TIMEOUT_LEASES,
+      onDropped: () => this.#summary.recordDroppedConnection(),
     });
   }
 
   #isReady(): boolean {
     if (!this.#store.cache.ready || this.#machineTypes.current === null) return false;
-    return this.#readiness.ready(this.#context.now());
+    return this.#readiness.isReady(this.#context.now());
   }
 
   #observeReadiness(): void {
     const inputs = {
       storeAvailable: this.#store.client.available,
       peerHasStore: this.#peers.reachablePeerWithStore() !== null,
-      noPeerReachable: this.#peers.isolated,
+      noPeerReachable: this.#peers.isIsolated,
     };
     this.#readiness.observe(inputs, this.#context.now());
   }
 
-  /** The limits of store and cloud are shared by the nodes that are alive. */
+  /** Divides the rate limits by the alive nodes, or by all nodes until the cache is ready. */
   #shareRateLimits(): void {
     const { ready } = this.#store.cache;
     const { nodes } = this.#context.config;
@@ -225,9 +225,9 @@
     return startObjectives(this.#context.config.objectives, jobClass, runS);
   }
 
-  /** The fencing token of a role's present leader, by a current read; null if it has none. */
+  /** Returns the fencing token of a role's current leader by a linearizable read; null if the role has no leader. */
   async #currentToken(role: string): Promise<number | null> {
-    await this.#store.linearizable.waitUntilCurrent();
+    await this.#store.linearizableReads.waitUntilCurrent();
     const shard = SHARD_ROLE.exec(role)?.[1];
     if (shard !== undefined) return this.#shardController.termOf(Number(shard));
     return this.#singletons?.fencingTokenOf(role) ?? null;
--- a/src/service/start-objectives.ts
+++ b/src/service/start-objectives.ts
@@ -1,8 +1,9 @@
+/** Start deadlines that follow from the platform's objectives. */
 import type { Objective } from '../core/model.js';
 
 /**
- * Seconds from acceptance by which tasks of a class should start, the earliest first: objectives for starts as they
- * are, objectives for ends less the time that a task runs.
+ * Returns the times, in seconds after acceptance, by which tasks of a job class should start, in ascending order. An
+ * objective for the start counts as it is, one for the end less `runS`, the class's run time in seconds.
  */
 export const startObjectives = (
   objectives: readonly Objective[],
--- a/src/service/summary.ts
+++ b/src/service/summary.ts
@@ -5,11 +5,11 @@
 import type { Shard } from '../core/shard/shard.js';
 
 const MEBIBYTE = 2 ** 20;
-/** ms; acceptances that take longer count as this long */
-const LONGEST_MS = 60_000;
+/** ms; range of acceptance times that the histogram covers at first. It grows if one takes longer. */
+const INITIAL_ACCEPT_RANGE_MS = 60_000;
 
-/** The figures of one shard in the summary line. */
-const summaryOf = (index: number, shard: Shard) => {
+/** Returns the figures of one shard in the summary line. */
+const summarizeShard = (index: number, shard: Shard) => {
   let waiting = 0;
   let placed = 0;
   for (const job of shard.jobs.values()) {
@@ -30,7 +30,7 @@
   };
 };
 
-/** What the summary line tells besides its own counts. */
+/** Input of the summary line besides the counts that `PeriodicSummary` keeps. */
 export interface SummaryInputs {
   readonly shards: ReadonlyMap<number, { readonly shard: Shard }>;
   readonly activeJobs: number;
@@ -38,33 +38,33 @@
   readonly fencingRejections: FencingRejectionCounts;
 }
 
-/** Counts what the periodic `summary` line of the log says. */
+/** Collects acceptance times and dropped connections, and writes the periodic `summary` line. */
 export class PeriodicSummary {
   readonly #acceptMs = hdr.build({
     lowestDiscernibleValue: 1,
-    highestTrackableValue: LONGEST_MS,
+    highestTrackableValue: INITIAL_ACCEPT_RANGE_MS,
   });
   #connectionsDropped = 0;
 
   constructor(private readonly log: Logger) {}
 
-  /** A submission was accepted after so long. */
-  accepted(ms: number): void {
+  /** Records the acceptance of a submission that took `ms`. */
+  recordAcceptance(ms: number): void {
     this.#acceptMs.recordValue(Math.max(1, Math.round(ms)));
   }
 
-  /** A connection was closed at once for want of sockets. */
-  connectionDropped(): void {
+  /** Counts an inbound connection that was closed on arrival because the limit was reached. */
+  recordDroppedConnection(): void {
     this.#connectionsDropped += 1;
   }
 
-  /** Writes the line and starts to count anew. */
+  /** Writes the line at level `info` and resets the counts. */
   write({ shards, activeJobs, storeAvailable, fencingRejections }: SummaryInputs): void {
-    const percentile = (p: number) => this.#acceptMs.getValueAtPercentile(p);
+    const percentile = (rank: number) => this.#acceptMs.getValueAtPercentile(rank);
     const count = this.#acceptMs.totalCount;
     this.log.info(
       {
-        shards: [...shards].map(([index, { shard }]) => summaryOf(index, shard)),
+        shards: [...shards].map(([index, { shard }]) => summarizeShard(index, shard)),
         activeJobs,
         storeAvailable,
         acceptMs: { p50: percentile(50), p99: percentile(99), count },
--- a/src/service/user-interface.ts
+++ b/src/service/user-interface.ts
@@ -1,4 +1,4 @@
-/** What users reach: submissions, queries and cancellations, and the routing of accepted jobs. */
+/** The users' interface of a node: submissions, queries and cancellations, and the routing of accepted jobs. */
 import type Koa from 'koa';
 import type { MachineTypes } from '../cloud/machine-types.js';
 import type { ShardController } from '../shards/shard-controller.js';
@@ -11,17 +11,17 @@
 import type { StoreAccess } from './store-access.js';
 import type { PeriodicSummary } from './summary.js';
 
-/** What the users' side needs of the node. */
+/** Dependencies of `UserInterface`. */
 export interface UserInterfaceDependencies {
   readonly context: NodeContext;
   readonly store: StoreAccess;
   readonly peers: PeerExchange;
   readonly machineTypes: MachineTypes;
   readonly shardController: ShardController;
-  /** null: switched off */
+  /** null: singleton controllers are disabled */
   readonly singletons: SingletonControllers | null;
   readonly summary: PeriodicSummary;
-  /** whether the load balancer should send users here */
+  /** whether the load balancer should route users to this node */
   readonly isReady: () => boolean;
 }
 
@@ -33,8 +33,8 @@
   constructor(private readonly dependencies: UserInterfaceDependencies) {
     const { context, store, peers, machineTypes, shardController, singletons } = dependencies;
     const { config, operator, random, now } = context;
-    const { client, cache, linearizable } = store;
-    this.#reader = new JobReader(client, cache, linearizable);
+    const { client, cache, linearizableReads } = store;
+    this.#reader = new JobReader(client, cache, linearizableReads);
     this.jobs = new JobService(
       {
         client,
@@ -58,7 +58,7 @@
     );
   }
 
-  /** The users' routes. */
+  /** Returns the middleware that serves the routes for users. */
   routes(): Koa.Middleware {
     const { context, store, peers, summary, isReady } = this.dependencies;
     const { log } = context;
@@ -74,7 +74,7 @@
       random: context.random,
       onMalformed: (reason) => log.info({ reason }, 'malformed submission rejected'),
       onAccepted: ({ uid, jobClass, tasks }, ms) => {
-        summary.accepted(ms);
+        summary.recordAcceptance(ms);
         log.debug({ job: uid, class: jobClass, tasks }, 'job accepted');
       },
     });
--- a/test/socket-budget.test.ts
+++ b/test/socket-budget.test.ts
@@ -38,7 +38,7 @@
   const callers = 40;
   let connections: InboundConnections | null = null;
   const server = createServer((request, response) => {
-    connections?.onResponse(response);
+    connections?.beforeResponse(response);
     request.resume();
     request.on('end', () => response.end(toBytes({ ok: true })));
   });
