--- a/src/peers/constants.ts
+++ b/src/peers/constants.ts
@@ -1,31 +1,31 @@
 /** Timing and limits of the gossip between nodes. */
 
-/** ms; gossip interval between nodes. */
+/** Gossip interval between nodes. */
 export const GOSSIP_INTERVAL_MS = 1000;
 
 /** One message in this many is detailed: it includes images and job progress, which are large and change slowly. */
 export const MESSAGES_PER_DETAILED_STATUS = 8;
 
-/** ms; a peer from which no status arrives for this long counts as unreachable. */
+/** A peer from which no status arrives for this long counts as unreachable. */
 export const PEER_TIMEOUT_MS = 3500;
 
 /**
- * bytes; longest frame that a receiver accepts. A longer frame is an error of its sender, which has to leave out
+ * Longest frame that a receiver accepts. A longer frame is an error of its sender, which has to leave out
  * what does not fit.
  */
 export const MAX_FRAME_BYTES = 1024 * 1024;
 
-/** ms; a confirmed cancellation is broadcast after this delay, in one message with those confirmed meanwhile. */
+/** A confirmed cancellation is broadcast after this delay, in one message with those confirmed meanwhile. */
 export const CANCELLATION_FLUSH_DELAY_MS = 50;
 
 /** Load assumed for a shard whose load is unknown: routing then treats it as neither light nor heavy. */
 export const UNKNOWN_LOAD = 0.85;
 
 /**
- * Tasks migrate to a less allocated shard only if the load of their own shard is at least this many times as high, so
+ * Tasks migrate to a less allocated shard only if the load of their own shard is more than this many times as high, so
  * that they don't migrate back and forth.
  */
 export const MIN_LOAD_RATIO = 1.5;
 
-/** The load must also be higher by at least this much: a small difference is not worth a write. */
+/** The load must also be higher by more than this: a small difference is not worth a write. */
 export const MIN_LOAD_DIFFERENCE = 0.5;
--- a/src/service/constants.ts
+++ b/src/service/constants.ts
@@ -1,6 +1,6 @@
 /** Timing and limits of the node's process. */
 
-/** ms; limit for receiving a request from a worker or user. */
+/** Limit for receiving a request from a worker or user. */
 export const REQUEST_TIMEOUT_MS = 10_000;
 
 /**
@@ -24,20 +24,20 @@
 /** Share of a node's store requests that the watch may use. */
 export const WATCH_REQUEST_SHARE = 0.3;
 
-/** ms; shortest pause between two reads of the watch. */
+/** Shortest pause between two reads of the watch. */
 export const MIN_WATCH_PAUSE_MS = 400;
 
-/** ms; the store counts as reachable for this long after its last successful response. */
+/** The store counts as reachable for this long after its last successful response. */
 export const STORE_REACHABLE_MS = 4000;
 
 /**
- * ms; a node that cannot reach the store, although a peer can, stays ready for this long: nodes notice the start and
+ * A node that cannot reach the store, although a peer can, stays ready for this long: nodes notice the start and
  * the end of an outage at slightly different times.
  */
 export const STORE_LOST_GRACE_MS = 3000;
 
-/** ms; a node that can reach neither the store nor any peer stays ready for this long. By then its lease is over. */
+/** A node that can reach neither the store nor any peer stays ready for this long. By then its lease is over. */
 export const ISOLATED_GRACE_MS = 8000;
 
-/** ms; a heartbeat from a worker of another node's shard is reported to the peers for this long. */
+/** A heartbeat from a worker of another node's shard is reported to the peers for this long. */
 export const OBSERVED_WORKER_TTL_MS = 6000;
--- a/src/service/http-server.ts
+++ b/src/service/http-server.ts
@@ -10,7 +10,7 @@
 export interface ConnectionLimits {
   /** number of connections that may be open at a time */
   readonly maxConnections: number;
-  /** ms after which an idle connection is closed */
+  /** time after which an idle connection is closed */
   readonly idleTimeoutMs: number;
   /** called for each connection that was closed on arrival because `maxConnections` were open */
   readonly onDropped: () => void;
--- a/src/service/summary.ts
+++ b/src/service/summary.ts
@@ -5,7 +5,7 @@
 import type { Shard } from '../core/shard/shard.js';
 
 const MEBIBYTE = 2 ** 20;
-/** ms; range of acceptance times that the histogram covers at first. It grows if one takes longer. */
+/** Range of acceptance times that the histogram covers at first. It grows if one takes longer. */
 const INITIAL_ACCEPT_RANGE_MS = 60_000;
 
 /** Returns the figures of one shard in the summary line. */
--- a/src/users/job-service.ts
+++ b/src/users/job-service.ts
@@ -1,4 +1,4 @@
-/** Accepts and cancels jobs: both are idempotent, and each is one compare-and-swap. */
+/** Accepts and cancels jobs. Both operations are idempotent, and each commits with one compare-and-swap. */
 import {
   MAX_ACCEPTANCE_ATTEMPTS,
   MAX_CANCELLATION_ATTEMPTS,
@@ -30,42 +30,45 @@
 import type { Guard, Write } from '@sumacstep/leader-election';
 import { finalReading, type JobReader, type JobReading } from './job-reader.js';
 
-/** What has become of a submission. */
+/** Outcome of a submission. */
 export type SubmissionResult =
   | { readonly kind: 'accepted'; readonly reading: JobReading }
-  /** a repeat of a job that was accepted before */
+  /** the job was accepted before */
   | { readonly kind: 'duplicate'; readonly reading: JobReading }
-  /** it can never run */
+  /** the job can never run */
   | { readonly kind: 'rejected'; readonly reason: string }
-  /** nothing was decided: to be repeated */
+  /** no decision; the user has to retry, after `waitMs` if it is known */
   | { readonly kind: 'unavailable'; readonly reason: string; readonly waitMs?: number };
 
-/** What routing needs to know of the shards. */
+/** Cluster state that routing uses. */
 export interface ShardRouting {
+  /** machine types by name; null while they are unknown */
   types(): ReadonlyMap<string, MachineType> | null;
+  /** the load of every shard for the job */
   loads(spec: JobSpec): readonly ShardLoad[];
+  /** the ownership term of a shard; null while it has no owner */
   termOf(shard: number): number | null;
+  /** a random integer from 0 to `below` - 1 */
   random(below: number): number;
 }
 
-/** Settings that decide what is accepted, and where it goes. */
+/** Settings that affect admission and routing. */
 export interface JobServiceSettings {
   readonly teams: ReadonlyMap<string, Team>;
-  /** number of shards */
   readonly shardCount: number;
-  /** limit of a stored value */
+  /** the store's limit on the size of a value */
   readonly maxValueBytes: number;
-  /** allocation ratio below which a shard may be chosen at random */
+  /** allocation ratio below which a shard is a candidate for random choice */
   readonly loadThreshold: number;
 }
 
-/** What the job service needs of the rest of the node. */
+/** Dependencies of `JobService`. */
 export interface JobServiceDependencies {
   readonly client: Pick<StoreClient, 'compareAndSwap' | 'expectedWaitMs'>;
   readonly cache: WatchCache;
   readonly reader: JobReader;
   readonly routing: ShardRouting;
-  /** guard of acceptances against garbage collection of final states; null while it is off */
+  /** guard that makes an acceptance fail if it races garbage collection of final states; null while that is disabled */
   readonly acceptanceGuard: () => Guard | null;
   /** monotonic clock, ms */
   readonly now: () => number;
@@ -73,8 +76,9 @@
 
 /** Accepts and cancels jobs. */
 export class JobService {
-  readonly #deferred = new Map<string, { spec: JobSpec; at: number }>();
-  /** acceptances under way, by job: a repeat waits for the first one instead of costing a write */
+  /** by uid: submissions whose users were told to retry, and when, monotonic ms */
+  readonly #deferred = new Map<string, { spec: JobSpec; deferredAt: number }>();
+  /** by uid: acceptances in flight; a repeated submission waits for the first instead of writing, too */
   readonly #acceptancesInFlight = new Map<string, Promise<SubmissionResult>>();
 
   constructor(
@@ -83,30 +87,31 @@
   ) {}
 
   /**
-   * Jobs whose users were lately told to retry because writes were queued. Capacity for them can be planned
-   * already; older ones have been accepted by another node since.
+   * Returns the jobs whose users were told within the last `DEFERRED_SUBMISSION_TTL_MS` to retry because too many
+   * writes were queued, so that capacity for them can be planned. Older ones have been accepted by another node by
+   * now.
    */
   deferredJobs(): JobSpec[] {
     const since = this.dependencies.now() - DEFERRED_SUBMISSION_TTL_MS;
-    const out: JobSpec[] = [];
-    for (const [uid, { spec, at }] of this.#deferred) {
-      if (at < since || this.dependencies.cache.tables.activeJobs.has(uid))
+    const jobs: JobSpec[] = [];
+    for (const [uid, { spec, deferredAt }] of this.#deferred) {
+      if (deferredAt < since || this.dependencies.cache.tables.activeJobs.has(uid))
         this.#deferred.delete(uid);
-      else out.push(spec);
+      else jobs.push(spec);
     }
-    return out;
+    return jobs;
   }
 
-  /** Accepts a job, or finds that it was accepted before. `acceptedAt` is the time of day, ms. */
+  /** Accepts a job unless it was accepted before. `acceptedAt` is the wall clock time, ms. */
   async submit(spec: JobSpec, acceptedAt: number): Promise<SubmissionResult> {
     const final = this.dependencies.reader.knownFinalState(spec.uid);
     if (final !== undefined) return { kind: 'duplicate', reading: finalReading(final) };
     const types = this.dependencies.routing.types();
     if (types === null) return { kind: 'unavailable', reason: 'machine types are not known yet' };
-    const verdict = admit(spec, types.values(), this.settings.teams);
-    if (verdict !== 'accept') {
-      // A repeat of an accepted job is answered with its state, whatever the body says now.
-      return this.#duplicateOr(spec.uid, { kind: 'rejected', reason: verdict });
+    const admission = admit(spec, types.values(), this.settings.teams);
+    if (admission !== 'accept') {
+      // If the job was accepted before, the answer is its state, even if the repeated body is not admissible.
+      return this.#duplicateOr(spec.uid, { kind: 'rejected', reason: admission });
     }
     if (this.dependencies.cache.tables.activeJobs.has(spec.uid)) {
       return { kind: 'duplicate', reading: await this.dependencies.reader.read(spec.uid) };
@@ -121,14 +126,16 @@
   }
 
   /**
-   * The write of an earlier try serves a repeat, too, but not its answer: the job may have been accepted,
-   * cancelled or done through another node since, and the user told so, before the repeat came in.
+   * Waits for an earlier attempt, whose write serves the repeated submission, too, and then reads the job. The earlier
+   * attempt's result must not be reused: before the repeat arrived, another node may have accepted, cancelled or
+   * completed the job and told a user so.
    */
   async #resolveRepeat(uid: string, earlier: Promise<SubmissionResult>): Promise<SubmissionResult> {
     await Promise.allSettled([earlier]);
     return this.#duplicateOr(uid, { kind: 'unavailable', reason: 'an earlier try has no outcome' });
   }
 
+  /** Returns `duplicate` if the job is active or has ended, otherwise the given result. */
   async #duplicateOr(uid: string, otherwise: SubmissionResult): Promise<SubmissionResult> {
     const reading = await this.dependencies.reader.read(uid);
     return reading.answer.kind === 'missing' ? otherwise : { kind: 'duplicate', reading };
@@ -139,10 +146,10 @@
     acceptedAt: number,
     types: ReadonlyMap<string, MachineType>,
   ): Promise<SubmissionResult> {
-    // What would only be refused after a wait is refused at once.
+    // Refuse now instead of after a wait: a write that is queued for too long would be refused anyhow.
     const waitMs = this.dependencies.client.expectedWaitMs(CALL_PRIORITY.acceptance);
     if (waitMs > MAX_SUBMISSION_WAIT_MS) {
-      this.#deferred.set(spec.uid, { spec, at: this.dependencies.now() });
+      this.#deferred.set(spec.uid, { spec, deferredAt: this.dependencies.now() });
       return { kind: 'unavailable', reason: 'more submissions than can be written', waitMs };
     }
     this.#deferred.delete(spec.uid);
@@ -167,8 +174,8 @@
       { key: key.activeJob(uid), revision: 0 },
       { key: key.finalState(uid), revision: 0 },
     ];
-    const clearing = this.dependencies.acceptanceGuard();
-    if (clearing !== null) guards.push(clearing);
+    const acceptanceGuard = this.dependencies.acceptanceGuard();
+    if (acceptanceGuard !== null) guards.push(acceptanceGuard);
     const currentSince = this.dependencies.now();
     const result = await this.dependencies.client.compareAndSwap(
       CALL_PRIORITY.acceptance,
@@ -180,48 +187,56 @@
       const answer = { kind: 'active', job, revision: result.epoch } as const;
       return { kind: 'accepted', reading: { answer, currentSince } };
     }
-    // The reading brings the cache up to date, and with it the condition.
+    // Reading also brings the cache up to date, and with it the acceptance guard of the next attempt.
     const reading = await this.dependencies.reader.read(uid);
     if (reading.answer.kind !== 'missing') return { kind: 'duplicate', reading };
-    const onlyCleared = result.failed.every((failed) => failed === clearing?.key);
-    if (onlyCleared && attempts > 1) return this.#writeAcceptance(job, value, attempts - 1);
+    const onlyCollected = result.failed.every((failed) => failed === acceptanceGuard?.key);
+    if (onlyCollected && attempts > 1) return this.#writeAcceptance(job, value, attempts - 1);
     return { kind: 'unavailable', reason: 'submitted twice at once' };
   }
 
-  /** Long lists of machine types are cut to those that exist, to fit a value's size. */
+  /** Removes unknown machine types from a long list, so that the job fits into a stored value. */
   #dropUnknownTypes(spec: JobSpec, types: ReadonlyMap<string, MachineType>): JobSpec {
     const limitBytes = Math.min(MAX_TYPE_LIST_BYTES, this.settings.maxValueBytes / 4);
     if (spec.types === null || spec.types.length * MAX_NAME_LENGTH < limitBytes) return spec;
     return { ...spec, types: [...new Set(spec.types)].filter((name) => types.has(name)) };
   }
 
-  /** Cuts the job into ranges and chooses a shard for each; null while a shard has no owner. */
+  /** Splits the job into ranges and chooses a shard for each; null if a chosen shard has no owner. */
   #route(spec: JobSpec): TaskRange[] | null {
-    const { teams, shardCount: shards, maxValueBytes: valueBytes, loadThreshold } = this.settings;
+    const { teams, shardCount, maxValueBytes, loadThreshold } = this.settings;
     const team = teams.get(spec.team);
     const whole = staysWhole(spec, team);
     const hasQuota = hasLimit(team) || hasGuarantee(team);
     const loads = [...this.dependencies.routing.loads(spec)];
     const choose = () =>
       chooseShard(loads, loadThreshold, (below) => this.dependencies.routing.random(below));
-    const home = hasQuota ? shardOfTeam(spec.team, shards) : choose();
-    const out: TaskRange[] = [];
-    for (const [from, to] of cutRanges(spec.tasks, shards, whole, maxRangeTasks(valueBytes))) {
+    const home = hasQuota ? shardOfTeam(spec.team, shardCount) : choose();
+    const ranges: TaskRange[] = [];
+    for (const [from, to] of cutRanges(
+      spec.tasks,
+      shardCount,
+      whole,
+      maxRangeTasks(maxValueBytes),
+    )) {
       const shard = whole ? home : choose();
       const term = this.dependencies.routing.termOf(shard);
       if (term === null) return null;
-      out.push({ from, to, shard, term });
-      // The next range of this job should not meet the same least loaded shard.
-      const at = loads.findIndex((load) => load.shard === shard);
-      const chosen = loads[at];
+      ranges.push({ from, to, shard, term });
+      // Otherwise all ranges of the job would go to the same least loaded shard.
+      const index = loads.findIndex((load) => load.shard === shard);
+      const chosen = loads[index];
       if (!whole && chosen !== undefined) {
-        loads[at] = { ...chosen, load: chosen.load + LOAD_PER_RANGE };
+        loads[index] = { ...chosen, load: chosen.load + LOAD_PER_RANGE };
       }
     }
-    return out;
+    return ranges;
   }
 
-  /** Cancels a job unless it has ended; the reading is final, or the job is missing. */
+  /**
+   * Cancels a job unless it has ended; resolves with a final state or `missing`. Rejects with `StoreRequestError` if
+   * the job's record changes during every attempt.
+   */
   async cancel(uid: string): Promise<JobReading> {
     for (let attempt = 0; attempt < MAX_CANCELLATION_ATTEMPTS; attempt++) {
       const reading = await this.dependencies.reader.read(uid);
--- a/src/users/user-routes.ts
+++ b/src/users/user-routes.ts
@@ -11,55 +11,59 @@
 import type { JobService } from './job-service.js';
 import * as z from 'zod';
 
-/** What the routes need of the rest of the node. */
+/** Dependencies of the users' routes. */
 export interface UserApiDependencies {
   readonly jobs: Pick<JobService, 'submit' | 'cancel'>;
   readonly reader: JobReader;
-  /** numbers of a job's tasks that are done and running, for display */
+  /** how many tasks of a job are done and how many are running, for display */
   progress(uid: string): { done: number; running: number };
-  /** called whenever a user is told that the job is cancelled */
+  /** called before a user is told that the job is cancelled */
   onCancelled(uid: string): void;
+  /** whether the load balancer should route users to this node */
   isReady(): boolean;
   /** false while the store is known not to answer */
   storeAvailable(): boolean;
   /** wall clock, ms */
   timeOfDay(): number;
+  /** a random integer from 0 to `below` - 1 */
   random(below: number): number;
-  /** called with the time that the acceptance took */
+  /** called for each accepted submission with the time in ms that it took */
   onAccepted(spec: JobSpec, ms: number): void;
+  /** called for each submission that does not match the schema */
   onMalformed(reason: string): void;
   /** monotonic clock, ms */
   now(): number;
 }
 
-/** Nothing was decided within `USER_REQUEST_TIMEOUT_MS`; the user is told to retry. */
+/** Thrown if a request has no result within `USER_REQUEST_TIMEOUT_MS`; the user is told to retry. */
 class RequestTimeoutError extends Error {
   constructor() {
     super('the state service is slow');
   }
 }
 
-/** Rejects with `RequestTimeoutError` if the work takes longer than a user waits; the work goes on. */
+/** Rejects with `RequestTimeoutError` if `work` takes longer than `USER_REQUEST_TIMEOUT_MS`, without cancelling it. */
 const withTimeout = <T>(work: Promise<T>): Promise<T> => {
   let timer: NodeJS.Timeout;
-  const late = new Promise<never>((_, reject) => {
+  const timeout = new Promise<never>((_resolve, reject) => {
     timer = setTimeout(() => reject(new RequestTimeoutError()), USER_REQUEST_TIMEOUT_MS);
   });
-  return Promise.race([work, late]).finally(() => clearTimeout(timer));
+  return Promise.race([work, timeout]).finally(() => clearTimeout(timer));
 };
 
-/** A request about a job, and when it arrived, monotonic ms. */
+/** A request about a job. */
 interface JobRequest {
   readonly ctx: Koa.Context;
   readonly uid: string;
+  /** monotonic ms */
   readonly arrivedAt: number;
 }
 
-/** The job that a malformed submission names, if it names one. */
+/** Matches a submission, malformed or not, that has a valid uid. */
 const submissionUidSchema = z.object({ Uid: z.string().regex(JOB_UID_PATTERN) });
 
 class UserRoutes {
-  /** requests being served */
+  /** number of requests being served */
   #inFlight = 0;
 
   constructor(private readonly dependencies: UserApiDependencies) {}
@@ -152,7 +156,10 @@
     }
   }
 
-  /** A repeat of an accepted submission is answered with the job's state, whatever else its body says. */
+  /**
+   * Rejects a malformed submission, unless it names a job that was accepted before: then the answer is the state of
+   * that job.
+   */
   async #rejectMalformed(
     ctx: Koa.Context,
     body: unknown,
@@ -171,8 +178,8 @@
         return;
       }
     }
-    const first = error.issues[0];
-    const reason = `${first?.path.join('.') ?? ''}: ${first?.message ?? ''}`;
+    const issue = error.issues[0];
+    const reason = `${issue?.path.join('.') ?? ''}: ${issue?.message ?? ''}`;
     this.dependencies.onMalformed(reason);
     sendCbor(ctx, 400, { error: reason });
   }
@@ -193,7 +200,7 @@
     this.#respond(request, await withTimeout(this.dependencies.jobs.cancel(request.uid)));
   }
 
-  /** The one place where a user is told a job's state. `accepted`: this very request was accepted. */
+  /** Sends a job's state. All responses that contain one are sent here. `accepted`: this request created the job. */
   #respond({ ctx, uid, arrivedAt }: JobRequest, reading: JobReading, accepted = false): void {
     const { dependencies } = this;
     const answer = dependencies.reader.answerIfCurrent(uid, reading, arrivedAt);
@@ -212,7 +219,7 @@
     }
   }
 
-  /** Without the store only final states in memory can be told: they never change. */
+  /** Without the store only final states in memory can be returned, since they never change. */
   #canAnswer(uid: string): boolean {
     return (
       this.dependencies.storeAvailable() ||
@@ -232,7 +239,7 @@
   }
 }
 
-/** Middleware that serves `/submissions` and `/ready`. */
+/** Returns the middleware that serves `/submissions` and `/ready`. */
 export const userRoutes = (dependencies: UserApiDependencies): Koa.Middleware => {
   const routes = new UserRoutes(dependencies);
   return (ctx, next) => routes.handle(ctx, next);
--- a/src/workers/constants.ts
+++ b/src/workers/constants.ts
@@ -1,4 +1,4 @@
 /** Timing of direct commands to workers. */
 
-/** ms; a direct command that takes longer than this is given up. */
+/** A direct command without a response within this time has failed. */
 export const DIRECT_COMMAND_TIMEOUT_MS = 1500;
--- a/src/workers/direct-command-client.ts
+++ b/src/workers/direct-command-client.ts
@@ -1,21 +1,21 @@
-/** Commands sent to a worker over a connection of their own, without waiting for its next heartbeat. */
+/** Client for direct commands, which are sent to a worker at once instead of with its next heartbeat response. */
 import type { Command, Heartbeat } from '../core/model.js';
 import { CborClient, NoResponseError } from '../transport/http.js';
 import { commandsBody, heartbeatSchema } from '../wire/workers.js';
 import { DIRECT_COMMAND_TIMEOUT_MS } from './constants.js';
 
-/** What is known of the commands afterwards. */
+/** Outcome of direct commands. */
 export type DirectCommandResult =
-  /** the worker answered */
+  /** the worker answered with its status; `executed` tells whether it executed the commands */
   | { readonly kind: 'answered'; readonly executed: boolean; readonly heartbeat: Heartbeat }
-  /** no connection came about: the worker will never see the commands */
+  /** no connection was established, so the worker will never execute the commands */
   | { readonly kind: 'not_sent' }
-  /** no answer: they may be carried out, even minutes later */
+  /** no valid answer; the worker may still execute the commands, even minutes later */
   | { readonly kind: 'in_doubt' };
 
 /**
- * Sends commands under a fencing token to the worker at `address` and returns its status. Never rejects: a lost
- * answer is `in_doubt`, since the worker may still carry the commands out later.
+ * Sends commands under a fencing token to the worker at `address` (`HOST:PORT`) over a new connection. Never rejects:
+ * without an answer the result is `in_doubt`, since the worker may still execute the commands later.
  */
 export const sendDirectCommands = async (
   address: string,
@@ -31,8 +31,8 @@
     if (!parsed.success) return { kind: 'in_doubt' };
     return { kind: 'answered', executed: response.status === 200, heartbeat: parsed.data };
   } catch (error) {
-    const unsent = error instanceof NoResponseError && !error.connected;
-    return { kind: unsent ? 'not_sent' : 'in_doubt' };
+    const notSent = error instanceof NoResponseError && !error.connected;
+    return { kind: notSent ? 'not_sent' : 'in_doubt' };
   } finally {
     client.close();
   }
--- a/src/workers/heartbeat-routes.ts
+++ b/src/workers/heartbeat-routes.ts
@@ -5,7 +5,7 @@
 import { fromBytes, WireError } from '../wire/cbor.js';
 import { heartbeatResponseBody, heartbeatSchema, redirectBody } from '../wire/workers.js';
 
-/** What a worker is told: its commands, the node to turn to, or to try again. */
+/** Response to a heartbeat: commands, a redirect to another node, or a request to retry elsewhere. */
 export type HeartbeatResponse =
   | {
       readonly kind: 'answer';
@@ -16,9 +16,9 @@
   | { readonly kind: 'unavailable' };
 
 /**
- * Serves heartbeats: the owner of the machine's shard answers with commands, any other node redirects to it. Before
- * the node is ready it knows no owners, and rejects heartbeats without reading them: when all nodes restart at
- * once, parsing them would take the processor time that the start needs.
+ * Returns the middleware that serves heartbeats: the owner of the machine's shard answers with commands, any other
+ * node redirects the worker to the owner. Until the node is ready it knows no owners and rejects heartbeats without
+ * parsing them: when all nodes restart at once, parsing would take the CPU time that the start needs.
  */
 export const heartbeatRoutes =
   (
