--- a/test/frames.test.ts
+++ b/test/frames.test.ts
@@ -1,3 +1,4 @@
+/** Encoding and decoding of the status messages between nodes. */
 import assert from 'node:assert/strict';
 import { Readable } from 'node:stream';
 import { test } from 'node:test';
@@ -40,25 +41,26 @@
 };
 
 const encode = async (): Promise<Buffer> => {
-  const out: Buffer[] = [];
-  for await (const b of Readable.from([STATUS, STATUS]).pipe(new StatusEncoder())) {
-    out.push(b as Buffer);
+  const frames: Buffer[] = [];
+  for await (const frame of Readable.from([STATUS, STATUS]).pipe(new StatusEncoder())) {
+    frames.push(frame as Buffer);
   }
-  return Buffer.concat(out);
+  return Buffer.concat(frames);
 };
 
-test('messages between nodes survive any cut of the byte stream', async () => {
+test('statuses are decoded unchanged however the byte stream is split into chunks', async () => {
   const bytes = await encode();
   for (const size of [1, 2, 7, 50, bytes.length]) {
-    const pieces: Buffer[] = [];
-    for (let at = 0; at < bytes.length; at += size) pieces.push(bytes.subarray(at, at + size));
-    const got: unknown[] = [];
-    for await (const s of Readable.from(pieces).pipe(new StatusDecoder())) got.push(s);
-    assert.deepEqual(got, [STATUS, STATUS], `pieces of ${size}`);
+    const chunks: Buffer[] = [];
+    for (let at = 0; at < bytes.length; at += size) chunks.push(bytes.subarray(at, at + size));
+    const decoded: unknown[] = [];
+    for await (const status of Readable.from(chunks).pipe(new StatusDecoder()))
+      decoded.push(status);
+    assert.deepEqual(decoded, [STATUS, STATUS], `chunks of ${size} bytes`);
   }
 });
 
-test('a status of more machines than fit a message goes without their images, or without progress', async () => {
+test('a status over the frame limit is sent without images, and if still too long without progress', async () => {
   const names = Array.from({ length: 20 }, (_, i) => `image-${i}`);
   const images = Array.from({ length: 6000 }, (_, i) => ({
     machine: `vm-${100_000 + i}`,
@@ -71,29 +73,37 @@
   }));
   const [shard] = STATUS.shards;
   const cases = [
-    { name: 'images', status: { ...STATUS, shards: [{ ...shard!, images }] }, jobs: STATUS.jobs },
-    { name: 'both', status: { ...STATUS, jobs, shards: [{ ...shard!, images }] }, jobs: [] },
+    {
+      name: 'images too long',
+      status: { ...STATUS, shards: [{ ...shard!, images }] },
+      jobs: STATUS.jobs,
+    },
+    {
+      name: 'images and progress too long',
+      status: { ...STATUS, jobs, shards: [{ ...shard!, images }] },
+      jobs: [],
+    },
   ];
-  for (const { name, status, jobs: left } of cases) {
-    const tooLong: number[] = [];
-    const encoder = new StatusEncoder((bytes) => tooLong.push(bytes));
-    const got: PeerStatus[] = [];
-    for await (const s of Readable.from([status]).pipe(encoder).pipe(new StatusDecoder())) {
-      got.push(s as PeerStatus);
+  for (const { name, status, jobs: expectedJobs } of cases) {
+    const oversized: number[] = [];
+    const encoder = new StatusEncoder((bytes) => oversized.push(bytes));
+    const decoded: PeerStatus[] = [];
+    for await (const received of Readable.from([status]).pipe(encoder).pipe(new StatusDecoder())) {
+      decoded.push(received as PeerStatus);
     }
-    assert.equal(tooLong.length, 1, name);
-    assert.equal(got.length, 1, name);
-    assert.deepEqual(got[0]?.jobs, left, name);
-    assert.deepEqual(got[0]?.shards[0]?.images, [], name);
-    assert.deepEqual(got[0]?.shards[0]?.loads, shard!.loads, name);
+    assert.equal(oversized.length, 1, name);
+    assert.equal(decoded.length, 1, name);
+    assert.deepEqual(decoded[0]?.jobs, expectedJobs, name);
+    assert.deepEqual(decoded[0]?.shards[0]?.images, [], name);
+    assert.deepEqual(decoded[0]?.shards[0]?.loads, shard!.loads, name);
   }
 });
 
-test('garbage and oversized frames end the stream with an error', async () => {
+test('a malformed or oversized frame fails the stream', async () => {
   for (const bytes of [Buffer.from('ffffffff7f', 'hex'), Buffer.from('03ffffff', 'hex')]) {
     const decoder = Readable.from([bytes]).pipe(new StatusDecoder());
     await assert.rejects(async () => {
-      for await (const s of decoder) void s;
+      for await (const status of decoder) void status;
     });
   }
 });
--- a/test/heartbeats.test.ts
+++ b/test/heartbeats.test.ts
@@ -1,3 +1,4 @@
+/** Responses of a node to the heartbeats of workers. */
 import assert from 'node:assert/strict';
 import { createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -21,84 +22,84 @@
 };
 const TASK = { uid: 'job-000001', index: 3, attempt: 9 };
 
-/** What a worker gets, by what the node makes of its report. */
+/** Expected HTTP response, by the request body and the result of the heartbeat handler. */
 const CASES: {
   name: string;
-  open: boolean;
-  body: unknown;
-  reply: HeartbeatResponse;
+  isReady: boolean;
+  requestBody: unknown;
+  response: HeartbeatResponse;
   status: number;
-  answer: unknown;
-  /** whether the report reaches the shard's state */
-  read: boolean;
+  responseBody: unknown;
+  /** whether the heartbeat handler is called */
+  isHandled: boolean;
 }[] = [
   {
-    name: 'the owner answers with its term and orders',
-    open: true,
-    body: HEARTBEAT,
-    reply: { kind: 'answer', fencingToken: 8, commands: [{ op: 'forget', ...TASK }] },
+    name: 'the owner answers with its term as fencing token and with commands',
+    isReady: true,
+    requestBody: HEARTBEAT,
+    response: { kind: 'answer', fencingToken: 8, commands: [{ op: 'forget', ...TASK }] },
     status: 200,
-    answer: { Mandate: 8, Orders: [{ Verb: 'reap', Piece: 'job-000001/3', Try: 9 }] },
-    read: true,
+    responseBody: { Mandate: 8, Orders: [{ Verb: 'reap', Piece: 'job-000001/3', Try: 9 }] },
+    isHandled: true,
   },
   {
-    name: 'another node names the owner',
-    open: true,
-    body: HEARTBEAT,
-    reply: { kind: 'redirect', node: 'n2' },
+    name: 'a node that knows the owner redirects to it',
+    isReady: true,
+    requestBody: HEARTBEAT,
+    response: { kind: 'redirect', node: 'n2' },
     status: 421,
-    answer: { ReportsTo: 'n2' },
-    read: true,
+    responseBody: { ReportsTo: 'n2' },
+    isHandled: true,
   },
   {
-    name: 'a node that does not know the owner',
-    open: true,
-    body: HEARTBEAT,
-    reply: { kind: 'unavailable' },
+    name: 'a node that does not know the owner is unavailable',
+    isReady: true,
+    requestBody: HEARTBEAT,
+    response: { kind: 'unavailable' },
     status: 503,
-    answer: { error: 'not now' },
-    read: true,
+    responseBody: { error: 'not now' },
+    isHandled: true,
   },
   {
-    name: 'a node that has just started turns reports away unread',
-    open: false,
-    body: HEARTBEAT,
-    reply: { kind: 'answer', fencingToken: 8, commands: [] },
+    name: 'a node that is not ready yet is unavailable and does not handle the heartbeat',
+    isReady: false,
+    requestBody: HEARTBEAT,
+    response: { kind: 'answer', fencingToken: 8, commands: [] },
     status: 503,
-    answer: { error: 'not now' },
-    read: false,
+    responseBody: { error: 'not now' },
+    isHandled: false,
   },
   {
-    name: 'a report without its task number',
-    open: true,
-    body: { ...HEARTBEAT, Pieces: [{ Piece: 'job-000001', Try: 9, Status: 'running' }] },
-    reply: { kind: 'answer', fencingToken: 8, commands: [] },
+    name: 'a heartbeat whose task id lacks the task index is malformed',
+    isReady: true,
+    requestBody: { ...HEARTBEAT, Pieces: [{ Piece: 'job-000001', Try: 9, Status: 'running' }] },
+    response: { kind: 'answer', fencingToken: 8, commands: [] },
     status: 400,
-    answer: { error: 'no report' },
-    read: false,
+    responseBody: { error: 'no report' },
+    isHandled: false,
   },
   {
-    name: 'no report at all',
-    open: true,
-    body: ['x'],
-    reply: { kind: 'answer', fencingToken: 8, commands: [] },
+    name: 'a body that is no heartbeat is malformed',
+    isReady: true,
+    requestBody: ['x'],
+    response: { kind: 'answer', fencingToken: 8, commands: [] },
     status: 400,
-    answer: { error: 'no report' },
-    read: false,
+    responseBody: { error: 'no report' },
+    isHandled: false,
   },
 ];
 
-for (const c of CASES) {
-  test(`a report: ${c.name}`, async () => {
-    const seen: Heartbeat[] = [];
+for (const { name, isReady, requestBody, response, status, responseBody, isHandled } of CASES) {
+  test(`heartbeat: ${name}`, async () => {
+    const handled: Heartbeat[] = [];
     const app = new Koa();
     app.use(
       heartbeatRoutes(
         (heartbeat) => {
-          seen.push(heartbeat);
-          return c.reply;
+          handled.push(heartbeat);
+          return response;
         },
-        () => c.open,
+        () => isReady,
       ),
     );
     const handler = app.callback();
@@ -106,15 +107,15 @@
     await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
     const client = new CborClient(`127.0.0.1:${(server.address() as AddressInfo).port}`, 1);
     try {
-      // Twice: the connection stays open whatever the first answer was.
+      // Two requests: the connection must stay open after each kind of response.
       for (let i = 0; i < 2; i++) {
-        const got = await client.call('POST', '/agent/beat', c.body, 2000);
-        assert.equal(got.status, c.status);
-        assert.deepEqual(got.body, c.answer);
+        const received = await client.call('POST', '/agent/beat', requestBody, 2000);
+        assert.equal(received.status, status);
+        assert.deepEqual(received.body, responseBody);
       }
-      assert.equal(seen.length, c.read ? 2 : 0);
-      const why = { state: 'exited', why: 'done', saved: false };
-      if (c.read) assert.deepEqual(seen[0]?.tasks, [{ ...TASK, ...why }]);
+      assert.equal(handled.length, isHandled ? 2 : 0);
+      const exit = { state: 'exited', why: 'done', saved: false };
+      if (isHandled) assert.deepEqual(handled[0]?.tasks, [{ ...TASK, ...exit }]);
     } finally {
       client.close();
       server.close();
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -1,3 +1,4 @@
+/** Parsing of the settings files and of `LOG_LEVEL`, and the token bucket of the rate limits. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { parseOperatorConfig } from '../src/config/operator.js';
@@ -7,30 +8,30 @@
 import { TokenBucket } from '../src/transport/token-bucket.js';
 import { PLATFORM } from './helpers.js';
 
-test("the platform's file: unknown fields are ignored, wrong ones named", () => {
+test('platform file: unknown fields are ignored, and an invalid field is named in the error', () => {
   assert.equal(parsePlatformConfig('f', PLATFORM).nodes, 3);
   const cases: [string, string, RegExp][] = [
     ['not TOML', 'node = ', /not TOML/],
-    ['missing', PLATFORM.replace('node = "n-0"', ''), /node: /],
+    ['missing field', PLATFORM.replace('node = "n-0"', ''), /node: /],
     ['wrong type', PLATFORM.replace('nodes = 3', 'nodes = "3"'), /settings\.nodes: /],
     ['wrong address', PLATFORM.replace('"127.0.0.1:4"', '"here"'), /services\.state: must be HOST/],
     ['out of range', PLATFORM.replace('txn_ops = 16', 'txn_ops = 0'), /settings\.state\.txn_ops/],
   ];
-  for (const [name, text, want] of cases) {
+  for (const [name, text, expected] of cases) {
     assert.throws(
       () => parsePlatformConfig('f', text),
-      (e) => e instanceof ConfigError && e.problems.some((p) => want.test(p)),
+      (error) => error instanceof ConfigError && error.problems.some((p) => expected.test(p)),
       name,
     );
   }
 });
 
-test("the operator's file: unknown keys and values out of range are errors", () => {
+test('operator file: unknown keys and invalid values are errors, and the shipped file equals the defaults', () => {
   const shipped = parseOperatorConfig('operator.ini', readFileSync('deploy/operator.ini', 'utf8'));
   assert.deepEqual(
     shipped,
     parseOperatorConfig('defaults', ''),
-    'the shipped file shows the defaults',
+    'deploy/operator.ini equals the defaults',
   );
   const cases: [string, RegExp][] = [
     ['[placement]\nload_treshold = 1\n', /load_treshold/],
@@ -39,30 +40,34 @@
     ['[capasity]\nidle_keep_s = 1\n', /capasity/],
     ['[placement]\npreempt = 3\n', /placement\.preempt/],
   ];
-  for (const [text, want] of cases) {
+  for (const [text, expected] of cases) {
     assert.throws(
       () => parseOperatorConfig('f', text),
-      (e) => e instanceof ConfigError && want.test(e.problems.join(' ')),
+      (error) => error instanceof ConfigError && expected.test(error.problems.join(' ')),
       text,
     );
   }
 });
 
-test('a wrong LOG_LEVEL is an error', () => {
+test('an unknown LOG_LEVEL is an error, and an unset one means info', () => {
   assert.throws(() => openLog('loud', 'n'), ConfigError);
   assert.equal(openLog('debug', 'n').level, 'debug');
   assert.equal(openLog(undefined, 'n').level, 'info');
 });
 
-test('tokens: rate, burst, large costs and blocks', () => {
+test('token bucket: rate, burst, costs above the burst, and blocking', () => {
   const bucket = new TokenBucket(10, 5, 0);
-  assert.equal(bucket.take(5, 0), true, 'the burst');
-  assert.equal(bucket.take(1, 0), false, 'empty');
+  assert.equal(bucket.take(5, 0), true, 'the full burst is available at first');
+  assert.equal(bucket.take(1, 0), false, 'no token is left');
   assert.equal(bucket.waitMs(1, 0), 100);
   assert.equal(bucket.take(1, 100), true);
-  assert.equal(bucket.take(8, 600), true, 'more than the bucket needs a full one');
-  assert.equal(bucket.take(1, 700), false, 'and leaves a debt');
+  assert.equal(
+    bucket.take(8, 600),
+    true,
+    'a cost above the burst is granted once the bucket is full',
+  );
+  assert.equal(bucket.take(1, 700), false, 'the excess is owed first');
   bucket.block(1000, 2000);
-  assert.equal(bucket.take(1, 2500), false, 'blocked');
+  assert.equal(bucket.take(1, 2500), false, 'blocked until the given time');
   assert.equal(bucket.take(1, 3000), true);
 });
--- a/test/shard-directory.test.ts
+++ b/test/shard-directory.test.ts
@@ -1,3 +1,4 @@
+/** What a node knows of shards that other nodes own. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { loadIndex } from '../src/core/capacity/allocation-ratio.js';
@@ -11,8 +12,8 @@
 
 const RANKS = Object.keys(PRIORITY_RANK).length;
 
-/** A shard of another node that is booked by `load` for everything. */
-const told = (shard: number, load: number): ShardStatus => ({
+/** The status of a shard of another node whose load is `load` for every job. */
+const announcedShard = (shard: number, load: number): ShardStatus => ({
   shard,
   loads: Array.from({ length: RANKS * 2 }, () => load),
   freeCapacity: [],
@@ -21,54 +22,66 @@
   activeTasks: [],
 });
 
-const status = (node: string, shards: ShardStatus[], jobs: JobStatus[] = []): PeerStatus => ({
+const peerStatus = (node: string, shards: ShardStatus[], jobs: JobStatus[] = []): PeerStatus => ({
   ...{ node, incarnation: 'i', sentAt: 0, detailed: true, echoes: [] },
   ...{ cancellations: [], cancellationsComplete: true, hasStore: true, observedWorkers: [] },
   ...{ shards, jobs, classes: [] },
 });
 
-/** Shard 0 is this node's, with eight tasks waiting and room for two on its only machine. */
-const directory = (peers: readonly PeerStatus[]) => {
+/** A directory whose node owns shard 0, with eight tasks waiting and free capacity for two on its only machine. */
+const createDirectory = (peers: readonly PeerStatus[]) => {
   const shard = shardWith(new Store().add(machine('a'), job({ tasks: 8 })));
-  const heard = () => peers;
+  const statuses = () => peers;
   const shards = new Map([[0, { shard }]]);
-  const out = new ShardDirectory(
+  const directory = new ShardDirectory(
     3,
     () => shards,
-    { recent: heard, latest: heard, reachable: heard },
+    { recent: statuses, latest: statuses, reachable: statuses },
     () => 0,
   );
-  out.describeShard(0, shard, false);
-  return out;
+  directory.describeShard(0, shard, false);
+  return directory;
 };
 
-test('tasks pass to a shard without room only if it is booked much less: table', () => {
+test('tasks migrate to a shard without free capacity only if its load is much lower', () => {
   const own = shardWith(new Store().add(machine('a'), job({ tasks: 8 }))).allocationRatios(0);
-  assert.equal(own[loadIndex(PRIORITY_RANK.normal, true)], 4, 'eight tasks, two at a time');
-  const cases: [name: string, peers: PeerStatus[], want: number | null][] = [
-    ['nothing is known of the others', [], null],
-    ['much less', [status('n1', [told(1, 1)])], 1],
-    ['the least of several', [status('n1', [told(1, 2)]), status('n2', [told(2, 1)])], 2],
-    ['hardly less', [status('n1', [told(1, 3)])], null],
-    ['more', [status('n1', [told(1, 9)])], null],
+  assert.equal(
+    own[loadIndex(PRIORITY_RANK.normal, true)],
+    4,
+    'eight tasks on a machine that fits two',
+  );
+  const cases: [name: string, peers: PeerStatus[], expected: number | null][] = [
+    ['no other shard is known', [], null],
+    ['load much lower', [peerStatus('n1', [announcedShard(1, 1)])], 1],
+    [
+      'the lowest of several',
+      [peerStatus('n1', [announcedShard(1, 2)]), peerStatus('n2', [announcedShard(2, 1)])],
+      2,
+    ],
+    ['load slightly lower', [peerStatus('n1', [announcedShard(1, 3)])], null],
+    ['load higher', [peerStatus('n1', [announcedShard(1, 9)])], null],
   ];
-  for (const [name, peers, want] of cases) {
-    assert.equal(directory(peers).lessAllocated(spec(), 0), want, name);
+  for (const [name, peers, expected] of cases) {
+    assert.equal(createDirectory(peers).lessAllocated(spec(), 0), expected, name);
   }
 });
 
-test('progress of a job is the sum over the shards of other nodes', () => {
-  const jobs = [
+test('progress of a job sums up what the peers announce of shards that this node does not own', () => {
+  const jobsOfN1 = [
     { uid: 'job-000007', running: 2, done: 3, shard: 1 },
     { uid: 'job-000008', running: 1, done: 0, shard: 1 },
   ];
-  const more = [
+  const jobsOfN2 = [
     { uid: 'job-000007', running: 1, done: 4, shard: 2 },
     { uid: 'job-000007', running: 9, done: 9, shard: 0 },
   ];
-  const peers = [status('n1', [], jobs), status('n2', [], more)];
-  const shards = directory(peers);
-  assert.deepEqual(shards.progress('job-000007'), { done: 7, running: 3 }, 'not of our own part');
-  assert.deepEqual(shards.progress('job-000008'), { done: 0, running: 1 });
-  assert.deepEqual(shards.progress('job-000009'), { done: 0, running: 0 });
+  const peers = [peerStatus('n1', [], jobsOfN1), peerStatus('n2', [], jobsOfN2)];
+  const directory = createDirectory(peers);
+  assert.deepEqual(
+    directory.progress('job-000007'),
+    { done: 7, running: 3 },
+    'without the own shard',
+  );
+  assert.deepEqual(directory.progress('job-000008'), { done: 0, running: 1 });
+  assert.deepEqual(directory.progress('job-000009'), { done: 0, running: 0 });
 });
--- a/test/socket-budget.test.ts
+++ b/test/socket-budget.test.ts
@@ -1,3 +1,4 @@
+/** Limits on sockets, direct commands and queued cloud calls. */
 import { NotLeaderError, RecordedIntent } from '@sumacstep/leader-election';
 import assert from 'node:assert/strict';
 import { createServer } from 'node:http';
@@ -11,31 +12,28 @@
 import { StandInServer } from './standins/server.js';
 import { FakeWorker, World } from './standins/worker.js';
 
-/** A survivor that takes over every shard must neither run out of sockets nor leave any use without. */
-const QUOTAS: { maxConnections: number; peers: number; workers: number }[] = [
-  { maxConnections: 1500, peers: 6, workers: 1247 },
-  { maxConnections: 2597, peers: 4, workers: 1563 },
-  { maxConnections: 3000, peers: 2, workers: 60 },
-  { maxConnections: 100, peers: 2, workers: 0 },
+/** The only surviving node, which takes over every shard, needs sockets for all workers and for each other use. */
+const CASES: { maxSockets: number; peers: number; workers: number }[] = [
+  { maxSockets: 1500, peers: 6, workers: 1247 },
+  { maxSockets: 2597, peers: 4, workers: 1563 },
+  { maxSockets: 3000, peers: 2, workers: 60 },
+  { maxSockets: 100, peers: 2, workers: 0 },
 ];
-for (const { maxConnections, peers, workers } of QUOTAS) {
-  test(`${maxConnections} sockets and ${peers} other nodes: all workers, direct commands, the rest`, () => {
-    const { directCommands: direct, inboundConnections: inbound } = socketBudget(
-      maxConnections,
-      peers,
-    );
-    assert.ok(direct >= 1 && inbound >= 1);
+for (const { maxSockets, peers, workers } of CASES) {
+  test(`${maxSockets} sockets and ${peers} peers suffice for ${workers} workers, direct commands and all other uses`, () => {
+    const { directCommands, inboundConnections } = socketBudget(maxSockets, peers);
+    assert.ok(directCommands >= 1 && inboundConnections >= 1);
     assert.ok(
-      direct + inbound < maxConnections,
-      'some are left for state service, cloud and nodes',
+      directCommands + inboundConnections < maxSockets,
+      'sockets are left for store, cloud and peers',
     );
-    assert.ok(inbound > workers, 'a lone survivor hears every worker');
+    assert.ok(inboundConnections > workers, 'every worker can connect to the only surviving node');
   });
 }
 
-test('more callers with connections that stay open than sockets: every one of them is heard', async () => {
+test('more clients with persistent connections than the server allows: every client gets a response', async () => {
   const maxConnections = 10;
-  const callers = 40;
+  const clientCount = 40;
   let connections: InboundConnections | null = null;
   const server = createServer((request, response) => {
     connections?.beforeResponse(response);
@@ -45,18 +43,18 @@
   connections = new InboundConnections(server, maxConnections);
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const { port } = server.address() as AddressInfo;
-  const clients = Array.from({ length: callers }, () => new CborClient(`127.0.0.1:${port}`, 1));
-  const heard = new Set<number>();
-  /** As a worker does: the next try after a refused connection. */
-  const call = async (client: CborClient, i: number) => {
-    const answer = await client.call('GET', '/', undefined, 2000).catch(() => null);
-    if (answer?.status === 200) heard.add(i);
+  const clients = Array.from({ length: clientCount }, () => new CborClient(`127.0.0.1:${port}`, 1));
+  const served = new Set<number>();
+  /** A refused connection is no failure, since workers retry as well. */
+  const call = async (client: CborClient, index: number) => {
+    const response = await client.call('GET', '/', undefined, 2000).catch(() => null);
+    if (response?.status === 200) served.add(index);
   };
   try {
-    for (let round = 0; round < 20 && heard.size < callers; round++) {
-      await Promise.all(clients.map((client, i) => call(client, i)));
+    for (let round = 0; round < 20 && served.size < clientCount; round++) {
+      await Promise.all(clients.map((client, index) => call(client, index)));
     }
-    assert.equal(heard.size, callers);
+    assert.equal(served.size, clientCount);
   } finally {
     for (const client of clients) client.close();
     server.close();
@@ -64,15 +62,15 @@
   }
 });
 
-test('direct commands go to so many machines at once; the rest is told by answers', () => {
+test('direct commands go to a limited number of machines at a time, to the others in the next round', () => {
   const names = Array.from({ length: 30 }, (_, i) => `m${i}`);
   const store = new Store().add(...names.map((n) => machine(n)));
   const shard = shardWith(store);
   const world = new World();
-  for (const n of names) {
-    const w = new FakeWorker(n, world, 1000, LEASE_MS, 0, 'z', 'm', `${n}:1`);
-    w.token = 1;
-    shard.handleHeartbeat(w.heartbeat(), 0, true);
+  for (const name of names) {
+    const worker = new FakeWorker(name, world, 1000, LEASE_MS, 0, 'z', 'm', `${name}:1`);
+    worker.token = 1;
+    shard.handleHeartbeat(worker.heartbeat(), 0, true);
   }
   store.add(job({ tasks: 60 }));
   shard.sync(store, 100);
@@ -81,37 +79,37 @@
   assert.equal(first.length, 20);
   assert.equal(shard.directCommands(100, 0).length, 0);
   const rest = shard.directCommands(200, 20);
-  assert.equal(rest.length, 10, 'what had no socket comes next');
+  assert.equal(rest.length, 10, 'machines that had no socket come next');
   const tasks = [...first, ...rest].flatMap((c) => c.starts.map((p) => p.index));
   assert.equal(new Set(tasks).size, 60);
 });
 
-/** A process that stood still finds its calls as it left them, but not its authority. */
-for (const what of ['rent', 'returnMachines'] as const) {
-  test(`${what}: authority lost while the call waited for its turn`, async () => {
-    const asked: string[] = [];
+/** A suspended process resumes with its queued calls, but may have lost its authority meanwhile. */
+for (const operation of ['rent', 'returnMachines'] as const) {
+  test(`${operation}: a queued call is not sent if authority was lost while it waited`, async () => {
+    const requests: string[] = [];
     const server = new StandInServer();
-    await server.listen((r) => {
-      asked.push(r.path);
+    await server.listen(({ path }) => {
+      requests.push(path);
       return { status: 200, body: { Hosts: [] } };
     });
     let now = 0;
     const cloud = new CloudClient(server.address, 1, () => now);
-    let may = true;
+    let hasAuthority = true;
     const rental = { request: 'r', type: 'm', zone: 'z', spot: false, count: 1 };
-    const held = authorization('parts/0', 1, 1, () => may);
-    const intent = RecordedIntent.found(held, { key: 'hires/0/r', revision: 2 });
+    const authorized = authorization('parts/0', 1, 1, () => hasAuthority);
+    const intent = RecordedIntent.found(authorized, { key: 'hires/0/r', revision: 2 });
     const call = () =>
-      what === 'rent' ? cloud.rent(rental, intent) : cloud.returnMachines(['a'], held);
+      operation === 'rent' ? cloud.rent(rental, intent) : cloud.returnMachines(['a'], authorized);
     try {
       await call();
-      const before = asked.length;
-      // No token is left: the call waits, and meanwhile the process stands still for a minute.
-      const waiting = call();
-      may = false;
+      const sentBefore = requests.length;
+      // No rate limit token is left, so the call is queued; then the process is suspended for a minute.
+      const queued = call();
+      hasAuthority = false;
       now = 60_000;
-      await assert.rejects(waiting, NotLeaderError);
-      assert.equal(asked.length, before, 'nothing was sent');
+      await assert.rejects(queued, NotLeaderError);
+      assert.equal(requests.length, sentBefore, 'no request was sent');
     } finally {
       cloud.close();
       server.close();
