--- a/test/user-answers.test.ts
+++ b/test/user-answers.test.ts
@@ -1,3 +1,10 @@
+/**
+ * Answers to users never go back: no user may get an answer that is older than one that any node has given before.
+ *
+ * Guards against this failure: a request arrives while an earlier request for the same job is in flight, and gets
+ * the earlier one's result, which may come from a read or write that happened before the later request
+ * (docs/incidents/2026-12-02-went-back.md).
+ */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { setImmediate as turn } from 'node:timers/promises';
@@ -7,11 +14,6 @@
 import { FakeStore } from './standins/store.js';
 import { UserNode } from './standins/user-node.js';
 
-/**
- * No user is told anything older than what any node has told before. A request that comes in while an
- * earlier one for the same job is under way must not be given that one's answer, which may rest on a read or
- * a write from before the later request (docs/incidents/2026-12-02-went-back.md).
- */
 const BODY = {
   Uid: 'job-000001',
   Jobclass: 'c',
@@ -32,37 +34,39 @@
   SnapshotEveryS: 0,
   SnapshotS: 0,
 };
-const NAMES = ['a', 'b', 'c'] as const;
-type NodeName = (typeof NAMES)[number];
+const NODES = ['a', 'b', 'c'] as const;
+type NodeName = (typeof NODES)[number];
 
+/** Three nodes on one store. */
 interface Scene {
   readonly state: FakeStore;
   readonly history: AnswerHistory;
-  readonly broken: string[];
+  /** violations that the history has found in the answers */
+  readonly violations: string[];
   readonly nodes: Readonly<Record<NodeName, UserNode>>;
 }
 
-/** What holds the first request for the job, at node a. */
-const FIRST = {
-  'its write is on the way there': {
+/** Where the first submission of the job, which node a handles, is held; `accepted`: the job was accepted before. */
+const HOLDS = {
+  'its write has not reached the store': {
     hold: ({ nodes }: Scene) => nodes.a.writeRequest.close(),
     held: ({ nodes }: Scene) => nodes.a.writeRequest.held,
     accepted: false,
   },
-  "its write's answer is on the way back": {
+  "the store's response to its write has not arrived": {
     hold: ({ nodes }: Scene) => nodes.a.writeAnswer.close(),
     held: ({ nodes }: Scene) => nodes.a.writeAnswer.held,
     accepted: false,
   },
-  "the answer of its read's watch is on the way back": {
+  "the store's response to its watch read has not arrived": {
     hold: ({ nodes }: Scene) => nodes.a.feedAnswer.close(),
     held: ({ nodes }: Scene) => nodes.a.feedAnswer.held,
     accepted: true,
   },
 } as const;
 
-/** What happens through node b while the first request is held. */
-const BETWEEN = {
+/** What users do to the job through node b while the first submission is held. */
+const MEANWHILE = {
   nothing: () => Promise.resolve(),
   accepted: async ({ nodes }: Scene) => {
     await nodes.b.ask('submit', BODY);
@@ -75,7 +79,7 @@
   done: async ({ nodes, state, history }: Scene) => {
     await nodes.b.ask('submit', BODY);
     const active = state.items.get(key.activeJob(BODY.Uid));
-    // A cancellation that is sent first may have ended it already.
+    // A cancellation that was sent before may have ended the job already.
     if (active !== undefined) {
       const When = [{ K: key.activeJob(BODY.Uid), Stamp: active.revision }];
       const Value = { status: 'done', tasks: 2, done: 2 };
@@ -88,78 +92,84 @@
   },
 } as const;
 
+/** When the later request is sent, relative to `MEANWHILE`. */
 const MOMENTS = ['before', 'after'] as const;
 const CALLS: readonly UserCall[] = ['submit', 'query', 'withdraw'];
 
+/** Opens a scene; `valueBytesOfA` limits the size of a value that node a writes. */
 const openScene = async (valueBytesOfA?: number): Promise<Scene> => {
   const state = new FakeStore();
-  const broken: string[] = [];
-  const history = new AnswerHistory(broken);
-  const node = (name: NodeName) => new UserNode(name, state, history);
-  const nodes = { a: node('a'), b: node('b'), c: node('c') };
+  const violations: string[] = [];
+  const history = new AnswerHistory(violations);
+  const createNode = (name: NodeName) => new UserNode(name, state, history);
+  const nodes = { a: createNode('a'), b: createNode('b'), c: createNode('c') };
   nodes.a.valueBytes = valueBytesOfA ?? nodes.a.valueBytes;
-  for (const name of NAMES) await nodes[name].open();
-  return { state, history, broken, nodes };
+  for (const name of NODES) await nodes[name].open();
+  return { state, history, violations, nodes };
 };
 
-const untilTrue = async (check: () => boolean): Promise<void> => {
-  while (!check()) await turn();
+const waitUntil = async (condition: () => boolean): Promise<void> => {
+  while (!condition()) await turn();
 };
 
+/**
+ * Holds the first submission at node a, lets `meanwhile` happen, and sends a later request at node `at` before or
+ * after it. Then releases the first submission and checks that all answers were consistent and none was refused.
+ */
 const play = async (
-  first: keyof typeof FIRST,
-  between: keyof typeof BETWEEN,
+  hold: keyof typeof HOLDS,
+  meanwhile: keyof typeof MEANWHILE,
   moment: (typeof MOMENTS)[number],
   call: UserCall,
   at: NodeName,
 ): Promise<void> => {
   const scene = await openScene();
-  const { nodes, broken } = scene;
+  const { nodes, violations } = scene;
   try {
-    if (FIRST[first].accepted) {
+    if (HOLDS[hold].accepted) {
       await nodes.b.ask('submit', BODY);
-      // The repeat that is held must find the job known.
+      // Node a must know the job before the repeated submission that is held.
       await nodes.a.follow();
     }
-    FIRST[first].hold(scene);
-    const earlier = nodes.a.ask('submit', BODY);
-    await untilTrue(() => FIRST[first].held(scene) > 0);
-    const pending = [earlier];
+    HOLDS[hold].hold(scene);
+    const first = nodes.a.ask('submit', BODY);
+    await waitUntil(() => HOLDS[hold].held(scene) > 0);
+    const answers = [first];
     const send = async () => {
-      const before = nodes[at].calls;
-      let over = false;
-      const answer = nodes[at].ask(call, BODY).finally(() => (over = true));
-      pending.push(answer);
-      await untilTrue(() => over || nodes[at].calls > before);
+      const callsBefore = nodes[at].calls;
+      let isAnswered = false;
+      const answer = nodes[at].ask(call, BODY).finally(() => (isAnswered = true));
+      answers.push(answer);
+      await waitUntil(() => isAnswered || nodes[at].calls > callsBefore);
     };
     if (moment === 'before') await send();
-    await BETWEEN[between](scene);
+    await MEANWHILE[meanwhile](scene);
     if (moment === 'after') await send();
     for (const gate of [nodes.a.writeRequest, nodes.a.writeAnswer, nodes.a.feedAnswer]) gate.open();
-    for (const answer of await Promise.all(pending)) {
+    for (const answer of await Promise.all(answers)) {
       const status = answer?.status ?? 0;
-      assert.ok(status > 0 && status < 500, 'nothing is out of order that would excuse a refusal');
+      assert.ok(status > 0 && status < 500, 'nothing failed, so no request may be refused');
     }
-    for (const name of NAMES) {
+    for (const name of NODES) {
       const answer = await nodes[name].ask('query', BODY);
-      assert.equal(answer?.status, 200, `${name} knows the job in the end`);
+      assert.equal(answer?.status, 200, `${name} knows the job afterwards`);
       await nodes[name].ask('submit', BODY);
     }
-    assert.deepEqual(broken, []);
+    assert.deepEqual(violations, []);
   } finally {
-    for (const name of NAMES) nodes[name].close();
+    for (const name of NODES) nodes[name].close();
   }
 };
 
-describe('answers to users while an earlier submission is held', () => {
-  for (const first of Object.keys(FIRST) as (keyof typeof FIRST)[]) {
-    for (const between of Object.keys(BETWEEN) as (keyof typeof BETWEEN)[]) {
-      test(`${first}; meanwhile: ${between}`, async (t) => {
+describe('answers to users never go back while an earlier submission is held', () => {
+  for (const hold of Object.keys(HOLDS) as (keyof typeof HOLDS)[]) {
+    for (const meanwhile of Object.keys(MEANWHILE) as (keyof typeof MEANWHILE)[]) {
+      test(`${hold}; meanwhile: ${meanwhile}`, async (t) => {
         for (const moment of MOMENTS) {
           for (const call of CALLS) {
-            for (const at of NAMES) {
-              await t.test(`${call} at ${at}, sent ${moment} it`, () =>
-                play(first, between, moment, call, at),
+            for (const at of NODES) {
+              await t.test(`${call} at ${at}, sent ${moment} that`, () =>
+                play(hold, meanwhile, moment, call, at),
               );
             }
           }
@@ -176,29 +186,29 @@
   const scene = await openScene(valueBytesOfA);
   try {
     await run(scene);
-    assert.deepEqual(scene.broken, []);
+    assert.deepEqual(scene.violations, []);
   } finally {
-    for (const name of NAMES) scene.nodes[name].close();
+    for (const name of NODES) scene.nodes[name].close();
   }
 };
 
-/** Node a has accepted the job, its answer from the state service is held, and b's user cancels. */
-const cancelledWhileHeld = async ({
+/** Node a's write has been committed, but the store's response is held; then a user cancels the job at node b. */
+const cancelWhileHeld = async ({
   nodes,
 }: Scene): Promise<{ accepted: Promise<Response | null> }> => {
   nodes.a.writeAnswer.close();
   const accepted = nodes.a.ask('submit', BODY);
-  await untilTrue(() => nodes.a.writeAnswer.held > 0);
+  await waitUntil(() => nodes.a.writeAnswer.held > 0);
   await nodes.b.ask('submit', BODY);
   await nodes.b.ask('withdraw', BODY);
   return { accepted };
 };
 
-describe('an acceptance whose answer comes after the end of its job', () => {
-  test('and after a new listing, which shows no final states: the job stays ended', () =>
+describe('the response to the write of an acceptance arrives after the job was cancelled', () => {
+  test('after a new listing, which lacks final states: the job does not become active again', () =>
     withScene(async (scene) => {
       const { a } = scene.nodes;
-      const { accepted } = await cancelledWhileHeld(scene);
+      const { accepted } = await cancelWhileHeld(scene);
       await a.list();
       a.writeAnswer.open();
       await accepted;
@@ -206,10 +216,10 @@
       await a.ask('query', BODY);
     }));
 
-  test('the end, known by then, is what its user is told', () =>
+  test('the node knows the final state by then: its user is told `cancelled`', () =>
     withScene(async (scene) => {
       const { a } = scene.nodes;
-      const { accepted } = await cancelledWhileHeld(scene);
+      const { accepted } = await cancelWhileHeld(scene);
       await a.follow();
       a.writeAnswer.open();
       const answer = await accepted;
@@ -218,7 +228,7 @@
     }));
 });
 
-test('a repeat whose own record would not fit a value gets the state of the accepted job', () =>
+test('a repeated submission whose record exceeds the value limit gets the state of the accepted job', () =>
   withScene(async ({ nodes }) => {
     await nodes.b.ask('submit', BODY);
     const answer = await nodes.a.ask('submit', BODY);
