--- a/test/shard-directory.test.ts
+++ b/test/shard-directory.test.ts
@@ -1,4 +1,4 @@
-/** What a node knows of shards that other nodes own. */
+/** The shard directory of a node that owns one of three shards. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { loadIndex } from '../src/core/capacity/allocation-ratio.js';
--- a/test/user-answers.test.ts
+++ b/test/user-answers.test.ts
@@ -46,7 +46,7 @@
   readonly nodes: Readonly<Record<NodeName, UserNode>>;
 }
 
-/** Where the first submission of the job, which node a handles, is held; `accepted`: the job was accepted before. */
+/** Points at which the first submission of the job, sent to node a, is held; `accepted`: the job was accepted before. */
 const HOLDS = {
   'its write has not reached the store': {
     hold: ({ nodes }: Scene) => nodes.a.writeRequest.close(),
@@ -65,7 +65,7 @@
   },
 } as const;
 
-/** What users do to the job through node b while the first submission is held. */
+/** Actions of users at node b while the first submission is held. */
 const MEANWHILE = {
   nothing: () => Promise.resolve(),
   accepted: async ({ nodes }: Scene) => {
@@ -92,7 +92,7 @@
   },
 } as const;
 
-/** When the later request is sent, relative to `MEANWHILE`. */
+/** Times at which the later request is sent, relative to the actions at node b. */
 const MOMENTS = ['before', 'after'] as const;
 const CALLS: readonly UserCall[] = ['submit', 'query', 'withdraw'];
 
