--- a/src/peers/gossip.ts
+++ b/src/peers/gossip.ts
@@ -148,7 +148,7 @@
     const at = now();
     if (at - this.#lastOversizedAt < SUMMARY_MS) return;
     this.#lastOversizedAt = at;
-    log.info({ bytes }, 'status exceeds the frame limit, details left out');
+    log.info({ bytes }, 'status shortened');
   }
 
   /** Sends `bytes` to every peer, except those that read too slowly: otherwise their send buffers would grow. */
--- a/src/service/service.ts
+++ b/src/service/service.ts
@@ -98,7 +98,7 @@
     this.#supervise('machine types', this.#machineTypes.run(signal));
     this.#loops.start();
     this.#summaryTimer = setInterval(() => this.#summarize(), SUMMARY_MS);
-    log.info({ listen: config.listen, incarnation }, 'node started');
+    log.info({ listen: config.listen, incarnation }, 'started');
   }
 
   /** Stops all components without notifying anyone: to peers and workers it looks like a crash. */
