--- a/src/core/capacity/allocation-ratio.ts
+++ b/src/core/capacity/allocation-ratio.ts
@@ -34,7 +34,7 @@
 }
 
 const countsForRouting = (state: ShardState, m: MachineState, now: number): boolean => {
-  const goes = isLeaving(m) || m.preemptionNoticeAt !== null;
+  const goes = isLeaving(m) || m.preemptionAt !== null;
   return !goes && (!m.everConfirmed || state.health.isFresh(m, now));
 };
 
@@ -60,7 +60,7 @@
     const least = state.settings.preempt ? rank : 0;
     for (const kinds of [[ordinary], [ordinary, spot]]) {
       const booked = [waiting, ...kinds.map((kind) => kind.booked)];
-      shares.push(largestShare(booked, kinds, least, state.largest));
+      shares.push(largestShare(booked, kinds, least, state.largestCapacity));
     }
   }
   return shares;
--- a/src/core/capacity/capacity-planner.ts
+++ b/src/core/capacity/capacity-planner.ts
@@ -1,11 +1,11 @@
-import { BOOT_GIVE_UP } from './constants.js';
+import { BOOT_TIMEOUT_FACTOR } from './constants.js';
 import { tasksNeedingCapacity } from '../reachability/failure-tracker.js';
-import { timesIn, type JobSpec, type MachineType } from '../model.js';
+import { fitCount, type JobSpec, type MachineType } from '../model.js';
 import type { JobState, MachineState } from '../shard/shard.js';
-import { ReachableCapacity, zoneToGrow } from './reachable-capacity.js';
+import { ReachableCapacity, zoneForNewMachines } from './reachable-capacity.js';
 import {
-  cheapest,
-  machinesFor,
+  cheapestType,
+  wholeMachines,
   wantedMachines,
   type DemandInput,
   type TypeNeed,
@@ -14,7 +14,7 @@
 /** What a shard should rent and give back, from what it has and what it needs. */
 
 /** Machines of one kind to be rented, or asked for already. */
-export interface RentWish {
+export interface RentalRequest {
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
@@ -29,19 +29,19 @@
 export interface CapacityInput extends DemandInput {
   readonly zones: readonly string[];
   /** rentals asked for but not answered */
-  readonly pending: readonly RentWish[];
+  readonly pendingRentals: readonly RentalRequest[];
   /** true while the cloud has said "no capacity" for this kind lately */
-  readonly refused: (type: string, zone: string, spot: boolean) => boolean;
+  readonly inBackoff: (type: string, zone: string, spot: boolean) => boolean;
   readonly idleKeepMs: number;
   readonly maxMachines: number;
 }
 
 /** Machines to rent and to return. */
 export interface CapacityPlan {
-  readonly rentals: readonly RentWish[];
+  readonly rentals: readonly RentalRequest[];
   readonly returns: readonly { readonly name: string; readonly reason: ReturnReason }[];
   /** machines that were not asked for because of the operator's limit */
-  readonly capped: number;
+  readonly cappedCount: number;
   /** machines wanted by type: ordinary ones, and such of any kind while spot ones can be had */
   readonly wanted: readonly { readonly type: string; readonly need: TypeNeed }[];
 }
@@ -62,7 +62,7 @@
   const spreads = (spec: JobSpec | null) =>
     spec !== null && spec.kind === 'service' && spec.spread && !spec.spot;
   for (const job of input.shard.jobs.values()) if (!job.ended && spreads(job.spec)) return true;
-  return [...input.stats.values()].some((s) => spreads(s.sample));
+  return [...input.classStats.values()].some((s) => spreads(s.sample));
 };
 
 /** Ordinary machines that stay, counted by type and zone. */
@@ -94,7 +94,7 @@
 
 /** One plan for one shard. */
 class CapacityPlanner {
-  readonly #rent: RentWish[] = [];
+  readonly #rent: RentalRequest[] = [];
   readonly #giveBack: { name: string; reason: ReturnReason }[] = [];
   /** machines that are neither given back nor about to be taken */
   readonly #staying: MachineState[] = [];
@@ -110,8 +110,9 @@
     }
     this.#spreads = spreadServiceKnown(input);
     this.#ordinary = new OrdinaryMachines(this.#staying);
-    const pending = input.pending.reduce((sum, p) => sum + p.count, 0);
-    this.#allowed = Math.ceil(input.maxMachines / input.shards) - this.#staying.length - pending;
+    const pending = input.pendingRentals.reduce((sum, p) => sum + p.count, 0);
+    this.#allowed =
+      Math.ceil(input.maxMachines / input.shardCount) - this.#staying.length - pending;
   }
 
   plan(): CapacityPlan {
@@ -125,7 +126,7 @@
     return {
       rentals: this.#rent,
       returns: this.#giveBack,
-      capped: this.#capped,
+      cappedCount: this.#capped,
       wanted: [...wanted].map(([type, need]) => ({ type, need })),
     };
   }
@@ -135,7 +136,7 @@
     const reason = this.#faultOf(m);
     if (reason !== null) this.#return(m, reason);
     else if (m.faultStatus === 'quarantined') this.#empty(m);
-    else if (m.preemptionNoticeAt === null && !m.cordoned) this.#staying.push(m);
+    else if (m.preemptionAt === null && !m.cordoned) this.#staying.push(m);
   }
 
   #faultOf(m: MachineState): ReturnReason | null {
@@ -144,7 +145,7 @@
     if (shard.commandsLost(m, now)) return 'commands lost';
     const bootMs = (m.type?.bootS ?? DEFAULT_BOOT_S) * 1000;
     const neverUp = !m.everConfirmed && !m.record.up;
-    if (neverUp && now - m.trackedSince > bootMs * BOOT_GIVE_UP) return 'never came up';
+    if (neverUp && now - m.trackedSince > bootMs * BOOT_TIMEOUT_FACTOR) return 'never came up';
     return m.faultStatus === 'quarantined' && !inUse(m) ? 'fails tasks' : null;
   }
 
@@ -161,7 +162,9 @@
   }
 
   #isPending(type: string, zone: string, spot: boolean): boolean {
-    return this.input.pending.some((p) => p.type === type && p.zone === zone && p.spot === spot);
+    return this.input.pendingRentals.some(
+      (p) => p.type === type && p.zone === zone && p.spot === spot,
+    );
   }
 
   /** Machines of the type that stay or are asked for. */
@@ -170,7 +173,8 @@
     for (const m of this.#staying) {
       if (m.record.type === type && m.record.spot === spot) count += 1;
     }
-    for (const p of this.input.pending) if (p.type === type && p.spot === spot) count += p.count;
+    for (const p of this.input.pendingRentals)
+      if (p.type === type && p.spot === spot) count += p.count;
     return count;
   }
 
@@ -186,7 +190,7 @@
 
   /** Asks for machines, in one zone or over all; returns how many will come as far as can be told. */
   #wish(type: MachineType, spot: boolean, count: number, only: string | null): number {
-    const { zones, refused } = this.input;
+    const { zones, inBackoff: refused } = this.input;
     const open = zones
       .filter((z) => (only === null || z === only) && type.zones.includes(z))
       .filter((z) => !refused(type.name, z, spot));
@@ -210,13 +214,13 @@
   #planType(type: MachineType, need: TypeNeed): void {
     const ordinary = this.#have(type.name, false);
     const spot = this.#have(type.name, true);
-    const missing = machinesFor(need.ordinary) - ordinary;
+    const missing = wholeMachines(need.ordinary) - ordinary;
     if (missing > 0) this.#wish(type, false, missing, null);
     const spare = Math.max(0, -missing);
-    const wantedSpot = Math.max(0, machinesFor(need.spot - spare) - spot);
+    const wantedSpot = Math.max(0, wholeMachines(need.spot - spare) - spot);
     const got = this.#wish(type, true, wantedSpot, null);
     // Where spot machines are refused, ordinary ones do as well, if they are worth it.
-    const more = machinesFor(need.instead - spare) - spot - got;
+    const more = wholeMachines(need.instead - spare) - spot - got;
     if (more > 0) this.#wish(type, false, more, null);
     if (this.#spreads) this.#rentWhereNoneIs(type);
     this.#returnIdle(type, {
@@ -263,7 +267,7 @@
 
   /** However little work it is: a job that no machine could ever take gets one that can. */
   #rentForUnplaceable(): void {
-    const { shard, pending, types, now } = this.input;
+    const { shard, pendingRentals: pending, types, now } = this.input;
     const reachable = new ReachableCapacity(
       this.#staying,
       pending,
@@ -274,17 +278,17 @@
     for (const job of shard.jobs.values()) {
       if (this.#rent.length > 0) return;
       if (tasksNeedingCapacity(job, now) === 0) continue;
-      const missing = tasksNeedingRoom(job) - reachable.tasksOf(job);
+      const missing = tasksNeedingRoom(job) - reachable.tasksThatFit(job);
       if (missing > 0) this.#rentFor(job, missing);
     }
   }
 
   #rentFor(job: JobState, tasks: number): void {
     const { spec } = job;
-    const type = cheapest(spec, this.input.types.values());
+    const type = cheapestType(spec, this.input.types.values());
     if (type === null) return;
-    const count = Math.ceil(tasks / Math.max(1, timesIn(spec.demand, type)));
-    const zone = zoneToGrow(job, type, this.#staying);
+    const count = Math.ceil(tasks / Math.max(1, fitCount(spec.demand, type)));
+    const zone = zoneForNewMachines(job, type, this.#staying);
     const got = spec.spot ? this.#wish(type, true, count, zone) : 0;
     if (got < count) this.#wish(type, false, count - got, zone);
   }
--- a/src/core/capacity/reachable-capacity.ts
+++ b/src/core/capacity/reachable-capacity.ts
@@ -1,6 +1,6 @@
 import type { JobState, MachineState } from '../shard/types.js';
-import { add, timesIn, ZERO, type MachineType, type Resources } from '../model.js';
-import { tasksAllowedIn } from '../placement/zones.js';
+import { add, fitCount, ZERO_RESOURCES, type MachineType, type Resources } from '../model.js';
+import { tasksAllowedInZone } from '../placement/zones.js';
 
 /**
  * Room that a job could get on the machines of a shard, those that are still asked for included. A job
@@ -8,7 +8,7 @@
  */
 
 /** A rental that has not been answered yet. */
-export interface PendingMachines {
+export interface PendingRental {
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
@@ -28,7 +28,7 @@
 
 /** What a replica can take: others of its rank or a higher one never end, lower work can be stopped. */
 const besideReplicas = (m: MachineState, job: JobState, preempts: boolean): Resources => {
-  let room: Resources = m.type ?? ZERO;
+  let room: Resources = m.type ?? ZERO_RESOURCES;
   for (const p of m.tasks.values()) {
     const stays =
       p.job.spec.kind === 'service' || !preempts || p.job.priorityRank >= job.priorityRank;
@@ -44,7 +44,7 @@
 
   constructor(
     private readonly staying: readonly MachineState[],
-    pending: readonly PendingMachines[],
+    pending: readonly PendingRental[],
     types: ReadonlyMap<string, MachineType>,
     private readonly preempts: boolean,
     private readonly now: number,
@@ -66,17 +66,19 @@
   }
 
   /** Tasks of the job for which there is or will be room, within its constraints on zones. */
-  tasksOf(job: JobState): number {
+  tasksThatFit(job: JobState): number {
     const { spec } = job;
     const byZone = new Map<string, number>();
     const note = (zone: string, tasks: number) => byZone.set(zone, (byZone.get(zone) ?? 0) + tasks);
     const service = spec.kind === 'service';
     // Other work ends some time, so its machines count as a whole; replicas stay.
     for (const { type, zone, spot, count } of service ? this.#asked : this.#all) {
-      if (mayUse(job, type.name, spot)) note(zone, timesIn(spec.demand, type) * count);
+      if (mayUse(job, type.name, spot)) note(zone, fitCount(spec.demand, type) * count);
     }
     if (service || job.avoidedMachines.size > 0) this.#addByMachine(job, note);
-    const rooms = [...byZone].map(([zone, tasks]) => Math.min(tasks, tasksAllowedIn(job, zone)));
+    const rooms = [...byZone].map(([zone, tasks]) =>
+      Math.min(tasks, tasksAllowedInZone(job, zone)),
+    );
     return spec.oneZone ? Math.max(0, ...rooms) : rooms.reduce((sum, n) => sum + n, 0);
   }
 
@@ -88,15 +90,15 @@
       const { type, zone, spot, name } = { ...m.record, type: m.type };
       if (type === null || !mayUse(job, type.name, spot)) continue;
       const avoided = (job.avoidedMachines.get(name) ?? -Infinity) > this.now;
-      if (!service && avoided) note(zone, -timesIn(spec.demand, type));
+      if (!service && avoided) note(zone, -fitCount(spec.demand, type));
       if (!service || avoided) continue;
-      note(zone, Math.max(0, timesIn(spec.demand, besideReplicas(m, job, this.preempts))));
+      note(zone, Math.max(0, fitCount(spec.demand, besideReplicas(m, job, this.preempts))));
     }
   }
 }
 
 /** The zone in which a job that finds no room should get a machine; null: any. */
-export const zoneToGrow = (
+export const zoneForNewMachines = (
   job: JobState,
   type: MachineType,
   staying: readonly MachineState[],
@@ -105,7 +107,7 @@
   if (spec.zone !== null) return spec.zone;
   if (!spec.oneZone && !spec.spread) return null;
   const machines = (z: string) => staying.filter((m) => m.record.zone === z).length;
-  const open = type.zones.filter((z) => tasksAllowedIn(job, z) > 0);
+  const open = type.zones.filter((z) => tasksAllowedInZone(job, z) > 0);
   // A job of one zone grows where most is, one that spreads where least is.
   const sign = spec.oneZone ? -1 : 1;
   open.sort((a, b) => sign * (machines(a) - machines(b)) || (a < b ? -1 : 1));
--- a/src/core/capacity/wanted-machines.ts
+++ b/src/core/capacity/wanted-machines.ts
@@ -1,10 +1,10 @@
-import { CEIL_SLACK, RUN_UNKNOWN_S } from './constants.js';
-import { typesFor } from '../jobs/admission.js';
+import { IGNORED_MACHINE_FRACTION, DEFAULT_RUN_S } from './constants.js';
+import { feasibleTypes } from '../jobs/admission.js';
 import { tasksNeedingCapacity } from '../reachability/failure-tracker.js';
 import type { ClassStats } from './workload-statistics.js';
 import {
   dominantShare,
-  timesIn,
+  fitCount,
   type JobSpec,
   type MachineType,
   type Objective,
@@ -17,14 +17,14 @@
 export interface DemandInput {
   readonly shard: Shard;
   /** number of shards, which share what is kept ready */
-  readonly shards: number;
+  readonly shardCount: number;
   readonly types: ReadonlyMap<string, MachineType>;
   readonly objectives: readonly Objective[];
-  readonly stats: ReadonlyMap<string, ClassStats>;
+  readonly classStats: ReadonlyMap<string, ClassStats>;
   /** tasks of each class in the other shards, waiting or placed */
-  readonly elsewhere: ReadonlyMap<string, number>;
+  readonly activeTasksElsewhere: ReadonlyMap<string, number>;
   /** jobs that were told to come back: their machines are rented before they are accepted */
-  readonly expected: readonly JobSpec[];
+  readonly expectedJobs: readonly JobSpec[];
   readonly reserveSigma: number;
   readonly drainS: number;
   /** steady ms */
@@ -42,7 +42,8 @@
 }
 
 /** Whole machines for the need, a small fraction of one aside. */
-export const machinesFor = (need: number): number => Math.max(0, Math.ceil(need - CEIL_SLACK));
+export const wholeMachines = (need: number): number =>
+  Math.max(0, Math.ceil(need - IGNORED_MACHINE_FRACTION));
 
 /** Classes whose tasks must start sooner than a machine boots need machines kept ready. */
 export const isUrgent = (
@@ -53,10 +54,10 @@
   objectives.some((o) => o.kind === 'wait' && o.jobClass === jobClass && o.withinS < bootS);
 
 /** The type on which the job costs least; null if none fits. */
-export const cheapest = (spec: JobSpec, types: Iterable<MachineType>): MachineType | null => {
+export const cheapestType = (spec: JobSpec, types: Iterable<MachineType>): MachineType | null => {
   let best: MachineType | null = null;
   let bestPrice = Infinity;
-  for (const t of typesFor(spec, types)) {
+  for (const t of feasibleTypes(spec, types)) {
     const price = (spec.spot ? t.spotPrice : t.price) * dominantShare(spec.demand, t);
     if (price < bestPrice) {
       best = t;
@@ -78,7 +79,7 @@
   const note = (spec: JobSpec, running: number, waiting: number): void => {
     let need = needs.get(spec.jobClass);
     if (need === undefined) {
-      const type = cheapest(spec, input.types.values());
+      const type = cheapestType(spec, input.types.values());
       if (type === null) return;
       need = { spec, type, running: 0, waiting: 0 };
       needs.set(spec.jobClass, need);
@@ -89,11 +90,11 @@
   for (const job of input.shard.jobs.values()) {
     if (!job.ended) note(job.spec, job.placements.size, tasksNeedingCapacity(job, input.now));
   }
-  for (const spec of input.expected) note(spec, 0, spec.tasks);
+  for (const spec of input.expectedJobs) note(spec, 0, spec.tasks);
   // Classes known from other shards or earlier times need their reserve here as well.
-  for (const [name, s] of input.stats) {
+  for (const [name, s] of input.classStats) {
     if (needs.has(name) || s.sample === null) continue;
-    const type = cheapest(s.sample, input.types.values());
+    const type = cheapestType(s.sample, input.types.values());
     if (type !== null) needs.set(name, { spec: s.sample, type, running: 0, waiting: 0 });
   }
   return needs;
@@ -117,14 +118,14 @@
   /** reserve that lower ranks may fill until it is needed */
   let slack = 0;
   for (const [name, need] of needsByClass(input)) {
-    const s = input.stats.get(name);
-    const runS = s?.runS ?? (need.spec.estimateS > 0 ? need.spec.estimateS : RUN_UNKNOWN_S);
-    const perMachine = Math.max(1, timesIn(need.spec.demand, need.type));
+    const s = input.classStats.get(name);
+    const runS = s?.runS ?? (need.spec.estimateS > 0 ? need.spec.estimateS : DEFAULT_RUN_S);
+    const perMachine = Math.max(1, fitCount(need.spec.demand, need.type));
     // Replicas never end, so their run time says nothing: what may arrive while a machine boots counts.
     const service = need.spec.kind === 'service';
     const whole = (s?.tasksPerS ?? 0) * (service ? need.type.bootS : runS);
-    const atOnce = whole / input.shards;
-    const elsewhere = input.elsewhere.get(name) ?? 0;
+    const atOnce = whole / input.shardCount;
+    const elsewhere = input.activeTasksElsewhere.get(name) ?? 0;
     const busy = need.running + need.waiting;
     const t = out.get(need.type.name) ?? { ordinary: 0, spot: 0, instead: 0 };
     out.set(need.type.name, t);
@@ -135,7 +136,7 @@
       // share of the whole, the shards with more work than others would come on top.
       const there = service ? 0 : busy + elsewhere;
       const kept = whole + input.reserveSigma * Math.sqrt(whole) - there;
-      soon = patient = busy + Math.max(0, kept) / input.shards;
+      soon = patient = busy + Math.max(0, kept) / input.shardCount;
       if (input.shard.preemptionEnabled) slack += Math.max(0, soon - busy) / perMachine;
     } else {
       // Half of the running work is still to be done.
--- a/src/core/capacity/workload-statistics.ts
+++ b/src/core/capacity/workload-statistics.ts
@@ -1,9 +1,9 @@
 import {
-  FINISHED_ENOUGH,
-  FIRST_SPAN_S,
-  RATE_WINDOW_S,
-  RUN_WEIGHT,
-  SEEN_JOBS_LIMIT,
+  RELIABLE_RUN_COUNT,
+  MIN_ARRIVAL_WINDOW_S,
+  ARRIVAL_WINDOW_S,
+  RUN_TIME_SMOOTHING,
+  COUNTED_JOBS_LIMIT,
 } from './constants.js';
 import type { JobSpec } from '../model.js';
 
@@ -28,7 +28,7 @@
   const guess = c.guesses.count > 0 ? c.guesses.sum / c.guesses.count : null;
   if (c.runS === null || guess === null) return c.runS ?? guess;
   // Few finished tasks are the short ones: lean on the owners' guesses until there are more.
-  const trust = Math.min(1, c.finished / FINISHED_ENOUGH);
+  const trust = Math.min(1, c.finished / RELIABLE_RUN_COUNT);
   return c.runS * trust + guess * (1 - trust);
 };
 
@@ -36,7 +36,7 @@
 export class WorkloadStatistics {
   readonly #classes = new Map<string, Learned>();
   #firstAt: number | null = null;
-  #seenMost = SEEN_JOBS_LIMIT;
+  #seenMost = COUNTED_JOBS_LIMIT;
   /** jobs that were counted; see `keepOnly` */
   #seen = new Set<string>();
 
@@ -56,7 +56,7 @@
   }
 
   /** A job accepted at `at` (s, time of day). Repeats are ignored. */
-  arrived(spec: JobSpec, at: number): void {
+  recordArrival(spec: JobSpec, at: number): void {
     if (this.#seen.has(spec.uid)) return;
     this.#seen.add(spec.uid);
     const c = this.#of(spec.jobClass);
@@ -73,22 +73,22 @@
    * Forgets jobs that have ended, once so many are remembered: they do not come by again. Those that have
    * not ended must stay, however many they are, or each would be counted anew at every look.
    */
-  keepOnly(active: { has(uid: string): boolean }): void {
+  forgetEndedJobs(active: { has(uid: string): boolean }): void {
     if (this.#seen.size <= this.#seenMost) return;
     this.#seen = new Set([...this.#seen].filter((uid) => active.has(uid)));
-    this.#seenMost = Math.max(SEEN_JOBS_LIMIT, 2 * this.#seen.size);
+    this.#seenMost = Math.max(COUNTED_JOBS_LIMIT, 2 * this.#seen.size);
   }
 
-  ran(jobClass: string, runS: number): void {
+  recordRun(jobClass: string, runS: number): void {
     const c = this.#of(jobClass);
     c.finished += 1;
     // A plain mean at first, then one that forgets slowly.
-    const weight = Math.max(RUN_WEIGHT, 1 / c.finished);
+    const weight = Math.max(RUN_TIME_SMOOTHING, 1 / c.finished);
     c.runS = c.runS === null ? runS : c.runS + (runS - c.runS) * weight;
   }
 
   /** Run times that another node has learned, taken if it has seen more than this one. */
-  adopt(jobClass: string, runS: number, finished: number): void {
+  adoptRunTime(jobClass: string, runS: number, finished: number): void {
     const c = this.#of(jobClass);
     if (finished <= c.finished) return;
     c.runS = runS;
@@ -101,7 +101,7 @@
     return c === undefined ? null : expectedRunS(c);
   }
 
-  runs(): { jobClass: string; runS: number; finished: number }[] {
+  measuredRunTimes(): { jobClass: string; runS: number; finished: number }[] {
     return [...this.#classes]
       .filter(([, c]) => c.runS !== null)
       .map(([jobClass, c]) => ({ jobClass, runS: c.runS ?? 0, finished: c.finished }));
@@ -110,9 +110,12 @@
   stats(nowS: number): Map<string, ClassStats> {
     const out = new Map<string, ClassStats>();
     // What arrives before the first minutes have passed is a burst at the start, not a rate.
-    const span = Math.min(RATE_WINDOW_S, Math.max(FIRST_SPAN_S, nowS - (this.#firstAt ?? nowS)));
+    const span = Math.min(
+      ARRIVAL_WINDOW_S,
+      Math.max(MIN_ARRIVAL_WINDOW_S, nowS - (this.#firstAt ?? nowS)),
+    );
     for (const [name, c] of this.#classes) {
-      c.arrivals = c.arrivals.filter((a) => nowS - a.at <= RATE_WINDOW_S);
+      c.arrivals = c.arrivals.filter((a) => nowS - a.at <= ARRIVAL_WINDOW_S);
       const tasks = c.arrivals.reduce((sum, a) => sum + a.tasks, 0);
       out.set(name, { tasksPerS: tasks / span, runS: expectedRunS(c), sample: c.sample });
     }
--- a/src/core/reachability/failure-tracker.ts
+++ b/src/core/reachability/failure-tracker.ts
@@ -35,14 +35,14 @@
   if (job.ended) return 0;
   const waiting = job.waitingTasks.length;
   if (!isSuspect(job)) return waiting;
-  if (job.pausedUntil > now) return 0;
+  if (job.backoffUntil > now) return 0;
   if (job.spec.kind === 'gang' || hasStableTask(job, now)) return waiting;
   return job.placements.size === 0 ? Math.min(1, waiting) : 0;
 };
 
 /** How many waiting tasks of the job may be placed now. */
 export const placeableTasks = (job: JobState, now: number): number =>
-  job.gangBroken || job.pausedUntil > now ? 0 : tasksNeedingCapacity(job, now);
+  job.gangBroken || job.backoffUntil > now ? 0 : tasksNeedingCapacity(job, now);
 
 /** Takes in how tasks ended, and judges machines and jobs by it. */
 export class FailureTracker {
@@ -52,7 +52,7 @@
    * A task completed: its job can succeed, and its machine was healthy. A machine that is quarantined already stays
    * so, since what completes there may have begun before it became faulty.
    */
-  taskSucceeded(machine: MachineState, job: JobState): void {
+  recordTaskSuccess(machine: MachineState, job: JobState): void {
     if (machine.faultStatus !== 'quarantined') {
       machine.failedJobs.clear();
       machine.faultStatus = 'healthy';
@@ -63,7 +63,7 @@
   }
 
   /** A task failed on the machine. A dozen tasks of an array that fail together there are one failure. */
-  taskFailed(machine: MachineState, job: JobState, now: number): void {
+  recordTaskFailure(machine: MachineState, job: JobState, now: number): void {
     const { name } = machine.record;
     machine.failedJobs.set(job.spec.uid, job);
     const countedRecently = (job.avoidedMachines.get(name) ?? -Infinity) > now;
@@ -80,14 +80,14 @@
     const stable = job.spec.kind === 'service' && now - job.lastFailureAt > REPLICA_STABLE_MS;
     job.consecutiveFailures = stable ? 1 : job.consecutiveFailures + 1;
     job.lastFailureAt = now;
-    if (job.consecutiveFailures >= SUSPECT_FAILURES) this.pauseJob(job, now);
+    if (job.consecutiveFailures >= SUSPECT_FAILURES) this.startBackoff(job, now);
   }
 
   /** Nothing of the job is placed for a while; each further failure doubles it. */
-  pauseJob(job: JobState, now: number): void {
+  startBackoff(job: JobState, now: number): void {
     const doublings = Math.max(0, job.consecutiveFailures - SUSPECT_FAILURES);
     const backoffS = Math.min(JOB_BACKOFF_S.max, JOB_BACKOFF_S.first * 2 ** doublings);
-    job.pausedUntil = now + backoffS * 1000;
+    job.backoffUntil = now + backoffS * 1000;
     // It does not wait for capacity now, so no other shard needs to look for it.
     job.unschedulableSince = null;
   }
--- a/src/core/reachability/machine-health.ts
+++ b/src/core/reachability/machine-health.ts
@@ -112,7 +112,7 @@
       machine.type !== null &&
       !isLeaving(machine) &&
       !machine.cordoned &&
-      machine.preemptionNoticeAt === null &&
+      machine.preemptionAt === null &&
       machine.commandsLostSince === null &&
       machine.unknownTaskCount === 0 &&
       machine.backoffUntil <= now
--- a/src/core/shard/command-planner.ts
+++ b/src/core/shard/command-planner.ts
@@ -48,7 +48,8 @@
   #mayForget(machine: MachineState, task: ReportedTask): boolean {
     // A completion is forgotten by its worker only once it is saved.
     const unsaved =
-      task.why === 'done' && this.state.jobs.get(task.uid)?.unsavedTasks.has(task.index) === true;
+      task.why === 'done' &&
+      this.state.jobs.get(task.uid)?.unsavedCompletions.has(task.index) === true;
     // A direct start that may still arrive must find its attempt known and ended.
     return !unsaved && !machine.unsettledDirectStarts.has(attemptKey(task));
   }
@@ -95,8 +96,8 @@
       const commands: Command[] = [];
       const starts: Placement[] = [];
       for (const placement of machine.tasks.values()) {
-        if (placement.stop !== null && !placement.stop.sentDirect) {
-          placement.stop.sentDirect = true;
+        if (placement.stop !== null && !placement.stop.sentDirectly) {
+          placement.stop.sentDirectly = true;
           commands.push(stopCommand(placement, remainingGraceS(placement, now)));
         } else if (mayStart && isUndispatched(placement) && isStartable(placement)) {
           placement.directStartUnsettled = true;
@@ -111,7 +112,7 @@
   }
 
   /** The outcome of direct starts is known: they were carried out, or never will be. */
-  directStartsSettled(starts: readonly Placement[], executed: boolean): void {
+  settleDirectStarts(starts: readonly Placement[], executed: boolean): void {
     for (const placement of starts) {
       placement.machine.unsettledDirectStarts.delete(placementKey(placement));
       if (!executed) placement.directStartUnsettled = false;
@@ -147,4 +148,4 @@
   !machine.terminating &&
   machine.lifecycle === 'in-service' &&
   !machine.cordoned &&
-  machine.preemptionNoticeAt === null;
+  machine.preemptionAt === null;
--- a/src/core/shard/heartbeat-reconciler.ts
+++ b/src/core/shard/heartbeat-reconciler.ts
@@ -37,7 +37,7 @@
     const listed = this.#reconcileListed(machine, heartbeat.tasks, now, complete);
     if (!complete) return;
     this.#reconcileUnlisted(machine, listed, heartbeat.counter, now, source);
-    if (machine.preemptionNoticeAt !== null) this.#saveBeforePreemption(machine, now);
+    if (machine.preemptionAt !== null) this.#saveBeforePreemption(machine, now);
   }
 
   /** The worker's lease ran out: it killed everything it had. */
@@ -155,17 +155,17 @@
   ): void {
     const completed = job.spec.kind === 'gang' ? [...job.ownTasks] : [index];
     const newlyCompleted = completed.filter(
-      (task) => !job.savedTasks.has(task) && !job.unsavedTasks.has(task),
+      (task) => !job.savedCompletions.has(task) && !job.unsavedCompletions.has(task),
     );
     // Completed tasks stay in the list for a while. Counted as a success each time, they would make a
     // machine that fails everything look healthy.
     if (newlyCompleted.length === 0 && placement === undefined) return;
-    for (const task of newlyCompleted) job.unsavedTasks.add(task);
+    for (const task of newlyCompleted) job.unsavedCompletions.add(task);
     // A placed task is not in the queue, and looking through a queue of 100,000 for it is expensive.
     if (placement === undefined || job.spec.kind === 'gang') {
-      job.waitingTasks = job.waitingTasks.filter((task) => !job.unsavedTasks.has(task));
+      job.waitingTasks = job.waitingTasks.filter((task) => !job.unsavedCompletions.has(task));
     }
-    this.#failures.taskSucceeded(machine, job);
+    this.#failures.recordTaskSuccess(machine, job);
     if (placement !== undefined && placement.runningSince !== null) {
       const runS = (now - placement.runningSince) / 1000;
       this.state.finishedRuns.push({ jobClass: job.spec.jobClass, runS });
@@ -173,10 +173,10 @@
   }
 
   #recordFailure(machine: MachineState, job: JobState, { why }: ReportedTask, now: number): void {
-    if (why === 'error') this.#failures.taskFailed(machine, job, now);
+    if (why === 'error') this.#failures.recordTaskFailure(machine, job, now);
     // A replica that ends by itself starts again; one that does so at once, ever more slowly.
     if (why === 'done' && job.spec.kind === 'service') this.#failures.countFailure(job, now);
-    if (why === 'unknown') this.#failures.pauseJob(job, now);
+    if (why === 'unknown') this.#failures.startBackoff(job, now);
   }
 
   #saveBeforePreemption(machine: MachineState, now: number): void {
@@ -200,8 +200,8 @@
   machine.reportedTaskCount = heartbeat.tasks.length;
   machine.lastStatusAt = now;
   const { preemptionNoticeS } = heartbeat;
-  if (preemptionNoticeS === null) machine.preemptionNoticeAt = null;
-  else machine.preemptionNoticeAt ??= now + preemptionNoticeS * 1000;
+  if (preemptionNoticeS === null) machine.preemptionAt = null;
+  else machine.preemptionAt ??= now + preemptionNoticeS * 1000;
 };
 
 /** The worker has acknowledged our term. */
@@ -224,8 +224,8 @@
   !job.ended &&
   job.ownTasks.has(index) &&
   !job.placements.has(index) &&
-  !job.savedTasks.has(index) &&
-  !job.unsavedTasks.has(index) &&
+  !job.savedCompletions.has(index) &&
+  !job.unsavedCompletions.has(index) &&
   !machine.tasks.has(taskKey(uid, index));
 
 /** A service is never completed: its replicas run until it is cancelled. */
--- a/src/core/shard/lease-expiry.ts
+++ b/src/core/shard/lease-expiry.ts
@@ -1,5 +1,5 @@
 /** What ends by the passing of time alone. */
-import { CLOCK_DRIFT } from '../../constants.js';
+import { MAX_RELATIVE_CLOCK_DRIFT } from '../../constants.js';
 import { UNDISPATCHED_START_TIMEOUT_MS, WORKER_LEASE_MARGIN_MS } from './constants.js';
 import { isUndispatched } from './placements.js';
 import type { ShardState } from './shard-state.js';
@@ -10,7 +10,7 @@
  * used, and orphaned machines that are empty by then.
  */
 export const expireLeases = (state: ShardState, now: number): void => {
-  const leaseMs = state.settings.leaseMs * (1 + CLOCK_DRIFT) + WORKER_LEASE_MARGIN_MS;
+  const leaseMs = state.settings.leaseMs * (1 + MAX_RELATIVE_CLOCK_DRIFT) + WORKER_LEASE_MARGIN_MS;
   for (const machine of state.machines.values()) {
     if (machine.confirmedSince !== null && now - machine.leaseRenewedAt > leaseMs) {
       endLease(state, machine, now);
--- a/src/core/shard/range-migration.ts
+++ b/src/core/shard/range-migration.ts
@@ -37,7 +37,7 @@
 
 /** Some task of it is or was on a machine. */
 const hasBegun = (job: JobState): boolean =>
-  job.placements.size + job.savedTasks.size + job.unsavedTasks.size > 0;
+  job.placements.size + job.savedCompletions.size + job.unsavedCompletions.size > 0;
 
 /** Takes the tasks from..to-1 out of the queue, before the transaction that passes them is sent. */
 export const beginMigration = (job: JobState, from: number, to: number): void => {
--- a/src/core/shard/shard-queries.ts
+++ b/src/core/shard/shard-queries.ts
@@ -1,5 +1,5 @@
 /** What other modules ask of a shard's state: none of these changes it. */
-import { ROUNDING } from '../constants.js';
+import { ROUNDING_TOLERANCE } from '../constants.js';
 import { PRIORITY_RANK } from '../model.js';
 import { tasksNeedingCapacity } from '../reachability/failure-tracker.js';
 import type { ShardState } from './shard-state.js';
@@ -43,7 +43,8 @@
 /** Machines that could take a task now. */
 export const machinesWithFreeCapacity = (state: ShardState, now: number): MachineState[] => {
   // Every task takes some CPU and memory, so a machine without either has no room.
-  const hasRoom = ({ free }: MachineState) => free.cpus > ROUNDING && free.memoryGb > ROUNDING;
+  const hasRoom = ({ free }: MachineState) =>
+    free.cpus > ROUNDING_TOLERANCE && free.memoryGb > ROUNDING_TOLERANCE;
   return [...state.machines.values()].filter(
     (machine) =>
       hasRoom(machine) && state.health.isSchedulable(machine, now) && machine.reservation === null,
--- a/src/core/shard/shard-state.ts
+++ b/src/core/shard/shard-state.ts
@@ -2,7 +2,7 @@
  * The state of one shard under one term: its jobs, its machines, and which task is placed where. Placements are
  * added, released and stopped here only; which task should run where is decided elsewhere.
  */
-import { add, largestCapacity, ZERO, type Resources } from '../model.js';
+import { add, largestCapacity, ZERO_RESOURCES, type Resources } from '../model.js';
 import { MachineHealth } from '../reachability/machine-health.js';
 import { ATTEMPTS_PER_TERM } from './constants.js';
 import { isUndispatched, taskKey } from './placements.js';
@@ -27,9 +27,9 @@
   /** machines that are surely gone but whose record is not dropped yet */
   readonly terminatedMachines = new Set<string>();
   readonly health: MachineHealth;
-  readonly work: WorkCounters = { machinesVisited: 0, jobsCompared: 0 };
+  readonly workCounters: WorkCounters = { machinesVisited: 0, jobsCompared: 0 };
   /** the largest capacity of each resource on any machine type */
-  readonly largest: Resources;
+  readonly largestCapacity: Resources;
   #attempts = 0;
   /** kept, since it is asked for every waiting job; see `machinesChanged` */
   #recovered = false;
@@ -40,7 +40,7 @@
     readonly settings: ShardSettings,
   ) {
     this.health = new MachineHealth(term, settings);
-    this.largest = largestCapacity(settings.types.values());
+    this.largestCapacity = largestCapacity(settings.types.values());
   }
 
   // --- recovery from an earlier owner ------------------------------------------------------------
@@ -55,7 +55,7 @@
   }
 
   /** A machine was added, or another owner's record of one was taken over: `recovered` has to be found anew. */
-  machinesChanged(): void {
+  invalidateRecovered(): void {
     this.#recovered = false;
   }
 
@@ -126,7 +126,7 @@
     job.placements.set(index, placement);
     machine.tasks.set(taskKey(job.spec.uid, index), placement);
     if (machine.reservation?.uid === job.spec.uid) machine.reservation = null;
-    this.recount(machine, now);
+    this.updateFreeCapacity(machine, now);
     return placement;
   }
 
@@ -142,12 +142,12 @@
     this.recordEvent(placement.observed ? 'ended' : 'released', placement, now, why);
     machine.tasks.delete(taskKey(job.spec.uid, index));
     job.placements.delete(index);
-    this.recount(machine, now);
+    this.updateFreeCapacity(machine, now);
     if (job.ended) {
       if (job.placements.size === 0) this.jobs.delete(job.spec.uid);
       return;
     }
-    const completed = job.savedTasks.has(index) || job.unsavedTasks.has(index);
+    const completed = job.savedCompletions.has(index) || job.unsavedCompletions.has(index);
     if (!completed) job.waitingTasks.push(index);
     if (job.spec.kind === 'gang') this.#gangTaskReleased(job, completed, now);
   }
@@ -163,8 +163,8 @@
   }
 
   /** Finds the machine's free capacity from its placements. */
-  recount(machine: MachineState, now: number): void {
-    let free: Resources = machine.type ?? ZERO;
+  updateFreeCapacity(machine: MachineState, now: number): void {
+    let free: Resources = machine.type ?? ZERO_RESOURCES;
     for (const { job } of machine.tasks.values()) free = add(free, job.spec.demand, -1);
     machine.free = free;
     if (machine.tasks.size > 0) machine.idleSince = now;
@@ -188,7 +188,7 @@
       return;
     }
     if (placement.stop !== null && placement.stop.graceS <= graceS) return;
-    placement.stop = { requestedAt: now, graceS, sentDirect: false };
+    placement.stop = { requestedAt: now, graceS, sentDirectly: false };
     this.recordEvent('stopping', placement, now, `grace ${graceS} s`);
   }
 
@@ -196,18 +196,18 @@
   endJob(job: JobState, now: number): void {
     job.ended = true;
     job.waitingTasks = [];
-    job.unsavedTasks.clear();
+    job.unsavedCompletions.clear();
     for (const placement of [...job.placements.values()]) this.requestStop(placement, 0, now);
     if (job.placements.size === 0) this.jobs.delete(job.spec.uid);
   }
 
   /** The store shows these completions now. */
-  completionsSaved(uid: string, indexes: Iterable<number>): void {
+  markCompletionsSaved(uid: string, indexes: Iterable<number>): void {
     const job = this.jobs.get(uid);
     if (job === undefined) return;
     for (const index of indexes) {
-      job.unsavedTasks.delete(index);
-      job.savedTasks.add(index);
+      job.unsavedCompletions.delete(index);
+      job.savedCompletions.add(index);
     }
   }
 
@@ -229,7 +229,7 @@
       index,
       machine: machine.record.name,
       attempt,
-      afterS: Math.round((now - job.acceptedAtSteady) / 100) / 10,
+      afterS: Math.round((now - job.acceptedAtMonotonic) / 100) / 10,
       ...(detail === undefined ? {} : { detail }),
     });
   }
--- a/src/core/shard/shard.ts
+++ b/src/core/shard/shard.ts
@@ -91,8 +91,8 @@
   }
 
   /** The store shows these completions now. */
-  completionsSaved(uid: string, indexes: Iterable<number>): void {
-    this.state.completionsSaved(uid, indexes);
+  markCompletionsSaved(uid: string, indexes: Iterable<number>): void {
+    this.state.markCompletionsSaved(uid, indexes);
   }
 
   /** The machine is proven gone: what it ran may start elsewhere. */
@@ -159,8 +159,8 @@
   }
 
   /** Direct starts were carried out, or never will be. */
-  directStartsSettled(starts: readonly Placement[], executed: boolean): void {
-    this.#commands.directStartsSettled(starts, executed);
+  settleDirectStarts(starts: readonly Placement[], executed: boolean): void {
+    this.#commands.settleDirectStarts(starts, executed);
   }
 
   /** Stops a task, with seconds of grace to save its progress. */
@@ -188,7 +188,7 @@
   // --- task migration to other shards ------------------------------------------------------------
 
   /** Tasks of the job that may pass to another shard, if there are any. */
-  migratable(job: JobState, record: JobRecord): MigratableTasks | null {
+  migratableTasks(job: JobState, record: JobRecord): MigratableTasks | null {
     return migratableTasks(this.state, job, record);
   }
 
--- a/src/core/shard/store-synchronizer.ts
+++ b/src/core/shard/store-synchronizer.ts
@@ -4,13 +4,13 @@
 import {
   PRIORITY_RANK,
   shareOf,
-  ZERO,
+  ZERO_RESOURCES,
   type JobRecord,
   type MachineRecord,
   type TaskRange,
 } from '../model.js';
 import { constraintKey } from '../placement/constraints.js';
-import { dominant } from '../placement/pairing.js';
+import { dominantResource } from '../placement/pairing.js';
 import type { ShardState } from './shard-state.js';
 import type { ChangedRecords, JobState, MachineState, StoredRecords } from './types.js';
 
@@ -72,13 +72,13 @@
   }
 
   #updateRecord(machine: MachineState, record: MachineRecord): void {
-    if (record.term !== this.state.term) this.state.machinesChanged();
+    if (record.term !== this.state.term) this.state.invalidateRecovered();
     machine.record = record;
   }
 
   #addMachine(record: MachineRecord, now: number): void {
     const { settings, machines } = this.state;
-    this.state.machinesChanged();
+    this.state.invalidateRecovered();
     const type = settings.types.get(record.type) ?? null;
     machines.set(record.name, {
       record,
@@ -97,7 +97,7 @@
       commandsLostSince: null,
       consecutiveLostCommands: 0,
       tasks: new Map(),
-      free: type ?? ZERO,
+      free: type ?? ZERO_RESOURCES,
       idleSince: now,
       reservation: null,
       reportedTaskCount: 0,
@@ -111,7 +111,7 @@
       lifecycle: 'in-service',
       terminating: false,
       cordoned: false,
-      preemptionNoticeAt: null,
+      preemptionAt: null,
       backoffUntil: -Infinity,
     });
   }
@@ -133,24 +133,24 @@
   }
 
   #addJob({ spec, at }: JobRecord, now: number, timeOfDayMs: number): JobState {
-    const demandShare = shareOf(spec.demand, this.state.largest);
+    const demandShare = shareOf(spec.demand, this.state.largestCapacity);
     const job: JobState = {
       spec,
       priorityRank: PRIORITY_RANK[spec.priority],
       demandShare,
-      dominantResource: dominant(demandShare),
+      dominantResource: dominantResource(demandShare),
       constraintKey: constraintKey(spec),
       acceptedAt: at,
       // A new owner counts a job's age on, rather than anew.
-      acceptedAtSteady: now - Math.max(0, timeOfDayMs - at),
+      acceptedAtMonotonic: now - Math.max(0, timeOfDayMs - at),
       waitingTasks: [],
       ownTasks: new TaskSet(),
       inheritedTasks: new TaskSet(),
       placements: new Map(),
-      savedTasks: new TaskSet(),
-      unsavedTasks: new Set(),
+      savedCompletions: new TaskSet(),
+      unsavedCompletions: new Set(),
       ended: false,
-      pausedUntil: -Infinity,
+      backoffUntil: -Infinity,
       consecutiveFailures: 0,
       lastFailureAt: -Infinity,
       avoidedMachines: new Map(),
@@ -170,7 +170,7 @@
       job.ownTasks.add(task);
       if (range.term !== this.state.term) job.inheritedTasks.add(task);
       // A service is never done, whatever somebody may have saved of it.
-      if (done.has(task) && job.spec.kind !== 'service') job.savedTasks.add(task);
+      if (done.has(task) && job.spec.kind !== 'service') job.savedCompletions.add(task);
       else job.waitingTasks.push(task);
     }
   }
--- a/src/core/shard/types.ts
+++ b/src/core/shard/types.ts
@@ -28,7 +28,7 @@
   /** seconds that the task has to save its progress */
   readonly graceS: number;
   /** a direct command has carried it; heartbeat answers repeat it in any case */
-  sentDirect: boolean;
+  sentDirectly: boolean;
 }
 
 /**
@@ -65,7 +65,7 @@
   /** time of day, ms */
   readonly acceptedAt: number;
   /** the same moment by the monotonic clock */
-  readonly acceptedAtSteady: number;
+  readonly acceptedAtMonotonic: number;
   /** tasks of this shard that are neither completed nor placed, in the order in which they are placed */
   waitingTasks: number[];
   readonly ownTasks: TaskNumbers;
@@ -73,13 +73,13 @@
   readonly inheritedTasks: TaskNumbers;
   readonly placements: Map<number, Placement>;
   /** completed tasks, as far as the store shows them */
-  readonly savedTasks: TaskNumbers;
+  readonly savedCompletions: TaskNumbers;
   /** completed tasks that the store does not show yet */
-  readonly unsavedTasks: Set<number>;
+  readonly unsavedCompletions: Set<number>;
   /** completed or cancelled: nothing starts, what runs is stopped */
   ended: boolean;
   /** end of the backoff after failures */
-  pausedUntil: number;
+  backoffUntil: number;
   consecutiveFailures: number;
   lastFailureAt: number;
   /** by machine name: until when the job is not placed there */
@@ -183,7 +183,7 @@
   terminating: boolean;
   /** chosen to move to another shard: no starts, what runs goes on. Set and lifted by shard rebalancing. */
   cordoned: boolean;
-  preemptionNoticeAt: number | null;
+  preemptionAt: number | null;
   /** a start was refused for want of capacity; no further one until then */
   backoffUntil: number;
 }
--- a/src/peers/gossip.ts
+++ b/src/peers/gossip.ts
@@ -5,7 +5,7 @@
 import { connect, createServer, type Server, type Socket } from 'node:net';
 import { finished, pipeline } from 'node:stream';
 import type { Logger } from 'pino';
-import { SUMMARY_MS } from '../constants.js';
+import { SUMMARY_INTERVAL_MS } from '../constants.js';
 import {
   MESSAGES_PER_DETAILED_STATUS,
   GOSSIP_INTERVAL_MS,
@@ -146,7 +146,7 @@
   #warnOversized(bytes: number): void {
     const { now, log } = this.dependencies;
     const at = now();
-    if (at - this.#lastOversizedAt < SUMMARY_MS) return;
+    if (at - this.#lastOversizedAt < SUMMARY_INTERVAL_MS) return;
     this.#lastOversizedAt = at;
     log.info({ bytes }, 'status shortened');
   }
--- a/src/peers/shard-directory.ts
+++ b/src/peers/shard-directory.ts
@@ -6,7 +6,7 @@
 import { MIN_LOAD_DIFFERENCE, MIN_LOAD_RATIO, UNKNOWN_LOAD } from './constants.js';
 import { loadIndex } from '../core/capacity/allocation-ratio.js';
 import type { ShardLoad } from '../core/jobs/jobs.js';
-import { fits, PRIORITY_RANK, timesIn, type JobSpec, type Resources } from '../core/model.js';
+import { fits, PRIORITY_RANK, fitCount, type JobSpec, type Resources } from '../core/model.js';
 import type { MachineState, Shard } from '../core/shard/shard.js';
 import type { PeerStatus, FreeCapacity } from './frames.js';
 
@@ -183,7 +183,7 @@
       if (waiting > 0) continue;
       const feasible = this.#freeCapacity(shard).filter((capacity) => isFeasible(spec, capacity));
       const tasks = feasible.reduce(
-        (sum, capacity) => sum + timesIn(spec.demand, capacity) * capacity.count,
+        (sum, capacity) => sum + fitCount(spec.demand, capacity) * capacity.count,
         0,
       );
       const hasImage = feasible.some((capacity) => capacity.images.includes(spec.image));
@@ -295,5 +295,5 @@
   const job = shard.jobs.get(uid);
   if (job === undefined) return { done: 0, running: 0 };
   const running = [...job.placements.values()].filter(({ state }) => state === 'running').length;
-  return { done: job.savedTasks.size + job.unsavedTasks.size, running };
+  return { done: job.savedCompletions.size + job.unsavedCompletions.size, running };
 };
--- a/src/service/control-loops.ts
+++ b/src/service/control-loops.ts
@@ -1,5 +1,5 @@
 /** The control loops of a node: their order within a round, and the schedule of the rounds. */
-import { DEBOUNCE_MS, LOOP_MS } from '../constants.js';
+import { DEBOUNCE_MS, RECONCILE_INTERVAL_MS } from '../constants.js';
 import type { CloudClient } from '../cloud/cloud-client.js';
 import type { MachineTypes } from '../cloud/machine-types.js';
 import type { WorkloadStatistics } from '../core/capacity/workload-statistics.js';
@@ -71,7 +71,7 @@
 
   /** Schedules the first round. */
   start(): void {
-    this.#scheduleRound(LOOP_MS);
+    this.#scheduleRound(RECONCILE_INTERVAL_MS);
   }
 
   /** Runs a round within `DEBOUNCE_MS`, so that one round handles a whole burst of changes. */
@@ -103,7 +103,7 @@
 
   #runRound(): void {
     if (this.#closed) return;
-    this.#scheduleRound(LOOP_MS);
+    this.#scheduleRound(RECONCILE_INTERVAL_MS);
     const { shardController, singletons, onRound } = this.dependencies;
     onRound();
     this.#observeWorkload();
@@ -128,11 +128,12 @@
     this.#observedCacheVersion = version;
     const nowS = context.timeOfDay() / 1000;
     for (const { value } of tables.activeJobs.values()) {
-      workload.arrived(value.spec, Math.min(nowS, value.at / 1000));
+      workload.recordArrival(value.spec, Math.min(nowS, value.at / 1000));
     }
-    workload.keepOnly(tables.activeJobs);
+    workload.forgetEndedJobs(tables.activeJobs);
     for (const { classes } of peers.gossip.recent()) {
-      for (const { jobClass, runS, finished } of classes) workload.adopt(jobClass, runS, finished);
+      for (const { jobClass, runS, finished } of classes)
+        workload.adoptRunTime(jobClass, runS, finished);
     }
   }
 
@@ -140,7 +141,7 @@
   #drainTaskEvents(): void {
     const { context, shardController, workload } = this.dependencies;
     for (const [index, { shard }] of shardController.owned) {
-      for (const run of shard.finishedRuns.splice(0)) workload.ran(run.jobClass, run.runS);
+      for (const run of shard.finishedRuns.splice(0)) workload.recordRun(run.jobClass, run.runS);
       for (const { uid, ...event } of shard.events.splice(0)) {
         context.log.debug({ job: uid, shard: index, term: shard.term, ...event }, 'task changed');
       }
--- a/src/service/peer-exchange.ts
+++ b/src/service/peer-exchange.ts
@@ -65,8 +65,8 @@
     return {
       reachablePeerWithStore: () => this.reachablePeerWithStore(),
       incarnationWithStore: (node) => this.#incarnationWithStore(node),
-      capacityElsewhere: (spec, excluded) => this.directory.capacityElsewhere(spec, excluded),
-      lessAllocated: (spec, shard) => this.directory.lessAllocated(spec, shard),
+      shardWithFreeCapacity: (spec, excluded) => this.directory.capacityElsewhere(spec, excluded),
+      lessAllocatedShard: (spec, shard) => this.directory.lessAllocated(spec, shard),
       imagesOf: (machine) => this.directory.imagesOf(machine),
       peerReceivingHeartbeats: (shard) => this.directory.peerReceivingHeartbeats(shard),
       cancellationsKnownUntil: () => this.#coverage.knownUntil(cache.currentAt),
@@ -98,14 +98,14 @@
       cancellationsComplete: this.#broadcast.isComplete(sentAt),
       hasStore: store.isReachable,
       ...describeOwnShards(shardController(), this.directory, detailed, context.now()),
-      classes: workload.runs(),
+      classes: workload.measuredRunTimes(),
     };
   }
 
   #receive(status: PeerStatus, acknowledgedSentAt: number): void {
     const { context, store } = this.dependencies;
     const { node, incarnation, cancellations, cancellationsComplete: complete } = status;
-    for (const cancellation of cancellations) store.cache.learnCancelled(cancellation);
+    for (const cancellation of cancellations) store.cache.applyCancellation(cancellation);
     const receivedBroadcast = { node, incarnation, complete, acknowledgedSentAt };
     this.#coverage.receive(receivedBroadcast, store.cache.currentAt, context.now());
     this.#broadcast.acknowledge(node, acknowledgedSentAt);
--- a/src/service/service.ts
+++ b/src/service/service.ts
@@ -8,7 +8,7 @@
 import { MachineTypes } from '../cloud/machine-types.js';
 import type { OperatorConfig } from '../config/operator.js';
 import type { PlatformConfig } from '../config/platform.js';
-import { SUMMARY_MS } from '../constants.js';
+import { SUMMARY_INTERVAL_MS } from '../constants.js';
 import type { Cancellation } from '../core/cancellation/cancellation.js';
 import { WorkloadStatistics } from '../core/capacity/workload-statistics.js';
 import { ShardController } from '../shards/shard-controller.js';
@@ -97,7 +97,7 @@
     this.#supervise('watch', this.#store.runWatch(signal));
     this.#supervise('machine types', this.#machineTypes.run(signal));
     this.#loops.start();
-    this.#summaryTimer = setInterval(() => this.#summarize(), SUMMARY_MS);
+    this.#summaryTimer = setInterval(() => this.#summarize(), SUMMARY_INTERVAL_MS);
     log.info({ listen: config.listen, incarnation }, 'started');
   }
 
@@ -137,8 +137,8 @@
       client,
       cloud: this.#cloud,
       cache,
-      authority: () => this.#shardController.authority(now()),
-      current: () => linearizableReads.waitUntilCurrent(),
+      hasAuthority: () => this.#shardController.hasAuthority(now()),
+      waitUntilCurrent: () => linearizableReads.waitUntilCurrent(),
       fencingRejections: this.#fencingRejections,
       now,
       timeOfDay,
@@ -217,7 +217,7 @@
   #shareRateLimits(): void {
     const { ready } = this.#store.cache;
     const { nodes } = this.#context.config;
-    this.#rateLimits.update(ready ? this.#shardController.aliveNodes() : nodes);
+    this.#rateLimits.update(ready ? this.#shardController.liveNodeCount() : nodes);
   }
 
   #startObjectives(jobClass: string): number[] {
--- a/src/shards/completions/completion-collector.ts
+++ b/src/shards/completions/completion-collector.ts
@@ -3,7 +3,7 @@
 import { allDone, encodeDone } from '../../core/jobs/jobs.js';
 import type { JobRecord, TaskRange } from '../../core/model.js';
 import type { JobState } from '../../core/shard/types.js';
-import { key } from '../../store/keys.js';
+import { storeKey } from '../../store/keys.js';
 import { type FinalState } from '../../store/codecs/final-state.js';
 import type { Cached } from '../../store/watch-cache.js';
 import type { Write } from '@sumacstep/leader-election';
@@ -24,11 +24,11 @@
   job.waitingTasks.length + job.placements.size + job.migratingTasks.length > 0;
 
 const completedTasks = (job: JobState): { has(index: number): boolean } => ({
-  has: (index) => job.savedTasks.has(index) || job.unsavedTasks.has(index),
+  has: (index) => job.savedCompletions.has(index) || job.unsavedCompletions.has(index),
 });
 
 const unsavedIn = (job: JobState, { from, to }: TaskRange): number[] =>
-  [...job.unsavedTasks].filter((index) => index >= from && index < to);
+  [...job.unsavedCompletions].filter((index) => index >= from && index < to);
 
 /** Whether every task is done: those of this shard by its own state, those of others by what they saved. */
 const isFinished = (
@@ -50,16 +50,16 @@
   const { uid, tasks } = job.spec;
   const finalState: FinalState = { status: 'done', tasks, done: tasks };
   const writes: Write[] = [
-    { drop: key.activeJob(uid) },
-    { put: key.finalState(uid), value: encodeFinalState(finalState) },
+    { drop: storeKey.activeJob(uid) },
+    { put: storeKey.finalState(uid), value: encodeFinalState(finalState) },
   ];
   const bytes = JSON.stringify(writes).length;
   if (!batch.isEmpty && !batch.fits(writes.length, bytes)) return;
   batch.reserve(bytes);
   batch.writes.push(...writes);
-  batch.guards.push({ key: key.activeJob(uid), revision });
+  batch.guards.push({ key: storeKey.activeJob(uid), revision });
   batch.finishedJobs.push(uid);
-  batch.savedTasks.push({ uid, indexes: [...job.unsavedTasks] });
+  batch.savedTasks.push({ uid, indexes: [...job.unsavedCompletions] });
 };
 
 const addProgress = (
@@ -84,7 +84,7 @@
     slots.get(slot).set(name, bitmap);
     batch.savedTasks.push({ uid, indexes: unsavedIn(job, range) });
   }
-  for (const slot of changed) slots.write(batch, slot);
+  for (const slot of changed) slots.addWrite(batch, slot);
 };
 
 /** Adds the job's end to the batch, or returns its ranges with unsaved completions. */
@@ -102,7 +102,9 @@
     return [];
   }
   return ownRanges
-    .filter(({ from, to }) => [...job.unsavedTasks].some((index) => index >= from && index < to))
+    .filter(({ from, to }) =>
+      [...job.unsavedCompletions].some((index) => index >= from && index < to),
+    )
     .map((range) => ({ job, range, isUrgent: !isOpen }));
 };
 
@@ -120,15 +122,15 @@
   const progress: RangeProgress[] = [];
   for (const job of jobs.values()) {
     if (job.ended || job.spec.kind === 'service') continue;
-    if (job.unsavedTasks.size === 0 && hasOpenTasks(job)) continue;
+    if (job.unsavedCompletions.size === 0 && hasOpenTasks(job)) continue;
     const active = context.cache.tables.activeJobs.get(job.spec.uid);
     if (active === undefined) continue;
     progress.push(...collectJob(context, batch, index, job, active));
   }
-  const isDue = owned.progressDue(now) || progress.some(({ isUrgent }) => isUrgent);
+  const isDue = owned.isProgressSaveDue(now) || progress.some(({ isUrgent }) => isUrgent);
   if (isDue && progress.length > 0) {
     addProgress(context, batch, index, progress);
-    owned.noteProgress(now);
+    owned.recordProgressSave(now);
   }
   return batch;
 };
--- a/src/shards/completions/completion-saver.ts
+++ b/src/shards/completions/completion-saver.ts
@@ -39,7 +39,7 @@
 
   /** Saves one batch of the shard if that is due; one that fails is collected anew in a later round. */
   async save(owned: OwnedShard, now: number): Promise<void> {
-    if (!owned.saveDue(now)) return;
+    if (!owned.isSaveDue(now)) return;
     const { shard } = owned;
     const batch =
       splitLongRange(this.#context, shard) ??
@@ -65,7 +65,7 @@
     const result = await fencedCompareAndSwap(client, authorization, priority, guards, writes);
     // On a conflict the cache is behind, and will show what has changed.
     if (!result.ok) return;
-    for (const { uid, indexes } of batch.savedTasks) shard.completionsSaved(uid, indexes);
+    for (const { uid, indexes } of batch.savedTasks) shard.markCompletionsSaved(uid, indexes);
     for (const uid of batch.finishedJobs) {
       log.info({ job: uid, shard: shard.index }, 'job completed');
     }
--- a/src/shards/completions/range-splitting.ts
+++ b/src/shards/completions/range-splitting.ts
@@ -6,17 +6,21 @@
 import type { JobRecord, TaskRange } from '../../core/model.js';
 import type { Shard } from '../../core/shard/shard.js';
 import { encodeJob } from '../../store/codecs/job.js';
-import { key } from '../../store/keys.js';
+import { storeKey } from '../../store/keys.js';
 import type { Cached } from '../../store/watch-cache.js';
 import { CompletionBatch } from './completion-batch.js';
 import type { CompletionContext } from './completion-context.js';
 import { bitmapLength, CompletionSlots, rangeName } from './completion-slots.js';
 
 /** Where a range is cut: its end becomes as long as a range may be, on a full character of the bitmap. */
-const cutPoint = ({ from, to }: TaskRange, maxTasks: number): number =>
+const splitIndex = ({ from, to }: TaskRange, maxTasks: number): number =>
   from + Math.ceil((to - from - maxTasks) / 4) * 4;
 
-const cutRange = (ranges: readonly TaskRange[], long: TaskRange, cut: number): TaskRange[] =>
+const rangesAfterSplit = (
+  ranges: readonly TaskRange[],
+  long: TaskRange,
+  cut: number,
+): TaskRange[] =>
   ranges.flatMap((range) =>
     range === long
       ? [
@@ -35,18 +39,18 @@
 ): CompletionBatch | null => {
   const { valueBytes, transactionOps } = storeLimits;
   const { uid } = job.value.spec;
-  const cut = cutPoint(long, maxRangeTasks(valueBytes));
-  const value = encodeJob({ ...job.value, ranges: cutRange(job.value.ranges, long, cut) });
+  const cut = splitIndex(long, maxRangeTasks(valueBytes));
+  const value = encodeJob({ ...job.value, ranges: rangesAfterSplit(job.value.ranges, long, cut) });
   if (JSON.stringify(value).length > valueBytes) return null;
   const batch = new CompletionBatch(transactionOps);
-  batch.add({ put: key.activeJob(uid), value }, job.revision);
+  batch.add({ put: storeKey.activeJob(uid), value }, job.revision);
   // The value may still hold the bitmap of an earlier, longer cut.
   const bitmap = cache
     .completedTasks(shard, uid, long.from)
     ?.slice(bitmapLength(cut - long.from), bitmapLength(long.to - long.from));
   if (bitmap !== undefined && bitmap.length > 0) {
     const slots = CompletionSlots.load(cache, shard, valueBytes);
-    slots.write(batch, slots.place(rangeName(uid, cut), bitmap));
+    slots.addWrite(batch, slots.place(rangeName(uid, cut), bitmap));
   }
   return batch;
 };
--- a/src/shards/machine-records/constants.ts
+++ b/src/shards/machine-records/constants.ts
@@ -7,7 +7,7 @@
 export const MACHINE_ENTRY_BYTES = 40;
 
 /** bytes of everything else in such a record: type and zone are short names */
-export const MACHINE_GROUP_BYTES = 300;
+export const MACHINE_GROUP_OVERHEAD_BYTES = 300;
 
 /** names of returned machines that are remembered: the cloud lists them a little longer */
 export const RETURNED_INSTANCES_LIMIT = 10_000;
--- a/src/shards/machine-records/group-edits.ts
+++ b/src/shards/machine-records/group-edits.ts
@@ -3,10 +3,10 @@
  * machines of one rental, so that a wave of boots or returns costs a few writes instead of one a machine.
  */
 import { encodeMachineGroup, type MachineGroup } from '../../store/codecs/machine-group.js';
-import { key } from '../../store/keys.js';
+import { storeKey } from '../../store/keys.js';
 import type { WatchCache } from '../../store/watch-cache.js';
 import type { Guard, Write } from '@sumacstep/leader-election';
-import { MACHINE_ENTRY_BYTES, MACHINE_GROUP_BYTES } from './constants.js';
+import { MACHINE_ENTRY_BYTES, MACHINE_GROUP_OVERHEAD_BYTES } from './constants.js';
 import type { Transaction } from '../transaction.js';
 
 interface GroupEdit {
@@ -19,7 +19,7 @@
 
 /** How many machines fit one group's record, which must fit a value of the store; may be fractional. */
 export const groupCapacity = (valueBytes: number): number =>
-  (valueBytes - MACHINE_GROUP_BYTES) / MACHINE_ENTRY_BYTES;
+  (valueBytes - MACHINE_GROUP_OVERHEAD_BYTES) / MACHINE_ENTRY_BYTES;
 
 /** Copies of the groups of one shard that a transaction changes, up to a limit of groups. */
 export class GroupEdits {
@@ -64,7 +64,7 @@
     const guards: Guard[] = [];
     const writes: Write[] = [];
     for (const [id, { revision, machines, group }] of this.#byGroup) {
-      const name = key.machineGroup(id);
+      const name = storeKey.machineGroup(id);
       guards.push({ key: name, revision });
       if (machines.size === 0) writes.push({ drop: name });
       else writes.push({ put: name, value: encodeMachineGroup(group) });
--- a/src/shards/machine-records/machine-move.ts
+++ b/src/shards/machine-records/machine-move.ts
@@ -1,6 +1,6 @@
 /** The transaction that moves machines from one shard to another. */
 import { encodeMachineGroup, type MachineGroup } from '../../store/codecs/machine-group.js';
-import { key } from '../../store/keys.js';
+import { storeKey } from '../../store/keys.js';
 import type { WatchCache } from '../../store/watch-cache.js';
 
 import type { Guard, Write } from '@sumacstep/leader-election';
@@ -73,7 +73,7 @@
     spot,
     machines,
   };
-  const groupKey = key.machineGroup(target.group);
+  const groupKey = storeKey.machineGroup(target.group);
   const sources = edits.transaction();
   return {
     moved,
--- a/src/shards/machine-records/new-groups.ts
+++ b/src/shards/machine-records/new-groups.ts
@@ -1,6 +1,6 @@
 /** Transactions that create the record of a group: of an answered rental, or of an adopted machine. */
 import { encodeMachineGroup, type MachineGroup } from '../../store/codecs/machine-group.js';
-import { key } from '../../store/keys.js';
+import { storeKey } from '../../store/keys.js';
 import { type RentalRecord } from '../../store/codecs/rental.js';
 import type { WatchCache } from '../../store/watch-cache.js';
 import type { Guard, Write } from '@sumacstep/leader-election';
@@ -33,7 +33,7 @@
   rented: readonly string[],
 ): Transaction => {
   const { shard, type, zone, spot, name } = rental;
-  const rentalKey = key.rental(shard, name);
+  const rentalKey = storeKey.rental(shard, name);
   const writes: Write[] = [{ drop: rentalKey }];
   const guards: Guard[] = [];
   const unrecorded = rented.filter((machine) => !cache.machines.has(machine));
@@ -41,8 +41,8 @@
     const machines = new Map(unrecorded.map((machine) => [machine, false]));
     const group: MachineGroup = { shard, term, type, zone, spot, machines };
     const revision = cache.tables.rentals.get(`${shard}/${name}`)?.revision ?? 0;
-    writes.push({ put: key.machineGroup(name), value: encodeMachineGroup(group) });
-    guards.push({ key: key.machineGroup(name), revision: 0 }, { key: rentalKey, revision });
+    writes.push({ put: storeKey.machineGroup(name), value: encodeMachineGroup(group) });
+    guards.push({ key: storeKey.machineGroup(name), revision: 0 }, { key: rentalKey, revision });
   }
   return { guards, writes };
 };
@@ -55,7 +55,7 @@
 ): Transaction => {
   const machines = new Map([[name, false]]);
   const group: MachineGroup = { shard, type, zone, spot, term, machines };
-  const groupKey = key.adoptedMachineGroup(name);
+  const groupKey = storeKey.adoptedMachineGroup(name);
   return {
     guards: [{ key: groupKey, revision: 0 }, ...guards],
     writes: [{ put: groupKey, value: encodeMachineGroup(group) }],
--- a/src/shards/owned-shards.ts
+++ b/src/shards/owned-shards.ts
@@ -7,7 +7,7 @@
 import type { PlatformConfig } from '../config/platform.js';
 import type { MachineType } from '../core/model.js';
 import { Shard, type ShardSettings } from '../core/shard/shard.js';
-import { key } from '../store/keys.js';
+import { storeKey } from '../store/keys.js';
 import { type ShardRecord } from '../store/codecs/shard.js';
 import type { CacheChanges, Cached, WatchCache } from '../store/watch-cache.js';
 import type { Authority } from './authority.js';
@@ -43,7 +43,7 @@
   }
 
   /** Whether this node acts for the shard now, under the term that `owned` stands for. */
-  actsFor(owned: OwnedShard): boolean {
+  mayActFor(owned: OwnedShard): boolean {
     const { authority, now } = this.dependencies;
     return this.isCurrent(owned) && owned.isActive && authority.holds(now());
   }
@@ -134,9 +134,9 @@
   #authorization(shard: Shard, revision: number): Authorization {
     const isCurrent = () => {
       const owned = this.#byIndex.get(shard.index);
-      return owned?.shard === shard && this.actsFor(owned);
+      return owned?.shard === shard && this.mayActFor(owned);
     };
-    const role = key.shard(shard.index);
+    const role = storeKey.shard(shard.index);
     const guard = { key: role, revision };
     const leadership = { role, fencingToken: fencingToken(shard.term), guard, isCurrent };
     return new Authorization(leadership, this.dependencies.fencingRejections);
@@ -144,10 +144,10 @@
 
   #sync(index: number, owned: OwnedShard, changes: CacheChanges, now: number): void {
     if (!owned.isActive) {
-      owned.requireFullSync();
+      owned.requestFullSync();
       return;
     }
-    const full = owned.takeFullSync() || changes.everything;
+    const full = owned.consumeFullSyncRequest() || changes.allTables;
     const changed = changes.machines || changes.jobs.size > 0 || owned.shard.hasDeferredJobs;
     if (!full && !changed) return;
     const { cache, timeOfDay } = this.dependencies;
--- a/src/shards/scale-out/rental-requests.ts
+++ b/src/shards/scale-out/rental-requests.ts
@@ -7,9 +7,9 @@
 import { RecordedIntent } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import type { CloudClient, RentResult } from '../../cloud/cloud-client.js';
-import type { RentWish } from '../../core/capacity/capacity-planner.js';
+import type { RentalRequest } from '../../core/capacity/capacity-planner.js';
 import { CALL_PRIORITY } from '../../store/call-priority.js';
-import { key } from '../../store/keys.js';
+import { storeKey } from '../../store/keys.js';
 import { encodeRental, type RentalRecord } from '../../store/codecs/rental.js';
 import type { WatchCache } from '../../store/watch-cache.js';
 import type { Write } from '@sumacstep/leader-election';
@@ -57,7 +57,7 @@
   }
 
   /** Records new rentals, as many as one transaction holds, and then asks for them. */
-  async start(owned: OwnedShard, wanted: readonly RentWish[]): Promise<void> {
+  async start(owned: OwnedShard, wanted: readonly RentalRequest[]): Promise<void> {
     const { config, log } = this.dependencies;
     const { index } = owned.shard;
     const rentals = this.#split(wanted).slice(0, config.storeLimits.transactionOps);
@@ -67,7 +67,7 @@
       const writes = rentals.map((rental): Write => {
         this.#sequence += 1;
         const name = `${config.node}-${this.dependencies.incarnation}-${this.#sequence}`;
-        return { put: key.rental(index, name), value: encodeRental(rental) };
+        return { put: storeKey.rental(index, name), value: encodeRental(rental) };
       });
       const transaction = { guards: [], writes };
       await commit(this.dependencies, owned.authorization, CALL_PRIORITY.completion, transaction);
@@ -77,8 +77,8 @@
   }
 
   /** Cuts what is wanted into rentals of at most the size that one record holds. */
-  #split(wanted: readonly RentWish[]): RentWish[] {
-    const rentals: RentWish[] = [];
+  #split(wanted: readonly RentalRequest[]): RentalRequest[] {
+    const rentals: RentalRequest[] = [];
     for (const wish of wanted) {
       for (let left = wish.count; left > 0; left -= this.#maxMachines) {
         rentals.push({ ...wish, count: Math.min(left, this.#maxMachines) });
@@ -96,8 +96,8 @@
     for (const { value: rental, revision } of cache.tables.rentals.values()) {
       if (rental.shard !== index || this.#retryAt.has(rental.name)) continue;
       this.#retryAt.set(rental.name, Infinity);
-      const stored = { key: key.rental(index, rental.name), revision };
-      const intent = RecordedIntent.found(owned.authorization, stored);
+      const stored = { key: storeKey.rental(index, rental.name), revision };
+      const intent = RecordedIntent.fromStored(owned.authorization, stored);
       void attempt(log, 'rental request failed', () => this.#rent(owned, rental, intent)).finally(
         () => this.#retryAt.set(rental.name, now() + RENTAL_RETRY_MS),
       );
--- a/src/shards/scale-out/scale-out.ts
+++ b/src/shards/scale-out/scale-out.ts
@@ -6,7 +6,7 @@
 import type { CloudClient } from '../../cloud/cloud-client.js';
 import type { OperatorConfig } from '../../config/operator.js';
 import type { PlatformConfig } from '../../config/platform.js';
-import { SUMMARY_MS } from '../../constants.js';
+import { SUMMARY_INTERVAL_MS } from '../../constants.js';
 import {
   planCapacity,
   type CapacityInput,
@@ -68,7 +68,7 @@
     const { shardController, machineTypes } = this.dependencies;
     const now = this.dependencies.now();
     const types = machineTypes();
-    if (types === null || !shardController.authority(now)) return;
+    if (types === null || !shardController.hasAuthority(now)) return;
     for (const owned of shardController.owned.values()) {
       if (owned.isActive) this.#rentals.requestRecorded(owned);
     }
@@ -92,17 +92,17 @@
     const { index } = shard;
     return {
       shard,
-      shards: config.nodes,
+      shardCount: config.nodes,
       types,
       zones: config.zones,
       objectives: config.objectives,
-      stats: workload.stats(timeOfDay() / 1000),
-      elsewhere: this.dependencies.activeTasksElsewhere(index),
-      expected: this.#isFirstOwned(index) ? this.dependencies.expectedJobs() : [],
-      pending: [...cache.tables.rentals.values()]
+      classStats: workload.stats(timeOfDay() / 1000),
+      activeTasksElsewhere: this.dependencies.activeTasksElsewhere(index),
+      expectedJobs: this.#isFirstOwned(index) ? this.dependencies.expectedJobs() : [],
+      pendingRentals: [...cache.tables.rentals.values()]
         .map(({ value }) => value)
         .filter((rental) => rental.shard === index),
-      refused: (type, zone, spot) => this.#backoff.isActive({ type, zone, spot }, now),
+      inBackoff: (type, zone, spot) => this.#backoff.isActive({ type, zone, spot }, now),
       reserveSigma: operator.reserveSigma,
       drainS: operator.drainS,
       idleKeepMs: operator.idleKeepS * 1000,
@@ -116,12 +116,16 @@
     return this.dependencies.shardController.owned.keys().next().value === shard;
   }
 
-  #logPlan(shard: number, { wanted, rentals, returns, capped }: CapacityPlan, now: number): void {
+  #logPlan(
+    shard: number,
+    { wanted, rentals, returns, cappedCount: capped }: CapacityPlan,
+    now: number,
+  ): void {
     const { log, operator } = this.dependencies;
     if (rentals.length > 0 || returns.length > 0) {
       log.debug({ shard, wanted, rentals, returns }, 'capacity planned');
     }
-    if (capped > 0 && now - this.#lastLimitLogAt > SUMMARY_MS) {
+    if (capped > 0 && now - this.#lastLimitLogAt > SUMMARY_INTERVAL_MS) {
       this.#lastLimitLogAt = now;
       log.info({ shard, limit: operator.maxMachines, missing: capped }, 'machine limit reached');
     }
--- a/src/singletons/singleton-controllers.ts
+++ b/src/singletons/singleton-controllers.ts
@@ -9,7 +9,7 @@
 import type { PlatformConfig } from '../config/platform.js';
 import type { RebalancingConfig } from '../config/rebalancing.js';
 import { MoveCoordinator } from '../rebalancing/move-coordinator.js';
-import { electionEntryKey, key } from '../store/keys.js';
+import { electionEntryKey, storeKey } from '../store/keys.js';
 import type { StoreClient } from '../store/store-client.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import { GarbageCollector } from './garbage-collector.js';
@@ -23,9 +23,9 @@
   readonly cloud: CloudClient;
   readonly cache: WatchCache;
   /** whether this node provably owns what the cache shows as its own */
-  readonly authority: () => boolean;
+  readonly hasAuthority: () => boolean;
   /** resolves once the cache shows everything that was committed before the call */
-  readonly current: () => Promise<unknown>;
+  readonly waitUntilCurrent: () => Promise<unknown>;
   readonly fencingRejections: FencingRejections;
   /** the steady clock, ms */
   readonly now: () => number;
@@ -60,7 +60,7 @@
     const self = { node: platform.node, incarnation };
     const election = new SingletonElection(
       self,
-      { ...config, move: shares !== null },
+      { ...config, coordinateMoves: shares !== null },
       dependencies,
     );
     this.#election = election;
@@ -73,7 +73,7 @@
     this.#garbageCollector = new GarbageCollector(config, {
       ...dependencies,
       election,
-      ownNodeKey: key.node(platform.node, incarnation),
+      ownNodeKey: storeKey.node(platform.node, incarnation),
       shards: platform.nodes,
       transactionOps,
     });
--- a/src/store/codecs/election-entry.ts
+++ b/src/store/codecs/election-entry.ts
@@ -14,13 +14,13 @@
 
 /** One value under the prefix. A value of another version is `other` and is left alone. */
 export type ElectionEntry =
-  | { readonly kind: 'record'; readonly duty: string; readonly record: LeaderRecord }
-  | { readonly kind: 'request'; readonly duty: string; readonly request: LeadershipTransferRequest }
+  | { readonly kind: 'record'; readonly role: string; readonly record: LeaderRecord }
+  | { readonly kind: 'request'; readonly role: string; readonly request: LeadershipTransferRequest }
   | { readonly kind: 'returns'; readonly machines: ReadonlySet<string> }
   | { readonly kind: 'retention'; readonly retention: RetentionRecord }
   | { readonly kind: 'other' };
 
-const storedReturnIntents = z.object({ machines: z.array(z.string()) });
+const storedReturnIntentsSchema = z.object({ machines: z.array(z.string()) });
 
 /** Machines whose return was decided, as they are stored. */
 export const encodeReturnIntents = (
@@ -38,17 +38,17 @@
   if (key.startsWith(LEADER_PREFIX)) {
     return {
       kind: 'record',
-      duty: key.slice(LEADER_PREFIX.length),
+      role: key.slice(LEADER_PREFIX.length),
       record: decodeLeaderRecord(value),
     };
   }
   if (key.startsWith(TRANSFER_REQUEST_PREFIX)) {
     const duty = key.slice(TRANSFER_REQUEST_PREFIX.length);
     const request = decodeTransferRequest(value);
-    return request === null ? { kind: 'other' } : { kind: 'request', duty, request };
+    return request === null ? { kind: 'other' } : { kind: 'request', role: duty, request };
   }
   if (key.startsWith(RETURN_INTENTS_PREFIX)) {
-    return { kind: 'returns', machines: new Set(storedReturnIntents.parse(value).machines) };
+    return { kind: 'returns', machines: new Set(storedReturnIntentsSchema.parse(value).machines) };
   }
   if (key === electionEntryKey.retention) {
     return { kind: 'retention', retention: decodeRetention(value) };
--- a/src/store/codecs/final-state.ts
+++ b/src/store/codecs/final-state.ts
@@ -10,7 +10,7 @@
   readonly done: number;
 }
 
-const storedFinalState = z.object({
+const storedFinalStateSchema = z.object({
   status: z.enum(['done', 'cancelled']),
   tasks: nonNegativeInteger,
   done: nonNegativeInteger,
@@ -21,7 +21,7 @@
   status,
   tasks,
   done,
-}: FinalState): z.infer<typeof storedFinalState> => ({ status, tasks, done });
+}: FinalState): z.infer<typeof storedFinalStateSchema> => ({ status, tasks, done });
 
 /** Reads a stored final state; throws if it is none. */
-export const decodeFinalState = (value: unknown): FinalState => storedFinalState.parse(value);
+export const decodeFinalState = (value: unknown): FinalState => storedFinalStateSchema.parse(value);
--- a/src/store/codecs/job.ts
+++ b/src/store/codecs/job.ts
@@ -3,15 +3,19 @@
 import type { JobRecord, JobSpec } from '../../core/model.js';
 import { nonNegativeInteger } from './schema-parts.js';
 
-const storedResources = z.object({ cpus: z.number(), gpus: z.number(), memoryGb: z.number() });
+const storedResourcesSchema = z.object({
+  cpus: z.number(),
+  gpus: z.number(),
+  memoryGb: z.number(),
+});
 
-const storedSpec = z.object({
+const storedSpecSchema = z.object({
   jobClass: z.string(),
   team: z.string(),
   kind: z.enum(['array', 'gang', 'service']),
   priority: z.enum(['production', 'high', 'normal', 'low']),
   tasks: nonNegativeInteger,
-  demand: storedResources,
+  demand: storedResourcesSchema,
   image: z.string(),
   imageGb: z.number(),
   types: z.array(z.string()).nullable(),
@@ -26,8 +30,8 @@
 });
 
 /** Stored: each range is `[from, to, shard, term]`. */
-const storedJob = z.object({
-  spec: storedSpec,
+const storedJobSchema = z.object({
+  spec: storedSpecSchema,
   at: z.number(),
   ranges: z.array(
     z.tuple([nonNegativeInteger, nonNegativeInteger, nonNegativeInteger, nonNegativeInteger]),
@@ -47,7 +51,7 @@
 
 /** Reads a stored job; throws if it is none. */
 export const decodeJob = (uid: string, value: unknown): JobRecord => {
-  const { spec, at, ranges } = storedJob.parse(value);
+  const { spec, at, ranges } = storedJobSchema.parse(value);
   return {
     spec: { uid, ...spec } satisfies JobSpec,
     at,
--- a/src/store/codecs/machine-group.ts
+++ b/src/store/codecs/machine-group.ts
@@ -10,7 +10,7 @@
 }
 
 /** Stored: `part` is the shard, `era` the term, `hosts` the machines with 1 for up. */
-const storedGroup = z.object({
+const storedGroupSchema = z.object({
   part: nonNegativeInteger,
   era: nonNegativeInteger,
   type: z.string(),
@@ -20,7 +20,7 @@
 });
 
 /** A group as it is stored. */
-export const encodeMachineGroup = (group: MachineGroup): z.infer<typeof storedGroup> => {
+export const encodeMachineGroup = (group: MachineGroup): z.infer<typeof storedGroupSchema> => {
   const { shard, term, type, zone, spot, machines } = group;
   const hosts = Object.fromEntries([...machines].map(([name, up]) => [name, Number(up)]));
   return { part: shard, era: term, type, zone, spot, hosts };
@@ -28,7 +28,7 @@
 
 /** Reads a stored group; throws if it is none. */
 export const decodeMachineGroup = (value: unknown): MachineGroup => {
-  const { part: shard, era: term, hosts, ...properties } = storedGroup.parse(value);
+  const { part: shard, era: term, hosts, ...properties } = storedGroupSchema.parse(value);
   const machines = new Map(Object.entries(hosts).map(([name, up]) => [name, up !== 0]));
   return { ...properties, shard, term, machines };
 };
--- a/src/store/codecs/node.ts
+++ b/src/store/codecs/node.ts
@@ -22,7 +22,7 @@
 const REBALANCING_VERSION = 1;
 
 /** Stored: `duties` is the election's version, `shares` the rebalancing's. */
-const storedNode = z.object({
+const storedNodeSchema = z.object({
   incarnation: z.string(),
   duties: z.number().nullish(),
   shares: z.number().nullish(),
@@ -32,7 +32,7 @@
 export const encodeNode = (
   incarnation: string,
   { supportsElection, supportsRebalancing }: NodeCapabilities,
-): z.infer<typeof storedNode> => ({
+): z.infer<typeof storedNodeSchema> => ({
   incarnation,
   ...(supportsElection ? { duties: ELECTIONS_VERSION } : {}),
   ...(supportsRebalancing ? { shares: REBALANCING_VERSION } : {}),
@@ -40,7 +40,7 @@
 
 /** Reads a stored registration; `id` is the key without its prefix. */
 export const decodeNode = (id: string, value: unknown): NodeRecord => {
-  const { incarnation, duties, shares } = storedNode.parse(value);
+  const { incarnation, duties, shares } = storedNodeSchema.parse(value);
   return {
     node: id.slice(0, id.lastIndexOf('/')),
     incarnation,
--- a/src/store/codecs/rebalancing-entry.ts
+++ b/src/store/codecs/rebalancing-entry.ts
@@ -9,18 +9,18 @@
   | { readonly kind: 'other' };
 
 /** Stored keys after `shares/`: moves by their id, and locks by the index of the shard. */
-const MOVES = 'moves/';
-const LOCKS = 'parts/';
+const MOVE_PREFIX = 'moves/';
+const LOCK_PREFIX = 'parts/';
 
 /** Reads a stored entry; `id` is the key without its prefix. */
 export const decodeRebalancingEntry = (id: string, value: unknown): RebalancingEntry => {
-  if (id.startsWith(MOVES)) {
+  if (id.startsWith(MOVE_PREFIX)) {
     const move = decodeMove(value);
     return move === null ? { kind: 'other' } : { kind: 'move', move };
   }
-  if (id.startsWith(LOCKS)) {
+  if (id.startsWith(LOCK_PREFIX)) {
     const move = decodeShardLock(value);
-    const shard = Number(id.slice(LOCKS.length));
+    const shard = Number(id.slice(LOCK_PREFIX.length));
     return move === null ? { kind: 'other' } : { kind: 'lock', shard, move };
   }
   return { kind: 'other' };
--- a/src/store/codecs/rental.ts
+++ b/src/store/codecs/rental.ts
@@ -16,7 +16,7 @@
   readonly name: string;
 }
 
-const storedRental = z.object({
+const storedRentalSchema = z.object({
   type: z.string(),
   zone: z.string(),
   spot: z.boolean(),
@@ -29,11 +29,11 @@
   zone,
   spot,
   count,
-}: RentalSpec): z.infer<typeof storedRental> => ({ type, zone, spot, count });
+}: RentalSpec): z.infer<typeof storedRentalSchema> => ({ type, zone, spot, count });
 
 /** Reads a stored rental; `id` is the key without its prefix. */
 export const decodeRental = (id: string, value: unknown): RentalRecord => {
   const slash = id.indexOf('/');
   const shard = Number(id.slice(0, slash));
-  return { shard, name: id.slice(slash + 1), ...storedRental.parse(value) };
+  return { shard, name: id.slice(slash + 1), ...storedRentalSchema.parse(value) };
 };
--- a/src/store/codecs/shard.ts
+++ b/src/store/codecs/shard.ts
@@ -11,7 +11,7 @@
   readonly term: number;
 }
 
-const storedShard = z.object({
+const storedShardSchema = z.object({
   owner: z.string(),
   incarnation: z.string(),
   term: nonNegativeInteger,
@@ -22,7 +22,7 @@
   owner,
   incarnation,
   term,
-}: ShardRecord): z.infer<typeof storedShard> => ({ owner, incarnation, term });
+}: ShardRecord): z.infer<typeof storedShardSchema> => ({ owner, incarnation, term });
 
 /** Reads a stored record; throws if it is none. */
-export const decodeShard = (value: unknown): ShardRecord => storedShard.parse(value);
+export const decodeShard = (value: unknown): ShardRecord => storedShardSchema.parse(value);
--- a/src/store/constants.ts
+++ b/src/store/constants.ts
@@ -13,7 +13,7 @@
 export const MIN_STORE_BURST_TOKENS = 4;
 
 /** ms; a read of the watch that takes longer is held, since nothing changes. */
-export const HELD_WATCH_MS = 40;
+export const WATCH_PROBE_DELAY_MS = 40;
 
 /** ms; requests for the same key that come within this time share a read. */
 export const READ_BATCH_WINDOW_MS = 4;
@@ -58,4 +58,4 @@
 export const RATE_LIMITED_BACKOFF_MS = 300;
 
 /** connections for watches; a late one may overlap with the next. */
-export const WATCH_SOCKETS = 2;
+export const MAX_WATCH_SOCKETS = 2;
--- a/src/store/keys.ts
+++ b/src/store/keys.ts
@@ -37,11 +37,11 @@
 } as const satisfies Record<CachedPrefix, string>;
 
 /** The cached prefix that a key is under; null if it is not cached. */
-export const prefixOf = (key: string): CachedPrefix | null =>
+export const cachedPrefixOf = (key: string): CachedPrefix | null =>
   CACHED_PREFIXES.find((prefix) => key.startsWith(prefix)) ?? null;
 
 /** Keys by what they hold. */
-export const key = {
+export const storeKey = {
   shard: (index: number) => `parts/${index}`,
   node: (name: string, incarnation: string) => `nodes/${name}/${incarnation}`,
   machineGroup: (group: string) => `machines/${group}`,
--- a/src/store/linearizable-reads.ts
+++ b/src/store/linearizable-reads.ts
@@ -1,9 +1,9 @@
 /** Lets answers from the cache be as current as reads of the store. */
 import { USER_REQUEST_TIMEOUT_MS } from '../constants.js';
 import { CALL_PRIORITY } from './call-priority.js';
-import { HELD_WATCH_MS } from './constants.js';
+import { WATCH_PROBE_DELAY_MS } from './constants.js';
 import { StoreRequestError } from './errors.js';
-import { key } from './keys.js';
+import { storeKey } from './keys.js';
 import type { StoreClient } from './store-client.js';
 import type { WatchCache } from './watch-cache.js';
 
@@ -80,12 +80,12 @@
   /** Checks whether the present read is held; between two reads only whether readers have expired. */
   #scheduleCheck(): void {
     if (this.#timer !== null || this.#readers.length === 0) return;
-    const waitMs = this.#watchReadStartedAt === null ? MAX_WAIT_MS : HELD_WATCH_MS;
+    const waitMs = this.#watchReadStartedAt === null ? MAX_WAIT_MS : WATCH_PROBE_DELAY_MS;
     const timer = setTimeout(() => {
       if (this.#timer === timer) this.#timer = null;
       this.#expireReaders();
       const startedAt = this.#watchReadStartedAt;
-      const held = startedAt !== null && this.now() - startedAt >= HELD_WATCH_MS;
+      const held = startedAt !== null && this.now() - startedAt >= WATCH_PROBE_DELAY_MS;
       if (held && !this.#probing && this.#readers.some((r) => r.probedRevision === null)) {
         void this.#probe();
       }
@@ -109,7 +109,7 @@
     this.#probing = true;
     const readers = this.#readers.filter((reader) => reader.probedRevision === null);
     try {
-      const found = await this.client.get(key.probe, CALL_PRIORITY.read);
+      const found = await this.client.get(storeKey.probe, CALL_PRIORITY.read);
       const revision = 'missing' in found ? found.storeRevision : found.revision;
       for (const reader of readers) reader.probedRevision = revision;
       this.#resolveCurrent();
--- a/src/store/node-session.ts
+++ b/src/store/node-session.ts
@@ -1,17 +1,17 @@
 /** This node's lease on the store and the key that registers the node, which is attached to the lease. */
 import { SessionLease } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
-import { CLOCK_DRIFT } from '../constants.js';
+import { MAX_RELATIVE_CLOCK_DRIFT } from '../constants.js';
 import { encodeNode, type NodeRecord } from './codecs/node.js';
 import { LEASE_MARGIN_MS, LEASE_RENEW_MS, LEASE_RETRY_MS, LEASE_TTL_MS } from './constants.js';
-import { key } from './keys.js';
+import { storeKey } from './keys.js';
 import type { StoreClient } from './store-client.js';
 
-const TIMING = {
+const LEASE_TIMING = {
   ttlMs: LEASE_TTL_MS,
   renewMs: LEASE_RENEW_MS,
   retryMs: LEASE_RETRY_MS,
-  clockDrift: CLOCK_DRIFT,
+  clockDrift: MAX_RELATIVE_CLOCK_DRIFT,
   marginMs: LEASE_MARGIN_MS,
 };
 
@@ -23,8 +23,8 @@
   log: Logger,
 ): SessionLease => {
   const registration = {
-    key: key.node(node, incarnation),
+    key: storeKey.node(node, incarnation),
     value: encodeNode(incarnation, capabilities),
   };
-  return new SessionLease(client, registration, TIMING, now, log);
+  return new SessionLease(client, registration, LEASE_TIMING, now, log);
 };
--- a/src/store/request-scheduler.ts
+++ b/src/store/request-scheduler.ts
@@ -22,7 +22,7 @@
   readonly next?: StoreRates;
 }
 
-type Rate = keyof StoreRates;
+type RateName = keyof StoreRates;
 
 interface QueuedCall {
   /** keys that the call writes, or 0 for a read */
@@ -39,7 +39,7 @@
   readonly #writes: TokenBucket;
   /** by priority */
   readonly #queues: QueuedCall[][] = Object.values(CALL_PRIORITY).map(() => []);
-  #queued = 0;
+  #queuedCalls = 0;
   #timer: NodeJS.Timeout | null = null;
   /** the limits that have come down to what was announced */
   readonly #lowered = { rps: false, writeRps: false };
@@ -55,13 +55,13 @@
 
   /** Resolves when the call may be sent. Rejects at once if too many wait; renewals always wait. */
   acquire(priority: CallPriority, writes: number): Promise<void> {
-    if (this.#queued >= STORE_QUEUE_LIMIT && priority !== CALL_PRIORITY.renew) {
-      const message = `store call not sent: ${this.#queued} calls wait for the rate limit`;
+    if (this.#queuedCalls >= STORE_QUEUE_LIMIT && priority !== CALL_PRIORITY.renew) {
+      const message = `store call not sent: ${this.#queuedCalls} calls wait for the rate limit`;
       return Promise.reject(new StoreRequestError('overloaded', message));
     }
     return new Promise((resolve) => {
       this.#queues[priority]!.push({ writes, send: resolve });
-      this.#queued += 1;
+      this.#queuedCalls += 1;
       this.#sendReady();
     });
   }
@@ -70,8 +70,8 @@
   setLimits(limits: StoreLimits): void {
     this.limits = limits;
     const now = this.now();
-    const rps = this.#rate('rps');
-    const writeRps = this.#rate('writeRps');
+    const rps = this.#currentRate('rps');
+    const writeRps = this.#currentRate('writeRps');
     this.#requests.setRate(rps, burstTokens(rps), now);
     this.#writes.setRate(writeRps, burstTokens(writeRps), now);
   }
@@ -80,7 +80,7 @@
   recordRateLimited(writes: number): void {
     const bucket = writes > 0 ? this.#writes : this.#requests;
     bucket.block(RATE_LIMITED_BACKOFF_MS, this.now());
-    this.#lower(writes > 0 ? 'writeRps' : 'rps');
+    this.#lowerRate(writes > 0 ? 'writeRps' : 'rps');
   }
 
   /** ms until a write of this priority that comes now would probably be sent. */
@@ -96,12 +96,12 @@
     if (this.#timer !== null) clearTimeout(this.#timer);
   }
 
-  #rate(rate: Rate): number {
+  #currentRate(rate: RateName): number {
     const { limits } = this;
     return this.#lowered[rate] && limits.next !== undefined ? limits.next[rate] : limits[rate];
   }
 
-  #lower(rate: Rate): void {
+  #lowerRate(rate: RateName): void {
     const next = this.limits.next?.[rate];
     if (this.#lowered[rate] || next === undefined || next >= this.limits[rate]) return;
     this.#lowered[rate] = true;
@@ -121,10 +121,10 @@
           this.#scheduleAfter(waitMs);
           break;
         }
-        this.#requests.take(1, now);
-        if (writes > 0) this.#writes.take(writes, now);
+        this.#requests.tryTake(1, now);
+        if (writes > 0) this.#writes.tryTake(writes, now);
         queue.shift();
-        this.#queued -= 1;
+        this.#queuedCalls -= 1;
         send();
       }
     }
--- a/src/store/shared-reads.ts
+++ b/src/store/shared-reads.ts
@@ -2,7 +2,7 @@
 import { CALL_PRIORITY } from './call-priority.js';
 import { READ_BATCH_WINDOW_MS } from './constants.js';
 import type { StoreClient } from './store-client.js';
-import type { Found } from './types.js';
+import type { ReadResult } from './types.js';
 
 /**
  * Current reads, shared: requests join a read of the same key that has not been sent yet. A read that has
@@ -10,12 +10,12 @@
  */
 export class SharedReads {
   /** reads that have not been sent, by key */
-  readonly #unsent = new Map<string, Promise<Found>>();
+  readonly #unsent = new Map<string, Promise<ReadResult>>();
 
   constructor(private readonly client: Pick<StoreClient, 'get'>) {}
 
   /** Reads a key as of a moment after the call. */
-  read(key: string): Promise<Found> {
+  read(key: string): Promise<ReadResult> {
     const unsent = this.#unsent.get(key);
     if (unsent !== undefined) return unsent;
     const window = new Promise<void>((resolve) => setTimeout(resolve, READ_BATCH_WINDOW_MS));
--- a/src/store/store-client.ts
+++ b/src/store/store-client.ts
@@ -4,7 +4,7 @@
  */
 import type { CompareAndSwapResult, Guard, Write } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
-import { CborClient, type Response } from '../transport/http.js';
+import { CborClient, type CborResponse } from '../transport/http.js';
 import {
   conflictSchema,
   entrySchema,
@@ -17,11 +17,11 @@
 } from '../wire/store.js';
 import { StoreAvailability } from './availability.js';
 import { CALL_PRIORITY, type CallPriority } from './call-priority.js';
-import { MAX_STORE_SOCKETS, STORE_CALL_TIMEOUT_MS, WATCH_SOCKETS } from './constants.js';
+import { MAX_STORE_SOCKETS, STORE_CALL_TIMEOUT_MS, MAX_WATCH_SOCKETS } from './constants.js';
 import { StoreRequestError } from './errors.js';
 import { RequestScheduler, type StoreLimits } from './request-scheduler.js';
-import { keyOf, TransactionLimits, type StoreSizeLimits } from './transaction-limits.js';
-import type { Changes, Found, Page } from './types.js';
+import { writtenKey, TransactionLimits, type StoreSizeLimits } from './transaction-limits.js';
+import type { Changes, ReadResult, Page } from './types.js';
 
 interface Call {
   readonly priority: CallPriority;
@@ -50,7 +50,7 @@
     log: Logger,
   ) {
     this.#http = new CborClient(address, MAX_STORE_SOCKETS);
-    this.#watchHttp = new CborClient(address, WATCH_SOCKETS);
+    this.#watchHttp = new CborClient(address, MAX_WATCH_SOCKETS);
     this.#scheduler = new RequestScheduler(limits, now, log);
     this.#transactionLimits = new TransactionLimits(sizeLimits, log);
   }
@@ -76,7 +76,7 @@
   }
 
   /** Reads one key, as of a moment after the call. */
-  async get(key: string, priority: CallPriority): Promise<Found> {
+  async get(key: string, priority: CallPriority): Promise<ReadResult> {
     const response = await this.#call({ priority, method: 'GET', path: `/store/${key}` });
     if (response.status === 404) {
       return { missing: true, storeRevision: storeRevisionSchema.parse(response.body) };
@@ -116,7 +116,7 @@
     });
     if (status === 200) return { ok: true, epoch: storeRevisionSchema.parse(body) };
     if (status === 409) return { ok: false, failed: conflictSchema.parse(body) };
-    const keys = writes.map(keyOf);
+    const keys = writes.map(writtenKey);
     return this.#transactionLimits.reject(shape, { status, answer: body, keys });
   }
 
@@ -186,10 +186,10 @@
     this.#watchHttp.close();
   }
 
-  async #call(call: Call, http = this.#http): Promise<Response> {
+  async #call(call: Call, http = this.#http): Promise<CborResponse> {
     const { priority, method, path, body, writes = 0, timeoutMs = STORE_CALL_TIMEOUT_MS } = call;
     await this.#scheduler.acquire(priority, writes);
-    let response: Response;
+    let response: CborResponse;
     try {
       response = await http.call(method, path, body, timeoutMs);
     } catch (error) {
--- a/src/store/transaction-limits.ts
+++ b/src/store/transaction-limits.ts
@@ -12,7 +12,7 @@
 }
 
 /** The key that a write changes. */
-export const keyOf = (write: Write): string => ('put' in write ? write.put : write.drop);
+export const writtenKey = (write: Write): string => ('put' in write ? write.put : write.drop);
 
 /** Fails transactions that the store would reject, and those that it has rejected before. */
 export class TransactionLimits {
@@ -28,7 +28,7 @@
   check(guards: readonly Guard[], writes: readonly Write[]): string {
     const { valueBytes, transactionOps } = this.limits;
     const sizes = writes.map((write) => ('put' in write ? JSON.stringify(write.value).length : 0));
-    const shape = writes.map((write, i) => `${keyOf(write)} ${sizes[i]}`).join();
+    const shape = writes.map((write, i) => `${writtenKey(write)} ${sizes[i]}`).join();
     if (this.#rejected.has(shape)) {
       const message = `transaction not sent: the store rejected the same before (${shape})`;
       throw new StoreRequestError('invalid', message);
@@ -37,7 +37,7 @@
     const many =
       writes.length > transactionOps || guards.length > transactionOps * MAX_GUARDS_PER_WRITE;
     if (large === undefined && !many) return shape;
-    const key = large === undefined ? null : keyOf(large);
+    const key = large === undefined ? null : writtenKey(large);
     return this.reject(shape, { key, writes: writes.length, guards: guards.length });
   }
 
--- a/src/store/types.ts
+++ b/src/store/types.ts
@@ -21,7 +21,7 @@
 }
 
 /** The result of reading one key. */
-export type Found = Entry | { readonly missing: true; readonly storeRevision: number };
+export type ReadResult = Entry | { readonly missing: true; readonly storeRevision: number };
 
 /** A change of one key. */
 export interface Change {
--- a/src/store/watch-cache.ts
+++ b/src/store/watch-cache.ts
@@ -5,9 +5,15 @@
 import type { WatchBatch } from './watch.js';
 import type { Write } from '@sumacstep/leader-election';
 import type { Cancellation } from '../core/cancellation/cancellation.js';
-import { eitherDone } from '../core/jobs/jobs.js';
+import { mergeDone } from '../core/jobs/jobs.js';
 import type { MachineRecord } from '../core/model.js';
-import { FINAL_STATE_PREFIX, key, prefixOf, TABLE_OF_PREFIX, type CachedPrefix } from './keys.js';
+import {
+  FINAL_STATE_PREFIX,
+  storeKey,
+  cachedPrefixOf,
+  TABLE_OF_PREFIX,
+  type CachedPrefix,
+} from './keys.js';
 import { encodeFinalState, decodeFinalState, type FinalState } from './codecs/final-state.js';
 import { machinesOf, type MachineGroup } from './codecs/machine-group.js';
 import { decoders, type CachedValues } from './codecs/cached-values.js';
@@ -21,7 +27,7 @@
 /** What has changed since the changes were last taken. */
 export interface CacheChanges {
   /** a listing has replaced all tables */
-  everything: boolean;
+  allTables: boolean;
   /** uids of active jobs that were written or removed */
   readonly jobs: Set<string>;
   machines: boolean;
@@ -41,7 +47,7 @@
   fresh ? changes : changes.toSorted((a, b) => a.revision - b.revision);
 
 /** A write of this node as the watch will show it. */
-const changeOf = (write: Write, revision: number): Change =>
+const toChange = (write: Write, revision: number): Change =>
   'drop' in write
     ? { key: write.drop, revision, value: undefined, removed: true }
     : { key: write.put, revision, value: write.value, removed: false };
@@ -69,15 +75,15 @@
   readonly machines = new Map<string, CachedMachine>();
   /** counts updates: while it stays the same, nothing has changed */
   version = 0;
-  #changed: CacheChanges = { everything: true, jobs: new Set(), machines: true };
+  #pendingChanges: CacheChanges = { allTables: true, jobs: new Set(), machines: true };
   /** final states by uid; the oldest are evicted first and can be read again */
   readonly finalStates = new Map<string, FinalState>();
   revision = -1;
   /** steady ms: everything that was committed before is shown */
   currentAt = -Infinity;
-  #ownRevision = -1;
+  #lastOwnRevision = -1;
   /** keys that this node removed ahead of the watch: older changes must not bring them back */
-  readonly #removed = new Map<string, number>();
+  readonly #ownRemovals = new Map<string, number>();
   /** before this revision the tables may show keys as of different revisions */
   #consistentFrom = Infinity;
 
@@ -91,17 +97,20 @@
     if (batch.isListing) {
       this.tables = emptyTables();
       this.machines.clear();
-      this.#changed.everything = true;
+      this.#pendingChanges.allTables = true;
       // A listing may be older than this node's latest writes: without them machines would be missing
       // on which tasks run.
-      this.#consistentFrom = Math.max(batch.consistentFrom ?? batch.revision, this.#ownRevision);
+      this.#consistentFrom = Math.max(
+        batch.consistentFrom ?? batch.revision,
+        this.#lastOwnRevision,
+      );
     }
     for (const change of inRevisionOrder(batch)) this.#applyChange(change);
     this.revision = batch.revision;
     this.currentAt = Math.max(this.currentAt, batch.readStartedAt ?? -Infinity);
     if (batch.isListing || batch.changes.length > 0) this.version += 1;
-    for (const [name, revision] of this.#removed) {
-      if (revision <= this.revision) this.#removed.delete(name);
+    for (const [name, revision] of this.#ownRemovals) {
+      if (revision <= this.revision) this.#ownRemovals.delete(name);
     }
     this.emit('change', batch);
   }
@@ -115,49 +124,49 @@
   applyOwn(writes: readonly Write[], revision: number): void {
     const covered = revision <= this.revision;
     for (const write of writes) {
-      const change = changeOf(write, revision);
+      const change = toChange(write, revision);
       if (covered && !change.key.startsWith(FINAL_STATE_PREFIX)) continue;
       this.#applyChange(change);
-      if (change.removed) this.#noteRemoval(change.key, revision);
+      if (change.removed) this.#recordOwnRemoval(change.key, revision);
     }
     if (covered) return;
-    this.#ownRevision = Math.max(this.#ownRevision, revision);
+    this.#lastOwnRevision = Math.max(this.#lastOwnRevision, revision);
     this.version += 1;
     this.emit('change');
   }
 
   /** Answers may be handled in another order than their transactions: the latest removal counts. */
-  #noteRemoval(name: string, revision: number): void {
-    this.#removed.set(name, Math.max(revision, this.#removed.get(name) ?? -1));
+  #recordOwnRemoval(name: string, revision: number): void {
+    this.#ownRemovals.set(name, Math.max(revision, this.#ownRemovals.get(name) ?? -1));
   }
 
   #applyChange(change: Change): void {
     if (change.key.startsWith(FINAL_STATE_PREFIX)) {
       const uid = change.key.slice(FINAL_STATE_PREFIX.length);
-      if (!change.removed) this.learnFinalState(uid, change.value, change.revision);
+      if (!change.removed) this.recordFinalState(uid, change.value, change.revision);
       return;
     }
-    const prefix = prefixOf(change.key);
+    const prefix = cachedPrefixOf(change.key);
     if (prefix === null) return;
     const id = change.key.slice(prefix.length);
     const table = this.tables[TABLE_OF_PREFIX[prefix]] as Map<string, Cached<unknown>>;
     const known = table.get(id);
     // Of the same revision: this node's own write, which is shown already.
     if (known !== undefined && known.revision >= change.revision) return;
-    if ((this.#removed.get(change.key) ?? -1) > change.revision) return;
+    if ((this.#ownRemovals.get(change.key) ?? -1) > change.revision) return;
     const value = change.removed ? undefined : decoders[prefix](id, change.value);
     if (prefix === 'machines/') {
       const previous = known?.value as MachineGroup | undefined;
       this.#updateMachines(id, previous, value as MachineGroup | undefined, change.revision);
     }
-    this.#noteChange(prefix, id);
+    this.#recordChange(prefix, id);
     if (change.removed) table.delete(id);
     else table.set(id, { value, revision: change.revision });
   }
 
-  #noteChange(prefix: CachedPrefix, id: string): void {
-    if (prefix === 'active/') this.#changed.jobs.add(id);
-    else if (prefix === 'machines/') this.#changed.machines = true;
+  #recordChange(prefix: CachedPrefix, id: string): void {
+    if (prefix === 'active/') this.#pendingChanges.jobs.add(id);
+    else if (prefix === 'machines/') this.#pendingChanges.machines = true;
   }
 
   #updateMachines(
@@ -176,8 +185,8 @@
 
   /** Returns what has changed since the last call, for the one reconciler that compares only that. */
   takeChanges(): CacheChanges {
-    const changed = this.#changed;
-    this.#changed = { everything: false, jobs: new Set(), machines: false };
+    const changed = this.#pendingChanges;
+    this.#pendingChanges = { allTables: false, jobs: new Set(), machines: false };
     return changed;
   }
 
@@ -193,23 +202,26 @@
       if (!id.startsWith(`${shard}/`)) continue;
       const bits = value.get(range);
       if (bits === undefined) continue;
-      found = found === undefined ? bits : eitherDone(found, bits);
+      found = found === undefined ? bits : mergeDone(found, bits);
     }
     return found;
   }
 
   /** Takes in a cancellation that another node has sent, ahead of the watch and without the store. */
-  learnCancelled({ uid, tasks, done, epoch }: Cancellation): void {
+  applyCancellation({ uid, tasks, done, epoch }: Cancellation): void {
     if (this.finalStates.has(uid)) return;
     const final: FinalState = { status: 'cancelled', tasks, done };
     this.applyOwn(
-      [{ drop: key.activeJob(uid) }, { put: key.finalState(uid), value: encodeFinalState(final) }],
+      [
+        { drop: storeKey.activeJob(uid) },
+        { put: storeKey.finalState(uid), value: encodeFinalState(final) },
+      ],
       epoch,
     );
   }
 
   /** Takes in a final state as of a revision; returns the valid one, which is the first. */
-  learnFinalState(uid: string, value: unknown, revision: number): FinalState {
+  recordFinalState(uid: string, value: unknown, revision: number): FinalState {
     const known = this.finalStates.get(uid);
     if (known !== undefined) return known;
     const final = decodeFinalState(value);
--- a/src/store/watch.ts
+++ b/src/store/watch.ts
@@ -40,7 +40,7 @@
  * next, the watch starts over with a listing. Failed reads are repeated.
  */
 export const watch = (client: WatchClient, signal: AbortSignal, options: WatchOptions): Readable =>
-  Readable.from(batches(client, signal, options), { objectMode: true, highWaterMark: 1 });
+  Readable.from(readBatches(client, signal, options), { objectMode: true, highWaterMark: 1 });
 
 /** Ends early when the signal is given. */
 const pause = async (ms: number, signal: AbortSignal): Promise<void> => {
@@ -51,7 +51,7 @@
   }
 };
 
-async function* batches(
+async function* readBatches(
   client: WatchClient,
   signal: AbortSignal,
   { pauseMs, now, onReadState }: WatchOptions,
@@ -94,7 +94,7 @@
   let firstRevision = Infinity;
   let lastRevision = 0;
   for (const prefix of prefixes) {
-    for await (const page of pagesOf(client, prefix)) {
+    for await (const page of listPages(client, prefix)) {
       firstRevision = Math.min(firstRevision, page.storeRevision);
       lastRevision = Math.max(lastRevision, page.storeRevision);
       for (const entry of page.entries) changes.push({ ...entry, removed: false });
@@ -103,7 +103,7 @@
   return { isListing: true, changes, revision: firstRevision, consistentFrom: lastRevision };
 };
 
-async function* pagesOf(
+async function* listPages(
   client: Pick<StoreClient, 'list'>,
   prefix: CachedPrefix,
 ): AsyncGenerator<Page> {
--- a/src/users/job-reader.ts
+++ b/src/users/job-reader.ts
@@ -1,7 +1,7 @@
 /** Linearizable reads of the state of jobs, for answers to users. */
 import type { JobRecord } from '../core/model.js';
 import type { StoreClient } from '../store/store-client.js';
-import { key } from '../store/keys.js';
+import { storeKey } from '../store/keys.js';
 import type { FinalState } from '../store/codecs/final-state.js';
 import type { LinearizableReads } from '../store/linearizable-reads.js';
 import { SharedReads } from '../store/shared-reads.js';
@@ -65,9 +65,9 @@
     }
     const ended = this.knownFinalState(uid);
     if (ended !== undefined) return finalReading(ended);
-    const found = await this.#finalStateReads.read(key.finalState(uid));
+    const found = await this.#finalStateReads.read(storeKey.finalState(uid));
     if ('missing' in found) return { answer: { kind: 'missing' }, currentSince };
-    return finalReading(this.cache.learnFinalState(uid, found.value, found.revision));
+    return finalReading(this.cache.recordFinalState(uid, found.value, found.revision));
   }
 
   /**
--- a/src/users/job-service.ts
+++ b/src/users/job-service.ts
@@ -11,10 +11,10 @@
 import { admit } from '../core/jobs/admission.js';
 import {
   chooseShard,
-  cutRanges,
+  splitIntoRanges,
   shardOfTeam,
   maxRangeTasks,
-  staysWhole,
+  requiresSingleShard,
   hasLimit,
   hasGuarantee,
   type ShardLoad,
@@ -25,7 +25,7 @@
 import type { StoreClient } from '../store/store-client.js';
 import { encodeJob } from '../store/codecs/job.js';
 import { encodeFinalState, type FinalState } from '../store/codecs/final-state.js';
-import { key } from '../store/keys.js';
+import { storeKey } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { Guard, Write } from '@sumacstep/leader-election';
 import { finalReading, type JobReader, type JobReading } from './job-reader.js';
@@ -169,10 +169,10 @@
     attempts: number,
   ): Promise<SubmissionResult> {
     const { uid } = job.spec;
-    const writes: Write[] = [{ put: key.activeJob(uid), value }];
+    const writes: Write[] = [{ put: storeKey.activeJob(uid), value }];
     const guards: Guard[] = [
-      { key: key.activeJob(uid), revision: 0 },
-      { key: key.finalState(uid), revision: 0 },
+      { key: storeKey.activeJob(uid), revision: 0 },
+      { key: storeKey.finalState(uid), revision: 0 },
     ];
     const acceptanceGuard = this.dependencies.acceptanceGuard();
     if (acceptanceGuard !== null) guards.push(acceptanceGuard);
@@ -206,14 +206,14 @@
   #route(spec: JobSpec): TaskRange[] | null {
     const { teams, shardCount, maxValueBytes, loadThreshold } = this.settings;
     const team = teams.get(spec.team);
-    const whole = staysWhole(spec, team);
+    const whole = requiresSingleShard(spec, team);
     const hasQuota = hasLimit(team) || hasGuarantee(team);
     const loads = [...this.dependencies.routing.loads(spec)];
     const choose = () =>
       chooseShard(loads, loadThreshold, (below) => this.dependencies.routing.random(below));
     const home = hasQuota ? shardOfTeam(spec.team, shardCount) : choose();
     const ranges: TaskRange[] = [];
-    for (const [from, to] of cutRanges(
+    for (const [from, to] of splitIntoRanges(
       spec.tasks,
       shardCount,
       whole,
@@ -244,12 +244,12 @@
       if (answer.kind !== 'active') return reading;
       const final: FinalState = { status: 'cancelled', tasks: answer.job.spec.tasks, done: 0 };
       const writes: Write[] = [
-        { drop: key.activeJob(uid) },
-        { put: key.finalState(uid), value: encodeFinalState(final) },
+        { drop: storeKey.activeJob(uid) },
+        { put: storeKey.finalState(uid), value: encodeFinalState(final) },
       ];
       const result = await this.dependencies.client.compareAndSwap(
         CALL_PRIORITY.cancellation,
-        [{ key: key.activeJob(uid), revision: answer.revision }],
+        [{ key: storeKey.activeJob(uid), revision: answer.revision }],
         writes,
       );
       if (result.ok) {
--- a/src/users/user-routes.ts
+++ b/src/users/user-routes.ts
@@ -5,7 +5,7 @@
 import type { JobSpec } from '../core/model.js';
 import { readBody, sendCbor } from '../transport/http.js';
 import { StoreRequestError } from '../store/errors.js';
-import { fromBytes, WireError } from '../wire/cbor.js';
+import { decodeCbor, WireError } from '../wire/cbor.js';
 import { statusBody, submissionSchema, JOB_UID_PATTERN, type JobStatus } from '../wire/users.js';
 import type { JobReader, JobReading } from './job-reader.js';
 import type { JobService } from './job-service.js';
@@ -122,7 +122,7 @@
       sendCbor(ctx, 400, { error: 'body over the limit' });
       return;
     }
-    const body = fromBytes(bytes);
+    const body = decodeCbor(bytes);
     const parsed = submissionSchema.safeParse(body);
     if (!parsed.success) return this.#rejectMalformed(ctx, body, parsed.error, arrivedAt);
     const { uid } = parsed.data;
--- a/test/budget.test.ts
+++ b/test/budget.test.ts
@@ -8,7 +8,7 @@
   PROGRESS_SAVE_INTERVAL_MS,
   COMPLETION_SAVE_INTERVAL_MS,
 } from '../src/shards/completions/constants.js';
-import { HELD_WATCH_MS } from '../src/store/constants.js';
+import { WATCH_PROBE_DELAY_MS } from '../src/store/constants.js';
 import { MachineRecords } from '../src/shards/machine-records/machine-records.js';
 import { encodeDone } from '../src/core/jobs/jobs.js';
 import { StoreRequestError } from '../src/store/errors.js';
@@ -107,7 +107,7 @@
   const finish = (uid: string, index: number) => {
     const state = shard.jobs.get(uid)!;
     state.waitingTasks = state.waitingTasks.filter((waiting) => waiting !== index);
-    state.unsavedTasks.add(index);
+    state.unsavedCompletions.add(index);
   };
   for (const uid of uids) finish(uid, 0);
   await saver.save(owned, COMPLETION_SAVE_INTERVAL_MS);
@@ -119,7 +119,7 @@
     'one value for thirty ranges',
   );
   assert.ok(uids.every((uid) => cache.completedTasks(0, uid, 0) === '8'));
-  assert.ok(uids.every((uid) => shard.jobs.get(uid)!.savedTasks.has(0)));
+  assert.ok(uids.every((uid) => shard.jobs.get(uid)!.savedCompletions.has(0)));
 
   for (const i of [1, 2, 3]) finish(uids[0]!, i);
   await saver.save(owned, PROGRESS_SAVE_INTERVAL_MS + COMPLETION_SAVE_INTERVAL_MS);
@@ -157,9 +157,9 @@
   assert.deepEqual([early(), late(), reads], [200, 0, 0]);
   // While the feed's read is held one small read tells the epoch; the cache must then reach it.
   linearizable.onReadState(10);
-  now = 10 + HELD_WATCH_MS;
+  now = 10 + WATCH_PROBE_DELAY_MS;
   present = 12;
-  await sleep(3 * HELD_WATCH_MS);
+  await sleep(3 * WATCH_PROBE_DELAY_MS);
   assert.deepEqual([late(), reads], [0, 1], 'the cache is behind');
   cache.apply({ isListing: false, revision: 12, changes: [], readStartedAt: 0 });
   await sleep(0);
@@ -182,7 +182,7 @@
   const record = job({ tasks: 3 });
   store.values.set('parts/0', { value: { owner: 'n', incarnation: 'a', term: 1 }, revision: 1 });
   store.values.set('active/job-000001', { value: encodeJob(record), revision: 2 });
-  store.show(cache, 'changes');
+  store.applyTo(cache, 'changes');
   const shard = shardWith(new Store().add(record));
   const state = shard.jobs.get('job-000001')!;
   const owned = ownedShard(shard);
@@ -195,7 +195,7 @@
     log: LOG,
   });
   const complete = (index: number) => {
-    state.unsavedTasks.add(index);
+    state.unsavedCompletions.add(index);
     state.waitingTasks = state.waitingTasks.filter((waiting) => waiting !== index);
   };
   const save = async () => {
@@ -211,9 +211,9 @@
   await saveWithoutAnswer();
   complete(1);
   await save();
-  store.show(cache, 'changes');
+  store.applyTo(cache, 'changes');
   for (const carryOut of unanswered) carryOut();
-  store.show(cache, 'changes');
+  store.applyTo(cache, 'changes');
   assert.equal(
     cache.completedTasks(0, 'job-000001', 0),
     encodeDone({ from: 0, to: 3 }, new Set([0, 1])),
@@ -224,9 +224,9 @@
   state.waitingTasks = [0];
   for (const carryOut of unanswered.splice(1)) assert.equal(carryOut().ok, true);
   await save();
-  store.show(cache, 'changes');
+  store.applyTo(cache, 'changes');
   await save();
-  assert.deepEqual([...state.unsavedTasks], [], 'saved once the cache shows the late one');
+  assert.deepEqual([...state.unsavedCompletions], [], 'saved once the cache shows the late one');
 });
 
 test('a machine that nobody recorded is adopted only when no rental can still record it', async () => {
--- a/test/capacity.test.ts
+++ b/test/capacity.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { BOOT_GIVE_UP } from '../src/core/capacity/constants.js';
+import { BOOT_TIMEOUT_FACTOR } from '../src/core/capacity/constants.js';
 import { planCapacity, type CapacityInput } from '../src/core/capacity/capacity-planner.js';
 import { WorkloadStatistics } from '../src/core/capacity/workload-statistics.js';
 import { isUrgent, wantedMachines } from '../src/core/capacity/wanted-machines.js';
@@ -9,18 +9,18 @@
 
 const input = (store: Store, over: Partial<CapacityInput> = {}): CapacityInput => ({
   shard: shardWith(store),
-  shards: 1,
+  shardCount: 1,
   types: new Map([['m', machineType()]]),
   zones: ['z', 'y'],
   objectives: [
     { kind: 'wait', jobClass: 'quick', withinS: 10, share: 0.9 },
     { kind: 'finished', jobClass: 'c', withinS: 300, share: 0.9 },
   ],
-  stats: new Map(),
-  elsewhere: new Map(),
-  expected: [],
-  pending: [],
-  refused: () => false,
+  classStats: new Map(),
+  activeTasksElsewhere: new Map(),
+  expectedJobs: [],
+  pendingRentals: [],
+  inBackoff: () => false,
   reserveSigma: 1,
   drainS: 45,
   idleKeepMs: 10_000,
@@ -57,19 +57,19 @@
     [
       'spot refused in one zone',
       input(new Store().add(job({ ...long, tasks: 4 })), {
-        refused: (_, zone, spot) => spot && zone === 'y',
+        inBackoff: (_, zone, spot) => spot && zone === 'y',
       }),
       ['2 spot z'],
     ],
     [
       'spot refused everywhere',
-      input(new Store().add(job({ ...long, tasks: 4 })), { refused: (_t, _z, spot) => spot }),
+      input(new Store().add(job({ ...long, tasks: 4 })), { inBackoff: (_t, _z, spot) => spot }),
       ['1 ordinary y', '1 ordinary z'],
     ],
     [
       'asked for already',
       input(new Store().add(job({ ...long, tasks: 4 })), {
-        pending: [{ type: 'm', zone: 'z', spot: true, count: 2 }],
+        pendingRentals: [{ type: 'm', zone: 'z', spot: true, count: 2 }],
       }),
       [],
     ],
@@ -82,7 +82,7 @@
     ],
     [
       'a job that was told to come back',
-      input(new Store(), { expected: [spec({ ...long, ...whole, tasks: 3 })] }),
+      input(new Store(), { expectedJobs: [spec({ ...long, ...whole, tasks: 3 })] }),
       ['1 spot z', '2 spot y'],
     ],
     [
@@ -98,7 +98,7 @@
   const stats = new Map([
     ['quick', { tasksPerS: 0.5, runS: 32, sample: spec({ jobClass: 'quick', spot: false }) }],
   ]);
-  const need = wantedMachines(input(new Store(), { stats })).get('m');
+  const need = wantedMachines(input(new Store(), { classStats: stats })).get('m');
   // 16 at once on average, 4 more as one standard deviation, two to a machine.
   assert.equal(need?.ordinary, 10);
   assert.equal(isUrgent('quick', input(new Store()).objectives, 50), true);
@@ -125,12 +125,12 @@
 
 test('learning: rates and run times by class', () => {
   const workload = new WorkloadStatistics();
-  for (let n = 0; n < 15; n++) workload.arrived(spec({ uid: `job-${n}`, tasks: 2 }), n * 10);
-  workload.arrived(spec({ uid: 'job-3', tasks: 2 }), 30);
+  for (let n = 0; n < 15; n++) workload.recordArrival(spec({ uid: `job-${n}`, tasks: 2 }), n * 10);
+  workload.recordArrival(spec({ uid: 'job-3', tasks: 2 }), 30);
   const before = workload.stats(150).get('c');
   assert.equal(before?.tasksPerS, 0.2, 'a job counts once');
   assert.equal(before?.runS, 10, 'only the guess is known');
-  for (let n = 0; n < 40; n++) workload.ran('c', 30);
+  for (let n = 0; n < 40; n++) workload.recordRun('c', 30);
   assert.equal(workload.stats(150).get('c')?.runS, 30, 'measured times replace wrong guesses');
 });
 
@@ -140,8 +140,8 @@
   const names = Array.from({ length: 20 }, (_, i) => `m${String(i).padStart(2, '0')}`);
   store.add(...names.map((n) => machine(n, { up: false })));
   const shard = shardWith(store);
-  const plan = (now: number, pending: CapacityInput['pending'] = []) =>
-    planCapacity(input(store, { shard, now, pending }));
+  const plan = (now: number, pending: CapacityInput['pendingRentals'] = []) =>
+    planCapacity(input(store, { shard, now, pendingRentals: pending }));
   const asked = (now: number) => plan(now).rentals.reduce((sum, wish) => sum + wish.count, 0);
   for (const times of [0, 1, 1.5, 2]) {
     assert.equal(asked(times * BOOT_MS), 0, `after ${times} times the boot time they may come`);
@@ -154,7 +154,7 @@
     w.direct(1, 1, []);
     shard.handleCommandStatus(w.heartbeat(), late);
   }
-  const over = (BOOT_GIVE_UP + 0.01) * BOOT_MS;
+  const over = (BOOT_TIMEOUT_FACTOR + 0.01) * BOOT_MS;
   const { rentals: rent, returns } = plan(over);
   assert.deepEqual(
     returns.map((g) => `${g.name} ${g.reason}`),
--- a/test/failing-jobs.test.ts
+++ b/test/failing-jobs.test.ts
@@ -90,7 +90,7 @@
     this.#counters.set(name, counter);
     const tasks = (this.#tasks.get(name) ?? []).map((task) => {
       const over = task.endsAt <= this.now;
-      if (over && task.why === 'done') this.shard.completionsSaved(task.uid, [task.index]);
+      if (over && task.why === 'done') this.shard.markCompletionsSaved(task.uid, [task.index]);
       const state = over ? ('exited' as const) : ('running' as const);
       return { ...task, state, why: over ? task.why : null, saved: false };
     });
@@ -117,15 +117,15 @@
 
 const capacityInput = (fleet: Fleet): CapacityInput => ({
   shard: fleet.shard,
-  shards: 1,
+  shardCount: 1,
   types: new Map([['m', machineType()]]),
   zones: ['z'],
   objectives: [],
-  stats: new Map(),
-  elsewhere: new Map(),
-  expected: [],
-  pending: [],
-  refused: () => false,
+  classStats: new Map(),
+  activeTasksElsewhere: new Map(),
+  expectedJobs: [],
+  pendingRentals: [],
+  inBackoff: () => false,
   reserveSigma: 0,
   drainS: 45,
   idleKeepMs: 1e9,
@@ -181,7 +181,7 @@
   fleet.submit({ uid: 'job-91', kind: 'gang', tasks: 2 });
   const allPaused = () =>
     [...fleet.shard.jobs.values()].every(
-      (jobState) => jobState.pausedUntil > fleet.now && jobState.placements.size === 0,
+      (jobState) => jobState.backoffUntil > fleet.now && jobState.placements.size === 0,
     );
   do fleet.run(fleet.now + STEP_MS);
   while (!allPaused() && fleet.now < 120_000);
--- a/test/helpers.ts
+++ b/test/helpers.ts
@@ -78,11 +78,11 @@
 export class Store {
   readonly jobs = new Map<string, { value: JobRecord }>();
   /** bitmaps by `<uid>/<first task>` */
-  readonly bits = new Map<string, string>();
+  readonly doneBitmaps = new Map<string, string>();
   readonly machines = new Map<string, { value: MachineRecord }>();
 
   done(uid: string, from: number): string | undefined {
-    return this.bits.get(`${uid}/${from}`);
+    return this.doneBitmaps.get(`${uid}/${from}`);
   }
 
   add(...records: (JobRecord | MachineRecord)[]): this {
--- a/test/linearizable-reads.test.ts
+++ b/test/linearizable-reads.test.ts
@@ -1,29 +1,29 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { setImmediate as turn, setTimeout as sleep } from 'node:timers/promises';
-import { HELD_WATCH_MS, READ_BATCH_WINDOW_MS } from '../src/store/constants.js';
-import type { Found } from '../src/store/types.js';
-import { key } from '../src/store/keys.js';
+import { WATCH_PROBE_DELAY_MS, READ_BATCH_WINDOW_MS } from '../src/store/constants.js';
+import type { ReadResult } from '../src/store/types.js';
+import { storeKey } from '../src/store/keys.js';
 import { LinearizableReads } from '../src/store/linearizable-reads.js';
 import { SharedReads } from '../src/store/shared-reads.js';
 import { WatchCache } from '../src/store/watch-cache.js';
 
 /** A reader waits for a read that began after it came, whatever else arrives meanwhile. */
-class Scene {
+class ReadScenario {
   now = 100;
   readonly cache = new WatchCache();
   /** probes that were sent and not answered yet */
-  readonly probes: ((found: Found) => void)[] = [];
+  readonly probes: ((found: ReadResult) => void)[] = [];
   readonly reads: LinearizableReads;
-  shownSince: number | null = null;
+  currentSince: number | null = null;
 
   constructor() {
-    const get = () => new Promise<Found>((resolve) => this.probes.push(resolve));
+    const get = () => new Promise<ReadResult>((resolve) => this.probes.push(resolve));
     this.reads = new LinearizableReads({ get }, this.cache, () => this.now);
-    this.listing(10, 0);
+    this.applyListing(10, 0);
   }
 
-  listing(revision: number, readStartedAt: number, consistentFrom = revision): void {
+  applyListing(revision: number, readStartedAt: number, consistentFrom = revision): void {
     this.cache.apply({
       isListing: true,
       changes: [],
@@ -37,15 +37,15 @@
     this.cache.apply({ isListing: false, changes: [], revision, readStartedAt });
   }
 
-  ask(): void {
-    void this.reads.waitUntilCurrent().then((since) => (this.shownSince = since));
+  startRead(): void {
+    void this.reads.waitUntilCurrent().then((since) => (this.currentSince = since));
   }
 
   /** A read of the watch is held for long enough that a probe is sent. */
-  async heldUntilProbe(): Promise<void> {
+  async blockWatchUntilProbe(): Promise<void> {
     this.reads.onReadState(this.now);
-    this.now += HELD_WATCH_MS;
-    while (this.probes.length === 0) await sleep(HELD_WATCH_MS / 4);
+    this.now += WATCH_PROBE_DELAY_MS;
+    while (this.probes.length === 0) await sleep(WATCH_PROBE_DELAY_MS / 4);
   }
 
   answerProbe(revision: number): void {
@@ -53,107 +53,107 @@
   }
 }
 
-interface Row {
+interface ReadCase {
   readonly name: string;
-  readonly act: (scene: Scene) => Promise<void> | void;
+  readonly run: (scene: ReadScenario) => Promise<void> | void;
   /** steady ms since which the reader is told that the cache is current; null: it waits on */
-  readonly currentSince: number | null;
+  readonly expectedCurrentSince: number | null;
 }
 
-const ROWS: readonly Row[] = [
-  { name: 'a read that began before', act: (s) => s.changes(12, 99.9), currentSince: null },
+const READ_CASES: readonly ReadCase[] = [
+  { name: 'a read that began before', run: (s) => s.changes(12, 99.9), expectedCurrentSince: null },
   {
     name: 'a read that began in the same instant',
-    act: (s) => s.changes(12, 100),
-    currentSince: 100,
+    run: (s) => s.changes(12, 100),
+    expectedCurrentSince: 100,
   },
-  { name: 'a read that began after', act: (s) => s.changes(10, 100.1), currentSince: 100 },
+  { name: 'a read that began after', run: (s) => s.changes(10, 100.1), expectedCurrentSince: 100 },
   {
     name: "an earlier read's answer that was held up, however late it comes",
-    act: (s) => {
+    run: (s) => {
       s.now = 900;
       s.changes(500, 50);
     },
-    currentSince: null,
+    expectedCurrentSince: null,
   },
   {
     name: 'an own write that is ahead of the watch',
-    act: (s) => s.cache.applyOwn([{ put: 'term', value: 1 }], 90),
-    currentSince: null,
+    run: (s) => s.cache.applyOwn([{ put: 'term', value: 1 }], 90),
+    expectedCurrentSince: null,
   },
   {
     name: 'a probe that finds the epoch of the cache',
-    act: async (s) => {
-      await s.heldUntilProbe();
+    run: async (s) => {
+      await s.blockWatchUntilProbe();
       s.answerProbe(10);
     },
-    currentSince: 100,
+    expectedCurrentSince: 100,
   },
   {
     name: 'a probe that finds a later epoch, while only an own write has reached it',
-    act: async (s) => {
-      await s.heldUntilProbe();
+    run: async (s) => {
+      await s.blockWatchUntilProbe();
       s.cache.applyOwn([{ put: 'term', value: 1 }], 12);
       s.answerProbe(12);
     },
-    currentSince: null,
+    expectedCurrentSince: null,
   },
   {
     name: 'a probe that finds a later epoch, which an older read then shows',
-    act: async (s) => {
-      await s.heldUntilProbe();
+    run: async (s) => {
+      await s.blockWatchUntilProbe();
       s.answerProbe(12);
       await turn();
       s.changes(12, 60);
     },
-    currentSince: 100,
+    expectedCurrentSince: 100,
   },
   {
     name: 'a listing that began after, as long as it shows a mixture',
-    act: (s) => s.listing(12, 101, 15),
-    currentSince: null,
+    run: (s) => s.applyListing(12, 101, 15),
+    expectedCurrentSince: null,
   },
   {
     name: 'a listing that began after, once the watch has made it whole',
-    act: (s) => {
-      s.listing(12, 101, 15);
+    run: (s) => {
+      s.applyListing(12, 101, 15);
       s.changes(15, 102);
     },
-    currentSince: 100,
+    expectedCurrentSince: 100,
   },
   {
     name: 'a listing older than an own write',
-    act: (s) => {
+    run: (s) => {
       s.cache.applyOwn([{ put: 'term', value: 1 }], 20);
-      s.listing(12, 101);
+      s.applyListing(12, 101);
     },
-    currentSince: null,
+    expectedCurrentSince: null,
   },
 ];
 
 describe('what satisfies a linearizable read', () => {
-  for (const row of ROWS) {
+  for (const row of READ_CASES) {
     test(row.name, async () => {
-      const scene = new Scene();
-      scene.ask();
-      await row.act(scene);
+      const scene = new ReadScenario();
+      scene.startRead();
+      await row.run(scene);
       await turn();
-      assert.equal(scene.shownSince, row.currentSince);
+      assert.equal(scene.currentSince, row.expectedCurrentSince);
       scene.reads.close();
     });
   }
 
   test('a reader that comes while a probe is on its way needs one of its own', async () => {
-    const scene = new Scene();
-    scene.ask();
-    await scene.heldUntilProbe();
+    const scene = new ReadScenario();
+    scene.startRead();
+    await scene.blockWatchUntilProbe();
     let second: number | null = null;
     void scene.reads.waitUntilCurrent().then((since) => (second = since));
     scene.answerProbe(10);
     await turn();
-    assert.equal(scene.shownSince, 100);
+    assert.equal(scene.currentSince, 100);
     assert.equal(second, null);
-    while (scene.probes.length === 0) await sleep(HELD_WATCH_MS / 4);
+    while (scene.probes.length === 0) await sleep(WATCH_PROBE_DELAY_MS / 4);
     scene.answerProbe(10);
     await turn();
     assert.equal(second, scene.now);
@@ -162,10 +162,10 @@
 });
 
 test('reads of one key are shared until they leave, and not after', async () => {
-  const answers: ((found: Found) => void)[] = [];
-  const get = () => new Promise<Found>((resolve) => answers.push(resolve));
+  const answers: ((found: ReadResult) => void)[] = [];
+  const get = () => new Promise<ReadResult>((resolve) => answers.push(resolve));
   const reads = new SharedReads({ get });
-  const name = key.finalState('job-000001');
+  const name = storeKey.finalState('job-000001');
   const early = [reads.read(name), reads.read(name)];
   await sleep(READ_BATCH_WINDOW_MS * 3);
   assert.equal(answers.length, 1, 'both left as one');
--- a/test/machine-faults.test.ts
+++ b/test/machine-faults.test.ts
@@ -13,15 +13,15 @@
 const returns = (shard: Shard, now: number): string[] => {
   const input: CapacityInput = {
     shard,
-    shards: 1,
+    shardCount: 1,
     types: new Map([['m', machineType()]]),
     zones: ['z'],
     objectives: [],
-    stats: new Map(),
-    elsewhere: new Map(),
-    expected: [],
-    pending: [],
-    refused: () => true,
+    classStats: new Map(),
+    activeTasksElsewhere: new Map(),
+    expectedJobs: [],
+    pendingRentals: [],
+    inBackoff: () => true,
     reserveSigma: 1,
     drainS: 45,
     idleKeepMs: 1e9,
@@ -141,8 +141,8 @@
       job: jobState && [
         jobState.waitingTasks.length,
         [...jobState.placements.keys()],
-        [...jobState.savedTasks],
-        [...jobState.unsavedTasks],
+        [...jobState.savedCompletions],
+        [...jobState.unsavedCompletions],
         jobState.consecutiveFailures,
       ],
     };
@@ -171,7 +171,7 @@
       (cluster) => cluster.shard,
       (cluster) => {
         for (let now = 3000; now <= 27_000; now += 3000) cluster.say(now);
-        cluster.shard.completionsSaved('job-000001', [0]);
+        cluster.shard.markCompletionsSaved('job-000001', [0]);
         cluster.say(28_000);
         cluster.say(29_000);
       },
@@ -270,8 +270,9 @@
       }
       for (const worker of workers) exchangeHeartbeat(shard, worker, now);
       for (const jobState of [...shard.jobs.values()]) {
-        shard.completionsSaved(jobState.spec.uid, [...jobState.unsavedTasks]);
-        if (jobState.savedTasks.size === jobState.spec.tasks) store.jobs.delete(jobState.spec.uid);
+        shard.markCompletionsSaved(jobState.spec.uid, [...jobState.unsavedCompletions]);
+        if (jobState.savedCompletions.size === jobState.spec.tasks)
+          store.jobs.delete(jobState.spec.uid);
       }
       shard.sync(store, now);
       for (const [task, on] of world.on) {
--- a/test/quotas.test.ts
+++ b/test/quotas.test.ts
@@ -3,12 +3,12 @@
 import pino from 'pino';
 import { CompletionSaver } from '../src/shards/completions/completion-saver.js';
 import { ConfigError, parsePlatformConfig } from '../src/config/platform.js';
-import { SLOT_FILL } from '../src/core/jobs/constants.js';
+import { SLOT_FILL_RATIO } from '../src/core/jobs/constants.js';
 import {
   PROGRESS_SAVE_INTERVAL_MS,
   COMPLETION_SAVE_INTERVAL_MS,
 } from '../src/shards/completions/constants.js';
-import { cutRanges, decodeDone, encodeDone, maxRangeTasks } from '../src/core/jobs/jobs.js';
+import { splitIntoRanges, decodeDone, encodeDone, maxRangeTasks } from '../src/core/jobs/jobs.js';
 import type { JobRecord } from '../src/core/model.js';
 import type { Shard } from '../src/core/shard/shard.js';
 import { CALL_PRIORITY } from '../src/store/call-priority.js';
@@ -62,10 +62,13 @@
   for (const valueBytes of [8192, 2048, 1024, 512]) {
     for (const tasks of [1, 17, 4096, 100_000]) {
       const most = maxRangeTasks(valueBytes);
-      for (const [from, to] of cutRanges(tasks, 3, false, most)) {
+      for (const [from, to] of splitIntoRanges(tasks, 3, false, most)) {
         const bits = encodeDone({ from, to }, new Set());
         const slot = { [`job-${'9'.repeat(20)}/${from}`]: bits };
-        assert.ok(JSON.stringify(slot).length <= valueBytes * SLOT_FILL, `${valueBytes} ${tasks}`);
+        assert.ok(
+          JSON.stringify(slot).length <= valueBytes * SLOT_FILL_RATIO,
+          `${valueBytes} ${tasks}`,
+        );
       }
     }
   }
@@ -95,7 +98,7 @@
   };
   const config = { storeLimits: { valueBytes, transactionOps } };
   const saver = new CompletionSaver({ config, client, cache, now: () => now, log: LOG });
-  const show = () => store.show(cache, 'listing');
+  const show = () => store.applyTo(cache, 'listing');
   const save = async (shard: Shard) => {
     now += PROGRESS_SAVE_INTERVAL_MS + COMPLETION_SAVE_INTERVAL_MS;
     await saver.save(ownedShard(shard), now);
@@ -104,7 +107,7 @@
   /** What a node that starts now knows to be done, whichever of two copies it meets first. */
   const known = (uid: string): Set<number> => {
     const fresh = new WatchCache();
-    store.show(fresh, 'listing');
+    store.applyTo(fresh, 'listing');
     const done = new Set<number>();
     for (const range of fresh.tables.activeJobs.get(uid)!.value.ranges) {
       const bitmap = fresh.completedTasks(range.shard, uid, range.from);
@@ -236,7 +239,7 @@
   });
   fixture.show();
   const store = new Store().add(record);
-  store.bits.set('job-1/0', encodeDone({ from: 0, to: 6000 }, done));
+  store.doneBitmaps.set('job-1/0', encodeDone({ from: 0, to: 6000 }, done));
   const shard = shardWith(store);
   const ranges = () => fixture.cache.tables.activeJobs.get('job-1')!.value.ranges;
   for (let step = 0; step < 12; step++) {
@@ -253,7 +256,7 @@
     6000,
   );
   // What ends now is saved in the new cut.
-  shard.jobs.get('job-1')!.unsavedTasks.add(0);
+  shard.jobs.get('job-1')!.unsavedCompletions.add(0);
   await fixture.save(shard);
   assert.ok(fixture.known('job-1').has(0));
 });
--- a/test/random.test.ts
+++ b/test/random.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { renewableMs } from '../src/core/cancellation/lease-renewal.js';
+import { renewalWindowMs } from '../src/core/cancellation/lease-renewal.js';
 import { decodeDone, encodeDone } from '../src/core/jobs/jobs.js';
 import type { Command, Heartbeat } from '../src/core/model.js';
 import type { Shard } from '../src/core/shard/shard.js';
-import { randomFrom } from '../src/random.js';
+import { seededRandomInt } from '../src/random.js';
 import { job, LEASE_MS, machine, shardWith, Store } from './helpers.js';
 import { CANCEL_MS, FakeWorker, World } from './standins/worker.js';
 
@@ -37,7 +37,7 @@
 const COPY_MS = 3 * LEASE_MS;
 
 const play = (seed: number) => {
-  const random = randomFrom(seed);
+  const random = seededRandomInt(seed);
   const chance = (percent: number) => random(1000) < percent * 10;
   const world = new World();
   const store = new Store();
@@ -73,17 +73,18 @@
     for (const j of [...shard.jobs.values()]) {
       const { uid, tasks, kind } = j.spec;
       if (kind === 'service') {
-        if (j.savedTasks.size + j.unsavedTasks.size > 0) world.broken.push(`service done ${uid}`);
+        if (j.savedCompletions.size + j.unsavedCompletions.size > 0)
+          world.broken.push(`service done ${uid}`);
         continue;
       }
-      const saving = [...j.unsavedTasks];
+      const saving = [...j.unsavedCompletions];
       if (saving.length > 0 && chance(10)) {
         // No answer: the owner goes on as if nothing was saved, and the write is carried out later.
-        const bits = new Set([...j.savedTasks, ...saving]);
+        const bits = new Set([...j.savedCompletions, ...saving]);
         const save = () => {
           const range = { from: 0, to: tasks };
-          const before = decodeDone(range, store.bits.get(`${uid}/0`) ?? '');
-          store.bits.set(`${uid}/0`, encodeDone(range, new Set([...before, ...bits])));
+          const before = decodeDone(range, store.doneBitmaps.get(`${uid}/0`) ?? '');
+          store.doneBitmaps.set(`${uid}/0`, encodeDone(range, new Set([...before, ...bits])));
         };
         lateSaves.push({ at: now + 2000 + random(10_000), save });
         continue;
@@ -92,14 +93,17 @@
         // Carried out at once, and only the answer is lost: others read what this owner takes for open.
         lostAnswers += 1;
         const range = { from: 0, to: tasks };
-        store.bits.set(`${uid}/0`, encodeDone(range, new Set([...j.savedTasks, ...saving])));
+        store.doneBitmaps.set(
+          `${uid}/0`,
+          encodeDone(range, new Set([...j.savedCompletions, ...saving])),
+        );
         continue;
       }
-      shard.completionsSaved(uid, saving);
-      if (j.savedTasks.size > 0) {
-        store.bits.set(`${uid}/0`, encodeDone({ from: 0, to: tasks }, j.savedTasks));
+      shard.markCompletionsSaved(uid, saving);
+      if (j.savedCompletions.size > 0) {
+        store.doneBitmaps.set(`${uid}/0`, encodeDone({ from: 0, to: tasks }, j.savedCompletions));
       }
-      if (j.savedTasks.size === tasks && !j.ended) {
+      if (j.savedCompletions.size === tasks && !j.ended) {
         if (chance(10)) {
           // Called off in the moment of its end: the cancellation comes first.
           cancelledAtEnd += 1;
@@ -184,12 +188,12 @@
       // What a deaf machine is told has no answer, and never arrives.
       if ((noTakeoverUntil.get(worker.name) ?? 0) > now) continue;
       if (worker.hung || (silentUntil.get(worker.name) ?? 0) > now) {
-        shard.directStartsSettled(starts, false);
+        shard.settleDirectStarts(starts, false);
         continue;
       }
       const executed = worker.direct(term, agentEpoch, commands);
       shard.handleCommandStatus(worker.heartbeat(), now);
-      shard.directStartsSettled(starts, executed);
+      shard.settleDirectStarts(starts, executed);
     }
     for (const l of late.filter((x) => x.at <= now)) {
       late.splice(late.indexOf(l), 1);
@@ -219,7 +223,7 @@
       }
       if (chance(5)) keptForNext.push(r);
       const owner = former !== null && chance(20) ? former : shard;
-      const renewable = now - formerSince <= renewableMs(CANCEL_MS, LEASE_MS);
+      const renewable = now - formerSince <= renewalWindowMs(CANCEL_MS, LEASE_MS);
       const result = owner.handleHeartbeat(r, now, owner === shard, owner === shard || renewable);
       if (result.kind !== 'answer') continue;
       // Some answers get lost on the way back, and all of those to a deaf machine.
--- a/test/rental-requests.test.ts
+++ b/test/rental-requests.test.ts
@@ -44,7 +44,7 @@
     const common = { config, client, cache: this.cache, now: () => this.now, log: LOG };
     const record = { owner: 'n0', incarnation: 'a', term: 1 };
     this.store.values.set('parts/0', { value: record, revision: 1 });
-    this.store.show(this.cache, 'listing');
+    this.store.applyTo(this.cache, 'listing');
     this.rentals = new RentalRequests({
       ...common,
       incarnation: 'a',
--- a/test/services.test.ts
+++ b/test/services.test.ts
@@ -17,15 +17,15 @@
 const plan = (shard: Shard, now: number, over: Partial<CapacityInput> = {}) =>
   planCapacity({
     shard,
-    shards: 1,
+    shardCount: 1,
     types: new Map([['m', machineType()]]),
     zones: ['z', 'y'],
     objectives: [],
-    stats: new Map(),
-    elsewhere: new Map(),
-    expected: [],
-    pending: [],
-    refused: () => false,
+    classStats: new Map(),
+    activeTasksElsewhere: new Map(),
+    expectedJobs: [],
+    pendingRentals: [],
+    inBackoff: () => false,
     reserveSigma: 1,
     drainS: 45,
     idleKeepMs: 0,
@@ -89,7 +89,7 @@
   const cluster = scene(['a', 'b'], { tasks: 2 }, HEARTBEAT_MS);
   cluster.run(0, 60 * HEARTBEAT_MS);
   const state = cluster.shard.jobs.get(UID)!;
-  assert.equal(state.savedTasks.size + state.unsavedTasks.size, 0);
+  assert.equal(state.savedCompletions.size + state.unsavedCompletions.size, 0);
   assert.equal(state.ended, false);
   assert.ok(cluster.world.started > 4, `${cluster.world.started} starts`);
   assert.ok(cluster.world.started < 60, `${cluster.world.started} starts: the pauses do not grow`);
@@ -101,7 +101,7 @@
 
 test('what somebody has saved as done of a service counts for nothing', () => {
   const store = new Store().add(machine('a'), service({ tasks: 2 }));
-  store.bits.set(`${UID}/0`, 'c');
+  store.doneBitmaps.set(`${UID}/0`, 'c');
   const shard = shardWith(store, 2);
   assert.equal(shard.jobs.get(UID)?.waitingTasks.length, 2);
 });
@@ -258,7 +258,10 @@
       exchangeHeartbeats(now);
     // The class as a whole has all the machines that it needs.
     const pending = [{ type: 'm', zone: 'z', spot: true, count: 9 }];
-    const { rentals: rent } = plan(shard, 8 * HEARTBEAT_MS, { pending, idleKeepMs: 1e9 });
+    const { rentals: rent } = plan(shard, 8 * HEARTBEAT_MS, {
+      pendingRentals: pending,
+      idleKeepMs: 1e9,
+    });
     const served = shard.jobs.get(UID)!.waitingTasks.length === 0;
     assert.equal(served, zones.length === 0, name);
     const rented = rent.map(({ zone }) => zone);
@@ -296,7 +299,7 @@
       shard.handleHeartbeat(worker.heartbeat(), now + 1, true);
     }
     const stats = new Map([['c', { tasksPerS: 0, runS: null, sample: record.spec }]]);
-    const { rentals: rent, returns } = plan(shard, now + HEARTBEAT_MS, { stats });
+    const { rentals: rent, returns } = plan(shard, now + HEARTBEAT_MS, { classStats: stats });
     assert.deepEqual(
       rent.filter(({ spot }) => !spot).map(({ zone, count }) => [zone, count]),
       zones.map((z) => [z, 1]),
@@ -309,7 +312,7 @@
 test('capacity: replicas that run keep their room, whatever their run time', () => {
   const store = new Store().add(service({ tasks: 20, spot: false }));
   const stats = new Map([['c', { tasksPerS: 0, runS: null, sample: null }]]);
-  const { rentals: rent } = plan(shardWith(store), 0, { stats });
+  const { rentals: rent } = plan(shardWith(store), 0, { classStats: stats });
   const machines = rent.reduce((sum, w) => sum + w.count, 0);
   assert.equal(machines, 3, '20 replicas, eight to a machine');
   assert.ok(rent.every(({ spot }) => !spot));
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { parseOperatorConfig } from '../src/config/operator.js';
 import { ConfigError, parsePlatformConfig } from '../src/config/platform.js';
-import { openLog } from '../src/log.js';
+import { createLogger } from '../src/log.js';
 import { readFileSync } from 'node:fs';
 import { TokenBucket } from '../src/transport/token-bucket.js';
 import { PLATFORM } from './helpers.js';
@@ -50,24 +50,24 @@
 });
 
 test('an unknown LOG_LEVEL is an error, and an unset one means info', () => {
-  assert.throws(() => openLog('loud', 'n'), ConfigError);
-  assert.equal(openLog('debug', 'n').level, 'debug');
-  assert.equal(openLog(undefined, 'n').level, 'info');
+  assert.throws(() => createLogger('loud', 'n'), ConfigError);
+  assert.equal(createLogger('debug', 'n').level, 'debug');
+  assert.equal(createLogger(undefined, 'n').level, 'info');
 });
 
 test('token bucket: rate, burst, costs above the burst, and blocking', () => {
   const bucket = new TokenBucket(10, 5, 0);
-  assert.equal(bucket.take(5, 0), true, 'the full burst is available at first');
-  assert.equal(bucket.take(1, 0), false, 'no token is left');
+  assert.equal(bucket.tryTake(5, 0), true, 'the full burst is available at first');
+  assert.equal(bucket.tryTake(1, 0), false, 'no token is left');
   assert.equal(bucket.waitMs(1, 0), 100);
-  assert.equal(bucket.take(1, 100), true);
+  assert.equal(bucket.tryTake(1, 100), true);
   assert.equal(
-    bucket.take(8, 600),
+    bucket.tryTake(8, 600),
     true,
     'a cost above the burst is granted once the bucket is full',
   );
-  assert.equal(bucket.take(1, 700), false, 'the excess is owed first');
+  assert.equal(bucket.tryTake(1, 700), false, 'the excess is owed first');
   bucket.block(1000, 2000);
-  assert.equal(bucket.take(1, 2500), false, 'blocked until the given time');
-  assert.equal(bucket.take(1, 3000), true);
+  assert.equal(bucket.tryTake(1, 2500), false, 'blocked until the given time');
+  assert.equal(bucket.tryTake(1, 3000), true);
 });
--- a/test/shard.test.ts
+++ b/test/shard.test.ts
@@ -83,7 +83,7 @@
   const [task] = [...a!.tasks.values()];
   assert.equal(task?.why, 'done');
   assert.deepEqual(exchangeHeartbeat(shard, a!, 65_000), [], 'not saved yet');
-  shard.completionsSaved('job-000001', [0]);
+  shard.markCompletionsSaved('job-000001', [0]);
   const told: number[] = [];
   for (let now = 66_000; now <= 90_000; now += 2000)
     if (exchangeHeartbeat(shard, a!, now).length > 0) told.push(now);
@@ -97,7 +97,7 @@
   exchangeHeartbeat(shard, a!, 0);
   exchangeHeartbeat(shard, a!, 600);
   for (let now = 3000; now <= RUN_MS + 3000; now += 3000) exchangeHeartbeat(shard, a!, now);
-  shard.completionsSaved('job-000001', [0, 1]);
+  shard.markCompletionsSaved('job-000001', [0, 1]);
   const at = RUN_MS + 6000;
   assert.deepEqual(exchangeHeartbeat(shard, a!, at), []);
   store.add(job({ uid: 'job-000002' }));
@@ -237,7 +237,7 @@
   shard.handleCommandStatus(a!.heartbeat(), 100);
   shard.placeAll(200);
   const [direct] = shard.directCommands(200);
-  shard.directStartsSettled(direct!.starts, false);
+  shard.settleDirectStarts(direct!.starts, false);
   shard.expireLeases(20_000);
   assert.equal(shard.jobs.get('job-000001')?.placements.size, 0);
 });
@@ -424,13 +424,13 @@
     const [a] = workers(['a']);
     if (machines > 0) for (const now of [0, 600, 1200]) exchangeHeartbeat(shard, a!, now);
     const state = shard.jobs.get('job-000001')!;
-    const found = shard.migratable(state, record);
+    const found = shard.migratableTasks(state, record);
     assert.deepEqual(found === null ? null : [found.from, found.range.to], want, name);
     if (found === null) continue;
     shard.beginMigration(state, found.from, found.range.to);
     shard.placeAll(2000);
     assert.equal(state.waitingTasks.length, 0, 'nothing of it starts meanwhile');
-    assert.equal(shard.migratable(state, record), null, 'nor passes twice');
+    assert.equal(shard.migratableTasks(state, record), null, 'nor passes twice');
     shard.endMigration(state, false, 3000);
     assert.equal(
       state.waitingTasks.length,
@@ -442,7 +442,7 @@
   const later = shardWith(new Store().add(inherited, machine('a')), 2);
   const state = later.jobs.get('job-000001')!;
   assert.equal(
-    later.migratable(state, inherited),
+    later.migratableTasks(state, inherited),
     null,
     'it may be running on a machine without heartbeats',
   );
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -5,8 +5,8 @@
 import type { JobSpec } from '../src/core/model.js';
 import { unusedVolume } from '../src/core/placement/unused-volume.js';
 import { UnusedVolumeIndex } from '../src/core/placement/unused-volume-index.js';
-import { randomFrom } from '../src/random.js';
-import { FIRST_SPAN_S, SEEN_JOBS_LIMIT } from '../src/core/capacity/constants.js';
+import { seededRandomInt } from '../src/random.js';
+import { MIN_ARRIVAL_WINDOW_S, COUNTED_JOBS_LIMIT } from '../src/core/capacity/constants.js';
 import { countDone, decodeDone, encodeDone } from '../src/core/jobs/jobs.js';
 import { WorkloadStatistics } from '../src/core/capacity/workload-statistics.js';
 import { TaskSet } from '../src/core/jobs/task-set.js';
@@ -56,7 +56,7 @@
 
 /** Arrays, gangs and single tasks of several kinds, more than fit. */
 const crowdedWork = (store: Store, machines: number): void => {
-  const random = randomFrom(7);
+  const random = seededRandomInt(7);
   for (let i = 0; i < machines / 4; i++) {
     const image = `image-${random(12)}`;
     const gpuHeavy = { cpus: 1 + random(2), gpus: 1, memoryGb: 4 + random(8) };
@@ -79,9 +79,9 @@
     const shard = shardOf(store, machines);
     shard.placeAll(1);
     const placed = placedTasks(shard);
-    const first = { ...shard.state.work };
+    const first = { ...shard.state.workCounters };
     shard.placeAll(2);
-    const again = shard.state.work.machinesVisited - first.machinesVisited;
+    const again = shard.state.workCounters.machinesVisited - first.machinesVisited;
     assert.ok(placed > 2 * machines, `${placed} tasks placed on ${machines} machines`);
     return {
       visited: first.machinesVisited / placed,
@@ -109,7 +109,7 @@
   const shard = shardOf(store, 100);
   shard.placeAll(1);
   assert.equal(placedTasks(shard), 200);
-  const before = shard.state.work.machinesVisited;
+  const before = shard.state.workCounters.machinesVisited;
   for (let i = 0; i < 100; i++) {
     const { zone, spot } = store.machines.get(nameOf(i))!.value;
     const m = shard.machines.get(nameOf(i))!;
@@ -131,7 +131,7 @@
     );
     assert.equal(result.kind, 'answer');
   }
-  assert.equal(shard.state.work.machinesVisited - before, 0);
+  assert.equal(shard.state.workCounters.machinesVisited - before, 0);
 });
 
 test('returning thousands of idle machines takes one look at each', () => {
@@ -153,15 +153,15 @@
   }
   const input: CapacityInput = {
     shard,
-    shards: 1,
+    shardCount: 1,
     types: new Map([['m', machineType()]]),
     zones: ['y', 'z'],
     objectives: [],
-    stats: new Map(),
-    elsewhere: new Map(),
-    expected: [],
-    pending: [],
-    refused: () => false,
+    classStats: new Map(),
+    activeTasksElsewhere: new Map(),
+    expectedJobs: [],
+    pendingRentals: [],
+    inBackoff: () => false,
     reserveSigma: 0,
     drainS: 45,
     idleKeepMs: 1000,
@@ -174,7 +174,7 @@
 });
 
 test('a set of task numbers behaves like a set, in order', () => {
-  const random = randomFrom(5);
+  const random = seededRandomInt(5);
   const tasks = new TaskSet();
   const plain = new Set<number>();
   for (let step = 0; step < 5000; step++) {
@@ -194,7 +194,7 @@
 });
 
 test('completed tasks are counted from a bitmap as from a set', () => {
-  const random = randomFrom(3);
+  const random = seededRandomInt(3);
   for (let i = 0; i < 300; i++) {
     const from = random(50);
     const range = { from, to: from + 1 + random(40) };
@@ -209,21 +209,21 @@
 
 test('more jobs that have not ended than are remembered: each counts once', () => {
   const workload = new WorkloadStatistics();
-  const active = new Set(Array.from({ length: SEEN_JOBS_LIMIT + 1000 }, (_, i) => `job-${i}`));
+  const active = new Set(Array.from({ length: COUNTED_JOBS_LIMIT + 1000 }, (_, i) => `job-${i}`));
   for (let look = 0; look < 3; look++) {
-    for (const uid of active) workload.arrived(spec({ uid }), 10);
-    workload.keepOnly(active);
+    for (const uid of active) workload.recordArrival(spec({ uid }), 10);
+    workload.forgetEndedJobs(active);
   }
   const { tasksPerS } = workload.stats(20).get('c')!;
-  assert.equal(Math.round(tasksPerS * FIRST_SPAN_S), active.size);
+  assert.equal(Math.round(tasksPerS * MIN_ARRIVAL_WINDOW_S), active.size);
 });
 
 test('an ordered search finds what a search through all machines finds, while they change', () => {
   for (let seed = 1; seed <= 40; seed++) {
-    const random = randomFrom(seed);
+    const random = seededRandomInt(seed);
     const store = new Store();
     const shard = shardOf(store, 60);
-    const { largest } = shard.state;
+    const { largestCapacity: largest } = shard.state;
     const machines = [...shard.machines.values()];
     const change = (m: (typeof machines)[number]) => {
       m.free = { cpus: random(9), gpus: random(3), memoryGb: 8 * random(9) };
--- a/test/socket-budget.test.ts
+++ b/test/socket-budget.test.ts
@@ -7,7 +7,7 @@
 import { CloudClient } from '../src/cloud/cloud-client.js';
 import { CborClient } from '../src/transport/http.js';
 import { InboundConnections, socketBudget } from '../src/service/socket-budget.js';
-import { toBytes } from '../src/wire/cbor.js';
+import { encodeCbor } from '../src/wire/cbor.js';
 import { authorization, job, LEASE_MS, machine, shardWith, Store } from './helpers.js';
 import { StandInServer } from './standins/server.js';
 import { FakeWorker, World } from './standins/worker.js';
@@ -38,7 +38,7 @@
   const server = createServer((request, response) => {
     connections?.beforeResponse(response);
     request.resume();
-    request.on('end', () => response.end(toBytes({ ok: true })));
+    request.on('end', () => response.end(encodeCbor({ ok: true })));
   });
   connections = new InboundConnections(server, maxConnections);
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
@@ -98,7 +98,7 @@
     let hasAuthority = true;
     const rental = { request: 'r', type: 'm', zone: 'z', spot: false, count: 1 };
     const authorized = authorization('parts/0', 1, 1, () => hasAuthority);
-    const intent = RecordedIntent.found(authorized, { key: 'hires/0/r', revision: 2 });
+    const intent = RecordedIntent.fromStored(authorized, { key: 'hires/0/r', revision: 2 });
     const call = () =>
       operation === 'rent' ? cloud.rent(rental, intent) : cloud.returnMachines(['a'], authorized);
     try {
--- a/test/standins/answer-history.ts
+++ b/test/standins/answer-history.ts
@@ -1,4 +1,4 @@
-import type { Response } from '../../src/transport/http.js';
+import type { CborResponse } from '../../src/transport/http.js';
 
 /** What a user can ask of a job. */
 export type UserCall = 'submit' | 'query' | 'withdraw';
@@ -48,7 +48,7 @@
   }
 
   /** An answer has reached its user; null if none came. */
-  received(request: SentRequest, answer: Response | null, at = ''): void {
+  received(request: SentRequest, answer: CborResponse | null, at = ''): void {
     if (answer === null) return;
     const { call, uid, toldBefore } = request;
     const where = at === '' ? call : `${call} at ${at}`;
--- a/test/standins/answer-soak.ts
+++ b/test/standins/answer-soak.ts
@@ -1,5 +1,5 @@
 import { setTimeout as sleep } from 'node:timers/promises';
-import { randomFrom } from '../../src/random.js';
+import { seededRandomInt } from '../../src/random.js';
 import type { UserCall } from './answer-history.js';
 import { Cluster } from './cluster.js';
 
@@ -55,7 +55,7 @@
   constructor(private readonly options: SoakOptions) {
     const { controllers, machines } = options;
     this.#cluster = new Cluster({ controllers, runMs: 1000, leaseS: 4, cancelS: 10 });
-    this.#random = randomFrom(options.seed);
+    this.#random = seededRandomInt(options.seed);
     this.#jobsLeft = options.jobs;
     this.#machinesMost = machines;
   }
--- a/test/standins/cluster.ts
+++ b/test/standins/cluster.ts
@@ -3,7 +3,7 @@
 import type { PlatformConfig } from '../../src/config/platform.js';
 import { shardOfTeam } from '../../src/core/jobs/jobs.js';
 import type { Team } from '../../src/core/model.js';
-import { CborClient, type Response } from '../../src/transport/http.js';
+import { CborClient, type CborResponse } from '../../src/transport/http.js';
 import { AnswerHistory, type UserCall } from './answer-history.js';
 import { FakeCloud, type WorkerHost } from './cloud.js';
 import type { OptionalFeatures } from '../../src/service/service.js';
@@ -201,7 +201,7 @@
     for (const [way, link] of this.#links) if (way.split(' ').includes(node)) link.cut = cut;
   }
 
-  call(node: string, method: string, path: string, body?: unknown): Promise<Response> {
+  call(node: string, method: string, path: string, body?: unknown): Promise<CborResponse> {
     return this.#clients.get(node)!.call(method, path, body, 3000);
   }
 
@@ -228,7 +228,12 @@
   }
 
   /** A call of a user. Every answer is judged by what users had been told when the call was sent. */
-  async ask(node: string, call: UserCall, uid: string, body?: unknown): Promise<Response | null> {
+  async ask(
+    node: string,
+    call: UserCall,
+    uid: string,
+    body?: unknown,
+  ): Promise<CborResponse | null> {
     const sent = this.history.sent(call, uid);
     const method = call === 'query' ? 'GET' : 'POST';
     const path = call === 'submit' ? '/submissions' : `/submissions/${uid}`;
--- a/test/standins/machine-moves.ts
+++ b/test/standins/machine-moves.ts
@@ -11,7 +11,7 @@
 } from '@sumacstep/shard-rebalancing';
 import { parseSingletonsConfig } from '../../src/config/singletons.js';
 import { parseRebalancingConfig } from '../../src/config/rebalancing.js';
-import { randomFrom } from '../../src/random.js';
+import { seededRandomInt } from '../../src/random.js';
 import { Cluster } from './cluster.js';
 import type { Request } from './server.js';
 
@@ -74,7 +74,7 @@
   readonly #pauseMs: number[] = [];
 
   constructor(private readonly options: MachineMovesOptions) {
-    this.#below = randomFrom(options.seed);
+    this.#below = seededRandomInt(options.seed);
   }
 
   #moves(): Move[] {
--- a/test/standins/memory-store.ts
+++ b/test/standins/memory-store.ts
@@ -22,7 +22,7 @@
   }
 
   /** Shows every value: as a new listing, or as changes of the watch. */
-  show(cache: WatchCache, as: 'listing' | 'changes'): void {
+  applyTo(cache: WatchCache, as: 'listing' | 'changes'): void {
     const changes = [...this.values].map(([key, stored]) => ({ key, ...stored, removed: false }));
     const revision = this.#revision;
     if (as === 'listing')
--- a/test/standins/user-node.ts
+++ b/test/standins/user-node.ts
@@ -1,8 +1,8 @@
 import { createServer, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import Koa from 'koa';
-import { CborClient, type Response } from '../../src/transport/http.js';
-import type { Found } from '../../src/store/types.js';
+import { CborClient, type CborResponse } from '../../src/transport/http.js';
+import type { ReadResult } from '../../src/store/types.js';
 import type { CompareAndSwapResult, Guard, Write } from '@sumacstep/leader-election';
 import { LinearizableReads } from '../../src/store/linearizable-reads.js';
 import { WatchCache } from '../../src/store/watch-cache.js';
@@ -160,14 +160,14 @@
   }
 
   /** A call of a user; every answer is judged. */
-  async ask(call: UserCall, body: { readonly Uid: string }): Promise<Response | null> {
+  async ask(call: UserCall, body: { readonly Uid: string }): Promise<CborResponse | null> {
     const sent = this.history.sent(call, body.Uid);
     const answer = await this.#send(call, body).catch(() => null);
     this.history.received(sent, answer, this.name);
     return answer;
   }
 
-  #send(call: UserCall, body: { readonly Uid: string }): Promise<Response> {
+  #send(call: UserCall, body: { readonly Uid: string }): Promise<CborResponse> {
     const client = this.#client!;
     const path = `/submissions/${body.Uid}`;
     if (call === 'submit') return client.call('POST', '/submissions', body, USER_PATIENCE_MS);
@@ -175,7 +175,7 @@
     return client.call('POST', `${path}/withdraw`, undefined, USER_PATIENCE_MS);
   }
 
-  async #get(key: string): Promise<Found> {
+  async #get(key: string): Promise<ReadResult> {
     await this.readRequest.pass();
     const item = this.state.items.get(key);
     const epoch = this.state.revision;
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -14,7 +14,7 @@
 import { decoders } from '../src/store/codecs/cached-values.js';
 import { encodeCompletions } from '../src/store/codecs/completions.js';
 import { encodeMachineGroup } from '../src/store/codecs/machine-group.js';
-import { prefixOf } from '../src/store/keys.js';
+import { cachedPrefixOf } from '../src/store/keys.js';
 import { WatchCache } from '../src/store/watch-cache.js';
 import { shardWith, Store } from './helpers.js';
 import { installProduction } from './standins/production-installation.js';
@@ -87,7 +87,7 @@
       assert.deepEqual(encodeFinalState(decodeFinalState(value)), value, key);
       continue;
     }
-    const prefix = prefixOf(key);
+    const prefix = cachedPrefixOf(key);
     assert.ok(prefix !== null, key);
     const id = key.slice(prefix.length);
     const known = decoders[prefix](id, value);
@@ -202,11 +202,11 @@
   for (const { value } of cache.machines.values()) store.add({ ...value, shard: 0 });
   const bits = cache.completedTasks(0, 'job-000001', 0);
   assert.ok(bits !== undefined);
-  store.bits.set('job-000001/0', bits);
+  store.doneBitmaps.set('job-000001/0', bits);
   // The shard was the old version's; what it may have started waits for its machines' answers.
   const shard = shardWith(store, 12);
   const job = shard.jobs.get('job-000001')!;
-  assert.equal(job.savedTasks.size, 7);
+  assert.equal(job.savedCompletions.size, 7);
   assert.equal(job.waitingTasks.length, 9);
   assert.equal(shard.recovered, false);
   shard.placeAll(0);
--- a/test/user-answers.test.ts
+++ b/test/user-answers.test.ts
@@ -8,8 +8,8 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { setImmediate as turn } from 'node:timers/promises';
-import type { Response } from '../src/transport/http.js';
-import { key } from '../src/store/keys.js';
+import type { CborResponse } from '../src/transport/http.js';
+import { storeKey } from '../src/store/keys.js';
 import { AnswerHistory, type UserCall } from './standins/answer-history.js';
 import { FakeStore } from './standins/store.js';
 import { UserNode } from './standins/user-node.js';
@@ -78,12 +78,15 @@
   },
   done: async ({ nodes, state, history }: Scene) => {
     await nodes.b.ask('submit', BODY);
-    const active = state.items.get(key.activeJob(BODY.Uid));
+    const active = state.items.get(storeKey.activeJob(BODY.Uid));
     // A cancellation that was sent before may have ended the job already.
     if (active !== undefined) {
-      const When = [{ K: key.activeJob(BODY.Uid), Stamp: active.revision }];
+      const When = [{ K: storeKey.activeJob(BODY.Uid), Stamp: active.revision }];
       const Value = { status: 'done', tasks: 2, done: 2 };
-      const Writes = [{ Drop: key.activeJob(BODY.Uid) }, { Put: key.finalState(BODY.Uid), Value }];
+      const Writes = [
+        { Drop: storeKey.activeJob(BODY.Uid) },
+        { Put: storeKey.finalState(BODY.Uid), Value },
+      ];
       const query = new URLSearchParams();
       await state.handle({ method: 'POST', path: '/multi', query, body: { When, Writes } });
     }
@@ -195,7 +198,7 @@
 /** Node a's write has been committed, but the store's response is held; then a user cancels the job at node b. */
 const cancelWhileHeld = async ({
   nodes,
-}: Scene): Promise<{ accepted: Promise<Response | null> }> => {
+}: Scene): Promise<{ accepted: Promise<CborResponse | null> }> => {
   nodes.a.writeAnswer.close();
   const accepted = nodes.a.ask('submit', BODY);
   await waitUntil(() => nodes.a.writeAnswer.held > 0);
