--- a/src/service/store-access.ts
+++ b/src/service/store-access.ts
@@ -1,4 +1,4 @@
-/** The node's access to the store: the client, the cache that a watch keeps current, and the node's lease. */
+/** The node's access to the store: the client, the cache that a watch keeps up to date, and the node's lease. */
 import type { SessionLease } from '@sumacstep/leader-election';
 import { LinearizableReads } from '../store/linearizable-reads.js';
 import { createNodeSession } from '../store/node-session.js';
@@ -25,22 +25,22 @@
     const limits = storeLimitsPerNode(config, operator, config.nodes);
     this.client = new StoreClient(config.store, limits, config.storeLimits, now, log);
     this.linearizableReads = new LinearizableReads(this.client, this.cache, now);
-    const life = {
+    const record = {
       node: config.node,
       incarnation,
       supportsElection: features.duties !== null,
       supportsRebalancing: features.shares !== null,
     };
-    this.lease = createNodeSession(this.client, life, now, log);
+    this.lease = createNodeSession(this.client, record, now, log);
   }
 
-  /** Whether the store answered this node just now. */
+  /** Whether the store is available and has responded successfully within the last `STORE_REACHABLE_MS`. */
   get isReachable(): boolean {
     const { available, lastSuccessAt } = this.client;
     return available && this.context.now() - lastSuccessAt < STORE_REACHABLE_MS;
   }
 
-  /** Keeps the cache current until the signal is given. */
+  /** Applies changes in the store to the cache until `signal` is aborted. */
   async runWatch(signal: AbortSignal): Promise<void> {
     const { config, operator, now } = this.context;
     const requestsPerS = (config.storeLimits.rps * operator.storeRequestShare) / config.nodes;
@@ -52,12 +52,12 @@
     for await (const batch of batches) this.cache.apply(batch as WatchBatch);
   }
 
-  /** Ends the lease's renewals; the lease itself runs out in the store. */
+  /** Stops renewing the lease, which then expires in the store. */
   closeLease(): void {
     this.lease.close();
   }
 
-  /** Ends reads and connections. */
+  /** Stops linearizable reads and closes all connections. */
   close(): void {
     this.linearizableReads.close();
     this.client.close();
