--- a/src/peers/shard-directory.ts
+++ b/src/peers/shard-directory.ts
@@ -169,7 +169,7 @@
    * Finds a shard other than `excluded` with capacity for tasks of the job, free or by preemption, and returns how
    * many tasks fit. Prefers a shard where a feasible machine has cached the job's image; null if none has capacity.
    */
-  capacityElsewhere(spec: JobSpec, excluded: number): { shard: number; tasks: number } | null {
+  shardWithFreeCapacity(spec: JobSpec, excluded: number): { shard: number; tasks: number } | null {
     const rank = PRIORITY_RANK[spec.priority];
     let best: { shard: number; tasks: number; hasImage: boolean } | null = null;
     for (let shard = 0; shard < this.shardCount; shard++) {
@@ -198,7 +198,7 @@
    * starts sooner there, although that shard has no free capacity now either. Null if there is none, or if the load
    * of `reference` or of every other shard is unknown.
    */
-  lessAllocated(spec: JobSpec, reference: number): number | null {
+  lessAllocatedShard(spec: JobSpec, reference: number): number | null {
     const index = loadIndex(PRIORITY_RANK[spec.priority], spec.spot);
     const referenceLoad = this.#ownLoads.get(reference)?.[index];
     if (referenceLoad === undefined) return null;
--- a/src/rebalancing/move-coordinator.ts
+++ b/src/rebalancing/move-coordinator.ts
@@ -100,7 +100,7 @@
         writes,
       );
       if (!outcome.ok) return;
-      cache.applyOwn(writes, outcome.epoch);
+      cache.applyOwnWrites(writes, outcome.epoch);
       const { id, state, direction, waitsFor } = move;
       log.info({ move: id, state, direction, waitsFor }, 'move updated');
     } catch (error) {
--- a/src/rebalancing/shard-mover.ts
+++ b/src/rebalancing/shard-mover.ts
@@ -195,7 +195,7 @@
       writes,
     );
     if (!outcome.ok) return;
-    cache.applyOwn(writes, outcome.epoch);
+    cache.applyOwnWrites(writes, outcome.epoch);
     this.#lastWriteAt.set(move.id, now());
   }
 
--- a/src/service/peer-exchange.ts
+++ b/src/service/peer-exchange.ts
@@ -65,8 +65,9 @@
     return {
       reachablePeerWithStore: () => this.reachablePeerWithStore(),
       incarnationWithStore: (node) => this.#incarnationWithStore(node),
-      shardWithFreeCapacity: (spec, excluded) => this.directory.capacityElsewhere(spec, excluded),
-      lessAllocatedShard: (spec, shard) => this.directory.lessAllocated(spec, shard),
+      shardWithFreeCapacity: (spec, excluded) =>
+        this.directory.shardWithFreeCapacity(spec, excluded),
+      lessAllocatedShard: (spec, shard) => this.directory.lessAllocatedShard(spec, shard),
       imagesOf: (machine) => this.directory.imagesOf(machine),
       peerReceivingHeartbeats: (shard) => this.directory.peerReceivingHeartbeats(shard),
       cancellationsKnownUntil: () => this.#coverage.knownUntil(cache.currentAt),
--- a/src/service/shard-status.ts
+++ b/src/service/shard-status.ts
@@ -6,17 +6,17 @@
 
 /**
  * Returns the status of this node's shards, the progress of their jobs if `detailed`, and how many workers of other
- * nodes' shards have lately sent heartbeats here. Removes expired entries from `observedElsewhere`.
+ * nodes' shards have lately sent heartbeats here. Removes expired entries from `observedWorkers`.
  */
 export const describeOwnShards = (
-  shardController: Pick<ShardController, 'owned' | 'observedElsewhere'>,
+  shardController: Pick<ShardController, 'owned' | 'observedWorkers'>,
   directory: Pick<ShardDirectory, 'describeShard'>,
   detailed: boolean,
   now: number,
 ): Pick<OwnStatus, 'shards' | 'jobs' | 'observedWorkers'> => {
   const observedWorkers = new Map<number, number>();
-  for (const [machine, { shard, at }] of shardController.observedElsewhere) {
-    if (now - at > OBSERVED_WORKER_TTL_MS) shardController.observedElsewhere.delete(machine);
+  for (const [machine, { shard, at }] of shardController.observedWorkers) {
+    if (now - at > OBSERVED_WORKER_TTL_MS) shardController.observedWorkers.delete(machine);
     else observedWorkers.set(shard, (observedWorkers.get(shard) ?? 0) + 1);
   }
   const jobs: OwnStatus['jobs'] = [];
--- a/src/shards/completions/completion-saver.ts
+++ b/src/shards/completions/completion-saver.ts
@@ -69,6 +69,6 @@
     for (const uid of batch.finishedJobs) {
       log.info({ job: uid, shard: shard.index }, 'job completed');
     }
-    cache.applyOwn(writes, result.epoch);
+    cache.applyOwnWrites(writes, result.epoch);
   }
 }
--- a/src/shards/heartbeat-router.ts
+++ b/src/shards/heartbeat-router.ts
@@ -41,7 +41,7 @@
 /** Answers or redirects heartbeats. */
 export class HeartbeatRouter {
   /** workers of shards that other nodes own, by machine; the reader of the map removes outdated entries */
-  readonly observedElsewhere = new Map<string, ObservedWorker>();
+  readonly observedWorkers = new Map<string, ObservedWorker>();
 
   constructor(private readonly dependencies: HeartbeatRouterDependencies) {}
 
@@ -99,7 +99,7 @@
     const record = cache.tables.shards.get(String(shard))?.value;
     if (record === undefined) return UNAVAILABLE;
     const isOwn = record.owner === config.node;
-    if (!isOwn) this.observedElsewhere.set(heartbeat.machine, { shard, at: now });
+    if (!isOwn) this.observedWorkers.set(heartbeat.machine, { shard, at: now });
     const isLive = liveIncarnations(cache).get(record.owner)?.has(record.incarnation) ?? false;
     if (isOwn || !isLive) return UNAVAILABLE;
     return { kind: 'redirect', node: record.owner };
--- a/src/shards/ownership-reconciler.ts
+++ b/src/shards/ownership-reconciler.ts
@@ -89,7 +89,7 @@
       const result = await client.compareAndSwap(CALL_PRIORITY.renew, guards, writes);
       if (!result.ok) return;
       this.#pendingTransfers.delete(index);
-      cache.applyOwn(writes, result.epoch);
+      cache.applyOwnWrites(writes, result.epoch);
       log.info({ shard: index }, 'shard acquired');
     });
   }
@@ -115,7 +115,7 @@
         return;
       }
       this.#policy.recordFailback(index);
-      cache.applyOwn(writes, result.epoch);
+      cache.applyOwnWrites(writes, result.epoch);
       log.info({ shard: index, to: node }, 'shard transferred');
     });
   }
--- a/src/shards/shard-controller.ts
+++ b/src/shards/shard-controller.ts
@@ -110,8 +110,8 @@
   }
 
   /** Workers of other nodes' shards that sent a heartbeat to this node, by machine. */
-  get observedElsewhere(): Map<string, ObservedWorker> {
-    return this.#heartbeats.observedElsewhere;
+  get observedWorkers(): Map<string, ObservedWorker> {
+    return this.#heartbeats.observedWorkers;
   }
 
   /** Returns whether this node provably owns the shards that the cache shows as its own. */
--- a/src/shards/task-migration.ts
+++ b/src/shards/task-migration.ts
@@ -177,7 +177,7 @@
       await this.#settleConflict(owned, migration);
       return;
     }
-    cache.applyOwn(writes, result.epoch);
+    cache.applyOwnWrites(writes, result.epoch);
     shard.endMigration(job, true, now());
     const tasks = range.to - from;
     log.info({ job: uid, shard: shard.index, to: target.shard, tasks }, 'tasks migrated');
@@ -194,7 +194,10 @@
     const result = await client.get(storeKey.activeJob(uid), CALL_PRIORITY.completion);
     let isMigrated = false;
     if (!('missing' in result)) {
-      cache.applyOwn([{ put: storeKey.activeJob(uid), value: result.value }], result.revision);
+      cache.applyOwnWrites(
+        [{ put: storeKey.activeJob(uid), value: result.value }],
+        result.revision,
+      );
       const { ranges } = decodeJob(uid, result.value);
       isMigrated = !ranges.some(
         (range) => range.shard === shard.index && range.from <= from && range.to > from,
--- a/src/shards/transaction.ts
+++ b/src/shards/transaction.ts
@@ -15,7 +15,7 @@
 /** The client that commits transactions, and the cache that shows their writes before the watch does. */
 export interface CommitDependencies {
   readonly client: Pick<StoreClient, 'compareAndSwap'>;
-  readonly cache: Pick<WatchCache, 'applyOwn'>;
+  readonly cache: Pick<WatchCache, 'applyOwnWrites'>;
 }
 
 /**
@@ -30,7 +30,7 @@
   { guards, writes }: Transaction,
 ): Promise<boolean> => {
   const result = await fencedCompareAndSwap(client, authorization, priority, guards, writes);
-  if (result.ok) cache.applyOwn(writes, result.epoch);
+  if (result.ok) cache.applyOwnWrites(writes, result.epoch);
   return result.ok;
 };
 
--- a/src/singletons/garbage-collector.ts
+++ b/src/singletons/garbage-collector.ts
@@ -229,7 +229,7 @@
       guards,
       writes,
     );
-    if (outcome.ok) cache.applyOwn(writes, outcome.epoch);
+    if (outcome.ok) cache.applyOwnWrites(writes, outcome.epoch);
     return outcome.ok;
   }
 }
--- a/src/singletons/retention-clock.ts
+++ b/src/singletons/retention-clock.ts
@@ -80,7 +80,7 @@
       guards,
       writes,
     );
-    if (outcome.ok) cache.applyOwn(writes, outcome.epoch);
+    if (outcome.ok) cache.applyOwnWrites(writes, outcome.epoch);
     return outcome.ok;
   }
 }
--- a/src/singletons/return-intents.ts
+++ b/src/singletons/return-intents.ts
@@ -81,7 +81,7 @@
       [put],
     );
     if (!outcome.ok) return [];
-    this.cache.applyOwn([put], outcome.epoch);
+    this.cache.applyOwnWrites([put], outcome.epoch);
     const written = new Set(machines);
     return names.filter((name) => written.has(name));
   }
--- a/src/singletons/singleton-election.ts
+++ b/src/singletons/singleton-election.ts
@@ -114,7 +114,7 @@
         view: () => this.view(),
         hasAuthority,
         onCommitted: (writes, epoch) => {
-          cache.applyOwn(writes, epoch);
+          cache.applyOwnWrites(writes, epoch);
         },
         steadyMs: now,
         wallClockMs: timeOfDay,
--- a/src/store/watch-cache.ts
+++ b/src/store/watch-cache.ts
@@ -127,7 +127,7 @@
    * changed or removed since, and a removed key would come back for good
    * (docs/incidents/2026-12-02-went-back.md). Final states never change, so they are always applied.
    */
-  applyOwn(writes: readonly Write[], revision: number): void {
+  applyOwnWrites(writes: readonly Write[], revision: number): void {
     const alreadyWatched = revision <= this.revision;
     for (const write of writes) {
       const change = toChange(write, revision);
@@ -218,7 +218,7 @@
   applyCancellation({ uid, tasks, done, epoch }: Cancellation): void {
     if (this.finalStates.has(uid)) return;
     const final: FinalState = { status: 'cancelled', tasks, done };
-    this.applyOwn(
+    this.applyOwnWrites(
       [
         { drop: storeKey.activeJob(uid) },
         { put: storeKey.finalState(uid), value: encodeFinalState(final) },
--- a/src/users/job-service.ts
+++ b/src/users/job-service.ts
@@ -183,7 +183,7 @@
       writes,
     );
     if (result.ok) {
-      this.dependencies.cache.applyOwn(writes, result.epoch);
+      this.dependencies.cache.applyOwnWrites(writes, result.epoch);
       const answer = { kind: 'active', job, revision: result.epoch } as const;
       return { kind: 'accepted', reading: { answer, currentSince } };
     }
@@ -253,7 +253,7 @@
         writes,
       );
       if (result.ok) {
-        this.dependencies.cache.applyOwn(writes, result.epoch);
+        this.dependencies.cache.applyOwnWrites(writes, result.epoch);
         return finalReading(final);
       }
     }
--- a/test/linearizable-reads.test.ts
+++ b/test/linearizable-reads.test.ts
@@ -91,7 +91,7 @@
   },
   {
     name: 'an own write applied ahead of the watch does not answer it',
-    run: (scenario) => scenario.cache.applyOwn([{ put: 'term', value: 1 }], 90),
+    run: (scenario) => scenario.cache.applyOwnWrites([{ put: 'term', value: 1 }], 90),
     expectedCurrentSince: null,
   },
   {
@@ -106,7 +106,7 @@
     name: 'a probe that finds a later revision does not answer it while only an own write has reached that',
     run: async (scenario) => {
       await scenario.blockWatchUntilProbe();
-      scenario.cache.applyOwn([{ put: 'term', value: 1 }], 12);
+      scenario.cache.applyOwnWrites([{ put: 'term', value: 1 }], 12);
       scenario.answerProbe(12);
     },
     expectedCurrentSince: null,
@@ -137,7 +137,7 @@
   {
     name: 'a listing older than an own write does not answer it',
     run: (scenario) => {
-      scenario.cache.applyOwn([{ put: 'term', value: 1 }], 20);
+      scenario.cache.applyOwnWrites([{ put: 'term', value: 1 }], 20);
       scenario.applyListing(12, 101);
     },
     expectedCurrentSince: null,
--- a/test/shard-controller.test.ts
+++ b/test/shard-controller.test.ts
@@ -129,7 +129,7 @@
     watchChange(`active/${uid}`, undefined, 22),
     watchChange(`final/${uid}`, { status: 'cancelled', tasks: 1, done: 0 }, 22),
   ]);
-  scene.cache.applyOwn([{ put: `active/${uid}`, value: encodeJob(record) }], 21);
+  scene.cache.applyOwnWrites([{ put: `active/${uid}`, value: encodeJob(record) }], 21);
   scene.tick();
   const { shard } = scene.owned(1)!;
   assert.ok(shard.jobs.has(JOB), 'the shard still has its other job');
--- a/test/shard-directory.test.ts
+++ b/test/shard-directory.test.ts
@@ -62,7 +62,7 @@
     ['load higher', [peerStatus('n1', [announcedShard(1, 9)])], null],
   ];
   for (const [name, peers, expected] of cases) {
-    assert.equal(createDirectory(peers).lessAllocated(spec(), 0), expected, name);
+    assert.equal(createDirectory(peers).lessAllocatedShard(spec(), 0), expected, name);
   }
 });
 
--- a/test/watch-cache.test.ts
+++ b/test/watch-cache.test.ts
@@ -130,7 +130,7 @@
       for (const [key, value] of SAMPLE_VALUES) {
         const cache = new WatchCache();
         for (const batch of testCase.batchesBefore(key, value)) cache.apply(batch);
-        cache.applyOwn([{ put: key, value }], 5);
+        cache.applyOwnWrites([{ put: key, value }], 5);
         assert.equal(cachedRevisions(cache).get(key) ?? null, testCase.expectedRevision, key);
         const machineRevision = cache.machines.get('x')?.revision ?? null;
         if (key === storeKey.machineGroup('g'))
@@ -260,7 +260,7 @@
   #handleOwnAnswer(): void {
     const [answer] = this.#pendingAnswers.splice(this.#random(this.#pendingAnswers.length), 1);
     if (answer === undefined) return;
-    this.#cache.applyOwn(answer.writes, answer.revision);
+    this.#cache.applyOwnWrites(answer.writes, answer.revision);
     for (const write of answer.writes)
       if ('drop' in write) this.#recordKnownRemoval(write.drop, answer.revision);
   }
