--- a/test/budget.test.ts
+++ b/test/budget.test.ts
@@ -66,7 +66,7 @@
   for (const name of names) {
     const worker = new FakeWorker(name, new World(), 1000, 18_000, 0);
     shard.handleHeartbeat(worker.heartbeat(), 0, true);
-    worker.direct(1, 1, []);
+    worker.executeDirect(1, 1, []);
     shard.handleCommandStatus(worker.heartbeat(), 1);
   }
   let now = 1000;
--- a/test/cancellation-outage.test.ts
+++ b/test/cancellation-outage.test.ts
@@ -51,7 +51,7 @@
   {
     name: 'connections between the controllers are refused',
     refused: ['n0', 'n2'],
-    afterConfirmation: (cluster) => cluster.cutPeers('n1', true),
+    afterConfirmation: (cluster) => cluster.partitionFromPeers('n1', true),
     survives: false,
   },
 ];
@@ -64,45 +64,45 @@
         await cluster.open();
         const cancelledJob = await cluster.submit('n0', JOB);
         const otherJob = await cluster.submit('n1', JOB);
-        await cluster.until(
+        await cluster.waitUntil(
           'all tasks of both jobs run',
           30,
-          () => cluster.running(cancelledJob) + cluster.running(otherJob) === 2 * TASKS,
+          () => cluster.runningTasks(cancelledJob) + cluster.runningTasks(otherJob) === 2 * TASKS,
         );
         // Every shard has tasks of both jobs, so each refused owner has some.
-        for (const node of outage.refused) cluster.doors.get(node)!.refusing = true;
+        for (const node of outage.refused) cluster.storeProxies.get(node)!.unavailable = true;
         await sleep(300);
         await cluster.cancel('n1', cancelledJob);
-        cluster.state.unavailable = true;
+        cluster.store.unavailable = true;
         await outage.afterConfirmation(cluster);
-        await cluster.pass(OPTIONS.cancelS + 2);
-        assert.equal(cluster.running(cancelledJob), 0, 'cancelled tasks have ended in time');
-        assert.deepEqual(cluster.world.broken, []);
+        await cluster.runFor(OPTIONS.cancelS + 2);
+        assert.equal(cluster.runningTasks(cancelledJob), 0, 'cancelled tasks have ended in time');
+        assert.deepEqual(cluster.world.violations, []);
         assert.equal(
-          cluster.running(otherJob) === TASKS,
+          cluster.runningTasks(otherJob) === TASKS,
           outage.survives,
-          `${cluster.running(otherJob)} tasks of the other job run`,
+          `${cluster.runningTasks(otherJob)} tasks of the other job run`,
         );
         const status = await cluster.statusOf('n0', cancelledJob);
         assert.ok(
           ['cancelled', '503'].includes(status),
           `an outdated status was returned: ${status}`,
         );
-        cluster.cutPeers('n1', false);
-        for (const node of outage.refused) cluster.doors.get(node)!.refusing = false;
-        cluster.state.recover();
-        await cluster.until(
+        cluster.partitionFromPeers('n1', false);
+        for (const node of outage.refused) cluster.storeProxies.get(node)!.unavailable = false;
+        cluster.store.recover();
+        await cluster.waitUntil(
           'n0 returns the status cancelled',
           20,
           async () => (await cluster.statusOf('n0', cancelledJob)) === 'cancelled',
         );
-        await cluster.until(
+        await cluster.waitUntil(
           'all tasks of the other job run again',
           40,
-          () => cluster.running(otherJob) === TASKS,
+          () => cluster.runningTasks(otherJob) === TASKS,
         );
-        assert.equal(cluster.running(cancelledJob), 0);
-        assert.deepEqual(cluster.world.broken, []);
+        assert.equal(cluster.runningTasks(cancelledJob), 0);
+        assert.deepEqual(cluster.world.violations, []);
       } finally {
         cluster.close();
       }
@@ -114,15 +114,15 @@
     try {
       await cluster.open();
       const uid = await cluster.submit('n0', JOB);
-      await cluster.until('all tasks run', 30, () => cluster.running(uid) === TASKS);
-      const { started } = cluster.world;
-      cluster.state.unavailable = true;
-      await cluster.pass(OPTIONS.cancelS + 2);
-      assert.equal(cluster.running(uid), TASKS);
-      cluster.state.recover();
-      await cluster.pass(3);
-      assert.equal(cluster.world.started, started, 'no task had to start again');
-      assert.deepEqual(cluster.world.broken, []);
+      await cluster.waitUntil('all tasks run', 30, () => cluster.runningTasks(uid) === TASKS);
+      const { starts: started } = cluster.world;
+      cluster.store.unavailable = true;
+      await cluster.runFor(OPTIONS.cancelS + 2);
+      assert.equal(cluster.runningTasks(uid), TASKS);
+      cluster.store.recover();
+      await cluster.runFor(3);
+      assert.equal(cluster.world.starts, started, 'no task had to start again');
+      assert.deepEqual(cluster.world.violations, []);
     } finally {
       cluster.close();
     }
--- a/test/candidates.test.ts
+++ b/test/candidates.test.ts
@@ -28,7 +28,7 @@
   for (const name of names) {
     const worker = new FakeWorker(name, new World(), 1e6, LEASE_MS, 0);
     shard.handleHeartbeat(worker.heartbeat(), 0, false);
-    worker.direct(1, 1, []);
+    worker.executeDirect(1, 1, []);
     shard.handleCommandStatus(worker.heartbeat(), 1);
     for (const image of ['i', 'k']) {
       if (random(3) === 0) shard.machines.get(name)!.images.set(image, 1);
@@ -94,7 +94,7 @@
     for (const name of ['a', 'b']) {
       const worker = new FakeWorker(name, new World(), 1e6, LEASE_MS, 0);
       shard.handleHeartbeat(worker.heartbeat(), 0, false);
-      worker.direct(1, 1, []);
+      worker.executeDirect(1, 1, []);
       shard.handleCommandStatus(worker.heartbeat(), 1);
     }
     shard.placeAll(2);
--- a/test/quotas.test.ts
+++ b/test/quotas.test.ts
@@ -303,7 +303,7 @@
       );
       assert.equal(await sent, accepted, name);
     }
-    assert.equal(store.refused.size, 0, 'transactions over the limits are not sent');
+    assert.equal(store.rejectedTransactions.size, 0, 'transactions over the limits are not sent');
     // The store allows less than it announced: the transaction is refused once, logged once and not sent again.
     store.limits = { ...store.limits, valueBytes: 50 };
     const errorsBefore = errors.length;
@@ -312,7 +312,7 @@
         kind: 'invalid',
       });
     }
-    assert.equal(store.refused.size, 1);
+    assert.equal(store.rejectedTransactions.size, 1);
     assert.equal(errors.length, errorsBefore + 1);
     store.limits = { ...store.limits, writeRps: 20 };
     let refused = 0;
@@ -322,8 +322,11 @@
         .compareAndSwap(CALL_PRIORITY.background, [], [put(`w${i}`, 9)])
         .catch(() => (refused += 1));
     }
-    assert.ok(store.refused.rate >= 1, 'the lower rate was reached');
-    assert.ok(store.refused.rate <= 12, `${store.refused.rate} refusals: the rate is not lowered`);
+    assert.ok(store.rejectedTransactions.rate >= 1, 'the lower rate was reached');
+    assert.ok(
+      store.rejectedTransactions.rate <= 12,
+      `${store.rejectedTransactions.rate} refusals: the rate is not lowered`,
+    );
   } finally {
     client.close();
     store.close();
@@ -344,20 +347,20 @@
     await cluster.open();
     const uids = [];
     for (let i = 0; i < 6; i++)
-      uids.push(await cluster.submit(cluster.names[i % 3]!, { ...smallDemand, Pieces: 60 }));
-    await cluster.until('more than 20 tasks started', 20, () => cluster.world.started > 20);
-    cluster.state.limits = { valueBytes: 1024, transactionOps: 3, writeRps: 60 };
+      uids.push(await cluster.submit(cluster.nodes[i % 3]!, { ...smallDemand, Pieces: 60 }));
+    await cluster.waitUntil('more than 20 tasks started', 20, () => cluster.world.starts > 20);
+    cluster.store.limits = { valueBytes: 1024, transactionOps: 3, writeRps: 60 };
     for (let i = 0; i < 3; i++)
-      uids.push(await cluster.submit(cluster.names[i % 3]!, { ...smallDemand, Pieces: 60 }));
+      uids.push(await cluster.submit(cluster.nodes[i % 3]!, { ...smallDemand, Pieces: 60 }));
     for (const uid of uids) {
-      await cluster.until(
+      await cluster.waitUntil(
         `${uid} done`,
         60,
         async () => (await cluster.statusOf('n0', uid)) === 'done',
       );
     }
-    assert.equal(cluster.state.refused.size, 0);
-    assert.deepEqual(cluster.world.broken, []);
+    assert.equal(cluster.store.rejectedTransactions.size, 0);
+    assert.deepEqual(cluster.world.violations, []);
   } finally {
     cluster.close();
   }
--- a/test/service.test.ts
+++ b/test/service.test.ts
@@ -7,11 +7,11 @@
 const LEASE_S = 4;
 
 const cluster = new Cluster({ runMs: 1500, leaseS: LEASE_S, cancelS: 8 });
-const { names: NODES, world, state } = cluster;
-const until = cluster.until.bind(cluster);
+const { nodes: NODES, world, store: state } = cluster;
+const until = cluster.waitUntil.bind(cluster);
 const call = cluster.call.bind(cluster);
 const statusOf = cluster.statusOf.bind(cluster);
-const isReady = (node: string) => () => cluster.ready(node);
+const isReady = (node: string) => () => cluster.isReady(node);
 const submit = (node: string, overrides: Record<string, unknown> = {}) =>
   cluster.submit(node, overrides);
 const waitUntilDone = (node: string, uid: string, seconds = 25) =>
@@ -28,7 +28,10 @@
     assert.equal(await statusOf(node, body.Uid), 'done');
     // The rest of the repeated body does not matter, even if it could never run or is malformed.
     for (const overrides of [{}, { Vcpus: 1000 }, { Pieces: 'x' }]) {
-      const answer = await cluster.ask(node, 'submit', body.Uid, { ...body, ...overrides });
+      const answer = await cluster.sendUserRequest(node, 'submit', body.Uid, {
+        ...body,
+        ...overrides,
+      });
       assert.equal(answer?.status, 200);
       assert.equal((answer.body as { Status: string }).Status, 'done');
     }
@@ -53,16 +56,16 @@
 test('a cancelled job is cancelled at every node, and its tasks stop within seconds', async () => {
   const uid = await submit('n0', { Pieces: 40 });
   await until('some tasks run', 20, () =>
-    [...world.on.keys()].some((task) => task.startsWith(uid)),
+    [...world.runningOn.keys()].some((task) => task.startsWith(uid)),
   );
-  const answer = await cluster.ask('n2', 'withdraw', uid);
+  const answer = await cluster.sendUserRequest('n2', 'withdraw', uid);
   assert.deepEqual(
     [answer?.status, (answer?.body as { Status: string }).Status],
     [200, 'cancelled'],
   );
   for (const node of NODES) assert.equal(await statusOf(node, uid), 'cancelled');
   const isRunning = () =>
-    [...world.on].some(([task, machines]) => task.startsWith(uid) && machines.size > 0);
+    [...world.runningOn].some(([task, machines]) => task.startsWith(uid) && machines.size > 0);
   await until('its tasks have stopped', 5, () => !isRunning());
   await sleep(1000);
   assert.equal(isRunning(), false);
@@ -109,20 +112,20 @@
 
 test('a node loses store and peers, but not its workers: others take over its shard, it recovers afterwards', async () => {
   const uids = await Promise.all(NODES.map((node) => submit(node, { Pieces: 10 })));
-  cluster.cutState('n2', true);
-  cluster.cutPeers('n2', true);
+  cluster.partitionFromStore('n2', true);
+  cluster.partitionFromPeers('n2', true);
   const cutAt = Date.now();
   // The other nodes take over its shard and complete all jobs, including the tasks on its machines.
   for (const uid of uids) await waitUntilDone('n0', uid, 40);
   await until('n2 not ready', 20, async () => !(await isReady('n2')()));
   assert.equal((await call('n2', 'POST', '/submissions', cluster.submission())).status, 503);
   await until('the partition has outlasted every lease', 30, () => Date.now() - cutAt > 12_000);
-  cluster.cutState('n2', false);
-  cluster.cutPeers('n2', false);
+  cluster.partitionFromStore('n2', false);
+  cluster.partitionFromPeers('n2', false);
   await until('n2 ready', 20, isReady('n2'));
   await waitUntilDone('n2', await submit('n2'));
   for (const uid of uids) assert.equal(await statusOf('n2', uid), 'done');
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
 });
 
 test('nodes restart within a fraction of a second, also during a takeover: every job completes', async () => {
@@ -141,11 +144,11 @@
   for (const uid of uids) await waitUntilDone('n2', uid, 40);
   await until('n1 ready', 10, isReady('n1'));
   await waitUntilDone('n1', await submit('n1'));
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
 });
 
 test('machines fail and a response of the cloud is lost: every job completes', async () => {
-  cluster.cloud.loseAnswer = true;
+  cluster.cloud.losesNextRentalResponse = true;
   const uids = await Promise.all(NODES.map((node) => submit(node, { Pieces: 10 })));
   await until('machines are rented', 20, () => cluster.cloud.machines.size > 0);
   await sleep(1000);
@@ -156,6 +159,6 @@
 test('no invariant was violated so far, and idle machines are returned', async () => {
   // The estimated arrival rates, and with them the reserved capacity, decay over minutes; on a busy host it takes longer.
   await until('all machines returned', 120, () => cluster.cloud.machines.size === 0);
-  assert.deepEqual(world.broken, []);
-  assert.ok(world.started > 60);
+  assert.deepEqual(world.violations, []);
+  assert.ok(world.starts > 60);
 });
--- a/test/singleton-controllers.test.ts
+++ b/test/singleton-controllers.test.ts
@@ -29,7 +29,7 @@
 };
 
 const untilLed = (cluster: Cluster, role: string, by?: string) =>
-  cluster.until(`${role} is led by ${by ?? 'any node'}`, 20, () => {
+  cluster.waitUntil(`${role} is led by ${by ?? 'any node'}`, 20, () => {
     const node = leaderOf(cluster, role)?.holder?.node;
     return node !== undefined && (by === undefined || node === by);
   });
@@ -50,7 +50,7 @@
     try {
       await cluster.open();
       await run(cluster);
-      assert.deepEqual(cluster.world.broken, []);
+      assert.deepEqual(cluster.world.violations, []);
     } finally {
       cluster.close();
     }
@@ -58,7 +58,11 @@
 };
 
 const untilDone = (cluster: Cluster, node: string, uid: string) =>
-  cluster.until(`${uid} is done`, 40, async () => (await cluster.statusOf(node, uid)) === 'done');
+  cluster.waitUntil(
+    `${uid} is done`,
+    40,
+    async () => (await cluster.statusOf(node, uid)) === 'done',
+  );
 
 const PROCESSES: Record<string, Version> = {
   n0: 'current-process',
@@ -74,25 +78,25 @@
       await untilLed(cluster, ORPHAN_COLLECTOR_ROLE);
       const { holder, token } = leaderOf(cluster, ORPHAN_COLLECTOR_ROLE)!;
       const frozenNode = holder!.node;
-      const otherNode = cluster.names.find((node) => node !== frozenNode)!;
+      const otherNode = cluster.nodes.find((node) => node !== frozenNode)!;
       const jobBeforeFreeze = await cluster.submit(otherNode, { Pieces: 12 });
       // The writes that the leader sends from now on arrive after its successor has begun.
-      cluster.doors.get(frozenNode)!.slowWritesMs = 14_000;
-      await cluster.pass(1);
+      cluster.storeProxies.get(frozenNode)!.transactionDelayMs = 14_000;
+      await cluster.runFor(1);
       cluster.processOf(frozenNode).freeze(true);
-      await cluster.until('another node leads the role', 20, () => {
+      await cluster.waitUntil('another node leads the role', 20, () => {
         const record = leaderOf(cluster, ORPHAN_COLLECTOR_ROLE);
         return record !== null && record.holder!.node !== frozenNode;
       });
       const successor = leaderOf(cluster, ORPHAN_COLLECTOR_ROLE)!;
       assert.ok(successor.token > token);
       const jobDuringFreeze = await cluster.submit(otherNode, { Pieces: 12 });
-      await cluster.pass(8);
-      cluster.doors.get(frozenNode)!.slowWritesMs = 0;
+      await cluster.runFor(8);
+      cluster.storeProxies.get(frozenNode)!.transactionDelayMs = 0;
       cluster.processOf(frozenNode).freeze(false);
       await untilDone(cluster, otherNode, jobBeforeFreeze);
       await untilDone(cluster, otherNode, jobDuringFreeze);
-      await cluster.pass(4);
+      await cluster.runFor(4);
       assert.deepEqual(
         leaderOf(cluster, ORPHAN_COLLECTOR_ROLE),
         successor,
@@ -106,10 +110,10 @@
     {},
     async (cluster) => {
       await untilLed(cluster, ORPHAN_COLLECTOR_ROLE);
-      const name = await cluster.cloud.bootUnknown();
-      await cluster.until('the machine is gone', 40, () => !cluster.cloud.machines.has(name));
+      const name = await cluster.cloud.bootUnknownMachine();
+      await cluster.waitUntil('the machine is gone', 40, () => !cluster.cloud.machines.has(name));
       assert.deepEqual(
-        cluster.cloud.returned.filter((returnedName) => returnedName === name),
+        cluster.cloud.returnedMachines.filter((returnedName) => returnedName === name),
         [name],
       );
       const list = cluster.stored(electionEntryKey.returns('unrecorded')) as { machines: string[] };
@@ -126,17 +130,17 @@
       const first = await cluster.submit('n0', { Pieces: 8 });
       await untilDone(cluster, 'n0', first);
       cluster.cloud.holdsReturns = true;
-      await cluster.until('idle machines are being returned', IDLE_KEEP_S + 20, () => {
+      await cluster.waitUntil('idle machines are being returned', IDLE_KEEP_S + 20, () => {
         return cluster.cloud.heldReturns.length > 0;
       });
       // The nodes that sent the returns end; the next owners get a job whose tasks would fit these machines.
       const returning = cluster.cloud.heldReturns;
-      for (const node of cluster.names) cluster.kill(node);
-      await Promise.all(cluster.names.map((node) => cluster.start(node)));
-      for (const node of cluster.names)
-        await cluster.until(`${node} is ready`, 20, () => cluster.ready(node));
+      for (const node of cluster.nodes) cluster.kill(node);
+      await Promise.all(cluster.nodes.map((node) => cluster.start(node)));
+      for (const node of cluster.nodes)
+        await cluster.waitUntil(`${node} is ready`, 20, () => cluster.isReady(node));
       const second = await cluster.submit('n1', { Pieces: 8, GuessS: 5 });
-      await cluster.until('the second job runs', 40, () => cluster.running(second) > 0);
+      await cluster.waitUntil('the second job runs', 40, () => cluster.runningTasks(second) > 0);
       const runsSecondJob = (name: string) =>
         [...(cluster.cloud.machines.get(name)?.worker.tasks.values() ?? [])].some(
           (task) => task.uid === second,
@@ -156,8 +160,8 @@
     async (cluster) => {
       await untilLed(cluster, GARBAGE_COLLECTOR_ROLE);
       const acceptances: Request[] = [];
-      for (const door of cluster.doors.values()) {
-        door.seen = (request) => {
+      for (const door of cluster.storeProxies.values()) {
+        door.onTransaction = (request) => {
           const { Writes: writes } = request.body as { Writes: { Put?: string }[] };
           if (writes.some((write) => write.Put?.startsWith('active/'))) acceptances.push(request);
         };
@@ -167,14 +171,14 @@
       const final = `final/${uid}`;
       assert.ok(cluster.stored(final) !== undefined);
       const endedAt = Date.now();
-      await cluster.until(
+      await cluster.waitUntil(
         'the final state is deleted',
         30,
         () => cluster.stored(final) === undefined,
       );
       assert.ok(Date.now() - endedAt >= 3500, 'not deleted before the retention time has passed');
       assert.equal(acceptances.length, 1);
-      const lateAnswer = await cluster.state.handle(acceptances[0]!);
+      const lateAnswer = await cluster.store.handle(acceptances[0]!);
       assert.ok(
         lateAnswer !== 'hang' && lateAnswer.status === 409,
         'the store rejects the late acceptance',
@@ -189,8 +193,8 @@
   scenario('a role is transferred to the node that an operator asks for', {}, async (cluster) => {
     await untilLed(cluster, ORPHAN_COLLECTOR_ROLE);
     const { holder, token } = leaderOf(cluster, ORPHAN_COLLECTOR_ROLE)!;
-    const to = cluster.names.find((node) => node !== holder!.node)!;
-    cluster.state.seed({ [transferRequestKey(ORPHAN_COLLECTOR_ROLE)]: { to, id: 'r1' } });
+    const to = cluster.nodes.find((node) => node !== holder!.node)!;
+    cluster.store.putValues({ [transferRequestKey(ORPHAN_COLLECTOR_ROLE)]: { to, id: 'r1' } });
     await untilLed(cluster, ORPHAN_COLLECTOR_ROLE, to);
     assert.equal(leaderOf(cluster, ORPHAN_COLLECTOR_ROLE)!.token, token + 1);
     assert.equal(
@@ -199,7 +203,7 @@
       'the transfer request is deleted',
     );
     cluster.kill(to);
-    await cluster.until(
+    await cluster.waitUntil(
       'another node takes over the role',
       20,
       () => leaderOf(cluster, ORPHAN_COLLECTOR_ROLE)?.token === token + 2,
@@ -211,21 +215,24 @@
     { versions: { n2: 'production' } },
     async (cluster) => {
       const untilAdopted = async () => {
-        const name = await cluster.cloud.bootUnknown();
+        const name = await cluster.cloud.bootUnknownMachine();
         const found = `machines/found-${name}`;
-        await cluster.until(
+        await cluster.waitUntil(
           'a shard has adopted the machine',
           40,
           () => cluster.stored(found) !== undefined,
         );
-        assert.ok(!cluster.cloud.returned.includes(name), 'the machine has not been returned');
+        assert.ok(
+          !cluster.cloud.returnedMachines.includes(name),
+          'the machine has not been returned',
+        );
       };
       await untilAdopted();
       await cluster.replace('n2', 'current');
       await untilLed(cluster, ORPHAN_COLLECTOR_ROLE);
-      const orphaned = await cluster.cloud.bootUnknown();
-      await cluster.until('the machine is returned', 40, () =>
-        cluster.cloud.returned.includes(orphaned),
+      const orphaned = await cluster.cloud.bootUnknownMachine();
+      await cluster.waitUntil('the machine is returned', 40, () =>
+        cluster.cloud.returnedMachines.includes(orphaned),
       );
       await cluster.replace('n2', 'production');
       await untilAdopted();
--- a/test/socket-budget.test.ts
+++ b/test/socket-budget.test.ts
@@ -69,7 +69,7 @@
   const world = new World();
   for (const name of names) {
     const worker = new FakeWorker(name, world, 1000, LEASE_MS, 0, 'z', 'm', `${name}:1`);
-    worker.token = 1;
+    worker.fencingToken = 1;
     shard.handleHeartbeat(worker.heartbeat(), 0, true);
   }
   store.add(job({ tasks: 60 }));
--- a/test/user-answers.test.ts
+++ b/test/user-answers.test.ts
@@ -50,17 +50,17 @@
 const HOLDS = {
   'its write has not reached the store': {
     hold: ({ nodes }: Scene) => nodes.a.writeRequest.close(),
-    held: ({ nodes }: Scene) => nodes.a.writeRequest.held,
+    held: ({ nodes }: Scene) => nodes.a.writeRequest.heldCount,
     accepted: false,
   },
   "the store's response to its write has not arrived": {
-    hold: ({ nodes }: Scene) => nodes.a.writeAnswer.close(),
-    held: ({ nodes }: Scene) => nodes.a.writeAnswer.held,
+    hold: ({ nodes }: Scene) => nodes.a.writeResponse.close(),
+    held: ({ nodes }: Scene) => nodes.a.writeResponse.heldCount,
     accepted: false,
   },
   "the store's response to its watch read has not arrived": {
-    hold: ({ nodes }: Scene) => nodes.a.feedAnswer.close(),
-    held: ({ nodes }: Scene) => nodes.a.feedAnswer.held,
+    hold: ({ nodes }: Scene) => nodes.a.watchResponse.close(),
+    held: ({ nodes }: Scene) => nodes.a.watchResponse.heldCount,
     accepted: true,
   },
 } as const;
@@ -69,15 +69,15 @@
 const MEANWHILE = {
   nothing: () => Promise.resolve(),
   accepted: async ({ nodes }: Scene) => {
-    await nodes.b.ask('submit', BODY);
+    await nodes.b.sendUserRequest('submit', BODY);
   },
   cancelled: async ({ nodes }: Scene) => {
-    await nodes.b.ask('submit', BODY);
-    const answer = await nodes.b.ask('withdraw', BODY);
+    await nodes.b.sendUserRequest('submit', BODY);
+    const answer = await nodes.b.sendUserRequest('withdraw', BODY);
     assert.equal(answer?.status, 200);
   },
   done: async ({ nodes, state, history }: Scene) => {
-    await nodes.b.ask('submit', BODY);
+    await nodes.b.sendUserRequest('submit', BODY);
     const active = state.items.get(storeKey.activeJob(BODY.Uid));
     // A cancellation that was sent before may have ended the job already.
     if (active !== undefined) {
@@ -90,8 +90,8 @@
       const query = new URLSearchParams();
       await state.handle({ method: 'POST', path: '/multi', query, body: { When, Writes } });
     }
-    await nodes.b.ask('query', BODY);
-    assert.notEqual(history.finalOf(BODY.Uid), null);
+    await nodes.b.sendUserRequest('query', BODY);
+    assert.notEqual(history.reportedFinalState(BODY.Uid), null);
   },
 } as const;
 
@@ -130,33 +130,34 @@
   const { nodes, violations } = scene;
   try {
     if (HOLDS[hold].accepted) {
-      await nodes.b.ask('submit', BODY);
+      await nodes.b.sendUserRequest('submit', BODY);
       // Node a must know the job before the repeated submission that is held.
-      await nodes.a.follow();
+      await nodes.a.pollWatch();
     }
     HOLDS[hold].hold(scene);
-    const first = nodes.a.ask('submit', BODY);
+    const first = nodes.a.sendUserRequest('submit', BODY);
     await waitUntil(() => HOLDS[hold].held(scene) > 0);
     const answers = [first];
     const send = async () => {
       const callsBefore = nodes[at].calls;
       let isAnswered = false;
-      const answer = nodes[at].ask(call, BODY).finally(() => (isAnswered = true));
+      const answer = nodes[at].sendUserRequest(call, BODY).finally(() => (isAnswered = true));
       answers.push(answer);
       await waitUntil(() => isAnswered || nodes[at].calls > callsBefore);
     };
     if (moment === 'before') await send();
     await MEANWHILE[meanwhile](scene);
     if (moment === 'after') await send();
-    for (const gate of [nodes.a.writeRequest, nodes.a.writeAnswer, nodes.a.feedAnswer]) gate.open();
+    for (const gate of [nodes.a.writeRequest, nodes.a.writeResponse, nodes.a.watchResponse])
+      gate.open();
     for (const answer of await Promise.all(answers)) {
       const status = answer?.status ?? 0;
       assert.ok(status > 0 && status < 500, 'nothing failed, so no request may be refused');
     }
     for (const name of NODES) {
-      const answer = await nodes[name].ask('query', BODY);
+      const answer = await nodes[name].sendUserRequest('query', BODY);
       assert.equal(answer?.status, 200, `${name} knows the job afterwards`);
-      await nodes[name].ask('submit', BODY);
+      await nodes[name].sendUserRequest('submit', BODY);
     }
     assert.deepEqual(violations, []);
   } finally {
@@ -199,11 +200,11 @@
 const cancelWhileHeld = async ({
   nodes,
 }: Scene): Promise<{ accepted: Promise<CborResponse | null> }> => {
-  nodes.a.writeAnswer.close();
-  const accepted = nodes.a.ask('submit', BODY);
-  await waitUntil(() => nodes.a.writeAnswer.held > 0);
-  await nodes.b.ask('submit', BODY);
-  await nodes.b.ask('withdraw', BODY);
+  nodes.a.writeResponse.close();
+  const accepted = nodes.a.sendUserRequest('submit', BODY);
+  await waitUntil(() => nodes.a.writeResponse.heldCount > 0);
+  await nodes.b.sendUserRequest('submit', BODY);
+  await nodes.b.sendUserRequest('withdraw', BODY);
   return { accepted };
 };
 
@@ -212,19 +213,19 @@
     withScene(async (scene) => {
       const { a } = scene.nodes;
       const { accepted } = await cancelWhileHeld(scene);
-      await a.list();
-      a.writeAnswer.open();
+      await a.relist();
+      a.writeResponse.open();
       await accepted;
       assert.equal(a.cache.tables.activeJobs.size, 0);
-      await a.ask('query', BODY);
+      await a.sendUserRequest('query', BODY);
     }));
 
   test('the node knows the final state by then: its user is told `cancelled`', () =>
     withScene(async (scene) => {
       const { a } = scene.nodes;
       const { accepted } = await cancelWhileHeld(scene);
-      await a.follow();
-      a.writeAnswer.open();
+      await a.pollWatch();
+      a.writeResponse.open();
       const answer = await accepted;
       assert.equal(answer?.status, 200);
       assert.equal((answer.body as { Status: string }).Status, 'cancelled');
@@ -233,7 +234,7 @@
 
 test('a repeated submission whose record exceeds the value limit gets the state of the accepted job', () =>
   withScene(async ({ nodes }) => {
-    await nodes.b.ask('submit', BODY);
-    const answer = await nodes.a.ask('submit', BODY);
+    await nodes.b.sendUserRequest('submit', BODY);
+    const answer = await nodes.a.sendUserRequest('submit', BODY);
     assert.equal(answer?.status, 200);
   }, 100));
