--- a/test/answer-history.test.ts
+++ b/test/answer-history.test.ts
@@ -222,8 +222,8 @@
     const history = new AnswerHistory(broken);
     const requests = new Map<number, SentRequest>();
     for (const [request, what, state] of events) {
-      if (typeof what === 'string') requests.set(request, history.sent(what, UID));
-      else history.received(requests.get(request)!, { status: what, body: { Status: state } });
+      if (typeof what === 'string') requests.set(request, history.recordRequest(what, UID));
+      else history.recordAnswer(requests.get(request)!, { status: what, body: { Status: state } });
     }
     const rules = [...new Set(broken.map((text) => text.split(' ')[0]))];
     assert.deepEqual(rules, expected === null ? [] : [expected], `${name}: ${broken.join('; ')}`);
--- a/test/answer-soak.test.ts
+++ b/test/answer-soak.test.ts
@@ -25,7 +25,7 @@
   `users at all nodes while faults are mixed, seed ${SEED}`,
   { timeout: TIMEOUT_MS },
   async (t) => {
-    const { broken, ...figures } = await new AnswerSoak(OPTIONS).run();
+    const { violations: broken, ...figures } = await new AnswerSoak(OPTIONS).run();
     t.diagnostic(JSON.stringify(figures));
     assert.deepEqual(broken, []);
     assert.ok(figures.answers > OPTIONS.jobs * 3, 'users were answered');
--- a/test/candidates.test.ts
+++ b/test/candidates.test.ts
@@ -27,7 +27,7 @@
   for (const n of names) {
     const w = new FakeWorker(n, new World(), 1e6, LEASE_MS, 0);
     shard.handleHeartbeat(w.heartbeat(), 0, false);
-    w.direct(1, 1, []);
+    w.executeDirect(1, 1, []);
     shard.handleCommandStatus(w.heartbeat(), 1);
     for (const image of ['i', 'k']) {
       if (random(3) === 0) shard.machines.get(n)!.images.set(image, 1);
@@ -86,7 +86,7 @@
     for (const n of ['a', 'b']) {
       const w = new FakeWorker(n, new World(), 1e6, LEASE_MS, 0);
       shard.handleHeartbeat(w.heartbeat(), 0, false);
-      w.direct(1, 1, []);
+      w.executeDirect(1, 1, []);
       shard.handleCommandStatus(w.heartbeat(), 1);
     }
     shard.placeAll(2);
--- a/test/combined-faults.test.ts
+++ b/test/combined-faults.test.ts
@@ -29,11 +29,11 @@
 const LONG = { ...SMALL, Pieces: 20 };
 
 const late = (c: Cluster, ms: number | null) => {
-  for (const d of c.doors.values()) d.lateMs = ms;
+  for (const d of c.storeProxies.values()) d.lateTransactionMs = ms;
 };
 const crash = async (c: Cluster, node: string, awayMs: number) => {
   c.kill(node);
-  await c.pass(awayMs / 1000);
+  await c.runFor(awayMs / 1000);
   await c.start(node);
 };
 
@@ -44,10 +44,11 @@
     jobs: [LONG, { ...LONG, Pieces: 40 }, { ...SMALL, Shape: 'ensemble', Pieces: 2 }],
     meet: async (c, [, second]) => {
       late(c, 2500);
-      const executed = () => [...c.doors.values()].reduce((sum, d) => sum + d.late, 0);
-      await c.pass(6);
+      const executed = () =>
+        [...c.storeProxies.values()].reduce((sum, d) => sum + d.lateTransactions, 0);
+      await c.runFor(6);
       const cancelling = c.cancel('n1', second!);
-      await c.pass(2);
+      await c.runFor(2);
       // How many transactions there are depends on how they fall together: more work brings more.
       for (let i = 0; i < 10 && executed() < 3; i++) await c.submit('n2', { ...SMALL, Pieces: 2 });
       late(c, null);
@@ -60,17 +61,17 @@
     name: 'commands are held up for seconds, and the machine then goes on',
     jobs: [LONG, { ...SMALL, Pieces: 3 }],
     meet: async (c, [first]) => {
-      for (const h of c.hosts()) h.heldMs = 2500;
+      for (const h of c.workerHosts()) h.commandDelayMs = 2500;
       const more = await c.submit('n2', LONG);
-      await c.pass(2);
-      for (const h of c.hosts().slice(0, 2)) h.worker.hung = true;
+      await c.runFor(2);
+      for (const h of c.workerHosts().slice(0, 2)) h.worker.hung = true;
       await c.cancel('n0', first!);
-      await c.pass(3);
-      for (const h of c.hosts()) {
-        h.heldMs = 0;
+      await c.runFor(3);
+      for (const h of c.workerHosts()) {
+        h.commandDelayMs = 0;
         h.worker.hung = false;
       }
-      await c.until(`${more} done`, 60, async () => (await c.statusOf('n0', more)) === 'done');
+      await c.waitUntil(`${more} done`, 60, async () => (await c.statusOf('n0', more)) === 'done');
     },
   },
   {
@@ -82,13 +83,13 @@
       { ...SMALL, Rank: 'prod', Shape: 'ensemble', Vcpus: 8, Pieces: 2 },
     ],
     meet: async (c) => {
-      c.cloud.most = 4;
-      for (const d of c.doors.values()) d.slowMs = 150;
-      for (const h of c.hosts()) h.heldMs = 300;
+      c.cloud.maxMachines = 4;
+      for (const d of c.storeProxies.values()) d.delayMs = 150;
+      for (const h of c.workerHosts()) h.commandDelayMs = 300;
       await c.submit('n1', { ...SMALL, Rank: 'urgent', Vcpus: 8, Pieces: 4 });
-      await c.pass(10);
-      for (const d of c.doors.values()) d.slowMs = 0;
-      for (const h of c.hosts()) h.heldMs = 0;
+      await c.runFor(10);
+      for (const d of c.storeProxies.values()) d.delayMs = 0;
+      for (const h of c.workerHosts()) h.commandDelayMs = 0;
     },
   },
   {
@@ -96,16 +97,16 @@
     name: 'the state service answers slowly, then not at all, while users cancel and ask',
     jobs: [LONG, LONG, LONG],
     meet: async (c, uids) => {
-      for (const d of c.doors.values()) d.slowMs = 500;
+      for (const d of c.storeProxies.values()) d.delayMs = 500;
       await Promise.all(uids.slice(0, 2).map((uid, i) => c.cancel(`n${i}`, uid)));
       for (const n of c.names) for (const uid of uids) await c.statusOf(n, uid);
-      c.state.unavailable = true;
+      c.store.unavailable = true;
       for (let i = 0; i < 12; i++) {
-        await c.pass(1);
+        await c.runFor(1);
         for (const uid of uids) await c.statusOf(c.names[i % 3]!, uid);
       }
-      for (const d of c.doors.values()) d.slowMs = 0;
-      c.state.recover();
+      for (const d of c.storeProxies.values()) d.delayMs = 0;
+      c.store.recover();
     },
   },
   {
@@ -115,7 +116,7 @@
     meet: async (c, [first]) => {
       await c.cancel('n0', first!);
       for (const n of c.names) c.kill(n);
-      await c.pass(LEASE_S + 2);
+      await c.runFor(LEASE_S + 2);
       await Promise.all(c.names.map((n) => c.start(n)));
     },
   },
@@ -124,14 +125,14 @@
     name: 'reports are held back until a new leader has acted, and then arrive there',
     jobs: [LONG, LONG],
     meet: async (c) => {
-      for (const h of c.hosts()) h.copyMs = 3500;
-      await c.pass(1.5);
+      for (const h of c.workerHosts()) h.duplicateAfterMs = 3500;
+      await c.runFor(1.5);
       await crash(c, 'n1', 1000);
-      await c.pass(3);
+      await c.runFor(3);
       await crash(c, 'n0', 3000);
-      await c.pass(4);
-      assert.ok(c.hosts().some((h) => h.copies > 3));
-      for (const h of c.hosts()) h.copyMs = null;
+      await c.runFor(4);
+      assert.ok(c.workerHosts().some((h) => h.duplicatesSent > 3));
+      for (const h of c.workerHosts()) h.duplicateAfterMs = null;
     },
   },
   {
@@ -140,15 +141,15 @@
     options: { zones: ['z', 'y'] },
     jobs: [LONG, { ...LONG, Spread: true }, { ...SMALL, OneZone: true, Pieces: 6 }],
     meet: async (c, [first]) => {
-      c.doors.get('n0')!.refusing = true;
-      c.cutPeers('n0', true);
-      for (const h of c.hosts()) if (h.worker.zone === 'y') h.only = 'n0';
-      await c.pass(2);
+      c.storeProxies.get('n0')!.unavailable = true;
+      c.partitionFromPeers('n0', true);
+      for (const h of c.workerHosts()) if (h.worker.zone === 'y') h.onlyNode = 'n0';
+      await c.runFor(2);
       await c.cancel('n1', first!);
-      await c.pass(LEASE_S + 6);
-      for (const h of c.hosts()) h.only = null;
-      c.cutPeers('n0', false);
-      c.doors.get('n0')!.refusing = false;
+      await c.runFor(LEASE_S + 6);
+      for (const h of c.workerHosts()) h.onlyNode = null;
+      c.partitionFromPeers('n0', false);
+      c.storeProxies.get('n0')!.unavailable = false;
     },
   },
   {
@@ -158,11 +159,11 @@
     jobs: [LONG, LONG, { ...SMALL, Shape: 'ensemble', Pieces: 3 }],
     meet: async (c, [first]) => {
       for (let i = 0; i < 10; i++) {
-        if (i === 5) c.state.unavailable = true;
-        if (i === 8) c.state.recover();
+        if (i === 5) c.store.unavailable = true;
+        if (i === 8) c.store.recover();
         if (i === 3) await c.cancel('n2', first!);
         await crash(c, c.names[i % 3]!, i % 2 === 0 ? 300 : 900);
-        await c.pass(0.5);
+        await c.runFor(0.5);
       }
     },
   },
@@ -171,11 +172,11 @@
     name: 'workers reach no controller, while direct commands still reach them',
     jobs: [LONG, { ...SMALL, Pieces: 3 }],
     meet: async (c, [first]) => {
-      const hosts = c.hosts();
+      const hosts = c.workerHosts();
       for (const h of hosts) h.losesHeartbeats = true;
       await c.cancel('n0', first!);
       await c.submit('n1', LONG);
-      await c.pass(LEASE_S + 4);
+      await c.runFor(LEASE_S + 4);
       for (const h of hosts) h.losesHeartbeats = false;
     },
   },
@@ -184,15 +185,15 @@
     name: 'old reports arrive after newer ones, also from earlier sessions and attempts',
     jobs: [LONG, LONG],
     meet: async (c) => {
-      for (const h of c.hosts()) h.copyMs = (LEASE_S + 2) * 1000;
-      await c.pass(1);
-      for (const h of c.hosts().slice(0, 1)) h.losesHeartbeats = true;
-      await c.pass(LEASE_S + 1);
-      for (const h of c.hosts()) h.losesHeartbeats = false;
+      for (const h of c.workerHosts()) h.duplicateAfterMs = (LEASE_S + 2) * 1000;
+      await c.runFor(1);
+      for (const h of c.workerHosts().slice(0, 1)) h.losesHeartbeats = true;
+      await c.runFor(LEASE_S + 1);
+      for (const h of c.workerHosts()) h.losesHeartbeats = false;
       await c.submit('n2', LONG);
-      await c.pass(5);
-      assert.ok(c.hosts().some((h) => h.copies > 3));
-      for (const h of c.hosts()) h.copyMs = null;
+      await c.runFor(5);
+      assert.ok(c.workerHosts().some((h) => h.duplicatesSent > 3));
+      for (const h of c.workerHosts()) h.duplicateAfterMs = null;
     },
   },
   {
@@ -204,9 +205,9 @@
       { ...SMALL, Pieces: 3, GuessS: 10 * n },
     ]),
     meet: async (c) => {
-      await c.pass(1.8);
+      await c.runFor(1.8);
       await crash(c, 'n0', 500);
-      await c.pass(1);
+      await c.runFor(1);
       await crash(c, 'n1', 3000);
       await crash(c, 'n2', 200);
     },
@@ -217,16 +218,16 @@
     options: { ...LASTING, teams: [LIMITED] },
     jobs: [1, 2, 3].map(() => ({ ...SMALL, Owner: 'limited', Vcpus: 2, Pieces: 4 })),
     meet: async (c, [first]) => {
-      const owner = c.ownerOf('limited');
+      const owner = c.preferredNodeOf('limited');
       const other = c.names.find((n) => n !== owner)!;
-      const busy = c.hosts().filter((h) => h.worker.tasks.size > 0);
+      const busy = c.workerHosts().filter((h) => h.worker.tasks.size > 0);
       for (const h of busy) h.worker.hung = true;
-      await c.pass(0.3);
+      await c.runFor(0.3);
       c.kill(owner);
       const cancelling = c.cancel(other, first!);
-      await c.pass(9);
+      await c.runFor(9);
       await cancelling;
-      for (const h of c.hosts()) h.worker.hung = false;
+      for (const h of c.workerHosts()) h.worker.hung = false;
       await c.start(owner);
     },
   },
@@ -235,17 +236,17 @@
     name: 'a leader loses state service and controllers, not workers and users; jobs are cancelled',
     jobs: [LONG, LONG, LONG],
     meet: async (c, uids) => {
-      c.doors.get('n0')!.refusing = true;
-      c.cutPeers('n0', true);
-      await c.pass(1);
+      c.storeProxies.get('n0')!.unavailable = true;
+      c.partitionFromPeers('n0', true);
+      await c.runFor(1);
       await c.cancel('n1', uids[0]!);
       await c.cancel('n2', uids[1]!);
       for (let i = 0; i < CANCEL_S + 2; i++) {
-        await c.pass(1);
+        await c.runFor(1);
         for (const n of c.names) for (const uid of uids) await c.statusOf(n, uid);
       }
-      c.cutPeers('n0', false);
-      c.doors.get('n0')!.refusing = false;
+      c.partitionFromPeers('n0', false);
+      c.storeProxies.get('n0')!.unavailable = false;
     },
   },
   {
@@ -264,8 +265,8 @@
       if (two !== undefined) c.cloud.machines.get(two)!.worker.hung = true;
       await crash(c, 'n1', 500);
       if (three !== undefined) c.cloud.kill(three);
-      await c.pass(2);
-      for (const h of c.hosts()) h.worker.hung = false;
+      await c.runFor(2);
+      for (const h of c.workerHosts()) h.worker.hung = false;
     },
   },
   {
@@ -277,11 +278,11 @@
       const ends: string[] = [];
       for (let i = 0; i < 8; i++) {
         const uid = await c.submit(c.names[i % 3]!, { ...SMALL, Pieces: 2 });
-        await c.until('all of it runs', 20, () => c.running(uid) === 2);
+        await c.waitUntil('all of it runs', 20, () => c.runningTasks(uid) === 2);
         // From well before the end is saved to just after it is. The canceller's read is old when its
         // transaction arrives, and others have been told of the end by then.
-        const slow = c.doors.get(c.names[(i + 1) % 3]!)!;
-        slow.slowWritesMs = 700;
+        const slow = c.storeProxies.get(c.names[(i + 1) % 3]!)!;
+        slow.transactionDelayMs = 700;
         await sleep(500 + i * 120);
         const asking = async () => {
           for (let asked = 0; asked < 24; asked++) {
@@ -292,9 +293,9 @@
         const [end] = await Promise.all([
           c.cancel(c.names[(i + 1) % 3]!, uid),
           asking(),
-          c.ask(c.names[i % 3]!, 'submit', uid, c.submission({ ...SMALL, Uid: uid })),
+          c.sendUserRequest(c.names[i % 3]!, 'submit', uid, c.submission({ ...SMALL, Uid: uid })),
         ]);
-        slow.slowWritesMs = 0;
+        slow.transactionDelayMs = 0;
         for (const n of c.names) assert.equal(await c.statusOf(n, uid), end);
         ends.push(end);
       }
@@ -307,12 +308,12 @@
     jobs: [LONG, LONG, { ...SMALL, Pieces: 3 }],
     meet: async (c) => {
       await crash(c, 'n1', 4000);
-      await c.pass(2);
+      await c.runFor(2);
       await crash(c, 'n1', 200);
       for (const n of c.names) c.kill(n);
-      await c.pass(0.5);
+      await c.runFor(0.5);
       await c.start('n2');
-      await c.pass(6);
+      await c.runFor(6);
       await c.start('n0');
       await c.start('n1');
     },
@@ -323,15 +324,15 @@
     options: LASTING,
     jobs: [LONG, LONG],
     meet: async (c, [first]) => {
-      c.hosts().forEach((h, i) => {
+      c.workerHosts().forEach((h, i) => {
         if (i % 3 === 0) h.losesCommands = true;
         if (i % 3 === 1) h.worker.hung = true;
       });
       c.kill('n0');
-      await c.pass(1);
+      await c.runFor(1);
       await c.cancel('n1', first!);
-      await c.pass(12);
-      for (const h of c.hosts()) {
+      await c.runFor(12);
+      for (const h of c.workerHosts()) {
         h.losesCommands = false;
         h.worker.hung = false;
       }
@@ -344,17 +345,17 @@
     options: LASTING,
     jobs: [LONG, LONG, LONG],
     meet: async (c) => {
-      await c.until('machines of every shard have work', 10, () => c.world.started >= 12);
-      const busy = c.hosts().filter((h) => h.worker.tasks.size > 0);
+      await c.waitUntil('machines of every shard have work', 10, () => c.world.starts >= 12);
+      const busy = c.workerHosts().filter((h) => h.worker.tasks.size > 0);
       const sessions = busy.map((h) => h.worker.agentEpoch);
-      for (const h of c.hosts()) h.cutFrom = 'n0';
-      await c.pass(10);
+      for (const h of c.workerHosts()) h.unreachableNode = 'n0';
+      await c.runFor(10);
       for (const h of busy) {
         assert.ok([...c.cloud.machines.values()].includes(h), `${h.worker.name} was returned`);
       }
       const after = busy.map((h) => h.worker.agentEpoch);
       assert.deepEqual(after, sessions, 'no lease ran out');
-      for (const h of c.hosts()) h.cutFrom = null;
+      for (const h of c.workerHosts()) h.unreachableNode = null;
     },
   },
   {
@@ -366,16 +367,16 @@
       { ...SMALL, Owner: 'limited too', Vcpus: 3, Pieces: 2 },
     ]),
     meet: async (c, uids) => {
-      const busy = c.hosts().filter((h) => h.worker.tasks.size > 0);
+      const busy = c.workerHosts().filter((h) => h.worker.tasks.size > 0);
       busy.forEach((h, i) => {
         if (i % 2 === 0) h.worker.hung = true;
         else h.losesCommands = h.losesHeartbeats = true;
       });
       const cancelling = [c.cancel('n0', uids[0]!), c.cancel('n1', uids[1]!)];
       for (const n of c.names) await crash(c, n, 300);
-      await c.pass(8);
+      await c.runFor(8);
       await Promise.all(cancelling);
-      for (const h of c.hosts()) h.worker.hung = h.losesCommands = h.losesHeartbeats = false;
+      for (const h of c.workerHosts()) h.worker.hung = h.losesCommands = h.losesHeartbeats = false;
     },
   },
   {
@@ -387,10 +388,10 @@
       const follow = async (i: number) => {
         const body = c.submission({ ...SMALL, Pieces: 2 });
         const uid = await c.submitBody(c.names[i % 3]!, body);
-        await c.look(body);
+        await c.queryAndResubmitAtAllNodes(body);
         if (i % 3 === 0) await c.cancel(c.names[(i + 1) % 3]!, uid);
         for (let looks = 0; looks < 25; looks++) {
-          await c.look(body);
+          await c.queryAndResubmitAtAllNodes(body);
           await sleep(looks < 5 ? 2 : 60);
         }
       };
@@ -406,14 +407,14 @@
     jobs: [LONG, { ...SMALL, Pieces: 3 }],
     meet: async (c) => {
       for (let i = 0; i < 3; i++) {
-        for (const h of c.hosts()) h.heldMs = 3000;
+        for (const h of c.workerHosts()) h.commandDelayMs = 3000;
         await c.submit(c.names[(i + 1) % 3]!, LONG);
-        await c.pass(0.6);
+        await c.runFor(0.6);
         c.kill(c.names[i]!);
-        for (const h of c.hosts()) h.heldMs = 0;
-        await c.pass(i === 0 ? 0.2 : 8);
+        for (const h of c.workerHosts()) h.commandDelayMs = 0;
+        await c.runFor(i === 0 ? 0.2 : 8);
         await c.start(c.names[i]!);
-        await c.pass(2);
+        await c.runFor(2);
       }
     },
   },
@@ -426,15 +427,15 @@
       const open = [...uids];
       const cancelOver = async (seconds: number) => {
         for (let t = 0; t < seconds * 2 && open.length > 4; t++) {
-          await Promise.all([c.cancel(c.names[1 + (t % 2)]!, open.pop()!), c.pass(0.5)]);
+          await Promise.all([c.cancel(c.names[1 + (t % 2)]!, open.pop()!), c.runFor(0.5)]);
         }
       };
       c.kill('n0');
       await cancelOver(3);
       // Its old incarnation's lease ends, the shard is taken, and goes back after a while.
-      await c.pass(4);
+      await c.runFor(4);
       await c.start('n0');
-      await c.pass(4);
+      await c.runFor(4);
       await cancelOver(6);
     },
   },
@@ -444,19 +445,19 @@
     jobs: [LONG, { ...LONG, Pieces: 40 }, { ...SMALL, Shape: 'ensemble', Pieces: 2 }],
     meet: async (c, [, second]) => {
       const losing = (on: boolean) => {
-        for (const d of c.doors.values()) d.losingAnswers = on;
+        for (const d of c.storeProxies.values()) d.losesResponses = on;
       };
       losing(true);
       const more = c.submission(LONG);
       const submitting = c.submitBody('n1', more);
       const cancelling = c.cancel('n2', second!);
-      await c.pass(5);
+      await c.runFor(5);
       await crash(c, 'n0', 300);
-      await c.pass(4);
+      await c.runFor(4);
       losing(false);
       await Promise.all([submitting, cancelling]);
-      await c.look(more);
-      const lost = [...c.doors.values()].reduce((sum, d) => sum + d.lost, 0);
+      await c.queryAndResubmitAtAllNodes(more);
+      const lost = [...c.storeProxies.values()].reduce((sum, d) => sum + d.lostResponses, 0);
       assert.ok(lost >= 3, `${lost} answers were lost`);
     },
   },
@@ -477,7 +478,7 @@
         };
         work.push(one());
         if (i === 30) work.push(crash(c, 'n1', 300));
-        await c.pass(0.25);
+        await c.runFor(0.25);
       }
       await Promise.all(work);
     },
@@ -490,28 +491,28 @@
     jobs: [LONG],
     meet: async (c) => {
       for (const [i, node] of c.names.entries()) {
-        for (const d of c.doors.values()) d.slowWritesMs = 900;
+        for (const d of c.storeProxies.values()) d.transactionDelayMs = 900;
         const before = new Set(c.cloud.machines.keys());
-        const fresh = () => c.hosts().filter((h) => !before.has(h.worker.name));
+        const fresh = () => c.workerHosts().filter((h) => !before.has(h.worker.name));
         // A machine each, and more of them than there are.
         await c.submit(node, { ...SMALL, Vcpus: 8, Pieces: before.size + 6 });
-        await c.until('new machines', 30, () => fresh().length > 0);
+        await c.waitUntil('new machines', 30, () => fresh().length > 0);
         // Its rental is recorded after one slow write, that it is up after another one.
-        await c.pass(1.9 + i * 0.25);
+        await c.runFor(1.9 + i * 0.25);
         // The last writes never arrive, among them the records of machines that are up, and the next
         // owner can't ask those machines at first.
         for (const n of c.names) c.kill(n);
-        for (const d of c.doors.values()) d.dropsWrites = true;
+        for (const d of c.storeProxies.values()) d.dropsTransactions = true;
         for (const h of fresh()) h.worker.hung = true;
-        await c.pass(1.2);
-        for (const d of c.doors.values()) {
-          d.dropsWrites = false;
-          d.slowWritesMs = 0;
+        await c.runFor(1.2);
+        for (const d of c.storeProxies.values()) {
+          d.dropsTransactions = false;
+          d.transactionDelayMs = 0;
         }
         await Promise.all(c.names.map((n) => c.start(n)));
-        await c.until(`${node} is ready`, 30, () => c.ready(node));
-        await c.pass(7);
-        for (const h of c.hosts()) h.worker.hung = false;
+        await c.waitUntil(`${node} is ready`, 30, () => c.isReady(node));
+        await c.runFor(7);
+        for (const h of c.workerHosts()) h.worker.hung = false;
       }
     },
   },
@@ -521,17 +522,17 @@
     options: LASTING,
     jobs: [{ ...SMALL, Pieces: 6 }],
     meet: async (c) => {
-      for (const h of c.hosts()) h.keepReport();
+      for (const h of c.workerHosts()) h.keepHeartbeat();
       await c.submit('n1', LONG);
       await c.submit('n2', LONG);
-      await c.pass(2);
+      await c.runFor(2);
       for (const [i, n] of c.names.entries()) {
         c.kill(n);
-        await c.pass(i === 0 ? 7 : 0.3);
+        await c.runFor(i === 0 ? 7 : 0.3);
         const starting = c.start(n);
         for (let t = 0; t < 25; t++) {
-          for (const h of c.hosts()) h.deliverKept();
-          await c.pass(0.1);
+          for (const h of c.workerHosts()) h.deliverKeptHeartbeat();
+          await c.runFor(0.1);
         }
         await starting;
       }
@@ -553,21 +554,21 @@
         await c.open();
         const uids: string[] = [];
         for (const [i, body] of row.jobs.entries()) uids.push(await c.submit(`n${i % 3}`, body));
-        await c.until('some of it runs', 20, () => uids.length === 0 || c.world.started > 3);
+        await c.waitUntil('some of it runs', 20, () => uids.length === 0 || c.world.starts > 3);
         await row.meet(c, uids);
-        for (const n of c.names) await c.until(`${n} is back`, 40, () => c.ready(n));
+        for (const n of c.names) await c.waitUntil(`${n} is back`, 40, () => c.isReady(n));
         for (const uid of c.world.jobs.keys()) {
           const end = c.world.cancelledAt.has(uid) ? 'cancelled' : 'done';
           for (const n of c.names) {
-            await c.until(`${uid} ${end}`, 60, async () => (await c.statusOf(n, uid)) === end);
+            await c.waitUntil(`${uid} ${end}`, 60, async () => (await c.statusOf(n, uid)) === end);
           }
         }
         const cancelled = [...c.world.cancelledAt.keys()];
-        await c.until('cancelled tasks are gone', CANCEL_S + 2, () =>
-          cancelled.every((uid) => c.running(uid) === 0),
+        await c.waitUntil('cancelled tasks are gone', CANCEL_S + 2, () =>
+          cancelled.every((uid) => c.runningTasks(uid) === 0),
         );
-        assert.deepEqual(c.world.broken, []);
-        assert.ok(c.world.started > 3, 'something ran');
+        assert.deepEqual(c.world.violations, []);
+        assert.ok(c.world.starts > 3, 'something ran');
       } finally {
         c.close();
       }
--- a/test/known-red.test.ts
+++ b/test/known-red.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { judge } from './runner/known-red.js';
+import { evaluateOutcomes } from './runner/known-red.js';
 
 /** Only what is listed may fail, and all that is listed must. */
 const LINE = (name: string) => `${name} | npm test, seed 1 | what was seen | issue 1`;
@@ -53,7 +53,10 @@
 
 test('failures judged by KNOWN-RED.txt: table', () => {
   for (const { name, text = '', passed = [], failed = [], problem } of CASES) {
-    const { ok, lines } = judge(text, { passed: new Set(passed), failed: new Set(failed) });
+    const { ok, lines } = evaluateOutcomes(text, {
+      passed: new Set(passed),
+      failed: new Set(failed),
+    });
     assert.equal(ok, problem === null, `${name}: ${lines.join('; ')}`);
     if (problem !== null)
       assert.ok(
--- a/test/leadership-commands.test.ts
+++ b/test/leadership-commands.test.ts
@@ -7,9 +7,9 @@
 import { ConfigError } from '../src/config/platform.js';
 import { ORPHAN_COLLECTOR_ROLE } from '../src/singletons/roles.js';
 import { Cluster } from './standins/cluster.js';
-import { withCommands, type Run } from './standins/commands.js';
+import { withCommands, type CommandResult } from './standins/commands.js';
 
-type Command = (...args: string[]) => Promise<Run>;
+type Command = (...args: string[]) => Promise<CommandResult>;
 const ROLE = ORPHAN_COLLECTOR_ROLE;
 
 const statusOf = async (run: Command): Promise<LeadershipOutput['duties'][number]> => {
@@ -32,7 +32,7 @@
 
   cluster.kill(first.holder!.node);
   const seen = new Set<string>();
-  await cluster.until('another leader is shown', 20, async () => {
+  await cluster.waitUntil('another leader is shown', 20, async () => {
     const status = await statusOf(run);
     seen.add(`${status.until.kind} ${status.token}`);
     return status.token === first.token + 1 && status.until.kind === 'lease_renewed';
@@ -59,11 +59,11 @@
     const record = () => cluster.stored(leaderKey(ROLE)) as LeaderRecord | undefined;
     try {
       await cluster.open();
-      await cluster.until('held', 20, () => record() !== undefined);
+      await cluster.waitUntil('held', 20, () => record() !== undefined);
       const shardsOwned = () =>
         ['0', '1', '2'].every((i) => cluster.stored(`parts/${i}`) !== undefined);
-      await cluster.until('all shards are owned', 20, shardsOwned);
-      await withCommands(cluster.state.address, 'duties', async (run) => {
+      await cluster.waitUntil('all shards are owned', 20, shardsOwned);
+      await withCommands(cluster.store.address, 'duties', async (run) => {
         const first = record()!;
         await showsFailover(cluster, run, first);
         const to = cluster.names.find(
@@ -78,7 +78,7 @@
           [0, 0],
           'the same id is one request',
         );
-        await cluster.until(`${to} holds it`, 20, () => record()?.holder?.node === to);
+        await cluster.waitUntil(`${to} holds it`, 20, () => record()?.holder?.node === to);
         const text = (await run('show')).out;
         assert.match(text, /^DUTY +HOLDER +TOKEN +SINCE +UNTIL +HAND-OVER\n/);
         assert.match(text, new RegExp(`^reclaim +${to} +${record()!.token} `, 'm'));
--- a/test/measurements/duty-takeover.ts
+++ b/test/measurements/duty-takeover.ts
@@ -33,7 +33,7 @@
   while (ownerOf(cluster, key) === holder) await sleep(POLL_MS);
   const passed = performance.now() - ended;
   await cluster.start(holder, version);
-  await cluster.until(`${holder} is ready`, 40, () => cluster.ready(holder));
+  await cluster.waitUntil(`${holder} is ready`, 40, () => cluster.isReady(holder));
   await sleep(SETTLE_MS);
   return passed;
 };
@@ -58,17 +58,17 @@
   const duty = duties === undefined ? null : new Series(`holder of a duty, ${name}`);
   try {
     await cluster.open();
-    await cluster.until('parts are owned', 30, () => ownerOf(cluster, 'parts/0') !== null);
+    await cluster.waitUntil('parts are owned', 30, () => ownerOf(cluster, 'parts/0') !== null);
     if (duty !== null)
-      await cluster.until(
+      await cluster.waitUntil(
         'held',
         30,
         () => ownerOf(cluster, leaderKey(ORPHAN_COLLECTOR_ROLE)) !== null,
       );
     await sleep(SETTLE_MS);
-    const before = cluster.state.requests;
+    const before = cluster.store.requestCount;
     await sleep(IDLE_MS);
-    const requestsPerS = ((cluster.state.requests - before) * 1000) / IDLE_MS;
+    const requestsPerS = ((cluster.store.requestCount - before) * 1000) / IDLE_MS;
     for (let round = 0; round < rounds; round++) {
       shards.add(await takeover(cluster, 'parts/0', version));
       if (duty !== null)
--- a/test/measurements/share-moves.ts
+++ b/test/measurements/share-moves.ts
@@ -18,13 +18,18 @@
 const totals: Record<string, number> = {};
 const wrong: string[] = [];
 for (const seed of seeds) {
-  const run = await new MachineMovesRun({ seed, seconds, everyS: EVERY_S, faults: true }).run();
-  for (const ms of run.moveMs) durations.add(ms);
-  for (const ms of run.pauseMs) pauses.add(ms);
+  const run = await new MachineMovesRun({
+    seed,
+    durationS: seconds,
+    moveIntervalS: EVERY_S,
+    faults: true,
+  }).run();
+  for (const ms of run.moveDurationsMs) durations.add(ms);
+  for (const ms of run.pausesMs) pauses.add(ms);
   for (const [name, count] of Object.entries(run.counts)) {
     totals[name] = (totals[name] ?? 0) + count;
   }
-  wrong.push(...run.broken, ...run.unfinished);
+  wrong.push(...run.violations, ...run.unfinished);
 }
 const plots = [
   { title: 'Duration of a move', unit: 'ms', series: [durations] },
--- a/test/mixed-versions.test.ts
+++ b/test/mixed-versions.test.ts
@@ -65,12 +65,12 @@
 const SEEDED_TWICE = seededArrays([0, 1]);
 
 const slotsOf = (c: Cluster, shard: number): string[] =>
-  [...c.state.items.keys()].filter((k) => k.startsWith(`done/${shard}/`));
+  [...c.store.items.keys()].filter((k) => k.startsWith(`done/${shard}/`));
 
 /** Shards of the ranges of all unfinished jobs, by job and first task. */
 const shardsOfRanges = (c: Cluster): Map<string, number> => {
   const out = new Map<string, number>();
-  for (const [key, { value }] of c.state.items) {
+  for (const [key, { value }] of c.store.items) {
     if (!key.startsWith('active/')) continue;
     const { ranges } = value as { ranges: [number, number, number, number][] };
     for (const [from, , shard] of ranges) out.set(`${key}/${from}`, shard);
@@ -104,22 +104,22 @@
       versions: ALL_PRODUCTION,
       runMs: (index) => 4000 + (index % SEEDED_LEFT) * 8000,
       storeLimits: SMALL_LIMITS,
-      seed: SEEDED.values,
+      initialValues: SEEDED.values,
     },
     completed: SEEDED.completed,
     jobs: [],
     meet: async (c) => {
-      const door = c.doors.get('n0')!;
-      await c.until('tasks run', 20, () => c.world.started > 8);
+      const door = c.storeProxies.get('n0')!;
+      await c.waitUntil('tasks run', 20, () => c.world.starts > 8);
       c.kill('n0');
-      door.slowWritesMs = 700;
+      door.transactionDelayMs = 700;
       await c.start('n0', 'current');
-      await c.until('the split has begun', 30, () => slotsOf(c, 0).length > 1);
+      await c.waitUntil('the split has begun', 30, () => slotsOf(c, 0).length > 1);
       c.kill('n0');
-      door.slowWritesMs = 0;
+      door.transactionDelayMs = 0;
       await c.start('n0', 'production');
-      await c.until('the old version owns it', 40, () => c.ready('n0'));
-      await c.pass(6);
+      await c.waitUntil('the old version owns it', 40, () => c.isReady('n0'));
+      await c.runFor(6);
       await c.replace('n0', 'current');
     },
   },
@@ -134,15 +134,15 @@
         ['current', 'production'],
       ] as const) {
         for (const n of c.names) if (from === 'current') await c.replace(n, from);
-        c.cloud.slowRentalMs = 2500;
+        c.cloud.rentalDelayMs = 2500;
         await c.submit('n1', { ...SMALL, Vcpus: 6, Pieces: 40 });
-        const hires = () => [...c.state.items.keys()].filter((k) => k.startsWith('hires/'));
-        await c.until(`a rental of the ${from} version is open`, 30, () => hires().length > 0);
+        const hires = () => [...c.store.items.keys()].filter((k) => k.startsWith('hires/'));
+        await c.waitUntil(`a rental of the ${from} version is open`, 30, () => hires().length > 0);
         for (const n of c.names) c.kill(n);
-        c.cloud.slowRentalMs = 0;
+        c.cloud.rentalDelayMs = 0;
         await Promise.all(c.names.map((n) => c.start(n, to)));
       }
-      const recorded = [...c.state.items]
+      const recorded = [...c.store.items]
         .filter(([key]) => key.startsWith('machines/'))
         .flatMap(([, { value }]) => Object.keys((value as { hosts: object }).hosts));
       assert.equal(new Set(recorded).size, recorded.length, 'no machine has two records');
@@ -161,13 +161,13 @@
         [first!, 'n1', 'n0'],
         [second!, 'n0', 'n2'],
       ] as const) {
-        c.doors.get(at)!.slowWritesMs = 1500;
-        const cut = c.ask(at, 'withdraw', uid);
-        await c.pass(0.5);
+        c.storeProxies.get(at)!.transactionDelayMs = 1500;
+        const cut = c.sendUserRequest(at, 'withdraw', uid);
+        await c.runFor(0.5);
         c.kill(at);
         await cut;
         await c.cancel(next, uid);
-        c.doors.get(at)!.slowWritesMs = 0;
+        c.storeProxies.get(at)!.transactionDelayMs = 0;
         await c.start(at, at === 'n0' ? 'production' : 'current');
       }
     },
@@ -178,19 +178,19 @@
     options: { versions: { n1: 'production', n2: 'production' }, runMs: 6000 },
     jobs: [1, 2, 3].map(() => ({ ...SMALL, Vcpus: 2, Pieces: 18 })),
     meet: async (c) => {
-      c.cloud.most = Math.max(2, c.cloud.machines.size - 2);
+      c.cloud.maxMachines = Math.max(2, c.cloud.machines.size - 2);
       const before = shardsOfRanges(c);
       const passed = () =>
         [...shardsOfRanges(c)].some(([range, shard]) => before.get(range) !== shard);
-      for (const d of c.doors.values()) d.slowWritesMs = 300;
+      for (const d of c.storeProxies.values()) d.transactionDelayMs = 300;
       for (let i = 0; i < 4; i++) await c.submit(c.names[i % 3]!, { ...SMALL, Pieces: 18 });
-      const most = c.hosts().slice(0, 1);
+      const most = c.workerHosts().slice(0, 1);
       for (const h of most) c.cloud.kill(h.worker.name);
-      await c.until('tasks pass', 60, passed);
+      await c.waitUntil('tasks pass', 60, passed);
       await c.replace('n0', 'production');
       await c.replace('n1', 'current');
-      for (const d of c.doors.values()) d.slowWritesMs = 0;
-      c.cloud.most = Infinity;
+      for (const d of c.storeProxies.values()) d.transactionDelayMs = 0;
+      c.cloud.maxMachines = Infinity;
     },
   },
   {
@@ -201,7 +201,7 @@
       versions: { n1: 'production', n2: 'production' },
       runMs: (index) => 3000 + (index % 16) * 1500,
       storeLimits: SMALL_LIMITS,
-      seed: SEEDED_TWICE.values,
+      initialValues: SEEDED_TWICE.values,
     },
     completed: SEEDED_TWICE.completed,
     jobs: [
@@ -210,22 +210,26 @@
     ],
     meet: async (c, [first]) => {
       const large = () =>
-        [...c.state.items].some(
+        [...c.store.items].some(
           ([k, i]) => k.startsWith('done/0/') && JSON.stringify(i.value).length > 700,
         );
-      await c.until('the present version has split the slot', 30, () => !large());
-      c.state.limits = { valueBytes: 700, transactionOps: 3, writeRps: 150 };
+      await c.waitUntil('the present version has split the slot', 30, () => !large());
+      c.store.limits = { valueBytes: 700, transactionOps: 3, writeRps: 150 };
       for (let i = 0; i < 3; i++) await c.submit('n1', { ...SMALL, Pieces: 16 });
       c.kill('n0');
-      await c.pass(9);
+      await c.runFor(9);
       await c.start('n0', 'current');
       await c.cancel('n0', first!);
-      await c.until('the old version meets a refusal, and ends', 60, () => c.crashes > 0);
+      await c.waitUntil('the old version meets a refusal, and ends', 60, () => c.crashes > 0);
       await c.replace('n1', 'current');
       await c.replace('n2', 'current');
-      const refused = c.state.refused.size;
-      await c.pass(3);
-      assert.equal(c.state.refused.size, refused, 'the present version sends nothing too large');
+      const refused = c.store.rejectedTransactions.size;
+      await c.runFor(3);
+      assert.equal(
+        c.store.rejectedTransactions.size,
+        refused,
+        'the present version sends nothing too large',
+      );
     },
   },
 ];
@@ -243,29 +247,29 @@
     test(row.name, async () => {
       const c = new Cluster({ runMs: 3000, leaseS: LEASE_S, cancelS: CANCEL_S, ...row.options });
       for (const [uid, done] of row.completed ?? []) c.world.completed.set(uid, new Set(done));
-      const { seed = {} } = row.options ?? {};
+      const { initialValues: seed = {} } = row.options ?? {};
       try {
         await c.open();
         const uids: string[] = [];
         for (const [i, body] of row.jobs.entries()) uids.push(await c.submit(`n${i % 3}`, body));
-        await c.until('some of it runs', 30, () => c.world.started > 3);
+        await c.waitUntil('some of it runs', 30, () => c.world.starts > 3);
         await row.meet(c, uids);
-        for (const n of c.names) await c.until(`${n} is back`, 40, () => c.ready(n));
+        for (const n of c.names) await c.waitUntil(`${n} is back`, 40, () => c.isReady(n));
         const seeded = Object.keys(seed).flatMap((k) =>
           k.startsWith('active/') ? [k.slice('active/'.length)] : [],
         );
         for (const uid of [...c.world.jobs.keys(), ...seeded]) {
           const end = c.world.cancelledAt.has(uid) ? 'cancelled' : 'done';
           for (const n of c.names) {
-            await c.until(`${uid} ${end}`, 90, async () => (await c.statusOf(n, uid)) === end);
+            await c.waitUntil(`${uid} ${end}`, 90, async () => (await c.statusOf(n, uid)) === end);
           }
         }
         const cancelled = [...c.world.cancelledAt.keys()];
-        await c.until('cancelled tasks are gone', CANCEL_S + 2, () =>
-          cancelled.every((uid) => c.running(uid) === 0),
+        await c.waitUntil('cancelled tasks are gone', CANCEL_S + 2, () =>
+          cancelled.every((uid) => c.runningTasks(uid) === 0),
         );
-        assert.deepEqual(c.world.broken, []);
-        assert.equal(c.world.startedCompleted, 0, 'no completed task is started again');
+        assert.deepEqual(c.world.violations, []);
+        assert.equal(c.world.startsAfterCompletion, 0, 'no completed task is started again');
       } finally {
         c.close();
       }
--- a/test/quotas.test.ts
+++ b/test/quotas.test.ts
@@ -291,7 +291,7 @@
       );
       assert.equal(await sent, fits, name);
     }
-    assert.equal(state.refused.size, 0, 'what is too large is not even sent');
+    assert.equal(state.rejectedTransactions.size, 0, 'what is too large is not even sent');
     // Lower than announced: refused once, logged once, and not sent again.
     state.limits = { ...state.limits, valueBytes: 50 };
     const logged = errors.length;
@@ -300,7 +300,7 @@
         kind: 'invalid',
       });
     }
-    assert.equal(state.refused.size, 1);
+    assert.equal(state.rejectedTransactions.size, 1);
     assert.equal(errors.length, logged + 1);
     state.limits = { ...state.limits, writeRps: 20 };
     let refused = 0;
@@ -310,8 +310,11 @@
         .compareAndSwap(CALL_PRIORITY.background, [], [put(`w${i}`, 9)])
         .catch(() => (refused += 1));
     }
-    assert.ok(state.refused.rate >= 1, 'the fall was noticed');
-    assert.ok(state.refused.rate <= 12, `${state.refused.rate} refusals: the rate is not lowered`);
+    assert.ok(state.rejectedTransactions.rate >= 1, 'the fall was noticed');
+    assert.ok(
+      state.rejectedTransactions.rate <= 12,
+      `${state.rejectedTransactions.rate} refusals: the rate is not lowered`,
+    );
   } finally {
     client.close();
     state.close();
@@ -333,15 +336,15 @@
     const uids = [];
     for (let i = 0; i < 6; i++)
       uids.push(await c.submit(c.names[i % 3]!, { ...small, Pieces: 60 }));
-    await c.until('some of it runs', 20, () => c.world.started > 20);
-    c.state.limits = { valueBytes: 1024, transactionOps: 3, writeRps: 60 };
+    await c.waitUntil('some of it runs', 20, () => c.world.starts > 20);
+    c.store.limits = { valueBytes: 1024, transactionOps: 3, writeRps: 60 };
     for (let i = 0; i < 3; i++)
       uids.push(await c.submit(c.names[i % 3]!, { ...small, Pieces: 60 }));
     for (const uid of uids) {
-      await c.until(`${uid} done`, 60, async () => (await c.statusOf('n0', uid)) === 'done');
+      await c.waitUntil(`${uid} done`, 60, async () => (await c.statusOf('n0', uid)) === 'done');
     }
-    assert.equal(c.state.refused.size, 0);
-    assert.deepEqual(c.world.broken, []);
+    assert.equal(c.store.rejectedTransactions.size, 0);
+    assert.deepEqual(c.world.violations, []);
   } finally {
     c.close();
   }
--- a/test/random.test.ts
+++ b/test/random.test.ts
@@ -74,7 +74,7 @@
       const { uid, tasks, kind } = j.spec;
       if (kind === 'service') {
         if (j.savedCompletions.size + j.unsavedCompletions.size > 0)
-          world.broken.push(`service done ${uid}`);
+          world.violations.push(`service done ${uid}`);
         continue;
       }
       const saving = [...j.unsavedCompletions];
@@ -114,7 +114,7 @@
         const done = world.completed.get(uid)?.size ?? 0;
         // The tasks of a gang complete together: one that is done speaks for all.
         const needed = j.spec.kind === 'gang' ? 1 : tasks;
-        if (done < needed) world.broken.push(`not_done ${uid}`);
+        if (done < needed) world.violations.push(`not_done ${uid}`);
         store.jobs.delete(uid);
       }
     }
@@ -125,7 +125,7 @@
       machines += 1;
       const name = `m${machines}`;
       const worker = new FakeWorker(name, world, 4000 + random(20_000), LEASE_MS, now);
-      worker.faulty = chance(5);
+      worker.failsTasks = chance(5);
       workers.set(name, worker);
       store.add(machine(name, { term }));
     }
@@ -144,7 +144,7 @@
         world.cancelledAt.set(uid, now);
         // Users call it off, and its machines hang in that moment.
         if (chance(40)) {
-          for (const [task, on] of world.on) {
+          for (const [task, on] of world.runningOn) {
             if (!task.startsWith(`${uid}/`)) continue;
             for (const name of on) hungUntil.set(name, now + random(30_000));
           }
@@ -191,13 +191,13 @@
         shard.settleDirectStarts(starts, false);
         continue;
       }
-      const executed = worker.direct(term, agentEpoch, commands);
+      const executed = worker.executeDirect(term, agentEpoch, commands);
       shard.handleCommandStatus(worker.heartbeat(), now);
       shard.settleDirectStarts(starts, executed);
     }
     for (const l of late.filter((x) => x.at <= now)) {
       late.splice(late.indexOf(l), 1);
-      if (workers.has(l.worker.name)) l.worker.direct(l.term, l.agentEpoch, l.commands);
+      if (workers.has(l.worker.name)) l.worker.executeDirect(l.term, l.agentEpoch, l.commands);
     }
 
     for (const [name, w] of [...workers]) {
@@ -228,7 +228,7 @@
       if (result.kind !== 'answer') continue;
       // Some answers get lost on the way back, and all of those to a deaf machine.
       if ((noTakeoverUntil.get(name) ?? 0) > now) continue;
-      if (!chance(15)) w.answered(owner.term, result.commands, now, r.agentEpoch);
+      if (!chance(15)) w.onHeartbeatAnswer(owner.term, result.commands, now, r.agentEpoch);
     }
     for (const m of [...shard.machines.values()]) {
       if (
@@ -239,7 +239,7 @@
         continue;
       m.terminating = true;
       if (chance(50)) continue;
-      workers.get(m.record.name)?.vanish();
+      workers.get(m.record.name)?.terminate();
       workers.delete(m.record.name);
       shard.removeMachine(m.record.name, now);
       store.machines.delete(m.record.name);
@@ -250,11 +250,11 @@
       l.save();
     }
     world.check(now);
-    if (world.broken.length > 0) break;
+    if (world.violations.length > 0) break;
   }
   // Nothing that was accepted and not called off is forgotten.
   for (const uid of store.jobs.keys()) {
-    if (!shard.jobs.has(uid)) world.broken.push(`forgotten ${uid}`);
+    if (!shard.jobs.has(uid)) world.violations.push(`forgotten ${uid}`);
   }
   return {
     world,
@@ -278,14 +278,14 @@
   let lostAnswers = 0;
   for (let seed = 1; seed <= 60; seed++) {
     const { world, ...seen } = play(seed);
-    assert.deepEqual(world.broken, [], `seed ${seed}`);
+    assert.deepEqual(world.violations, [], `seed ${seed}`);
     copied += seen.copied;
     deafened += seen.deafened;
     cancelledAtEnd += seen.cancelledAtEnd;
     servicesStarted += seen.servicesStarted;
     keptDelivered += seen.keptDelivered;
     lostAnswers += seen.lostAnswers;
-    started += world.started;
+    started += world.starts;
     for (const done of world.completed.values()) completed += done.size;
   }
   assert.ok(started > 2000, `only ${started} starts: the day tests nothing`);
--- a/test/rebalancing-commands.test.ts
+++ b/test/rebalancing-commands.test.ts
@@ -6,11 +6,11 @@
 import { parseSingletonsConfig } from '../src/config/singletons.js';
 import { parseRebalancingConfig } from '../src/config/rebalancing.js';
 import { Cluster, type ClusterOptions } from './standins/cluster.js';
-import { withCommands, type Run } from './standins/commands.js';
+import { withCommands, type CommandResult } from './standins/commands.js';
 
 const FEATURES = { duties: parseSingletonsConfig('', ''), shares: parseRebalancingConfig('', '') };
 const LEASE_S = 10;
-type Command = (...args: string[]) => Promise<Run>;
+type Command = (...args: string[]) => Promise<CommandResult>;
 
 const scenario = (
   name: string,
@@ -27,11 +27,11 @@
     });
     try {
       await cluster.open();
-      await cluster.until('all shards are owned', 20, () =>
+      await cluster.waitUntil('all shards are owned', 20, () =>
         ['0', '1', '2'].every((i) => cluster.stored(`parts/${i}`) !== undefined),
       );
-      await withCommands(cluster.state.address, 'shares', (run) => steps(cluster, run));
-      assert.deepEqual(cluster.world.broken, []);
+      await withCommands(cluster.store.address, 'shares', (run) => steps(cluster, run));
+      assert.deepEqual(cluster.world.violations, []);
     } finally {
       cluster.close();
     }
@@ -41,7 +41,7 @@
 const moveOf = (cluster: Cluster, id: string): Move => decodeMove(cluster.stored(moveKey(id)))!;
 
 const machinesOf = (cluster: Cluster, shard: number): string[] =>
-  [...cluster.state.items].flatMap(([key, { value }]) => {
+  [...cluster.store.items].flatMap(([key, { value }]) => {
     if (!key.startsWith('machines/')) return [];
     // The stored form of a machine group.
     const { part, hosts } = value as { part: number; hosts: Record<string, number> };
@@ -51,18 +51,22 @@
 /** Submits until some shard has machines; returns that shard. */
 const shardWithMachines = async (cluster: Cluster): Promise<number> => {
   let shard = -1;
-  await cluster.until('a shard has machines that are up', 40, () => {
+  await cluster.waitUntil('a shard has machines that are up', 40, () => {
     shard = [0, 1, 2].find((i) => machinesOf(cluster, i).length > 0) ?? -1;
-    return shard >= 0 && cluster.world.on.size > 0;
+    return shard >= 0 && cluster.world.runningOn.size > 0;
   });
   return shard;
 };
 
 const untilState = (cluster: Cluster, id: string, wanted: Move['state'], seconds = 40) =>
-  cluster.until(`${id} is ${wanted}`, seconds, () => moveOf(cluster, id).state === wanted);
+  cluster.waitUntil(`${id} is ${wanted}`, seconds, () => moveOf(cluster, id).state === wanted);
 
 const done = (cluster: Cluster, uid: string) =>
-  cluster.until(`${uid} is done`, 60, async () => (await cluster.statusOf('n0', uid)) === 'done');
+  cluster.waitUntil(
+    `${uid} is done`,
+    60,
+    async () => (await cluster.statusOf('n0', uid)) === 'done',
+  );
 
 const ownerOf = (cluster: Cluster, shard: number) =>
   (cluster.stored(`parts/${shard}`) as { owner: string }).owner;
@@ -76,13 +80,13 @@
       const from = await shardWithMachines(cluster);
       const to = (from + 1) % 3;
       const ends = ['--from', String(from), '--to', String(to), '--count', '1'];
-      const before = cluster.state.revision;
+      const before = cluster.store.revision;
       const planned = await run('plan', ...ends, '--json');
       const [plan] = JSON.parse(planned.out) as PlanOutput[];
       assert.deepEqual([plan!.heldBy, plan!.obstacle, plan!.lacking], [null, null, 0]);
       assert.ok(plan!.matching.length > 0);
       assert.ok(
-        ![...cluster.state.items.keys()].some((key) => key.startsWith('shares/')),
+        ![...cluster.store.items.keys()].some((key) => key.startsWith('shares/')),
         `${before}`,
       );
 
@@ -118,10 +122,10 @@
           ? coordinator.holder.node
           : ownerOf(cluster, who === 'source' ? from : to);
       cluster.kill(node);
-      await cluster.pass(1);
+      await cluster.runFor(1);
       await cluster.start(node);
-      await cluster.until(`${node} ready`, 30, () => cluster.ready(node));
-      await cluster.until('over', 60, () =>
+      await cluster.waitUntil(`${node} ready`, 30, () => cluster.isReady(node));
+      await cluster.waitUntil('over', 60, () =>
         ['finished', 'aborted'].includes(moveOf(cluster, 'm').state),
       );
       const more = await cluster.submit(node, { Pieces: 6 });
@@ -138,12 +142,12 @@
     async (cluster, run) => {
       const service = { Shape: 'service', Rank: 'prod', Pieces: 2, Reclaimable: false, GuessS: 0 };
       const uid = await cluster.submit('n0', { ...service, Vcpus: 4, Cards: 0 });
-      await cluster.until('it runs', 40, () => cluster.running(uid) === 2);
+      await cluster.waitUntil('it runs', 40, () => cluster.runningTasks(uid) === 2);
       const from = await shardWithMachines(cluster);
       const before = machinesOf(cluster, from).sort();
       const ends = ['--from', `${from}`, '--to', `${(from + 1) % 3}`, '--count', '50'];
       await run('move', ...ends, '--id', 'm', '--within-s', '12');
-      await cluster.until(
+      await cluster.waitUntil(
         'it says what it waits for',
         12,
         () => moveOf(cluster, 'm').waitsFor !== null,
@@ -156,7 +160,7 @@
         serving.filter((name) => !kept.includes(name)),
         [],
       );
-      assert.equal(cluster.running(uid), 2, 'no replica was stopped');
+      assert.equal(cluster.runningTasks(uid), 2, 'no replica was stopped');
     },
   );
 });
@@ -171,12 +175,14 @@
     const returnAt = new Date(Date.now() + 16_000).toISOString();
     const asked = await run('move', ...ends, '--within-s', '14', '--return-at', returnAt);
     assert.equal(asked.code, 0, asked.err);
-    await cluster.until('lent', 20, () => ['lent', 'aborted'].includes(moveOf(cluster, 'm').state));
+    await cluster.waitUntil('lent', 20, () =>
+      ['lent', 'aborted'].includes(moveOf(cluster, 'm').state),
+    );
     const [lent] = moveOf(cluster, 'm').moved;
     if (lent !== undefined && moveOf(cluster, 'm').state === 'lent') {
       assert.ok(machinesOf(cluster, to).includes(lent));
     }
-    await cluster.until('over', 60, () =>
+    await cluster.waitUntil('over', 60, () =>
       ['finished', 'aborted'].includes(moveOf(cluster, 'm').state),
     );
     assert.ok(
@@ -191,7 +197,7 @@
     { versions: { n2: 'production' } },
     async (cluster, run) => {
       await run('move', '--from', '0', '--to', '1', '--count', '1', '--id', 'm');
-      await cluster.pass(3);
+      await cluster.runFor(3);
       assert.equal(moveOf(cluster, 'm').state, 'requested');
       const plan = await run('plan', '--from', '0', '--to', '1', '--count', '1');
       assert.match(plan.out, /waits for a node that does not know moves/);
--- a/test/runner/run-tests.ts
+++ b/test/runner/run-tests.ts
@@ -2,7 +2,7 @@
 import { join } from 'node:path';
 import { run } from 'node:test';
 import { spec } from 'node:test/reporters';
-import { judge } from './known-red.js';
+import { evaluateOutcomes } from './known-red.js';
 
 /**
  * Runs all tests of the folders that are given, prints them as the runner's `spec` reporter does, and judges
@@ -42,7 +42,7 @@
 process.exitCode = 1;
 stream.on('end', () => {
   const text = existsSync(KNOWN_RED) ? readFileSync(KNOWN_RED, 'utf8') : '';
-  const { ok, lines } = judge(text, { passed, failed });
+  const { ok, lines } = evaluateOutcomes(text, { passed, failed });
   for (const line of lines) process.stderr.write(`${line}\n`);
   process.exitCode = ok && passed.size > 0 ? 0 : 1;
 });
--- a/test/service-faults.test.ts
+++ b/test/service-faults.test.ts
@@ -40,12 +40,12 @@
 /** Replicas on machines that can be reached. */
 const served = (c: Cluster, uid: string): number =>
   c
-    .hosts()
+    .workerHosts()
     .filter(reachable)
     .reduce((sum, h) => sum + onHost(h, uid), 0);
 
 const carrying = (c: Cluster, uid: string): WorkerHost[] =>
-  c.hosts().filter((h) => onHost(h, uid) > 0);
+  c.workerHosts().filter((h) => onHost(h, uid) > 0);
 
 /** Breaks one machine that carries replicas, and waits until they are not served any more. */
 const breakOne = (breaks: (h: WorkerHost) => void) => (c: Cluster, uid: string) => {
@@ -92,8 +92,8 @@
     service: { ...REPLICA, Reclaimable: true, Pieces: 4 },
     fault: async (c, uid) => {
       const host = carrying(c, uid)[0]!;
-      host.worker.noticeS = 4;
-      await c.pass(4);
+      host.worker.preemptionNoticeS = 4;
+      await c.runFor(4);
       assert.equal(onHost(host, uid), 0, 'its replicas left before it went');
       c.cloud.kill(host.worker.name);
     },
@@ -113,10 +113,10 @@
     options: { zones: ['z', 'y'] },
     service: { ...REPLICA, Spread: true, Pieces: 6 },
     fault: async (c, uid) => {
-      const cut = c.hosts().filter((h) => h.worker.zone === 'y');
+      const cut = c.workerHosts().filter((h) => h.worker.zone === 'y');
       for (const h of cut) h.losesHeartbeats = h.losesCommands = true;
       for (let t = 0; t < 4; t++) {
-        await c.pass(1);
+        await c.runFor(1);
         assert.ok(served(c, uid) >= 3, 'the other zone serves its half');
       }
       for (const h of cut) h.losesHeartbeats = h.losesCommands = false;
@@ -128,8 +128,8 @@
     service: { ...REPLICA, Pieces: 4 },
     fault: async (c, uid) => {
       for (const n of c.names) c.kill(n);
-      await c.pass(LEASE_S + 3);
-      assert.equal(c.running(uid), 0, 'the leases have ended');
+      await c.runFor(LEASE_S + 3);
+      assert.equal(c.runningTasks(uid), 0, 'the leases have ended');
       await Promise.all(c.names.map((n) => c.start(n)));
     },
     within: 3 * LEASE_S,
@@ -139,12 +139,12 @@
     name: 'every controller is started again, one after the other',
     service: { ...REPLICA, Pieces: 4 },
     fault: async (c, uid) => {
-      const { started } = c.world;
+      const { starts: started } = c.world;
       for (const n of c.names) {
         await c.replace(n, 'current');
-        assert.equal(c.running(uid), 4);
+        assert.equal(c.runningTasks(uid), 4);
       }
-      assert.equal(c.world.started, started);
+      assert.equal(c.world.starts, started);
     },
     within: 1,
   },
@@ -152,10 +152,10 @@
     name: 'the state service is out for longer than a worker lease',
     service: { ...REPLICA, Pieces: 4 },
     fault: async (c, uid) => {
-      c.state.unavailable = true;
-      await c.pass(LEASE_S + 2);
+      c.store.unavailable = true;
+      await c.runFor(LEASE_S + 2);
       assert.equal(served(c, uid), 4, 'replicas go on');
-      c.state.recover();
+      c.store.recover();
     },
     within: 1,
   },
@@ -165,17 +165,17 @@
     service: { ...REPLICA, Pieces: 2 },
     fault: async (c, uid) => {
       const spoil = () => {
-        for (const h of c.hosts()) h.worker.faulty = true;
+        for (const h of c.workerHosts()) h.worker.failsTasks = true;
       };
       spoil();
       for (const h of carrying(c, uid)) c.cloud.kill(h.worker.name);
-      const { started } = c.world;
+      const { starts: started } = c.world;
       for (let t = 0; t < 24; t++) {
-        await c.pass(0.5);
+        await c.runFor(0.5);
         spoil();
       }
-      assert.ok(c.world.started - started < 40, 'the pauses grow');
-      for (const h of c.hosts()) h.worker.faulty = false;
+      assert.ok(c.world.starts - started < 40, 'the pauses grow');
+      for (const h of c.workerHosts()) h.worker.failsTasks = false;
     },
     within: 6 * LEASE_S,
   },
@@ -189,7 +189,7 @@
   try {
     await c.open();
     await work(c);
-    assert.deepEqual(c.world.broken, []);
+    assert.deepEqual(c.world.violations, []);
   } finally {
     c.close();
   }
@@ -197,7 +197,9 @@
 
 const cancelAll = async (c: Cluster, uids: readonly string[]) => {
   for (const uid of uids) assert.equal(await c.cancel('n1', uid), 'cancelled');
-  await c.until('its replicas are gone', CANCEL_S, () => uids.every((u) => c.running(u) === 0));
+  await c.waitUntil('its replicas are gone', CANCEL_S, () =>
+    uids.every((u) => c.runningTasks(u) === 0),
+  );
 };
 
 describe('services while something fails', { concurrency: 5 }, () => {
@@ -206,12 +208,16 @@
       await withCluster(row.options ?? {}, async (c) => {
         const uid = await c.submit('n0', row.service);
         const all = row.service.Pieces;
-        await c.until('all replicas run', 40, () => served(c, uid) === all);
+        await c.waitUntil('all replicas run', 40, () => served(c, uid) === all);
         await row.fault(c, uid);
-        await c.until(`${all} replicas run again`, row.within, () => served(c, uid) === all);
-        assert.equal(c.running(uid), all, 'none runs twice');
+        await c.waitUntil(`${all} replicas run again`, row.within, () => served(c, uid) === all);
+        assert.equal(c.runningTasks(uid), all, 'none runs twice');
         for (const n of c.names) {
-          await c.until(`${n} knows it`, 20, async () => (await c.statusOf(n, uid)) === 'running');
+          await c.waitUntil(
+            `${n} knows it`,
+            20,
+            async () => (await c.statusOf(n, uid)) === 'running',
+          );
         }
         await cancelAll(c, [uid]);
       });
@@ -221,7 +227,7 @@
   test('replicas that end by themselves again and again: never done, run again', async () => {
     await withCluster({ runMs: 700 }, async (c) => {
       const uid = await c.submit('n0', { ...REPLICA, Pieces: 2 });
-      await c.until('they have run again', 40, () => c.world.started >= 6);
+      await c.waitUntil('they have run again', 40, () => c.world.starts >= 6);
       for (const n of c.names) {
         assert.ok(['queued', 'running'].includes(await c.statusOf(n, uid)));
       }
@@ -239,13 +245,13 @@
         assert.equal((await c.call(n, 'GET', `/submissions/${body.Uid}`)).status, 404);
       }
       const first = await c.submit('n0', { ...limited, Pieces: 3 });
-      await c.until('the first runs', 40, () => served(c, first) === 3);
+      await c.waitUntil('the first runs', 40, () => served(c, first) === 3);
       const second = await c.submit('n1', { ...limited, Pieces: 4 });
-      await c.pass(4);
+      await c.runFor(4);
       assert.equal(served(c, first), 3);
       assert.ok(served(c, second) <= 1, 'one CPU pair is left for it');
       await cancelAll(c, [first]);
-      await c.until('the second runs', 2 * LEASE_S, () => served(c, second) === 4);
+      await c.waitUntil('the second runs', 2 * LEASE_S, () => served(c, second) === 4);
       await cancelAll(c, [second]);
     });
   });
--- a/test/services.test.ts
+++ b/test/services.test.ts
@@ -40,7 +40,7 @@
   const heartbeat = worker.heartbeat();
   const result = shard.handleHeartbeat(heartbeat, now, true);
   if (result.kind !== 'answer') return;
-  worker.answered(shard.term, result.commands, now, heartbeat.agentEpoch);
+  worker.onHeartbeatAnswer(shard.term, result.commands, now, heartbeat.agentEpoch);
 };
 
 const scene = (names: readonly string[], over: Parameters<typeof job>[0] = {}, runMs = FOREVER) => {
@@ -64,7 +64,7 @@
   run(-2 * HEARTBEAT_MS, -1);
   store.add(service(over));
   shard.sync(store, 0);
-  const on = (name: string) => [...world.on].filter(([, m]) => m.has(name)).length;
+  const on = (name: string) => [...world.runningOn].filter(([, m]) => m.has(name)).length;
   return { world, store, shard, workers, exchangeHeartbeats, run, on };
 };
 
@@ -81,7 +81,7 @@
     assert.equal(cluster.shard.jobs.get(UID)?.placements.size, tasks);
     for (const name of names)
       assert.ok(cluster.on(name) <= most, `${tasks} on ${names.length}: ${cluster.on(name)}`);
-    assert.deepEqual(cluster.world.broken, []);
+    assert.deepEqual(cluster.world.violations, []);
   }
 });
 
@@ -91,9 +91,9 @@
   const state = cluster.shard.jobs.get(UID)!;
   assert.equal(state.savedCompletions.size + state.unsavedCompletions.size, 0);
   assert.equal(state.ended, false);
-  assert.ok(cluster.world.started > 4, `${cluster.world.started} starts`);
-  assert.ok(cluster.world.started < 60, `${cluster.world.started} starts: the pauses do not grow`);
-  assert.deepEqual(cluster.world.broken, []);
+  assert.ok(cluster.world.starts > 4, `${cluster.world.starts} starts`);
+  assert.ok(cluster.world.starts < 60, `${cluster.world.starts} starts: the pauses do not grow`);
+  assert.deepEqual(cluster.world.violations, []);
   // One that was well for a while starts again at once.
   const now = 60 * HEARTBEAT_MS + 2 * REPLICA_STABLE_MS;
   assert.ok(now - state.lastFailureAt > REPLICA_STABLE_MS);
@@ -108,11 +108,11 @@
 
 test('failing replicas: other machines, growing pauses, never given up', () => {
   const cluster = scene(['a', 'b', 'c'], { tasks: 1 });
-  for (const worker of cluster.workers.values()) worker.faulty = true;
+  for (const worker of cluster.workers.values()) worker.failsTasks = true;
   cluster.run(0, 40 * HEARTBEAT_MS);
-  const before = cluster.world.started;
+  const before = cluster.world.starts;
   assert.ok(before >= 3 && before < 30, `${before} starts`);
-  for (const worker of cluster.workers.values()) worker.faulty = false;
+  for (const worker of cluster.workers.values()) worker.failsTasks = false;
   for (const m of cluster.shard.machines.values()) {
     if (m.faultStatus === 'quarantined') m.faultStatus = 'probation';
   }
@@ -122,7 +122,7 @@
     1,
     'it runs within 90 s once a machine is well',
   );
-  assert.deepEqual(cluster.world.broken, []);
+  assert.deepEqual(cluster.world.violations, []);
 });
 
 test('a machine with replicas whose heartbeats are lost is returned sooner, and only then they run elsewhere', () => {
@@ -138,20 +138,20 @@
   cluster.exchangeHeartbeats(now, [other]);
   assert.equal(plan(cluster.shard, now).returns[0]?.reason, 'heartbeats lost');
   assert.equal(cluster.on(lost), 1, 'still there as far as anybody knows');
-  cluster.workers.get(lost)!.vanish();
+  cluster.workers.get(lost)!.terminate();
   cluster.shard.removeMachine(lost, now);
   cluster.run(now + 1, now + 3 * HEARTBEAT_MS, [other]);
   assert.equal(cluster.on(other), 2);
-  assert.deepEqual(cluster.world.broken, []);
+  assert.deepEqual(cluster.world.violations, []);
 });
 
 test('a machine about to go loses its replicas at once, and they run elsewhere', () => {
   const cluster = scene(['a', 'b'], { tasks: 2 });
   cluster.run(0, 3 * HEARTBEAT_MS);
-  cluster.workers.get('a')!.noticeS = 8;
+  cluster.workers.get('a')!.preemptionNoticeS = 8;
   cluster.run(3 * HEARTBEAT_MS + 1, 5 * HEARTBEAT_MS);
   assert.deepEqual([cluster.on('a'), cluster.on('b')], [0, 2]);
-  assert.deepEqual(cluster.world.broken, []);
+  assert.deepEqual(cluster.world.violations, []);
 });
 
 test('a machine with a replica does not count as idle; a quarantined one is emptied first', () => {
@@ -175,15 +175,15 @@
 test('a new owner takes running replicas into its state and stops none', () => {
   const cluster = scene(['a', 'b'], { tasks: 3 });
   cluster.run(0, 3 * HEARTBEAT_MS);
-  const { started } = cluster.world;
+  const { starts: started } = cluster.world;
   const shard = shardWith(cluster.store, 2, {}, 4 * HEARTBEAT_MS);
   for (let now = 4 * HEARTBEAT_MS; now < 8 * HEARTBEAT_MS; now += HEARTBEAT_MS / 2) {
     shard.placeAll(now);
     for (const worker of cluster.workers.values()) exchangeHeartbeat(shard, worker, now);
   }
   assert.equal(shard.jobs.get(UID)?.placements.size, 3);
-  assert.equal(cluster.world.started, started);
-  assert.deepEqual(cluster.world.broken, []);
+  assert.equal(cluster.world.starts, started);
+  assert.deepEqual(cluster.world.violations, []);
 });
 
 test('cancelled replicas are stopped, and nothing starts again', () => {
@@ -194,7 +194,7 @@
   cluster.world.cancelledAt.set(UID, 3 * HEARTBEAT_MS);
   cluster.run(3 * HEARTBEAT_MS + 1, 8 * HEARTBEAT_MS);
   assert.equal(cluster.on('a') + cluster.on('b'), 0);
-  assert.equal(cluster.world.startedCancelled, 0);
+  assert.equal(cluster.world.startsAfterCancellation, 0);
   assert.equal(cluster.shard.jobs.has(UID), false);
 });
 
@@ -217,7 +217,7 @@
       shard.placeAll(now);
       exchangeHeartbeat(shard, a, now);
     }
-    assert.equal(world.on.get(`${UID}/0`)?.size ?? 0, room ? 1 : 0, priority);
+    assert.equal(world.runningOn.get(`${UID}/0`)?.size ?? 0, room ? 1 : 0, priority);
   }
 });
 
@@ -268,7 +268,7 @@
     if (zones.length === 0) assert.deepEqual(rented, [], name);
     else
       assert.ok(rented.length > 0 && rented.every((z) => zones.includes(z)), `${name}: ${rented}`);
-    assert.deepEqual(world.broken, [], name);
+    assert.deepEqual(world.violations, [], name);
   }
 });
 
@@ -295,7 +295,7 @@
       const worker = new FakeWorker(m.name, new World(), FOREVER, LEASE_MS, now, m.zone);
       const first = worker.heartbeat();
       shard.handleHeartbeat(first, now, true);
-      worker.answered(shard.term, [], now, first.agentEpoch);
+      worker.onHeartbeatAnswer(shard.term, [], now, first.agentEpoch);
       shard.handleHeartbeat(worker.heartbeat(), now + 1, true);
     }
     const stats = new Map([['c', { tasksPerS: 0, runS: null, sample: record.spec }]]);
--- a/test/singleton-controllers.test.ts
+++ b/test/singleton-controllers.test.ts
@@ -29,7 +29,7 @@
 };
 
 const untilLed = (cluster: Cluster, role: string, by?: string) =>
-  cluster.until(`${role} is led by ${by ?? 'any node'}`, 20, () => {
+  cluster.waitUntil(`${role} is led by ${by ?? 'any node'}`, 20, () => {
     const node = leaderOf(cluster, role)?.holder?.node;
     return node !== undefined && (by === undefined || node === by);
   });
@@ -50,7 +50,7 @@
     try {
       await cluster.open();
       await run(cluster);
-      assert.deepEqual(cluster.world.broken, []);
+      assert.deepEqual(cluster.world.violations, []);
     } finally {
       cluster.close();
     }
@@ -58,7 +58,11 @@
 };
 
 const done = (cluster: Cluster, node: string, uid: string) =>
-  cluster.until(`${uid} is done`, 40, async () => (await cluster.statusOf(node, uid)) === 'done');
+  cluster.waitUntil(
+    `${uid} is done`,
+    40,
+    async () => (await cluster.statusOf(node, uid)) === 'done',
+  );
 
 const PROCESSES: Record<string, Version> = {
   n0: 'current-process',
@@ -77,22 +81,22 @@
       const other = cluster.names.find((n) => n !== frozen)!;
       const before = await cluster.submit(other, { Pieces: 12 });
       // What it sends now arrives after its successor has begun.
-      cluster.doors.get(frozen)!.slowWritesMs = 14_000;
-      await cluster.pass(1);
+      cluster.storeProxies.get(frozen)!.transactionDelayMs = 14_000;
+      await cluster.runFor(1);
       cluster.processOf(frozen).freeze(true);
-      await cluster.until('another node leads its role', 20, () => {
+      await cluster.waitUntil('another node leads its role', 20, () => {
         const record = leaderOf(cluster, ORPHAN_COLLECTOR_ROLE);
         return record !== null && record.holder!.node !== frozen;
       });
       const promoted = leaderOf(cluster, ORPHAN_COLLECTOR_ROLE)!;
       assert.ok(promoted.token > token);
       const during = await cluster.submit(other, { Pieces: 12 });
-      await cluster.pass(8);
-      cluster.doors.get(frozen)!.slowWritesMs = 0;
+      await cluster.runFor(8);
+      cluster.storeProxies.get(frozen)!.transactionDelayMs = 0;
       cluster.processOf(frozen).freeze(false);
       await done(cluster, other, before);
       await done(cluster, other, during);
-      await cluster.pass(4);
+      await cluster.runFor(4);
       assert.deepEqual(
         leaderOf(cluster, ORPHAN_COLLECTOR_ROLE),
         promoted,
@@ -106,10 +110,10 @@
     {},
     async (cluster) => {
       await untilLed(cluster, ORPHAN_COLLECTOR_ROLE);
-      const name = await cluster.cloud.bootUnknown();
-      await cluster.until('it is gone', 40, () => !cluster.cloud.machines.has(name));
+      const name = await cluster.cloud.bootUnknownMachine();
+      await cluster.waitUntil('it is gone', 40, () => !cluster.cloud.machines.has(name));
       assert.deepEqual(
-        cluster.cloud.returned.filter((n) => n === name),
+        cluster.cloud.returnedMachines.filter((n) => n === name),
         [name],
       );
       const list = cluster.stored(electionEntryKey.returns('unrecorded')) as { machines: string[] };
@@ -126,7 +130,7 @@
       const first = await cluster.submit('n0', { Pieces: 8 });
       await done(cluster, 'n0', first);
       cluster.cloud.holdsReturns = true;
-      await cluster.until('idle machines are being returned', IDLE_KEPT_S + 20, () => {
+      await cluster.waitUntil('idle machines are being returned', IDLE_KEPT_S + 20, () => {
         return cluster.cloud.heldReturns.length > 0;
       });
       // Whoever sent the returns ends; the next owners get work that would fit these machines.
@@ -134,9 +138,9 @@
       for (const node of cluster.names) cluster.kill(node);
       await Promise.all(cluster.names.map((node) => cluster.start(node)));
       for (const node of cluster.names)
-        await cluster.until(`${node} ready`, 20, () => cluster.ready(node));
+        await cluster.waitUntil(`${node} ready`, 20, () => cluster.isReady(node));
       const second = await cluster.submit('n1', { Pieces: 8, GuessS: 5 });
-      await cluster.until('it runs', 40, () => cluster.running(second) > 0);
+      await cluster.waitUntil('it runs', 40, () => cluster.runningTasks(second) > 0);
       const carries = (name: string) =>
         [...(cluster.cloud.machines.get(name)?.worker.tasks.values() ?? [])].some(
           (t) => t.uid === second,
@@ -156,8 +160,8 @@
     async (cluster) => {
       await untilLed(cluster, GARBAGE_COLLECTOR_ROLE);
       const accepted: Request[] = [];
-      for (const door of cluster.doors.values()) {
-        door.seen = (request) => {
+      for (const door of cluster.storeProxies.values()) {
+        door.onTransaction = (request) => {
           const { Writes: writes } = request.body as { Writes: { Put?: string }[] };
           if (writes.some((w) => w.Put?.startsWith('active/'))) accepted.push(request);
         };
@@ -167,10 +171,10 @@
       const final = `final/${uid}`;
       assert.ok(cluster.stored(final) !== undefined);
       const endedAt = Date.now();
-      await cluster.until('it is deleted', 30, () => cluster.stored(final) === undefined);
+      await cluster.waitUntil('it is deleted', 30, () => cluster.stored(final) === undefined);
       assert.ok(Date.now() - endedAt >= 3500, 'not before its time');
       assert.equal(accepted.length, 1);
-      const late = await cluster.state.handle(accepted[0]!);
+      const late = await cluster.store.handle(accepted[0]!);
       assert.ok(late !== 'hang' && late.status === 409, 'refused by the store');
       const next = await cluster.submit('n1', { Pieces: 1 });
       await done(cluster, 'n1', next);
@@ -183,7 +187,7 @@
     await untilLed(cluster, ORPHAN_COLLECTOR_ROLE);
     const { holder, token } = leaderOf(cluster, ORPHAN_COLLECTOR_ROLE)!;
     const to = cluster.names.find((n) => n !== holder!.node)!;
-    cluster.state.seed({ [transferRequestKey(ORPHAN_COLLECTOR_ROLE)]: { to, id: 'r1' } });
+    cluster.store.putValues({ [transferRequestKey(ORPHAN_COLLECTOR_ROLE)]: { to, id: 'r1' } });
     await untilLed(cluster, ORPHAN_COLLECTOR_ROLE, to);
     assert.equal(leaderOf(cluster, ORPHAN_COLLECTOR_ROLE)!.token, token + 1);
     assert.equal(
@@ -192,7 +196,7 @@
       'the request is gone',
     );
     cluster.kill(to);
-    await cluster.until(
+    await cluster.waitUntil(
       'another one takes it over',
       20,
       () => leaderOf(cluster, ORPHAN_COLLECTOR_ROLE)?.token === token + 2,
@@ -204,20 +208,22 @@
     { versions: { n2: 'production' } },
     async (cluster) => {
       const adopted = async () => {
-        const name = await cluster.cloud.bootUnknown();
+        const name = await cluster.cloud.bootUnknownMachine();
         const found = `machines/found-${name}`;
-        await cluster.until(
+        await cluster.waitUntil(
           'a shard has adopted it',
           40,
           () => cluster.stored(found) !== undefined,
         );
-        assert.ok(!cluster.cloud.returned.includes(name), 'and nobody has returned it');
+        assert.ok(!cluster.cloud.returnedMachines.includes(name), 'and nobody has returned it');
       };
       await adopted();
       await cluster.replace('n2', 'current');
       await untilLed(cluster, ORPHAN_COLLECTOR_ROLE);
-      const orphaned = await cluster.cloud.bootUnknown();
-      await cluster.until('it is returned', 40, () => cluster.cloud.returned.includes(orphaned));
+      const orphaned = await cluster.cloud.bootUnknownMachine();
+      await cluster.waitUntil('it is returned', 40, () =>
+        cluster.cloud.returnedMachines.includes(orphaned),
+      );
       await cluster.replace('n2', 'production');
       await adopted();
       const uid = await cluster.submit('n0');
--- a/test/socket-budget.test.ts
+++ b/test/socket-budget.test.ts
@@ -68,7 +68,7 @@
   const world = new World();
   for (const n of names) {
     const w = new FakeWorker(n, world, 1000, LEASE_MS, 0, 'z', 'm', `${n}:1`);
-    w.token = 1;
+    w.fencingToken = 1;
     shard.handleHeartbeat(w.heartbeat(), 0, true);
   }
   store.add(job({ tasks: 60 }));
--- a/test/standins/answer-soak.ts
+++ b/test/standins/answer-soak.ts
@@ -16,7 +16,7 @@
 
 /** What a run did, for its record. */
 export interface SoakResult {
-  readonly broken: readonly string[];
+  readonly violations: readonly string[];
   readonly jobs: number;
   readonly cancelled: number;
   readonly answers: number;
@@ -67,13 +67,13 @@
     const began = Date.now();
     try {
       await cluster.open();
-      cluster.cloud.most = this.#machinesMost;
+      cluster.cloud.maxMachines = this.#machinesMost;
       const users = Array.from({ length: this.options.users }, () => this.#user());
       this.#usersBusy = users.length;
       await Promise.all([...users, this.#faultsUntilUsersEnd()]);
       await this.#settle();
       return {
-        broken: cluster.world.broken,
+        violations: cluster.world.violations,
         jobs: cluster.world.jobs.size,
         cancelled: cluster.world.cancelledAt.size,
         answers: this.#answers,
@@ -120,7 +120,7 @@
     cancelAfter = Infinity,
   ): Promise<void> {
     const cluster = this.#cluster;
-    for (let round = 0; cluster.history.finalOf(body.Uid) === null; round++) {
+    for (let round = 0; cluster.history.reportedFinalState(body.Uid) === null; round++) {
       await this.#ask(round === cancelAfter ? 'withdraw' : call, body);
       cluster.world.check(Date.now());
       await sleep(this.#random(PAUSE_MS));
@@ -135,7 +135,7 @@
   ): Promise<void> {
     await sleep(this.#random(JITTER_MS));
     const cluster = this.#cluster;
-    const answer = await cluster.ask(node, call, body.Uid, body);
+    const answer = await cluster.sendUserRequest(node, call, body.Uid, body);
     if (answer === null || answer.status >= 500) return;
     this.#answers += 1;
     const told = (answer.body as { Status?: string }).Status;
@@ -156,16 +156,16 @@
   async #fault(): Promise<void> {
     const cluster = this.#cluster;
     const node = this.#anyNode();
-    const door = cluster.doors.get(node)!;
+    const door = cluster.storeProxies.get(node)!;
     const forMs = this.#random(FAULT_MS);
     const kind = this.#random(9);
-    if (kind === 0) door.slowMs = this.#random(SLOW_STATE_MS);
-    if (kind === 1) door.slowWritesMs = this.#random(SLOW_STATE_MS);
-    if (kind === 2) door.losingAnswers = true;
-    if (kind === 3) door.lateMs = 500 + this.#random(2500);
-    if (kind === 4) door.refusing = true;
-    if (kind === 5) cluster.cutPeers(node, true);
-    if (kind === 6 || kind === 7) door.slowAnswersMs = this.#random(SLOW_ANSWER_MS);
+    if (kind === 0) door.delayMs = this.#random(SLOW_STATE_MS);
+    if (kind === 1) door.transactionDelayMs = this.#random(SLOW_STATE_MS);
+    if (kind === 2) door.losesResponses = true;
+    if (kind === 3) door.lateTransactionMs = 500 + this.#random(2500);
+    if (kind === 4) door.unavailable = true;
+    if (kind === 5) cluster.partitionFromPeers(node, true);
+    if (kind === 6 || kind === 7) door.responseDelayMs = this.#random(SLOW_ANSWER_MS);
     if (kind === 8) {
       cluster.kill(node);
       await sleep(forMs / 2);
@@ -176,23 +176,23 @@
   }
 
   #mend(node: string): void {
-    const door = this.#cluster.doors.get(node)!;
-    door.slowMs = 0;
-    door.slowAnswersMs = 0;
-    door.slowWritesMs = 0;
-    door.losingAnswers = false;
-    door.lateMs = null;
-    door.refusing = false;
-    this.#cluster.cutPeers(node, false);
+    const door = this.#cluster.storeProxies.get(node)!;
+    door.delayMs = 0;
+    door.responseDelayMs = 0;
+    door.transactionDelayMs = 0;
+    door.losesResponses = false;
+    door.lateTransactionMs = null;
+    door.unavailable = false;
+    this.#cluster.partitionFromPeers(node, false);
   }
 
   /** The faults are over: every node knows the end of every job, and it is the one that was told. */
   async #settle(): Promise<void> {
     const cluster = this.#cluster;
     for (const node of cluster.names) {
-      await cluster.until(`${node} is ready`, SETTLE_S, () => cluster.ready(node));
+      await cluster.waitUntil(`${node} is ready`, SETTLE_S, () => cluster.isReady(node));
       for (const uid of cluster.world.jobs.keys()) {
-        await cluster.until(`${uid} has ended at ${node}`, SETTLE_S, async () =>
+        await cluster.waitUntil(`${uid} has ended at ${node}`, SETTLE_S, async () =>
           ['done', 'cancelled'].includes(await cluster.statusOf(node, uid)),
         );
       }
--- a/test/standins/cloud.ts
+++ b/test/standins/cloud.ts
@@ -40,20 +40,20 @@
 /** A worker on loopback: reports to one node at a time and takes direct commands. */
 export class WorkerHost extends StandInServer {
   worker!: FakeWorker;
-  at = 0;
+  nodeIndex = 0;
   /** its reports reach no node, direct commands reach it */
   losesHeartbeats = false;
   /** its reports arrive, nothing that it is told does */
   losesCommands = false;
   /** ms that direct commands are held up before they are carried out */
-  heldMs = 0;
+  commandDelayMs = 0;
   /** the only node that it reaches, and that reaches it; null: all */
-  only: string | null = null;
+  onlyNode: string | null = null;
   /** a node that its reports do not reach; nothing that is sent to it directly arrives meanwhile */
-  cutFrom: string | null = null;
+  unreachableNode: string | null = null;
   /** ms after which copies of its reports arrive once more, at any node; null: never */
-  copyMs: number | null = null;
-  copies = 0;
+  duplicateAfterMs: number | null = null;
+  duplicatesSent = 0;
   #nodes: readonly [string, string][] = [];
   #stopped = false;
   #busy = false;
@@ -68,12 +68,16 @@
   }
 
   async #command(r: Request): Promise<Reply> {
-    const cut = this.only !== null || this.cutFrom !== null;
+    const cut = this.onlyNode !== null || this.unreachableNode !== null;
     if (this.losesCommands || this.worker.hung || cut) return 'hang';
-    if (this.heldMs > 0) await sleep(this.heldMs);
+    if (this.commandDelayMs > 0) await sleep(this.commandDelayMs);
     const body = r.body as { Mandate: number; Tenure: number; Orders: WireOrder[] };
     this.worker.advance(Date.now());
-    const executed = this.worker.direct(body.Mandate, body.Tenure, body.Orders.map(fromWire));
+    const executed = this.worker.executeDirect(
+      body.Mandate,
+      body.Tenure,
+      body.Orders.map(fromWire),
+    );
     this.#last = 0;
     return { status: executed ? 200 : 409, body: toWire(this.worker.heartbeat()) };
   }
@@ -85,18 +89,19 @@
     }
     if (this.#busy || Date.now() - this.#last < 300) return;
     this.#busy = true;
-    if (this.only !== null) this.at = nodes.findIndex(([name]) => name === this.only);
+    if (this.onlyNode !== null)
+      this.nodeIndex = nodes.findIndex(([name]) => name === this.onlyNode);
     this.#last = Date.now();
     this.worker.advance(Date.now());
-    if (nodes[this.at]![0] === this.cutFrom) {
-      this.at = (this.at + 1) % nodes.length;
+    if (nodes[this.nodeIndex]![0] === this.unreachableNode) {
+      this.nodeIndex = (this.nodeIndex + 1) % nodes.length;
       this.#busy = false;
       return;
     }
     const report = this.worker.heartbeat();
     const sentAt = Date.now();
-    const client = new CborClient(nodes[this.at]![1], 1);
-    if (this.copyMs !== null) this.#copyLater(nodes, report, this.copyMs);
+    const client = new CborClient(nodes[this.nodeIndex]![1], 1);
+    if (this.duplicateAfterMs !== null) this.#copyLater(nodes, report, this.duplicateAfterMs);
     try {
       const answer = await client.call('POST', '/agent/beat', toWire(report), 1000);
       const body = answer.body as {
@@ -108,13 +113,14 @@
       if (answer.status === 200) {
         const orders = (body.Orders ?? []).map(fromWire);
         this.worker.advance(Date.now());
-        this.worker.answered(body.Mandate ?? 0, orders, sentAt, report.agentEpoch);
+        this.worker.onHeartbeatAnswer(body.Mandate ?? 0, orders, sentAt, report.agentEpoch);
       } else {
         const to = nodes.findIndex(([name]) => name === body.ReportsTo);
-        this.at = to >= 0 && to !== this.at ? to : (this.at + 1) % nodes.length;
+        this.nodeIndex =
+          to >= 0 && to !== this.nodeIndex ? to : (this.nodeIndex + 1) % nodes.length;
       }
     } catch {
-      this.at = (this.at + 1) % nodes.length;
+      this.nodeIndex = (this.nodeIndex + 1) % nodes.length;
     } finally {
       client.close();
       this.#busy = false;
@@ -124,8 +130,8 @@
   #copyLater(nodes: readonly [string, string][], report: Heartbeat, ms: number): void {
     const timer = setTimeout(() => {
       if (this.#stopped) return;
-      this.copies += 1;
-      this.#deliver(nodes[this.copies % nodes.length]![1], report);
+      this.duplicatesSent += 1;
+      this.#deliver(nodes[this.duplicatesSent % nodes.length]![1], report);
     }, ms);
     timer.unref();
   }
@@ -141,12 +147,12 @@
 
   #kept: Heartbeat | null = null;
   /** Keeps a report as the worker would send it now. */
-  keepReport(): void {
+  keepHeartbeat(): void {
     this.#kept = this.worker.heartbeat();
   }
 
   /** The kept report arrives at every node. */
-  deliverKept(): void {
+  deliverKeptHeartbeat(): void {
     if (this.#kept === null || this.#stopped) return;
     for (const [, address] of this.#nodes) this.#deliver(address, this.#kept);
   }
@@ -164,16 +170,16 @@
   readonly #answers = new Map<string, string[]>();
   #count = 0;
   /** the next rental is carried out, but its answer gets lost */
-  loseAnswer = false;
+  losesNextRentalResponse = false;
   /** ms that the answer to a rental takes; the machines are there at once */
-  slowRentalMs = 0;
+  rentalDelayMs = 0;
   /** names in the calls that returned machines, in order */
-  readonly returned: string[] = [];
+  readonly returnedMachines: string[] = [];
   /** returns are on their way until this is set to false: then they are carried out */
   #holdsReturns = false;
   readonly #heldReturns: (readonly string[])[] = [];
   /** machines at once; more are refused */
-  most = Infinity;
+  maxMachines = Infinity;
 
   constructor(
     private readonly world: World,
@@ -212,14 +218,14 @@
       let names = this.#answers.get(body.Hire);
       if (names === undefined) {
         names = [];
-        const room = Math.min(body.Number, this.most - this.machines.size);
+        const room = Math.min(body.Number, this.maxMachines - this.machines.size);
         if (room <= 0) return { status: 503, body: { error: 'no capacity' } };
         for (let i = 0; i < room; i++) names.push(await this.#boot(body.Reclaimable, body.Site));
       }
       this.#answers.set(body.Hire, names);
-      if (this.slowRentalMs > 0) await sleep(this.slowRentalMs);
-      if (this.loseAnswer) {
-        this.loseAnswer = false;
+      if (this.rentalDelayMs > 0) await sleep(this.rentalDelayMs);
+      if (this.losesNextRentalResponse) {
+        this.losesNextRentalResponse = false;
         return 'hang';
       }
       return { status: 200, body: { Hosts: names } };
@@ -244,12 +250,12 @@
   }
 
   #giveBack(names: readonly string[]): void {
-    this.returned.push(...names);
+    this.returnedMachines.push(...names);
     for (const name of names) this.kill(name);
   }
 
   /** A rental that no controller knows of. */
-  bootUnknown(): Promise<string> {
+  bootUnknownMachine(): Promise<string> {
     return this.#boot(false, this.zones[0]!);
   }
 
@@ -263,7 +269,7 @@
       const { world, runMs, leaseMs } = this;
       return new FakeWorker(name, world, runMs, leaseMs, now, zone, 'm', address, spot);
     }, this.nodes);
-    host.at = this.#count % this.nodes.length;
+    host.nodeIndex = this.#count % this.nodes.length;
     this.world.zoneOf.set(name, zone);
     this.machines.set(name, host);
     return name;
@@ -272,7 +278,7 @@
   /** The machine and everything on it are gone. */
   kill(name: string): void {
     const host = this.machines.get(name);
-    host?.worker.vanish();
+    host?.worker.terminate();
     host?.close();
     this.machines.delete(name);
   }
--- a/test/standins/commands.ts
+++ b/test/standins/commands.ts
@@ -26,7 +26,7 @@
 });
 
 /** What a run of the program printed, and its exit code. */
-export interface Run {
+export interface CommandResult {
   readonly code: number;
   readonly out: string;
   readonly err: string;
@@ -36,12 +36,12 @@
 export const withCommands = async (
   state: string,
   command: 'duties' | 'shares',
-  use: (run: (...args: string[]) => Promise<Run>) => Promise<void>,
+  use: (run: (...args: string[]) => Promise<CommandResult>) => Promise<void>,
 ): Promise<void> => {
   const folder = mkdtempSync(join(tmpdir(), 'duties-'));
   const config = join(folder, 'platform.toml');
   writeFileSync(config, stringify(platformSettings(state)));
-  const run = (...args: string[]): Promise<Run> =>
+  const run = (...args: string[]): Promise<CommandResult> =>
     new Promise((resolve) => {
       const all = [MAIN, command, ...args, '--config', config];
       execFile(process.execPath, all, (error, out, err) => {
--- a/test/standins/machine-moves.ts
+++ b/test/standins/machine-moves.ts
@@ -18,24 +18,24 @@
 /** Sizes of a run. */
 export interface MachineMovesOptions {
   readonly seed: number;
-  readonly seconds: number;
+  readonly durationS: number;
   /** s between two requests of moves */
-  readonly everyS: number;
+  readonly moveIntervalS: number;
   readonly faults: boolean;
 }
 
 /** What a run met and measured. */
 export interface MachineMovesResult {
-  readonly broken: readonly string[];
+  readonly violations: readonly string[];
   readonly unfinished: readonly string[];
   readonly counts: Record<string, number>;
   /** ms from request to end of moves that were carried out */
-  readonly moveMs: readonly number[];
+  readonly moveDurationsMs: readonly number[];
   /** ms from the transaction to the machine's first report to its new owner */
-  readonly pauseMs: readonly number[];
+  readonly pausesMs: readonly number[];
 }
 
-type Host = ReturnType<Cluster['hosts']>[number];
+type Host = ReturnType<Cluster['workerHosts']>[number];
 
 const FEATURES = { duties: parseSingletonsConfig('', ''), shares: parseRebalancingConfig('', '') };
 const LIMITED = { name: 'limited', cpus: 0, gpus: 0, cpusMax: 16, gpusMax: 0 };
@@ -78,7 +78,7 @@
   }
 
   #moves(): Move[] {
-    return [...this.cluster.state.items]
+    return [...this.cluster.store.items]
       .filter(([key]) => key.startsWith(moveKey('')))
       .map(([, item]) => decodeMove(item.value)!);
   }
@@ -89,7 +89,7 @@
     const to = (from + 1 + this.#below(2)) % 3;
     this.#counts.moves += 1;
     const id = `m${this.#counts.moves}`;
-    const { state } = this.cluster;
+    const { store: state } = this.cluster;
     const held = [from, to].some((shard) => state.items.has(shardLockKey(shard)));
     if (held) {
       this.#counts.refused += 1;
@@ -101,7 +101,7 @@
     const count = 1 + this.#below(3);
     const move = newMove({ id, from, to, count, filter, deadlineMs, returnAtMs });
     const lock = encodeShardLock(id);
-    state.seed({ [moveKey(id)]: move, [shardLockKey(from)]: lock, [shardLockKey(to)]: lock });
+    state.putValues({ [moveKey(id)]: move, [shardLockKey(from)]: lock, [shardLockKey(to)]: lock });
     this.#requestedAt.set(id, Date.now());
   }
 
@@ -127,7 +127,7 @@
   /** One fault at random, which is repaired after a while. */
   async #fault(): Promise<void> {
     const node = this.cluster.names[this.#below(3)]!;
-    const hosts = this.cluster.hosts();
+    const hosts = this.cluster.workerHosts();
     const host = hosts[this.#below(Math.max(1, hosts.length))];
     const fault = this.#below(8);
     if (fault === 0) await this.#restart(node);
@@ -146,24 +146,24 @@
 
   async #cutOff(node: string): Promise<void> {
     this.#counts.cuts += 1;
-    this.cluster.doors.get(node)!.refusing = true;
+    this.cluster.storeProxies.get(node)!.unavailable = true;
     await sleep(1000 + this.#below(8000));
-    this.cluster.doors.get(node)!.refusing = false;
+    this.cluster.storeProxies.get(node)!.unavailable = false;
   }
 
   async #delayWrites(node: string): Promise<void> {
     this.#counts.lateWrites += 1;
-    const door = this.cluster.doors.get(node)!;
-    door.lateMs = 3000;
+    const door = this.cluster.storeProxies.get(node)!;
+    door.lateTransactionMs = 3000;
     await sleep(4000);
-    door.lateMs = null;
+    door.lateTransactionMs = null;
   }
 
   async #storeOutage(): Promise<void> {
     this.#counts.outages += 1;
-    this.cluster.state.unavailable = true;
+    this.cluster.store.unavailable = true;
     await sleep(1000 + this.#below(7000));
-    this.cluster.state.recover();
+    this.cluster.store.recover();
   }
 
   async #hostFault(fault: number, host: Host): Promise<void> {
@@ -174,7 +174,7 @@
       host.worker.hung = false;
     } else if (fault === 3) {
       this.#counts.notices += 1;
-      host.worker.noticeS = 3;
+      host.worker.preemptionNoticeS = 3;
       await sleep(3000);
       this.cluster.cloud.kill(host.worker.name);
     } else {
@@ -204,7 +204,7 @@
 
   /** Notes how long machines were without an owner that may use them. */
   #watchMachines(owners: Map<string, { group: string; token: number; at: number }>): void {
-    for (const [key, { value }] of this.cluster.state.items) {
+    for (const [key, { value }] of this.cluster.store.items) {
       if (!key.startsWith('machines/moved-')) continue;
       // The stored form of a machine group.
       const { hosts, era: term } = value as { hosts: Record<string, number>; era: number };
@@ -215,7 +215,7 @@
     }
     for (const [name, { token, at }] of owners) {
       const worker = this.cluster.cloud.machines.get(name)?.worker;
-      if (at === Infinity || worker === undefined || worker.token < token) continue;
+      if (at === Infinity || worker === undefined || worker.fencingToken < token) continue;
       this.#pauseMs.push(Date.now() - at);
       owners.set(name, { ...owners.get(name)!, at: Infinity });
     }
@@ -224,11 +224,11 @@
   async run(): Promise<MachineMovesResult> {
     const { cluster, options } = this;
     await cluster.open();
-    for (const door of cluster.doors.values())
-      door.seen = (request) => {
+    for (const door of cluster.storeProxies.values())
+      door.onTransaction = (request) => {
         this.#countWrites(request);
       };
-    const end = Date.now() + options.seconds * 1000;
+    const end = Date.now() + options.durationS * 1000;
     const owners = new Map<string, { group: string; token: number; at: number }>();
     let nextMove = Date.now() + 3000;
     let nextFault = Date.now() + 5000;
@@ -241,14 +241,14 @@
       await this.#submit();
       if (Date.now() >= nextMove) {
         this.#request();
-        nextMove = Date.now() + options.everyS * 1000;
+        nextMove = Date.now() + options.moveIntervalS * 1000;
       }
       if (options.faults && Date.now() >= nextFault) {
         await fault;
         fault = this.#fault();
         nextFault = Date.now() + 4000;
       }
-      await cluster.pass(0.2 + this.#below(3) / 10);
+      await cluster.runFor(0.2 + this.#below(3) / 10);
     }
     await fault;
     await Promise.all(this.#cancelling);
@@ -267,12 +267,12 @@
       open = checked
         .filter(([, status]) => status !== 'done' && status !== 'cancelled')
         .map(([uid]) => uid);
-      await this.cluster.pass(0.3);
+      await this.cluster.runFor(0.3);
     }
     // Lent machines go back at their time, which is soon.
     while (this.#moves().some((move) => !isTerminal(move))) {
       if (Date.now() >= end) break;
-      await this.cluster.pass(0.3);
+      await this.cluster.runFor(0.3);
     }
     const moves = this.#moves().filter((m) => !isTerminal(m));
     const unfinishedMoves = moves.map(
@@ -289,11 +289,17 @@
       aborted: moves.filter((m) => m.state === 'aborted').length,
       machinesMoved: this.#pauseMs.length,
       tasks: [...this.cluster.world.completed.values()].reduce((sum, done) => sum + done.size, 0),
-      starts: this.cluster.world.started,
-      tasksStartedAfterCompletion: this.cluster.world.startedCompleted,
+      starts: this.cluster.world.starts,
+      tasksStartedAfterCompletion: this.cluster.world.startsAfterCompletion,
     };
-    const { broken } = this.cluster.world;
+    const { violations: broken } = this.cluster.world;
     this.cluster.close();
-    return { broken, unfinished, counts, moveMs: this.#moveMs, pauseMs: this.#pauseMs };
+    return {
+      violations: broken,
+      unfinished,
+      counts,
+      moveDurationsMs: this.#moveMs,
+      pausesMs: this.#pauseMs,
+    };
   }
 }
--- a/test/standins/store.ts
+++ b/test/standins/store.ts
@@ -24,11 +24,11 @@
   #timer: NodeJS.Timeout | null = null;
   unavailable = false;
   /** requests that came in */
-  requests = 0;
+  requestCount = 0;
   /** what a value, a transaction and a second may hold; they may fall at any moment */
   limits = { valueBytes: 65_536, transactionOps: 1000, writeRps: Infinity };
   /** transactions refused for their size, and for their number */
-  readonly refused = { size: 0, rate: 0 };
+  readonly rejectedTransactions = { size: 0, rate: 0 };
   #tokens = { left: Infinity, at: 0 };
 
   async start(): Promise<void> {
@@ -42,7 +42,7 @@
   }
 
   /** Values that were there before any controller of the test. */
-  seed(values: Readonly<Record<string, unknown>>): void {
+  putValues(values: Readonly<Record<string, unknown>>): void {
     this.#write(Object.entries(values).map(([key, value]) => ({ Put: key, Value: value })));
   }
 
@@ -86,7 +86,7 @@
   }
 
   async handle(r: Request): Promise<Reply> {
-    this.requests += 1;
+    this.requestCount += 1;
     if (this.unavailable) return { status: 503, body: { error: 'trouble' } };
     if (r.path === '/multi') return this.#multi(r.body as never);
     if (r.path === '/leases') {
@@ -126,11 +126,11 @@
     const puts = body.Writes as { Value?: unknown }[];
     const large = puts.some((w) => JSON.stringify(w.Value ?? null).length > valueBytes);
     if (large || puts.length > transactionOps || body.When.length > 4 * transactionOps) {
-      this.refused.size += 1;
+      this.rejectedTransactions.size += 1;
       return { status: 400, body: { error: 'over the limits' } };
     }
     if (this.#rateRefuses(Math.max(1, puts.length))) {
-      this.refused.rate += 1;
+      this.rejectedTransactions.rate += 1;
       return { status: 429, body: { error: 'too many' } };
     }
     const failed = body.When.filter((c) => (this.items.get(c.K)?.revision ?? 0) !== c.Stamp);
@@ -185,57 +185,57 @@
 }
 
 /** One node's way to the state service, which can treat it otherwise than the others. */
-export class StateDoor extends StandInServer {
+export class StoreProxy extends StandInServer {
   /** told of every transaction that arrives here */
-  seen: ((request: Request) => void) | null = null;
+  onTransaction: ((request: Request) => void) | null = null;
   /** every call gets 503, and open watches wait, while other nodes are served */
-  refusing = false;
+  unavailable = false;
   /** ms that each answer takes longer */
-  slowMs = 0;
+  delayMs = 0;
   /** ms that each answer is held up on its way back: what it says is that old when it arrives */
-  slowAnswersMs = 0;
+  responseDelayMs = 0;
   /** ms that each transaction takes longer on its way */
-  slowWritesMs = 0;
+  transactionDelayMs = 0;
   /** transactions that are still on their way are lost */
-  dropsWrites = false;
+  dropsTransactions = false;
   /** every second transaction gets no answer and is carried out this much later, after newer ones */
-  lateMs: number | null = null;
+  lateTransactionMs: number | null = null;
   /** every second transaction is carried out at once, and only its answer is lost */
-  losingAnswers = false;
+  losesResponses = false;
   /** answers that were lost */
-  lost = 0;
+  lostResponses = 0;
   #transactions = 0;
   /** transactions that were carried out late */
-  late = 0;
+  lateTransactions = 0;
 
-  constructor(private readonly state: FakeStore) {
+  constructor(private readonly store: FakeStore) {
     super();
   }
 
   async start(): Promise<void> {
-    await this.listen((r) => this.#pass(r));
+    await this.listen((r) => this.#forward(r));
   }
 
-  async #pass(r: Request): Promise<Reply> {
-    if (r.path === '/multi') this.seen?.(r);
-    if (this.refusing) return { status: 503, body: { error: 'trouble' } };
-    if (this.slowMs > 0) await sleep(this.slowMs);
-    if (r.path === '/multi' && this.slowWritesMs > 0) await sleep(this.slowWritesMs);
-    if (r.path === '/multi' && this.dropsWrites) return 'hang';
+  async #forward(r: Request): Promise<Reply> {
+    if (r.path === '/multi') this.onTransaction?.(r);
+    if (this.unavailable) return { status: 503, body: { error: 'trouble' } };
+    if (this.delayMs > 0) await sleep(this.delayMs);
+    if (r.path === '/multi' && this.transactionDelayMs > 0) await sleep(this.transactionDelayMs);
+    if (r.path === '/multi' && this.dropsTransactions) return 'hang';
     if (r.path === '/multi') this.#transactions += 1;
-    if (r.path === '/multi' && this.lateMs !== null && this.#transactions % 2 === 0) {
-      void sleep(this.lateMs).then(() => {
-        this.late += 1;
-        return this.state.handle(r);
+    if (r.path === '/multi' && this.lateTransactionMs !== null && this.#transactions % 2 === 0) {
+      void sleep(this.lateTransactionMs).then(() => {
+        this.lateTransactions += 1;
+        return this.store.handle(r);
       });
       return 'hang';
     }
-    const reply = await this.state.handle(r);
-    if (this.slowAnswersMs > 0) await sleep(this.slowAnswersMs);
-    if (r.path === '/multi' && this.losingAnswers && this.#transactions % 2 === 0) {
-      this.lost += 1;
+    const reply = await this.store.handle(r);
+    if (this.responseDelayMs > 0) await sleep(this.responseDelayMs);
+    if (r.path === '/multi' && this.losesResponses && this.#transactions % 2 === 0) {
+      this.lostResponses += 1;
       return 'hang';
     }
-    return this.refusing ? 'hang' : reply;
+    return this.unavailable ? 'hang' : reply;
   }
 }
--- a/test/standins/user-node.ts
+++ b/test/standins/user-node.ts
@@ -32,7 +32,7 @@
     for (const go of this.#held.splice(0)) go();
   }
 
-  get held(): number {
+  get heldCount(): number {
     return this.#held.length;
   }
 
@@ -79,11 +79,11 @@
   #jobs: ObservedJobs | null = null;
   #reader: ObservedReader | null = null;
   readonly writeRequest = new Gate();
-  readonly writeAnswer = new Gate();
+  readonly writeResponse = new Gate();
   readonly readRequest = new Gate();
-  readonly readAnswer = new Gate();
-  readonly feedRequest = new Gate();
-  readonly feedAnswer = new Gate();
+  readonly readResponse = new Gate();
+  readonly watchRequest = new Gate();
+  readonly watchResponse = new Gate();
   #following = false;
   #followAgain = false;
   /** what a value of the state service may hold, as this node knows it; read at `open` */
@@ -91,14 +91,14 @@
 
   constructor(
     readonly name: string,
-    private readonly state: FakeStore,
+    private readonly store: FakeStore,
     private readonly history: AnswerHistory,
   ) {
     this.#reads = new LinearizableReads({ get: (key) => this.#get(key) }, this.cache, steadyMs);
   }
 
   async open(): Promise<void> {
-    await this.list();
+    await this.relist();
     const client = {
       compareAndSwap: (_class: unknown, guards: readonly Guard[], writes: readonly Write[]) =>
         this.#compareAndSwap(guards, writes),
@@ -155,10 +155,10 @@
   }
 
   /** A call of a user; every answer is judged. */
-  async ask(call: UserCall, body: { readonly Uid: string }): Promise<Response | null> {
-    const sent = this.history.sent(call, body.Uid);
+  async sendUserRequest(call: UserCall, body: { readonly Uid: string }): Promise<Response | null> {
+    const sent = this.history.recordRequest(call, body.Uid);
     const answer = await this.#send(call, body).catch(() => null);
-    this.history.received(sent, answer, this.name);
+    this.history.recordAnswer(sent, answer, this.name);
     return answer;
   }
 
@@ -172,9 +172,9 @@
 
   async #get(key: string): Promise<ReadResult> {
     await this.readRequest.pass();
-    const item = this.state.items.get(key);
-    const epoch = this.state.revision;
-    await this.readAnswer.pass();
+    const item = this.store.items.get(key);
+    const epoch = this.store.revision;
+    await this.readResponse.pass();
     if (item === undefined) return { missing: true, storeRevision: epoch };
     return { key, value: item.value, revision: item.revision };
   }
@@ -186,22 +186,22 @@
     await this.writeRequest.pass();
     const body = transactionBody(guards, writes);
     const query = new URLSearchParams();
-    const reply = await this.state.handle({ method: 'POST', path: '/multi', query, body });
+    const reply = await this.store.handle({ method: 'POST', path: '/multi', query, body });
     if (reply === 'hang') throw new Error('the stand-in answers every transaction');
-    await this.writeAnswer.pass();
+    await this.writeResponse.pass();
     const answer = reply.body as { Epoch: number; failed?: string[] };
     if (reply.status === 200) return { ok: true, epoch: answer.Epoch };
     return { ok: false, failed: answer.failed ?? [] };
   }
 
   /** A new listing, as after a restart of the watch. */
-  async list(): Promise<void> {
+  async relist(): Promise<void> {
     const began = steadyMs();
-    const { revision: epoch } = this.state;
-    const changes = [...this.state.items].map(([key, { value, revision }]) => {
+    const { revision: epoch } = this.store;
+    const changes = [...this.store.items].map(([key, { value, revision }]) => {
       return { key, value, revision, removed: false };
     });
-    await this.feedAnswer.pass();
+    await this.watchResponse.pass();
     const cached = changes.filter(({ key }) => !key.startsWith('final/'));
     this.cache.apply({
       isListing: true,
@@ -220,22 +220,22 @@
     void (async () => {
       while (this.#followAgain) {
         this.#followAgain = false;
-        await this.follow();
+        await this.pollWatch();
       }
       this.#following = false;
     })();
   }
 
   /** One read of the watch. */
-  async follow(): Promise<void> {
+  async pollWatch(): Promise<void> {
     const began = steadyMs();
     this.#reads.onReadState(began);
-    await this.feedRequest.pass();
+    await this.watchRequest.pass();
     const query = new URLSearchParams({ Since: String(this.cache.revision), BlockMs: '0' });
     const request = { method: 'GET', path: '/follow', query, body: null };
-    const reply = await this.state.handle(request);
+    const reply = await this.store.handle(request);
     if (reply === 'hang') throw new Error('the stand-in answers every watch');
-    await this.feedAnswer.pass();
+    await this.watchResponse.pass();
     const { Epoch: epoch, News: news } = reply.body as FollowBody;
     const changes = news.map((n) => ({
       key: n.Put ?? n.Drop ?? '',
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -213,13 +213,18 @@
   assert.equal(job.placements.size, 0);
   const world = new World();
   const w = new FakeWorker('vm-000001', world, 1000, 18_000, 0);
-  w.answered(5, [{ op: 'start', uid: 'job-000001', index: 6, attempt: 5 * 2 ** 23 }], 0, 1);
+  w.onHeartbeatAnswer(
+    5,
+    [{ op: 'start', uid: 'job-000001', index: 6, attempt: 5 * 2 ** 23 }],
+    0,
+    1,
+  );
   for (let now = 0; now < 2000; now += 500) {
     const r = w.heartbeat();
     const result = shard.handleHeartbeat(r, now, true);
-    if (result.kind === 'answer') w.answered(shard.term, result.commands, now, 1);
+    if (result.kind === 'answer') w.onHeartbeatAnswer(shard.term, result.commands, now, 1);
   }
   assert.equal(shard.recovered, true);
   assert.equal(job.placements.get(6)?.attempt, 5 * 2 ** 23, "the old owner's task goes on");
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
 });
