--- a/test/combined-faults.test.ts
+++ b/test/combined-faults.test.ts
@@ -99,11 +99,11 @@
     meet: async (c, uids) => {
       for (const d of c.storeProxies.values()) d.delayMs = 500;
       await Promise.all(uids.slice(0, 2).map((uid, i) => c.cancel(`n${i}`, uid)));
-      for (const n of c.names) for (const uid of uids) await c.statusOf(n, uid);
+      for (const n of c.nodes) for (const uid of uids) await c.statusOf(n, uid);
       c.store.unavailable = true;
       for (let i = 0; i < 12; i++) {
         await c.runFor(1);
-        for (const uid of uids) await c.statusOf(c.names[i % 3]!, uid);
+        for (const uid of uids) await c.statusOf(c.nodes[i % 3]!, uid);
       }
       for (const d of c.storeProxies.values()) d.delayMs = 0;
       c.store.recover();
@@ -115,9 +115,9 @@
     jobs: [LONG, { ...SMALL, Pieces: 3 }, { ...SMALL, Shape: 'ensemble', Pieces: 3 }],
     meet: async (c, [first]) => {
       await c.cancel('n0', first!);
-      for (const n of c.names) c.kill(n);
+      for (const n of c.nodes) c.kill(n);
       await c.runFor(LEASE_S + 2);
-      await Promise.all(c.names.map((n) => c.start(n)));
+      await Promise.all(c.nodes.map((n) => c.start(n)));
     },
   },
   {
@@ -162,7 +162,7 @@
         if (i === 5) c.store.unavailable = true;
         if (i === 8) c.store.recover();
         if (i === 3) await c.cancel('n2', first!);
-        await crash(c, c.names[i % 3]!, i % 2 === 0 ? 300 : 900);
+        await crash(c, c.nodes[i % 3]!, i % 2 === 0 ? 300 : 900);
         await c.runFor(0.5);
       }
     },
@@ -219,7 +219,7 @@
     jobs: [1, 2, 3].map(() => ({ ...SMALL, Owner: 'limited', Vcpus: 2, Pieces: 4 })),
     meet: async (c, [first]) => {
       const owner = c.preferredNodeOf('limited');
-      const other = c.names.find((n) => n !== owner)!;
+      const other = c.nodes.find((n) => n !== owner)!;
       const busy = c.workerHosts().filter((h) => h.worker.tasks.size > 0);
       for (const h of busy) h.worker.hung = true;
       await c.runFor(0.3);
@@ -243,7 +243,7 @@
       await c.cancel('n2', uids[1]!);
       for (let i = 0; i < CANCEL_S + 2; i++) {
         await c.runFor(1);
-        for (const n of c.names) for (const uid of uids) await c.statusOf(n, uid);
+        for (const n of c.nodes) for (const uid of uids) await c.statusOf(n, uid);
       }
       c.partitionFromPeers('n0', false);
       c.storeProxies.get('n0')!.unavailable = false;
@@ -277,26 +277,26 @@
     meet: async (c) => {
       const ends: string[] = [];
       for (let i = 0; i < 8; i++) {
-        const uid = await c.submit(c.names[i % 3]!, { ...SMALL, Pieces: 2 });
+        const uid = await c.submit(c.nodes[i % 3]!, { ...SMALL, Pieces: 2 });
         await c.waitUntil('all of it runs', 20, () => c.runningTasks(uid) === 2);
         // From well before the end is saved to just after it is. The canceller's read is old when its
         // transaction arrives, and others have been told of the end by then.
-        const slow = c.storeProxies.get(c.names[(i + 1) % 3]!)!;
+        const slow = c.storeProxies.get(c.nodes[(i + 1) % 3]!)!;
         slow.transactionDelayMs = 700;
         await sleep(500 + i * 120);
         const asking = async () => {
           for (let asked = 0; asked < 24; asked++) {
-            await c.statusOf(c.names[i % 3]!, uid);
+            await c.statusOf(c.nodes[i % 3]!, uid);
             await sleep(50);
           }
         };
         const [end] = await Promise.all([
-          c.cancel(c.names[(i + 1) % 3]!, uid),
+          c.cancel(c.nodes[(i + 1) % 3]!, uid),
           asking(),
-          c.sendUserRequest(c.names[i % 3]!, 'submit', uid, c.submission({ ...SMALL, Uid: uid })),
+          c.sendUserRequest(c.nodes[i % 3]!, 'submit', uid, c.submission({ ...SMALL, Uid: uid })),
         ]);
         slow.transactionDelayMs = 0;
-        for (const n of c.names) assert.equal(await c.statusOf(n, uid), end);
+        for (const n of c.nodes) assert.equal(await c.statusOf(n, uid), end);
         ends.push(end);
       }
       assert.ok(ends.includes('done'), ends.join(' '));
@@ -310,7 +310,7 @@
       await crash(c, 'n1', 4000);
       await c.runFor(2);
       await crash(c, 'n1', 200);
-      for (const n of c.names) c.kill(n);
+      for (const n of c.nodes) c.kill(n);
       await c.runFor(0.5);
       await c.start('n2');
       await c.runFor(6);
@@ -373,7 +373,7 @@
         else h.losesCommands = h.losesHeartbeats = true;
       });
       const cancelling = [c.cancel('n0', uids[0]!), c.cancel('n1', uids[1]!)];
-      for (const n of c.names) await crash(c, n, 300);
+      for (const n of c.nodes) await crash(c, n, 300);
       await c.runFor(8);
       await Promise.all(cancelling);
       for (const h of c.workerHosts()) h.worker.hung = h.losesCommands = h.losesHeartbeats = false;
@@ -387,9 +387,9 @@
     meet: async (c) => {
       const follow = async (i: number) => {
         const body = c.submission({ ...SMALL, Pieces: 2 });
-        const uid = await c.submitBody(c.names[i % 3]!, body);
+        const uid = await c.submitBody(c.nodes[i % 3]!, body);
         await c.queryAndResubmitAtAllNodes(body);
-        if (i % 3 === 0) await c.cancel(c.names[(i + 1) % 3]!, uid);
+        if (i % 3 === 0) await c.cancel(c.nodes[(i + 1) % 3]!, uid);
         for (let looks = 0; looks < 25; looks++) {
           await c.queryAndResubmitAtAllNodes(body);
           await sleep(looks < 5 ? 2 : 60);
@@ -408,12 +408,12 @@
     meet: async (c) => {
       for (let i = 0; i < 3; i++) {
         for (const h of c.workerHosts()) h.commandDelayMs = 3000;
-        await c.submit(c.names[(i + 1) % 3]!, LONG);
+        await c.submit(c.nodes[(i + 1) % 3]!, LONG);
         await c.runFor(0.6);
-        c.kill(c.names[i]!);
+        c.kill(c.nodes[i]!);
         for (const h of c.workerHosts()) h.commandDelayMs = 0;
         await c.runFor(i === 0 ? 0.2 : 8);
-        await c.start(c.names[i]!);
+        await c.start(c.nodes[i]!);
         await c.runFor(2);
       }
     },
@@ -427,7 +427,7 @@
       const open = [...uids];
       const cancelOver = async (seconds: number) => {
         for (let t = 0; t < seconds * 2 && open.length > 4; t++) {
-          await Promise.all([c.cancel(c.names[1 + (t % 2)]!, open.pop()!), c.runFor(0.5)]);
+          await Promise.all([c.cancel(c.nodes[1 + (t % 2)]!, open.pop()!), c.runFor(0.5)]);
         }
       };
       c.kill('n0');
@@ -469,12 +469,12 @@
     meet: async (c) => {
       const work: Promise<unknown>[] = [];
       for (let i = 0; i < 60; i++) {
-        const node = c.names[i % 3]!;
+        const node = c.nodes[i % 3]!;
         const one = async () => {
           const uid = await c.submit(node, { ...SMALL, Pieces: 1 });
           if (i % 4 !== 0) return;
           await sleep((i * 37) % 1600);
-          await c.cancel(c.names[(i + 1) % 3]!, uid);
+          await c.cancel(c.nodes[(i + 1) % 3]!, uid);
         };
         work.push(one());
         if (i === 30) work.push(crash(c, 'n1', 300));
@@ -490,7 +490,7 @@
     options: { runMs: 5000, leaseS: 20, cancelS: 42 },
     jobs: [LONG],
     meet: async (c) => {
-      for (const [i, node] of c.names.entries()) {
+      for (const [i, node] of c.nodes.entries()) {
         for (const d of c.storeProxies.values()) d.transactionDelayMs = 900;
         const before = new Set(c.cloud.machines.keys());
         const fresh = () => c.workerHosts().filter((h) => !before.has(h.worker.name));
@@ -501,7 +501,7 @@
         await c.runFor(1.9 + i * 0.25);
         // The last writes never arrive, among them the records of machines that are up, and the next
         // owner can't ask those machines at first.
-        for (const n of c.names) c.kill(n);
+        for (const n of c.nodes) c.kill(n);
         for (const d of c.storeProxies.values()) d.dropsTransactions = true;
         for (const h of fresh()) h.worker.hung = true;
         await c.runFor(1.2);
@@ -509,7 +509,7 @@
           d.dropsTransactions = false;
           d.transactionDelayMs = 0;
         }
-        await Promise.all(c.names.map((n) => c.start(n)));
+        await Promise.all(c.nodes.map((n) => c.start(n)));
         await c.waitUntil(`${node} is ready`, 30, () => c.isReady(node));
         await c.runFor(7);
         for (const h of c.workerHosts()) h.worker.hung = false;
@@ -526,7 +526,7 @@
       await c.submit('n1', LONG);
       await c.submit('n2', LONG);
       await c.runFor(2);
-      for (const [i, n] of c.names.entries()) {
+      for (const [i, n] of c.nodes.entries()) {
         c.kill(n);
         await c.runFor(i === 0 ? 7 : 0.3);
         const starting = c.start(n);
@@ -556,10 +556,10 @@
         for (const [i, body] of row.jobs.entries()) uids.push(await c.submit(`n${i % 3}`, body));
         await c.waitUntil('some of it runs', 20, () => uids.length === 0 || c.world.starts > 3);
         await row.meet(c, uids);
-        for (const n of c.names) await c.waitUntil(`${n} is back`, 40, () => c.isReady(n));
+        for (const n of c.nodes) await c.waitUntil(`${n} is back`, 40, () => c.isReady(n));
         for (const uid of c.world.jobs.keys()) {
           const end = c.world.cancelledAt.has(uid) ? 'cancelled' : 'done';
-          for (const n of c.names) {
+          for (const n of c.nodes) {
             await c.waitUntil(`${uid} ${end}`, 60, async () => (await c.statusOf(n, uid)) === end);
           }
         }
--- a/test/mixed-versions.test.ts
+++ b/test/mixed-versions.test.ts
@@ -133,14 +133,14 @@
         ['production', 'current'],
         ['current', 'production'],
       ] as const) {
-        for (const n of c.names) if (from === 'current') await c.replace(n, from);
+        for (const n of c.nodes) if (from === 'current') await c.replace(n, from);
         c.cloud.rentalDelayMs = 2500;
         await c.submit('n1', { ...SMALL, Vcpus: 6, Pieces: 40 });
         const hires = () => [...c.store.items.keys()].filter((k) => k.startsWith('hires/'));
         await c.waitUntil(`a rental of the ${from} version is open`, 30, () => hires().length > 0);
-        for (const n of c.names) c.kill(n);
+        for (const n of c.nodes) c.kill(n);
         c.cloud.rentalDelayMs = 0;
-        await Promise.all(c.names.map((n) => c.start(n, to)));
+        await Promise.all(c.nodes.map((n) => c.start(n, to)));
       }
       const recorded = [...c.store.items]
         .filter(([key]) => key.startsWith('machines/'))
@@ -183,7 +183,7 @@
       const passed = () =>
         [...shardsOfRanges(c)].some(([range, shard]) => before.get(range) !== shard);
       for (const d of c.storeProxies.values()) d.transactionDelayMs = 300;
-      for (let i = 0; i < 4; i++) await c.submit(c.names[i % 3]!, { ...SMALL, Pieces: 18 });
+      for (let i = 0; i < 4; i++) await c.submit(c.nodes[i % 3]!, { ...SMALL, Pieces: 18 });
       const most = c.workerHosts().slice(0, 1);
       for (const h of most) c.cloud.kill(h.worker.name);
       await c.waitUntil('tasks pass', 60, passed);
@@ -254,13 +254,13 @@
         for (const [i, body] of row.jobs.entries()) uids.push(await c.submit(`n${i % 3}`, body));
         await c.waitUntil('some of it runs', 30, () => c.world.starts > 3);
         await row.meet(c, uids);
-        for (const n of c.names) await c.waitUntil(`${n} is back`, 40, () => c.isReady(n));
+        for (const n of c.nodes) await c.waitUntil(`${n} is back`, 40, () => c.isReady(n));
         const seeded = Object.keys(seed).flatMap((k) =>
           k.startsWith('active/') ? [k.slice('active/'.length)] : [],
         );
         for (const uid of [...c.world.jobs.keys(), ...seeded]) {
           const end = c.world.cancelledAt.has(uid) ? 'cancelled' : 'done';
-          for (const n of c.names) {
+          for (const n of c.nodes) {
             await c.waitUntil(`${uid} ${end}`, 90, async () => (await c.statusOf(n, uid)) === end);
           }
         }
--- a/test/quotas.test.ts
+++ b/test/quotas.test.ts
@@ -335,11 +335,11 @@
     await c.open();
     const uids = [];
     for (let i = 0; i < 6; i++)
-      uids.push(await c.submit(c.names[i % 3]!, { ...small, Pieces: 60 }));
+      uids.push(await c.submit(c.nodes[i % 3]!, { ...small, Pieces: 60 }));
     await c.waitUntil('some of it runs', 20, () => c.world.starts > 20);
     c.store.limits = { valueBytes: 1024, transactionOps: 3, writeRps: 60 };
     for (let i = 0; i < 3; i++)
-      uids.push(await c.submit(c.names[i % 3]!, { ...small, Pieces: 60 }));
+      uids.push(await c.submit(c.nodes[i % 3]!, { ...small, Pieces: 60 }));
     for (const uid of uids) {
       await c.waitUntil(`${uid} done`, 60, async () => (await c.statusOf('n0', uid)) === 'done');
     }
--- a/test/random.test.ts
+++ b/test/random.test.ts
@@ -249,7 +249,7 @@
       lateSaves.splice(lateSaves.indexOf(l), 1);
       l.save();
     }
-    world.check(now);
+    world.checkCancellations(now);
     if (world.violations.length > 0) break;
   }
   // Nothing that was accepted and not called off is forgotten.
--- a/test/rebalancing-commands.test.ts
+++ b/test/rebalancing-commands.test.ts
@@ -82,7 +82,7 @@
       const ends = ['--from', String(from), '--to', String(to), '--count', '1'];
       const before = cluster.store.revision;
       const planned = await run('plan', ...ends, '--json');
-      const [plan] = JSON.parse(planned.out) as PlanOutput[];
+      const [plan] = JSON.parse(planned.stdout) as PlanOutput[];
       assert.deepEqual([plan!.heldBy, plan!.obstacle, plan!.lacking], [null, null, 0]);
       assert.ok(plan!.matching.length > 0);
       assert.ok(
@@ -92,16 +92,16 @@
 
       const asked = await Promise.all([1, 2].map(() => run('move', ...ends, '--id', 'first')));
       assert.deepEqual(
-        asked.map((r) => r.code),
+        asked.map((r) => r.exitCode),
         [0, 0],
       );
       const other = await run('move', ...ends, '--id', 'second');
       if (cluster.stored(shardLockKey(from)) !== undefined) {
-        assert.equal(other.code, 3, other.err);
-        assert.match(other.err, /another move holds it \(first\)/);
+        assert.equal(other.exitCode, 3, other.stderr);
+        assert.match(other.stderr, /another move holds it \(first\)/);
       }
       await untilState(cluster, 'first', 'finished');
-      const shown = JSON.parse((await run('--json')).out) as ShardsOutput;
+      const shown = JSON.parse((await run('--json')).stdout) as ShardsOutput;
       assert.equal(shown.moves.find((m) => m.id === 'first')?.moved.length, 1);
       assert.equal(cluster.stored(shardLockKey(from)), undefined, 'the shards are free again');
       await done(cluster, uid);
@@ -152,7 +152,7 @@
         12,
         () => moveOf(cluster, 'm').waitsFor !== null,
       );
-      assert.match((await run()).out, /a standing service runs there|more machines of the kind/);
+      assert.match((await run()).stdout, /a standing service runs there|more machines of the kind/);
       await untilState(cluster, 'm', 'aborted');
       const kept = machinesOf(cluster, from).sort();
       const serving = before.filter((name) => cluster.cloud.machines.has(name));
@@ -174,7 +174,7 @@
     const ends = ['--from', `${from}`, '--to', `${to}`, '--count', '1', '--id', 'm'];
     const returnAt = new Date(Date.now() + 16_000).toISOString();
     const asked = await run('move', ...ends, '--within-s', '14', '--return-at', returnAt);
-    assert.equal(asked.code, 0, asked.err);
+    assert.equal(asked.exitCode, 0, asked.stderr);
     await cluster.waitUntil('lent', 20, () =>
       ['lent', 'aborted'].includes(moveOf(cluster, 'm').state),
     );
@@ -200,8 +200,8 @@
       await cluster.runFor(3);
       assert.equal(moveOf(cluster, 'm').state, 'requested');
       const plan = await run('plan', '--from', '0', '--to', '1', '--count', '1');
-      assert.match(plan.out, /waits for a node that does not know moves/);
-      assert.equal((await run('abort', 'm')).code, 0);
+      assert.match(plan.stdout, /waits for a node that does not know moves/);
+      assert.equal((await run('abort', 'm')).exitCode, 0);
       await cluster.replace('n2', 'current');
       await untilState(cluster, 'm', 'aborted');
     },
@@ -222,12 +222,12 @@
         [['move', '--plan', '/nonexistent'], /\/nonexistent: /],
       ];
       for (const [args, says] of bad) {
-        const { code, err } = await run(...args);
+        const { exitCode: code, stderr: err } = await run(...args);
         assert.equal(code, 2, `${args.join(' ')}: ${err}`);
         assert.match(err, says);
       }
       for (const args of [[], ['move', ...ends, '--count', '1'], ['abort', 'm']]) {
-        const { code, out, err } = await run(...args);
+        const { exitCode: code, stdout: out, stderr: err } = await run(...args);
         assert.equal(code, 1, args.join(' '));
         assert.equal(out, '');
         assert.match(err, /^sumacstep: the state service: /);
--- a/test/service-faults.test.ts
+++ b/test/service-faults.test.ts
@@ -127,10 +127,10 @@
     name: 'all controllers are away for longer than a worker lease',
     service: { ...REPLICA, Pieces: 4 },
     fault: async (c, uid) => {
-      for (const n of c.names) c.kill(n);
+      for (const n of c.nodes) c.kill(n);
       await c.runFor(LEASE_S + 3);
       assert.equal(c.runningTasks(uid), 0, 'the leases have ended');
-      await Promise.all(c.names.map((n) => c.start(n)));
+      await Promise.all(c.nodes.map((n) => c.start(n)));
     },
     within: 3 * LEASE_S,
   },
@@ -140,7 +140,7 @@
     service: { ...REPLICA, Pieces: 4 },
     fault: async (c, uid) => {
       const { starts: started } = c.world;
-      for (const n of c.names) {
+      for (const n of c.nodes) {
         await c.replace(n, 'current');
         assert.equal(c.runningTasks(uid), 4);
       }
@@ -212,7 +212,7 @@
         await row.fault(c, uid);
         await c.waitUntil(`${all} replicas run again`, row.within, () => served(c, uid) === all);
         assert.equal(c.runningTasks(uid), all, 'none runs twice');
-        for (const n of c.names) {
+        for (const n of c.nodes) {
           await c.waitUntil(
             `${n} knows it`,
             20,
@@ -228,7 +228,7 @@
     await withCluster({ runMs: 700 }, async (c) => {
       const uid = await c.submit('n0', { ...REPLICA, Pieces: 2 });
       await c.waitUntil('they have run again', 40, () => c.world.starts >= 6);
-      for (const n of c.names) {
+      for (const n of c.nodes) {
         assert.ok(['queued', 'running'].includes(await c.statusOf(n, uid)));
       }
       await cancelAll(c, [uid]);
@@ -238,7 +238,7 @@
   test("a team's limit: more than all of it is refused, what others use is waited for", async () => {
     await withCluster({ teams: [LIMITED] }, async (c) => {
       const limited = { ...REPLICA, Owner: 'limited', Vcpus: 2 };
-      for (const n of c.names) {
+      for (const n of c.nodes) {
         const body = c.submission({ ...limited, Pieces: 5 });
         const answer = await c.call(n, 'POST', '/submissions', body);
         assert.equal(answer.status, 422, 'five replicas of two CPUs are over eight');
--- a/test/service.test.ts
+++ b/test/service.test.ts
@@ -7,7 +7,7 @@
 const LEASE_S = 4;
 
 const c = new Cluster({ runMs: 1500, leaseS: LEASE_S, cancelS: 8 });
-const { names: NAMES, world, store: state } = c;
+const { nodes: NAMES, world, store: state } = c;
 const until = c.waitUntil.bind(c);
 const call = c.call.bind(c);
 const statusOf = c.statusOf.bind(c);
--- a/test/singleton-controllers.test.ts
+++ b/test/singleton-controllers.test.ts
@@ -78,7 +78,7 @@
       await untilLed(cluster, ORPHAN_COLLECTOR_ROLE);
       const { holder, token } = leaderOf(cluster, ORPHAN_COLLECTOR_ROLE)!;
       const frozen = holder!.node;
-      const other = cluster.names.find((n) => n !== frozen)!;
+      const other = cluster.nodes.find((n) => n !== frozen)!;
       const before = await cluster.submit(other, { Pieces: 12 });
       // What it sends now arrives after its successor has begun.
       cluster.storeProxies.get(frozen)!.transactionDelayMs = 14_000;
@@ -135,9 +135,9 @@
       });
       // Whoever sent the returns ends; the next owners get work that would fit these machines.
       const doomed = cluster.cloud.heldReturns;
-      for (const node of cluster.names) cluster.kill(node);
-      await Promise.all(cluster.names.map((node) => cluster.start(node)));
-      for (const node of cluster.names)
+      for (const node of cluster.nodes) cluster.kill(node);
+      await Promise.all(cluster.nodes.map((node) => cluster.start(node)));
+      for (const node of cluster.nodes)
         await cluster.waitUntil(`${node} ready`, 20, () => cluster.isReady(node));
       const second = await cluster.submit('n1', { Pieces: 8, GuessS: 5 });
       await cluster.waitUntil('it runs', 40, () => cluster.runningTasks(second) > 0);
@@ -186,7 +186,7 @@
   scenario('a role is transferred to the node that an operator asks for', {}, async (cluster) => {
     await untilLed(cluster, ORPHAN_COLLECTOR_ROLE);
     const { holder, token } = leaderOf(cluster, ORPHAN_COLLECTOR_ROLE)!;
-    const to = cluster.names.find((n) => n !== holder!.node)!;
+    const to = cluster.nodes.find((n) => n !== holder!.node)!;
     cluster.store.putValues({ [transferRequestKey(ORPHAN_COLLECTOR_ROLE)]: { to, id: 'r1' } });
     await untilLed(cluster, ORPHAN_COLLECTOR_ROLE, to);
     assert.equal(leaderOf(cluster, ORPHAN_COLLECTOR_ROLE)!.token, token + 1);
--- a/test/standins/answer-soak.ts
+++ b/test/standins/answer-soak.ts
@@ -87,7 +87,7 @@
   }
 
   #anyNode(): string {
-    return this.#cluster.names[this.#random(this.#cluster.names.length)]!;
+    return this.#cluster.nodes[this.#random(this.#cluster.nodes.length)]!;
   }
 
   async #user(): Promise<void> {
@@ -122,10 +122,10 @@
     const cluster = this.#cluster;
     for (let round = 0; cluster.history.reportedFinalState(body.Uid) === null; round++) {
       await this.#ask(round === cancelAfter ? 'withdraw' : call, body);
-      cluster.world.check(Date.now());
+      cluster.world.checkCancellations(Date.now());
       await sleep(this.#random(PAUSE_MS));
     }
-    await Promise.all(cluster.names.map((node) => this.#ask(call, body, node)));
+    await Promise.all(cluster.nodes.map((node) => this.#ask(call, body, node)));
   }
 
   async #ask(
@@ -189,7 +189,7 @@
   /** The faults are over: every node knows the end of every job, and it is the one that was told. */
   async #settle(): Promise<void> {
     const cluster = this.#cluster;
-    for (const node of cluster.names) {
+    for (const node of cluster.nodes) {
       await cluster.waitUntil(`${node} is ready`, SETTLE_S, () => cluster.isReady(node));
       for (const uid of cluster.world.jobs.keys()) {
         await cluster.waitUntil(`${uid} has ended at ${node}`, SETTLE_S, async () =>
--- a/test/standins/cluster.ts
+++ b/test/standins/cluster.ts
@@ -53,7 +53,7 @@
 
 /** Whole controllers on loopback, each way between them and to the state service open to trouble. */
 export class Cluster {
-  readonly names: readonly string[];
+  readonly nodes: readonly string[];
   readonly store = new FakeStore();
   readonly storeProxies = new Map<string, StoreProxy>();
   readonly world: World;
@@ -75,7 +75,7 @@
 
   constructor(readonly options: ClusterOptions) {
     const { controllers = 3 } = options;
-    this.names = Array.from({ length: controllers }, (_, index) => `n${index}`);
+    this.nodes = Array.from({ length: controllers }, (_, index) => `n${index}`);
     this.world = new World(options.cancelS * 1000);
     this.history = new AnswerHistory(this.world.violations);
   }
@@ -96,7 +96,7 @@
     }
     const listen = new Map<string, string>();
     const peerListen = new Map<string, string>();
-    for (const n of this.names) {
+    for (const n of this.nodes) {
       listen.set(n, this.#nextAddress());
       peerListen.set(n, this.#nextAddress());
       const door = new StoreProxy(this.store);
@@ -109,12 +109,12 @@
     this.cloud = new FakeCloud(this.world, [...listen], runMs, leaseS * 1000, zones);
     this.cloud.host = this.#host;
     await this.cloud.start();
-    for (const node of this.names) {
+    for (const node of this.nodes) {
       const toState = new Link();
       await toState.open(this.storeProxies.get(node)!.address, this.#host);
       this.#stateLinks.set(node, toState);
       const peers = [];
-      for (const other of this.names.filter((n) => n !== node)) {
+      for (const other of this.nodes.filter((n) => n !== node)) {
         const link = new Link();
         await link.open(peerListen.get(other)!, this.#host);
         this.#links.set(`${node} ${other}`, link);
@@ -128,7 +128,7 @@
         peers,
         cloud: this.cloud.address,
         store: toState.address,
-        nodes: this.names.length,
+        nodes: this.nodes.length,
         zones,
         teams: new Map([TEAM, ...teams].map((t) => [t.name, t])),
         objectives: [],
@@ -140,8 +140,8 @@
       this.#clients.set(node, new CborClient(listen.get(node)!, 4));
     }
     const { versions = {} } = this.options;
-    await Promise.all(this.names.map((n) => this.start(n, versions[n])));
-    for (const n of this.names) await this.waitUntil(`${n} ready`, 15, () => this.isReady(n));
+    await Promise.all(this.nodes.map((n) => this.start(n, versions[n])));
+    for (const n of this.nodes) await this.waitUntil(`${n} ready`, 15, () => this.isReady(n));
   }
 
   async start(node: string, version: Version = 'current'): Promise<void> {
@@ -210,7 +210,7 @@
     const end = Date.now() + seconds * 1000;
     while (!(await check())) {
       assert.ok(Date.now() < end, `not within ${seconds} s: ${what}`);
-      this.world.check(Date.now());
+      this.world.checkCancellations(Date.now());
       await sleep(100);
     }
   }
@@ -220,7 +220,7 @@
     const end = Date.now() + seconds * 1000;
     while (Date.now() < end) {
       await sleep(100);
-      this.world.check(Date.now());
+      this.world.checkCancellations(Date.now());
     }
   }
 
@@ -302,7 +302,7 @@
   async queryAndResubmitAtAllNodes(body: ReturnType<Cluster['submission']>): Promise<void> {
     const uid = body.Uid;
     const answers = await Promise.all(
-      this.names.flatMap((n) => [
+      this.nodes.flatMap((n) => [
         this.sendUserRequest(n, 'query', uid),
         this.sendUserRequest(n, 'submit', uid, body),
       ]),
@@ -329,7 +329,7 @@
 
   /** The node that the shard of a team with a limit belongs to while all live. */
   preferredNodeOf(team: string): string {
-    return this.names[shardOfTeam(team, this.names.length)]!;
+    return this.nodes[shardOfTeam(team, this.nodes.length)]!;
   }
 
   /** Tasks of the job that are on machines. */
@@ -344,7 +344,7 @@
   }
 
   close(): void {
-    for (const n of this.names) this.kill(n);
+    for (const n of this.nodes) this.kill(n);
     for (const c of this.#clients.values()) c.close();
     for (const l of [...this.#links.values(), ...this.#stateLinks.values()]) l.close();
     for (const d of this.storeProxies.values()) d.close();
--- a/test/standins/commands.ts
+++ b/test/standins/commands.ts
@@ -27,9 +27,9 @@
 
 /** What a run of the program printed, and its exit code. */
 export interface CommandResult {
-  readonly code: number;
-  readonly out: string;
-  readonly err: string;
+  readonly exitCode: number;
+  readonly stdout: string;
+  readonly stderr: string;
 }
 
 /** Runs the program with settings whose store is at the address. */
@@ -45,7 +45,11 @@
     new Promise((resolve) => {
       const all = [MAIN, command, ...args, '--config', config];
       execFile(process.execPath, all, (error, out, err) => {
-        resolve({ code: typeof error?.code === 'number' ? error.code : 0, out, err });
+        resolve({
+          exitCode: typeof error?.code === 'number' ? error.code : 0,
+          stdout: out,
+          stderr: err,
+        });
       });
     });
   try {
--- a/test/standins/machine-moves.ts
+++ b/test/standins/machine-moves.ts
@@ -106,7 +106,7 @@
   }
 
   async #submit(): Promise<void> {
-    const node = this.cluster.names[this.#below(3)]!;
+    const node = this.cluster.nodes[this.#below(3)]!;
     const gang = this.#below(4) === 0;
     const shape = gang ? { Shape: 'ensemble', Pieces: 2, SnapshotEveryS: 0 } : {};
     const pieces = 1 + this.#below(6);
@@ -126,7 +126,7 @@
 
   /** One fault at random, which is repaired after a while. */
   async #fault(): Promise<void> {
-    const node = this.cluster.names[this.#below(3)]!;
+    const node = this.cluster.nodes[this.#below(3)]!;
     const hosts = this.cluster.workerHosts();
     const host = hosts[this.#below(Math.max(1, hosts.length))];
     const fault = this.#below(8);
--- a/test/standins/worker.ts
+++ b/test/standins/worker.ts
@@ -96,7 +96,7 @@
     }
   }
 
-  check(now: number): void {
+  checkCancellations(now: number): void {
     for (const task of this.runningOn.keys()) this.checkCancelled(task, now);
   }
 }
