--- a/test/runner/known-red.ts
+++ b/test/runner/known-red.ts
@@ -46,8 +46,8 @@
       problems.push(`KNOWN-RED.txt: entry ${reason}, not "${FIELDS.join(' | ')}": ${line}`);
       continue;
     }
-    const [test = '', command = '', seen = '', issue = ''] = fields;
-    known.push({ test, command, observed: seen, issue });
+    const [test = '', command = '', observed = '', issue = ''] = fields;
+    known.push({ test, command, observed, issue });
   }
   if (known.length > MAX_KNOWN_RED) {
     problems.push(`KNOWN-RED.txt: ${known.length} tests, at most ${MAX_KNOWN_RED} are allowed`);
--- a/test/runner/run-tests.ts
+++ b/test/runner/run-tests.ts
@@ -21,22 +21,22 @@
 const passed = new Set<string>();
 const failed = new Set<string>();
 /** names of the groups round the present test, by nesting, for each file */
-const groups = new Map<string, string[]>();
+const groupNames = new Map<string, string[]>();
 
 const stream = run({ files, concurrency: true });
 stream.on('test:start', ({ name, nesting, file }) => {
-  const path = groups.get(file ?? '') ?? [];
+  const path = groupNames.get(file ?? '') ?? [];
   path.length = nesting;
   path[nesting] = name;
-  groups.set(file ?? '', path);
+  groupNames.set(file ?? '', path);
 });
-const nameOf = ({ name, nesting, file }: { name: string; nesting: number; file?: string }) =>
-  [...(groups.get(file ?? '') ?? []).slice(0, nesting), name].join(' > ');
-stream.on('test:pass', (event) => passed.add(nameOf(event)));
+const fullName = ({ name, nesting, file }: { name: string; nesting: number; file?: string }) =>
+  [...(groupNames.get(file ?? '') ?? []).slice(0, nesting), name].join(' > ');
+stream.on('test:pass', (event) => passed.add(fullName(event)));
 stream.on('test:fail', (event) => {
   // A group fails with each of its tests: those count.
   const { failureType } = event.details.error as { failureType?: string };
-  if (failureType !== 'subtestsFailed') failed.add(nameOf(event));
+  if (failureType !== 'subtestsFailed') failed.add(fullName(event));
 });
 // Stays red if the run ends before its end is told.
 process.exitCode = 1;
--- a/test/standins/answer-history.ts
+++ b/test/standins/answer-history.ts
@@ -4,7 +4,7 @@
 export type UserCall = 'submit' | 'query' | 'withdraw';
 
 /** Strongest answers that users have had of one job. */
-interface Told {
+interface ReportedState {
   accepted: boolean;
   final: string | null;
 }
@@ -13,18 +13,18 @@
 export interface SentRequest {
   readonly call: UserCall;
   readonly uid: string;
-  readonly reportedBefore: Readonly<Told>;
+  readonly reportedBefore: Readonly<ReportedState>;
 }
 
-const FINAL = new Set(['done', 'cancelled']);
-const KNOWN = new Set(['queued', 'running', 'done', 'cancelled']);
+const FINAL_STATES = new Set(['done', 'cancelled']);
+const KNOWN_STATES = new Set(['queued', 'running', 'done', 'cancelled']);
 
 /**
  * Judges every answer to a user by what users had been told, at any node, when its request was sent. An
  * answer to a request that was under way at the same time may be older: the two overlap.
  */
 export class AnswerHistory {
-  readonly #told = new Map<string, Told>();
+  readonly #reported = new Map<string, ReportedState>();
   readonly #submitted = new Set<string>();
   readonly #cancelRequested = new Set<string>();
 
@@ -32,7 +32,7 @@
 
   /** The final state that users have been told, or null. */
   reportedFinalState(uid: string): string | null {
-    return this.#told.get(uid)?.final ?? null;
+    return this.#reported.get(uid)?.final ?? null;
   }
 
   /** A job that was submitted before the test began. */
@@ -44,51 +44,55 @@
   recordRequest(call: UserCall, uid: string): SentRequest {
     if (call === 'submit') this.#submitted.add(uid);
     if (call === 'withdraw') this.#cancelRequested.add(uid);
-    return { call, uid, reportedBefore: { ...this.#toldOf(uid) } };
+    return { call, uid, reportedBefore: { ...this.#reportedOf(uid) } };
   }
 
   /** An answer has reached its user; null if none came. */
   recordAnswer(request: SentRequest, answer: Response | null, at = ''): void {
     if (answer === null) return;
-    const { call, uid, reportedBefore: toldBefore } = request;
+    const { call, uid, reportedBefore } = request;
     const where = at === '' ? call : `${call} at ${at}`;
-    if (answer.status === 404 && toldBefore.accepted) {
+    if (answer.status === 404 && reportedBefore.accepted) {
       this.violations.push(`forgotten ${uid}: 404 to ${where}`);
     }
     const refused = answer.status === 400 || answer.status === 422;
-    if (refused && call === 'submit' && toldBefore.accepted) {
+    if (refused && call === 'submit' && reportedBefore.accepted) {
       this.violations.push(`forgotten ${uid}: ${answer.status} to ${where}`);
     }
     if (answer.status !== 200 && answer.status !== 201) return;
     const { Status: status } = answer.body as { Status: string };
-    this.#judge(request, answer.status, status, where);
-    const told = this.#toldOf(uid);
-    told.accepted = true;
-    if (FINAL.has(status)) told.final ??= status;
+    this.#checkStatus(request, answer.status, status, where);
+    const reported = this.#reportedOf(uid);
+    reported.accepted = true;
+    if (FINAL_STATES.has(status)) reported.final ??= status;
   }
 
-  #judge(request: SentRequest, code: number, status: string, where: string): void {
-    const { call, uid, reportedBefore: toldBefore } = request;
-    const went = (text: string) => this.violations.push(`went_back ${uid}: ${text}, to ${where}`);
+  #checkStatus(request: SentRequest, code: number, status: string, where: string): void {
+    const { call, uid, reportedBefore } = request;
+    const reportRegression = (text: string) =>
+      this.violations.push(`went_back ${uid}: ${text}, to ${where}`);
     if (!this.#submitted.has(uid)) this.violations.push(`invented ${uid}: ${status} to ${where}`);
-    if (!KNOWN.has(status)) went(`unknown status ${status}`);
-    if (code === 201 && toldBefore.accepted) went('accepted again with 201');
-    if (toldBefore.final !== null && status !== toldBefore.final) {
-      went(`${toldBefore.final}, then ${status}`);
+    if (!KNOWN_STATES.has(status)) reportRegression(`unknown status ${status}`);
+    if (code === 201 && reportedBefore.accepted) reportRegression('accepted again with 201');
+    if (reportedBefore.final !== null && status !== reportedBefore.final) {
+      reportRegression(`${reportedBefore.final}, then ${status}`);
       return;
     }
     const other = this.reportedFinalState(uid);
-    if (FINAL.has(status) && other !== null && other !== status) went(`${other}, then ${status}`);
-    if (status === 'cancelled' && !this.#cancelRequested.has(uid)) went('cancelled by no user');
-    if (call === 'withdraw' && !FINAL.has(status)) went(`a cancellation answered ${status}`);
+    if (FINAL_STATES.has(status) && other !== null && other !== status)
+      reportRegression(`${other}, then ${status}`);
+    if (status === 'cancelled' && !this.#cancelRequested.has(uid))
+      reportRegression('cancelled by no user');
+    if (call === 'withdraw' && !FINAL_STATES.has(status))
+      reportRegression(`a cancellation answered ${status}`);
   }
 
-  #toldOf(uid: string): Told {
-    let told = this.#told.get(uid);
-    if (told === undefined) {
-      told = { accepted: false, final: null };
-      this.#told.set(uid, told);
+  #reportedOf(uid: string): ReportedState {
+    let reported = this.#reported.get(uid);
+    if (reported === undefined) {
+      reported = { accepted: false, final: null };
+      this.#reported.set(uid, reported);
     }
-    return told;
+    return reported;
   }
 }
--- a/test/standins/answer-soak.ts
+++ b/test/standins/answer-soak.ts
@@ -26,17 +26,17 @@
 }
 
 /** ms; a user that got no final answer asks again after up to this */
-const PAUSE_MS = 60;
+const REPEAT_PAUSE_MAX_MS = 60;
 /** ms; calls of the same moment leave up to this far apart */
-const JITTER_MS = 10;
+const JITTER_MAX_MS = 10;
 /** ms; faults of one kind last up to this */
-const FAULT_MS = 2500;
+const FAULT_MAX_MS = 2500;
 /** s; by then every job has ended at every node once the faults are over */
 const SETTLE_S = 120;
 /** ms; up to this much later the state service takes a call up */
-const SLOW_STATE_MS = 1200;
+const STORE_DELAY_MAX_MS = 1200;
 /** ms; up to this much later its answer arrives: still within the time that a node gives a user */
-const SLOW_ANSWER_MS = 600;
+const RESPONSE_DELAY_MAX_MS = 600;
 
 /**
  * Users who submit, repeat, ask and cancel at all nodes at once, while the state service is slow, loses
@@ -45,31 +45,31 @@
  */
 export class AnswerSoak {
   readonly #cluster: Cluster;
-  readonly #random: (below: number) => number;
+  readonly #randomBelow: (below: number) => number;
   #answers = 0;
   #faults = 0;
-  #usersBusy = 0;
+  #activeUsers = 0;
   #jobsLeft: number;
-  #machinesSeen = 0;
+  #mostMachinesSeen = 0;
 
   constructor(private readonly options: SoakOptions) {
     const { controllers, machines } = options;
     this.#cluster = new Cluster({ controllers, runMs: 1000, leaseS: 4, cancelS: 10 });
-    this.#random = randomFrom(options.seed);
+    this.#randomBelow = randomFrom(options.seed);
     this.#jobsLeft = options.jobs;
-    this.#machinesMost = machines;
+    this.#maxMachines = machines;
   }
 
-  readonly #machinesMost: number;
+  readonly #maxMachines: number;
 
   async run(): Promise<SoakResult> {
     const cluster = this.#cluster;
-    const began = Date.now();
+    const startedAt = Date.now();
     try {
       await cluster.open();
-      cluster.cloud.maxMachines = this.#machinesMost;
+      cluster.cloud.maxMachines = this.#maxMachines;
       const users = Array.from({ length: this.options.users }, () => this.#user());
-      this.#usersBusy = users.length;
+      this.#activeUsers = users.length;
       await Promise.all([...users, this.#faultsUntilUsersEnd()]);
       await this.#settle();
       return {
@@ -78,111 +78,111 @@
         cancelled: cluster.world.cancelledAt.size,
         answers: this.#answers,
         faults: this.#faults,
-        machines: this.#machinesSeen,
-        seconds: Math.round((Date.now() - began) / 1000),
+        machines: this.#mostMachinesSeen,
+        seconds: Math.round((Date.now() - startedAt) / 1000),
       };
     } finally {
       cluster.close();
     }
   }
 
-  #anyNode(): string {
-    return this.#cluster.nodes[this.#random(this.#cluster.nodes.length)]!;
+  #randomNode(): string {
+    return this.#cluster.nodes[this.#randomBelow(this.#cluster.nodes.length)]!;
   }
 
   async #user(): Promise<void> {
     while (this.#jobsLeft > 0) {
       this.#jobsLeft -= 1;
-      await this.#oneJob();
+      await this.#runJob();
     }
-    this.#usersBusy -= 1;
+    this.#activeUsers -= 1;
   }
 
   /** A job from its submission to its end, asked about at several nodes at once. */
-  async #oneJob(): Promise<void> {
+  async #runJob(): Promise<void> {
     const cluster = this.#cluster;
-    const body = cluster.submission({ Pieces: 1 + this.#random(4), Vcpus: 6, GuessS: 60 });
+    const body = cluster.submission({ Pieces: 1 + this.#randomBelow(4), Vcpus: 6, GuessS: 60 });
     const { Uid: uid, Owner: team, Pieces: tasks, Vcpus: cpus, Site: zone } = body;
     cluster.world.jobs.set(uid, { team, tasks, cpus, zone, oneZone: false, spread: false });
-    const cancelAfter = this.#random(3) === 0 ? this.#random(12) : Infinity;
-    await this.#ask('submit', body);
+    const cancelAfter = this.#randomBelow(3) === 0 ? this.#randomBelow(12) : Infinity;
+    await this.#sendRequest('submit', body);
     await Promise.all([
-      this.#askUntilEnd(body, 'submit'),
-      this.#askUntilEnd(body, 'submit'),
-      this.#askUntilEnd(body, 'query', cancelAfter),
+      this.#requestUntilFinal(body, 'submit'),
+      this.#requestUntilFinal(body, 'submit'),
+      this.#requestUntilFinal(body, 'query', cancelAfter),
     ]);
   }
 
   /** Asks at any node until an end is told to anybody, and right then at all nodes. */
-  async #askUntilEnd(
+  async #requestUntilFinal(
     body: ReturnType<Cluster['submission']>,
     call: UserCall,
     cancelAfter = Infinity,
   ): Promise<void> {
     const cluster = this.#cluster;
     for (let round = 0; cluster.history.reportedFinalState(body.Uid) === null; round++) {
-      await this.#ask(round === cancelAfter ? 'withdraw' : call, body);
+      await this.#sendRequest(round === cancelAfter ? 'withdraw' : call, body);
       cluster.world.checkCancellations(Date.now());
-      await sleep(this.#random(PAUSE_MS));
+      await sleep(this.#randomBelow(REPEAT_PAUSE_MAX_MS));
     }
-    await Promise.all(cluster.nodes.map((node) => this.#ask(call, body, node)));
+    await Promise.all(cluster.nodes.map((node) => this.#sendRequest(call, body, node)));
   }
 
-  async #ask(
+  async #sendRequest(
     call: UserCall,
     body: ReturnType<Cluster['submission']>,
-    node = this.#anyNode(),
+    node = this.#randomNode(),
   ): Promise<void> {
-    await sleep(this.#random(JITTER_MS));
+    await sleep(this.#randomBelow(JITTER_MAX_MS));
     const cluster = this.#cluster;
     const answer = await cluster.sendUserRequest(node, call, body.Uid, body);
     if (answer === null || answer.status >= 500) return;
     this.#answers += 1;
-    const told = (answer.body as { Status?: string }).Status;
-    if (call === 'withdraw' && told === 'cancelled' && !cluster.world.cancelledAt.has(body.Uid)) {
+    const status = (answer.body as { Status?: string }).Status;
+    if (call === 'withdraw' && status === 'cancelled' && !cluster.world.cancelledAt.has(body.Uid)) {
       cluster.world.cancelledAt.set(body.Uid, Date.now());
     }
   }
 
   async #faultsUntilUsersEnd(): Promise<void> {
-    while (this.#usersBusy > 0) {
-      await sleep(this.#random(800));
-      this.#machinesSeen = Math.max(this.#machinesSeen, this.#cluster.cloud.machines.size);
+    while (this.#activeUsers > 0) {
+      await sleep(this.#randomBelow(800));
+      this.#mostMachinesSeen = Math.max(this.#mostMachinesSeen, this.#cluster.cloud.machines.size);
       this.#faults += 1;
-      await this.#fault();
+      await this.#injectFault();
     }
   }
 
-  async #fault(): Promise<void> {
+  async #injectFault(): Promise<void> {
     const cluster = this.#cluster;
-    const node = this.#anyNode();
-    const door = cluster.storeProxies.get(node)!;
-    const forMs = this.#random(FAULT_MS);
-    const kind = this.#random(9);
-    if (kind === 0) door.delayMs = this.#random(SLOW_STATE_MS);
-    if (kind === 1) door.transactionDelayMs = this.#random(SLOW_STATE_MS);
-    if (kind === 2) door.losesResponses = true;
-    if (kind === 3) door.lateTransactionMs = 500 + this.#random(2500);
-    if (kind === 4) door.unavailable = true;
+    const node = this.#randomNode();
+    const proxy = cluster.storeProxies.get(node)!;
+    const durationMs = this.#randomBelow(FAULT_MAX_MS);
+    const kind = this.#randomBelow(9);
+    if (kind === 0) proxy.delayMs = this.#randomBelow(STORE_DELAY_MAX_MS);
+    if (kind === 1) proxy.transactionDelayMs = this.#randomBelow(STORE_DELAY_MAX_MS);
+    if (kind === 2) proxy.losesResponses = true;
+    if (kind === 3) proxy.lateTransactionMs = 500 + this.#randomBelow(2500);
+    if (kind === 4) proxy.unavailable = true;
     if (kind === 5) cluster.partitionFromPeers(node, true);
-    if (kind === 6 || kind === 7) door.responseDelayMs = this.#random(SLOW_ANSWER_MS);
+    if (kind === 6 || kind === 7) proxy.responseDelayMs = this.#randomBelow(RESPONSE_DELAY_MAX_MS);
     if (kind === 8) {
       cluster.kill(node);
-      await sleep(forMs / 2);
+      await sleep(durationMs / 2);
       await cluster.start(node);
     }
-    await sleep(forMs);
-    this.#mend(node);
+    await sleep(durationMs);
+    this.#clearFaults(node);
   }
 
-  #mend(node: string): void {
-    const door = this.#cluster.storeProxies.get(node)!;
-    door.delayMs = 0;
-    door.responseDelayMs = 0;
-    door.transactionDelayMs = 0;
-    door.losesResponses = false;
-    door.lateTransactionMs = null;
-    door.unavailable = false;
+  #clearFaults(node: string): void {
+    const proxy = this.#cluster.storeProxies.get(node)!;
+    proxy.delayMs = 0;
+    proxy.responseDelayMs = 0;
+    proxy.transactionDelayMs = 0;
+    proxy.losesResponses = false;
+    proxy.lateTransactionMs = null;
+    proxy.unavailable = false;
     this.#cluster.partitionFromPeers(node, false);
   }
 
--- a/test/standins/cloud.ts
+++ b/test/standins/cloud.ts
@@ -4,22 +4,22 @@
 import { StandInServer, type Reply, type Request } from './server.js';
 import { FakeWorker, type World } from './worker.js';
 
-const STATES = { running: 'running', exited: 'ended' } as const;
+const WIRE_STATUS = { running: 'running', exited: 'ended' } as const;
 
-const toWire = (r: Heartbeat): unknown => ({
-  Host: r.machine,
-  Address: r.address,
-  Hosttype: r.type,
-  Site: r.zone,
-  Reclaimable: r.spot,
-  Tenure: r.agentEpoch,
-  Counter: r.counter,
-  Mandate: r.fencingToken,
-  WarningS: r.preemptionNoticeS,
-  Pieces: r.tasks.map((t) => ({
+const heartbeatBody = (heartbeat: Heartbeat): unknown => ({
+  Host: heartbeat.machine,
+  Address: heartbeat.address,
+  Hosttype: heartbeat.type,
+  Site: heartbeat.zone,
+  Reclaimable: heartbeat.spot,
+  Tenure: heartbeat.agentEpoch,
+  Counter: heartbeat.counter,
+  Mandate: heartbeat.fencingToken,
+  WarningS: heartbeat.preemptionNoticeS,
+  Pieces: heartbeat.tasks.map((t) => ({
     Piece: `${t.uid}/${t.index}`,
     Try: t.attempt,
-    Status: STATES[t.state as keyof typeof STATES],
+    Status: WIRE_STATUS[t.state as keyof typeof WIRE_STATUS],
     ...(t.why === null ? {} : { Cause: t.why, Saved: t.saved }),
   })),
 });
@@ -30,11 +30,11 @@
   Try: number;
   WindupS?: number;
 }
-const fromWire = (o: WireOrder) => {
-  const [uid, index] = o.Piece.split('/') as [string, string];
-  const task = { uid, index: Number(index), attempt: o.Try };
-  if (o.Verb === 'stop') return { op: 'stop' as const, ...task, graceS: o.WindupS ?? 0 };
-  return { op: o.Verb === 'start' ? ('start' as const) : ('forget' as const), ...task };
+const parseOrder = (order: WireOrder) => {
+  const [uid, index] = order.Piece.split('/') as [string, string];
+  const task = { uid, index: Number(index), attempt: order.Try };
+  if (order.Verb === 'stop') return { op: 'stop' as const, ...task, graceS: order.WindupS ?? 0 };
+  return { op: order.Verb === 'start' ? ('start' as const) : ('forget' as const), ...task };
 };
 
 /** A worker on loopback: reports to one node at a time and takes direct commands. */
@@ -56,54 +56,55 @@
   duplicatesSent = 0;
   #nodes: readonly [string, string][] = [];
   #stopped = false;
-  #busy = false;
-  #last = 0;
+  #heartbeatInFlight = false;
+  #lastHeartbeatMs = 0;
   #timer: NodeJS.Timeout | null = null;
 
-  async start(make: (address: string) => FakeWorker, nodes: readonly [string, string][]) {
-    await this.listen((r) => this.#command(r));
-    this.worker = make(this.address);
+  async start(createWorker: (address: string) => FakeWorker, nodes: readonly [string, string][]) {
+    await this.listen((r) => this.#handleCommands(r));
+    this.worker = createWorker(this.address);
     this.#nodes = nodes;
-    this.#timer = setInterval(() => void this.#beat(nodes), 50);
+    this.#timer = setInterval(() => void this.#sendHeartbeat(nodes), 50);
   }
 
-  async #command(r: Request): Promise<Reply> {
+  async #handleCommands(request: Request): Promise<Reply> {
     const cut = this.onlyNode !== null || this.unreachableNode !== null;
     if (this.losesCommands || this.worker.hung || cut) return 'hang';
     if (this.commandDelayMs > 0) await sleep(this.commandDelayMs);
-    const body = r.body as { Mandate: number; Tenure: number; Orders: WireOrder[] };
+    const body = request.body as { Mandate: number; Tenure: number; Orders: WireOrder[] };
     this.worker.advance(Date.now());
     const executed = this.worker.executeDirect(
       body.Mandate,
       body.Tenure,
-      body.Orders.map(fromWire),
+      body.Orders.map(parseOrder),
     );
-    this.#last = 0;
-    return { status: executed ? 200 : 409, body: toWire(this.worker.heartbeat()) };
+    this.#lastHeartbeatMs = 0;
+    return { status: executed ? 200 : 409, body: heartbeatBody(this.worker.heartbeat()) };
   }
 
-  async #beat(nodes: readonly [string, string][]): Promise<void> {
+  async #sendHeartbeat(nodes: readonly [string, string][]): Promise<void> {
     if (this.losesHeartbeats || this.worker.hung) {
       this.worker.advance(Date.now());
       return;
     }
-    if (this.#busy || Date.now() - this.#last < 300) return;
-    this.#busy = true;
+    if (this.#heartbeatInFlight || Date.now() - this.#lastHeartbeatMs < 300) return;
+    this.#heartbeatInFlight = true;
     if (this.onlyNode !== null)
       this.nodeIndex = nodes.findIndex(([name]) => name === this.onlyNode);
-    this.#last = Date.now();
+    this.#lastHeartbeatMs = Date.now();
     this.worker.advance(Date.now());
     if (nodes[this.nodeIndex]![0] === this.unreachableNode) {
       this.nodeIndex = (this.nodeIndex + 1) % nodes.length;
-      this.#busy = false;
+      this.#heartbeatInFlight = false;
       return;
     }
-    const report = this.worker.heartbeat();
+    const heartbeat = this.worker.heartbeat();
     const sentAt = Date.now();
     const client = new CborClient(nodes[this.nodeIndex]![1], 1);
-    if (this.duplicateAfterMs !== null) this.#copyLater(nodes, report, this.duplicateAfterMs);
+    if (this.duplicateAfterMs !== null)
+      this.#scheduleDuplicate(nodes, heartbeat, this.duplicateAfterMs);
     try {
-      const answer = await client.call('POST', '/agent/beat', toWire(report), 1000);
+      const answer = await client.call('POST', '/agent/beat', heartbeatBody(heartbeat), 1000);
       const body = answer.body as {
         Mandate?: number;
         Orders?: WireOrder[];
@@ -111,50 +112,54 @@
       };
       if (this.#stopped || this.losesCommands || this.worker.hung) return;
       if (answer.status === 200) {
-        const orders = (body.Orders ?? []).map(fromWire);
+        const orders = (body.Orders ?? []).map(parseOrder);
         this.worker.advance(Date.now());
-        this.worker.onHeartbeatAnswer(body.Mandate ?? 0, orders, sentAt, report.agentEpoch);
+        this.worker.onHeartbeatAnswer(body.Mandate ?? 0, orders, sentAt, heartbeat.agentEpoch);
       } else {
-        const to = nodes.findIndex(([name]) => name === body.ReportsTo);
+        const target = nodes.findIndex(([name]) => name === body.ReportsTo);
         this.nodeIndex =
-          to >= 0 && to !== this.nodeIndex ? to : (this.nodeIndex + 1) % nodes.length;
+          target >= 0 && target !== this.nodeIndex ? target : (this.nodeIndex + 1) % nodes.length;
       }
     } catch {
       this.nodeIndex = (this.nodeIndex + 1) % nodes.length;
     } finally {
       client.close();
-      this.#busy = false;
+      this.#heartbeatInFlight = false;
     }
   }
 
-  #copyLater(nodes: readonly [string, string][], report: Heartbeat, ms: number): void {
+  #scheduleDuplicate(
+    nodes: readonly [string, string][],
+    heartbeat: Heartbeat,
+    delayMs: number,
+  ): void {
     const timer = setTimeout(() => {
       if (this.#stopped) return;
       this.duplicatesSent += 1;
-      this.#deliver(nodes[this.duplicatesSent % nodes.length]![1], report);
-    }, ms);
+      this.#sendWithoutAnswer(nodes[this.duplicatesSent % nodes.length]![1], heartbeat);
+    }, delayMs);
     timer.unref();
   }
 
   /** Nobody waits for the answer to a copy. */
-  #deliver(address: string, report: Heartbeat): void {
+  #sendWithoutAnswer(address: string, heartbeat: Heartbeat): void {
     const client = new CborClient(address, 1);
     void client
-      .call('POST', '/agent/beat', toWire(report), 1000)
+      .call('POST', '/agent/beat', heartbeatBody(heartbeat), 1000)
       .catch(() => null)
       .finally(() => client.close());
   }
 
-  #kept: Heartbeat | null = null;
+  #keptHeartbeat: Heartbeat | null = null;
   /** Keeps a report as the worker would send it now. */
   keepHeartbeat(): void {
-    this.#kept = this.worker.heartbeat();
+    this.#keptHeartbeat = this.worker.heartbeat();
   }
 
   /** The kept report arrives at every node. */
   deliverKeptHeartbeat(): void {
-    if (this.#kept === null || this.#stopped) return;
-    for (const [, address] of this.#nodes) this.#deliver(address, this.#kept);
+    if (this.#keptHeartbeat === null || this.#stopped) return;
+    for (const [, address] of this.#nodes) this.#sendWithoutAnswer(address, this.#keptHeartbeat);
   }
 
   override close(): void {
@@ -167,8 +172,8 @@
 /** Stand-in for the cloud; its machines are up at once and report on loopback. */
 export class FakeCloud extends StandInServer {
   readonly machines = new Map<string, WorkerHost>();
-  readonly #answers = new Map<string, string[]>();
-  #count = 0;
+  readonly #machinesByRental = new Map<string, string[]>();
+  #bootedMachines = 0;
   /** the next rental is carried out, but its answer gets lost */
   losesNextRentalResponse = false;
   /** ms that the answer to a rental takes; the machines are there at once */
@@ -195,13 +200,13 @@
     return this.listen((r) => this.#handle(r));
   }
 
-  async #handle(r: Request): Promise<Reply> {
-    if (r.path === '/machine_types') {
+  async #handle(request: Request): Promise<Reply> {
+    if (request.path === '/machine_types') {
       const type = { Label: 'm', Vcpus: 8, Cards: 2, MemGb: 64, CacheGb: 50, FetchGbPerS: 1 };
       const price = { Price: 4, LowPrice: 1, BootS: 5, Sites: this.zones };
       return { status: 200, body: { Hosttypes: [{ ...type, ...price }] } };
     }
-    if (r.path === '/rentals' && r.method === 'GET') {
+    if (request.path === '/rentals' && request.method === 'GET') {
       const hosts = [...this.machines].map(([name, h]) => ({
         Uid: name,
         Address: h.address,
@@ -213,16 +218,21 @@
       }));
       return { status: 200, body: { Hosts: hosts, Truncated: false } };
     }
-    if (r.path === '/rentals') {
-      const body = r.body as { Hire: string; Number: number; Reclaimable: boolean; Site: string };
-      let names = this.#answers.get(body.Hire);
+    if (request.path === '/rentals') {
+      const body = request.body as {
+        Hire: string;
+        Number: number;
+        Reclaimable: boolean;
+        Site: string;
+      };
+      let names = this.#machinesByRental.get(body.Hire);
       if (names === undefined) {
         names = [];
-        const room = Math.min(body.Number, this.maxMachines - this.machines.size);
-        if (room <= 0) return { status: 503, body: { error: 'no capacity' } };
-        for (let i = 0; i < room; i++) names.push(await this.#boot(body.Reclaimable, body.Site));
+        const granted = Math.min(body.Number, this.maxMachines - this.machines.size);
+        if (granted <= 0) return { status: 503, body: { error: 'no capacity' } };
+        for (let i = 0; i < granted; i++) names.push(await this.#boot(body.Reclaimable, body.Site));
       }
-      this.#answers.set(body.Hire, names);
+      this.#machinesByRental.set(body.Hire, names);
       if (this.rentalDelayMs > 0) await sleep(this.rentalDelayMs);
       if (this.losesNextRentalResponse) {
         this.losesNextRentalResponse = false;
@@ -230,18 +240,18 @@
       }
       return { status: 200, body: { Hosts: names } };
     }
-    const { Hosts: names } = r.body as { Hosts: string[] };
+    const { Hosts: names } = request.body as { Hosts: string[] };
     if (this.#holdsReturns) {
       this.#heldReturns.push(names);
       return 'hang';
     }
-    this.#giveBack(names);
+    this.#carryOutReturn(names);
     return { status: 200, body: {} };
   }
 
   set holdsReturns(holds: boolean) {
     this.#holdsReturns = holds;
-    if (!holds) for (const names of this.#heldReturns.splice(0)) this.#giveBack(names);
+    if (!holds) for (const names of this.#heldReturns.splice(0)) this.#carryOutReturn(names);
   }
 
   /** machines in returns that are on their way */
@@ -249,7 +259,7 @@
     return this.#heldReturns.flat();
   }
 
-  #giveBack(names: readonly string[]): void {
+  #carryOutReturn(names: readonly string[]): void {
     this.returnedMachines.push(...names);
     for (const name of names) this.kill(name);
   }
@@ -260,8 +270,8 @@
   }
 
   async #boot(spot: boolean, zone: string): Promise<string> {
-    this.#count += 1;
-    const name = `vm-${String(this.#count).padStart(6, '0')}`;
+    this.#bootedMachines += 1;
+    const name = `vm-${String(this.#bootedMachines).padStart(6, '0')}`;
     const host = new WorkerHost();
     host.host = this.host;
     await host.start((address) => {
@@ -269,7 +279,7 @@
       const { world, runMs, leaseMs } = this;
       return new FakeWorker(name, world, runMs, leaseMs, now, zone, 'm', address, spot);
     }, this.nodes);
-    host.nodeIndex = this.#count % this.nodes.length;
+    host.nodeIndex = this.#bootedMachines % this.nodes.length;
     this.world.zoneOf.set(name, zone);
     this.machines.set(name, host);
     return name;
--- a/test/standins/cluster.ts
+++ b/test/standins/cluster.ts
@@ -61,15 +61,15 @@
   cloud!: FakeCloud;
   readonly #controllers = new Map<string, Controller>();
   /** by node, its last life on its way out */
-  readonly #ending = new Map<string, Promise<void>>();
+  readonly #stopping = new Map<string, Promise<void>>();
   /** controllers that ended by themselves */
   crashes = 0;
   readonly #clients = new Map<string, CborClient>();
   readonly #configs = new Map<string, PlatformConfig>();
   /** ways between nodes, by `from to` */
   readonly #links = new Map<string, Link>();
-  readonly #stateLinks = new Map<string, Link>();
-  #count = 0;
+  readonly #storeLinks = new Map<string, Link>();
+  #submissions = 0;
   readonly #host = nextLoopbackAddress();
   #port = FIRST_PORT;
 
@@ -96,13 +96,13 @@
     }
     const listen = new Map<string, string>();
     const peerListen = new Map<string, string>();
-    for (const n of this.nodes) {
-      listen.set(n, this.#nextAddress());
-      peerListen.set(n, this.#nextAddress());
-      const door = new StoreProxy(this.store);
-      door.host = this.#host;
-      await door.start();
-      this.storeProxies.set(n, door);
+    for (const node of this.nodes) {
+      listen.set(node, this.#nextAddress());
+      peerListen.set(node, this.#nextAddress());
+      const proxy = new StoreProxy(this.store);
+      proxy.host = this.#host;
+      await proxy.start();
+      this.storeProxies.set(node, proxy);
     }
     const { runMs, leaseS, cancelS, teams = [], zones = ['z'], storeLimits } = this.options;
     for (const t of teams) if (t.cpusMax > 0) this.world.quotas.set(t.name, t.cpusMax);
@@ -110,11 +110,11 @@
     this.cloud.host = this.#host;
     await this.cloud.start();
     for (const node of this.nodes) {
-      const toState = new Link();
-      await toState.open(this.storeProxies.get(node)!.address, this.#host);
-      this.#stateLinks.set(node, toState);
+      const storeLink = new Link();
+      await storeLink.open(this.storeProxies.get(node)!.address, this.#host);
+      this.#storeLinks.set(node, storeLink);
       const peers = [];
-      for (const other of this.nodes.filter((n) => n !== node)) {
+      for (const other of this.nodes.filter((name) => name !== node)) {
         const link = new Link();
         await link.open(peerListen.get(other)!, this.#host);
         this.#links.set(`${node} ${other}`, link);
@@ -127,7 +127,7 @@
         peerListen: peerListen.get(node)!,
         peers,
         cloud: this.cloud.address,
-        store: toState.address,
+        store: storeLink.address,
         nodes: this.nodes.length,
         zones,
         teams: new Map([TEAM, ...teams].map((t) => [t.name, t])),
@@ -140,12 +140,13 @@
       this.#clients.set(node, new CborClient(listen.get(node)!, 4));
     }
     const { versions = {} } = this.options;
-    await Promise.all(this.nodes.map((n) => this.start(n, versions[n])));
-    for (const n of this.nodes) await this.waitUntil(`${n} ready`, 15, () => this.isReady(n));
+    await Promise.all(this.nodes.map((node) => this.start(node, versions[node])));
+    for (const node of this.nodes)
+      await this.waitUntil(`${node} ready`, 15, () => this.isReady(node));
   }
 
   async start(node: string, version: Version = 'current'): Promise<void> {
-    await this.#ending.get(node);
+    await this.#stopping.get(node);
     const config = this.#configs.get(node)!;
     const old = version === 'production';
     const settings = old ? { ...config, storeLimits: PRODUCTION_LIMITS } : config;
@@ -164,7 +165,7 @@
     const controller = this.#controllers.get(node);
     if (controller === undefined) return;
     this.#controllers.delete(node);
-    this.#ending.set(node, controller.kill());
+    this.#stopping.set(node, controller.kill());
   }
 
   /** Settings of a node, as the platform would hand them over. */
@@ -185,31 +186,32 @@
   }
 
   /** Ends a node and starts it again with the given version. */
-  async replace(node: string, version: Version, awayMs = 300): Promise<void> {
+  async replace(node: string, version: Version, downtimeMs = 300): Promise<void> {
     this.kill(node);
-    await this.runFor(awayMs / 1000);
+    await this.runFor(downtimeMs / 1000);
     await this.start(node, version);
     await this.waitUntil(`${node} is ready`, 40, () => this.isReady(node));
   }
 
   /** Cuts a node from the state service, or lets it back; unlike a refusal it gets no answer. */
-  partitionFromStore(node: string, cut: boolean): void {
-    this.#stateLinks.get(node)!.cut = cut;
+  partitionFromStore(node: string, partitioned: boolean): void {
+    this.#storeLinks.get(node)!.cut = partitioned;
   }
 
   /** Cuts a node from all other nodes, or lets it back. */
-  partitionFromPeers(node: string, cut: boolean): void {
-    for (const [way, link] of this.#links) if (way.split(' ').includes(node)) link.cut = cut;
+  partitionFromPeers(node: string, partitioned: boolean): void {
+    for (const [way, link] of this.#links)
+      if (way.split(' ').includes(node)) link.cut = partitioned;
   }
 
   call(node: string, method: string, path: string, body?: unknown): Promise<Response> {
     return this.#clients.get(node)!.call(method, path, body, 3000);
   }
 
-  async waitUntil(what: string, seconds: number, check: () => Promise<boolean> | boolean) {
+  async waitUntil(condition: string, seconds: number, isMet: () => Promise<boolean> | boolean) {
     const end = Date.now() + seconds * 1000;
-    while (!(await check())) {
-      assert.ok(Date.now() < end, `not within ${seconds} s: ${what}`);
+    while (!(await isMet())) {
+      assert.ok(Date.now() < end, `not within ${seconds} s: ${condition}`);
       this.world.checkCancellations(Date.now());
       await sleep(100);
     }
@@ -235,19 +237,20 @@
     uid: string,
     body?: unknown,
   ): Promise<Response | null> {
-    const sent = this.history.recordRequest(call, uid);
+    const request = this.history.recordRequest(call, uid);
     const method = call === 'query' ? 'GET' : 'POST';
     const path = call === 'submit' ? '/submissions' : `/submissions/${uid}`;
-    const whole = call === 'withdraw' ? `${path}/withdraw` : path;
-    const answer = await this.call(node, method, whole, body).catch(() => null);
-    this.history.recordAnswer(sent, answer, node);
+    const fullPath = call === 'withdraw' ? `${path}/withdraw` : path;
+    const answer = await this.call(node, method, fullPath, body).catch(() => null);
+    this.history.recordAnswer(request, answer, node);
     return answer;
   }
 
   /** What a node says of a job. */
   async statusOf(node: string, uid: string): Promise<string> {
-    const a = await this.sendUserRequest(node, 'query', uid);
-    const status = a?.status === 200 ? (a.body as { Status: string }).Status : String(a?.status);
+    const answer = await this.sendUserRequest(node, 'query', uid);
+    const status =
+      answer?.status === 200 ? (answer.body as { Status: string }).Status : String(answer?.status);
     const tasks = this.world.jobs.get(uid)?.tasks ?? 0;
     if (status === 'done' && (this.world.completed.get(uid)?.size ?? 0) < tasks) {
       this.world.violations.push(`not_done ${uid}`);
@@ -255,9 +258,9 @@
     return status;
   }
 
-  submission(over: Record<string, unknown> = {}) {
+  submission(overrides: Record<string, unknown> = {}) {
     return {
-      Uid: `job-${String(++this.#count).padStart(6, '0')}`,
+      Uid: `job-${String(++this.#submissions).padStart(6, '0')}`,
       Jobclass: 'c',
       Owner: 't',
       Shape: 'batch',
@@ -275,22 +278,22 @@
       GuessS: 2,
       SnapshotEveryS: 0,
       SnapshotS: 0,
-      ...over,
+      ...overrides,
     };
   }
 
-  async submit(node: string, over: Record<string, unknown> = {}): Promise<string> {
-    return this.submitBody(node, this.submission(over));
+  async submit(node: string, overrides: Record<string, unknown> = {}): Promise<string> {
+    return this.submitBody(node, this.submission(overrides));
   }
 
   async submitBody(node: string, body: ReturnType<Cluster['submission']>): Promise<string> {
     const gang = body.Shape === 'ensemble';
     const { Owner: team, Pieces: tasks, Vcpus: cpus, Site: zone } = body;
-    const rules = { team, tasks, cpus, zone, gang };
-    this.world.jobs.set(body.Uid, { ...rules, oneZone: body.OneZone, spread: body.Spread });
+    const constraints = { team, tasks, cpus, zone, gang };
+    this.world.jobs.set(body.Uid, { ...constraints, oneZone: body.OneZone, spread: body.Spread });
     await this.waitUntil(`${body.Uid} accepted`, 20, async () => {
-      const a = await this.sendUserRequest(node, 'submit', body.Uid, body);
-      return a?.status === 201 || a?.status === 200;
+      const answer = await this.sendUserRequest(node, 'submit', body.Uid, body);
+      return answer?.status === 201 || answer?.status === 200;
     });
     return body.Uid;
   }
@@ -307,10 +310,15 @@
         this.sendUserRequest(n, 'submit', uid, body),
       ]),
     );
-    for (const a of answers) {
-      if (a === null) continue;
-      if (a.status === 404 || a.status === 400 || a.status === 422 || a.status === 201) {
-        this.world.violations.push(`forgotten ${uid}: ${a.status}`);
+    for (const answer of answers) {
+      if (answer === null) continue;
+      if (
+        answer.status === 404 ||
+        answer.status === 400 ||
+        answer.status === 422 ||
+        answer.status === 201
+      ) {
+        this.world.violations.push(`forgotten ${uid}: ${answer.status}`);
       }
     }
   }
@@ -318,9 +326,9 @@
   /** The user is told that the job is cancelled: from now on the rule's time runs. */
   async cancel(node: string, uid: string): Promise<string> {
     await this.waitUntil(`${uid} cancelled`, 20, async () => {
-      const a = await this.sendUserRequest(node, 'withdraw', uid);
-      if (a?.status !== 200) return false;
-      const { Status } = a.body as { Status: string };
+      const answer = await this.sendUserRequest(node, 'withdraw', uid);
+      if (answer?.status !== 200) return false;
+      const { Status } = answer.body as { Status: string };
       if (Status === 'cancelled') this.world.cancelledAt.set(uid, Date.now());
       return true;
     });
@@ -346,7 +354,7 @@
   close(): void {
     for (const n of this.nodes) this.kill(n);
     for (const c of this.#clients.values()) c.close();
-    for (const l of [...this.#links.values(), ...this.#stateLinks.values()]) l.close();
+    for (const l of [...this.#links.values(), ...this.#storeLinks.values()]) l.close();
     for (const d of this.storeProxies.values()) d.close();
     this.cloud.close();
     this.store.close();
--- a/test/standins/commands.ts
+++ b/test/standins/commands.ts
@@ -6,15 +6,15 @@
 import { stringify } from 'smol-toml';
 
 /** The program as an operator starts it. */
-const MAIN = join(import.meta.dirname, '../../../main.js');
+const PROGRAM = join(import.meta.dirname, '../../../main.js');
 
-const platformSettings = (state: string): unknown => ({
+const platformSettings = (storeAddress: string): unknown => ({
   node: 'n0',
   site: 'z',
   serve_on: '127.0.0.1:1',
   peer_bind: '127.0.0.1:2',
   known: ['n1', 'n2'].map((node) => ({ node, site: 'z', endpoint: '127.0.0.1:3' })),
-  services: { cloud: '127.0.0.1:4', state },
+  services: { cloud: '127.0.0.1:4', state: storeAddress },
   settings: {
     nodes: 3,
     zones: ['z'],
@@ -34,17 +34,17 @@
 
 /** Runs the program with settings whose store is at the address. */
 export const withCommands = async (
-  state: string,
+  storeAddress: string,
   command: 'duties' | 'shares',
   use: (run: (...args: string[]) => Promise<CommandResult>) => Promise<void>,
 ): Promise<void> => {
   const folder = mkdtempSync(join(tmpdir(), 'duties-'));
   const config = join(folder, 'platform.toml');
-  writeFileSync(config, stringify(platformSettings(state)));
+  writeFileSync(config, stringify(platformSettings(storeAddress)));
   const run = (...args: string[]): Promise<CommandResult> =>
     new Promise((resolve) => {
-      const all = [MAIN, command, ...args, '--config', config];
-      execFile(process.execPath, all, (error, out, err) => {
+      const argv = [PROGRAM, command, ...args, '--config', config];
+      execFile(process.execPath, argv, (error, out, err) => {
         resolve({
           exitCode: typeof error?.code === 'number' ? error.code : 0,
           stdout: out,
--- a/test/standins/link.ts
+++ b/test/standins/link.ts
@@ -11,23 +11,23 @@
   async open(target: string, listenOn = '127.0.0.1'): Promise<void> {
     const colon = target.lastIndexOf(':');
     const [host, port] = [target.slice(0, colon), Number(target.slice(colon + 1))];
-    const server = createServer((from) => {
+    const server = createServer((client) => {
       if (this.#cut) {
-        from.destroy();
+        client.destroy();
         return;
       }
-      const to = connect(port, host);
-      for (const [a, b] of [
-        [from, to],
-        [to, from],
+      const upstream = connect(port, host);
+      for (const [source, destination] of [
+        [client, upstream],
+        [upstream, client],
       ] as const) {
-        this.#sockets.add(a);
-        a.on('error', () => b.destroy());
-        a.on('close', () => {
-          this.#sockets.delete(a);
-          b.destroy();
+        this.#sockets.add(source);
+        source.on('error', () => destination.destroy());
+        source.on('close', () => {
+          this.#sockets.delete(source);
+          destination.destroy();
         });
-        a.pipe(b);
+        source.pipe(destination);
       }
     });
     this.#server = server;
--- a/test/standins/machine-moves.ts
+++ b/test/standins/machine-moves.ts
@@ -38,7 +38,7 @@
 type Host = ReturnType<Cluster['workerHosts']>[number];
 
 const FEATURES = { duties: parseSingletonsConfig('', ''), shares: parseRebalancingConfig('', '') };
-const LIMITED = { name: 'limited', cpus: 0, gpus: 0, cpusMax: 16, gpusMax: 0 };
+const LIMITED_TEAM = { name: 'limited', cpus: 0, gpus: 0, cpusMax: 16, gpusMax: 0 };
 const TASK_MS = 700;
 /** s after the last fault within which everything must be over */
 const SETTLE_S = 60;
@@ -50,9 +50,9 @@
     leaseS: 10,
     cancelS: 20,
     features: FEATURES,
-    teams: [LIMITED],
+    teams: [LIMITED_TEAM],
   });
-  readonly #below: (n: number) => number;
+  readonly #randomBelow: (n: number) => number;
   readonly #jobs: string[] = [];
   readonly #counts = {
     jobs: 0,
@@ -70,11 +70,11 @@
   };
   readonly #requestedAt = new Map<string, number>();
   readonly #cancelling = new Set<Promise<unknown>>();
-  readonly #moveMs: number[] = [];
-  readonly #pauseMs: number[] = [];
+  readonly #moveDurationsMs: number[] = [];
+  readonly #pausesMs: number[] = [];
 
   constructor(private readonly options: MachineMovesOptions) {
-    this.#below = randomFrom(options.seed);
+    this.#randomBelow = randomFrom(options.seed);
   }
 
   #moves(): Move[] {
@@ -84,21 +84,21 @@
   }
 
   /** Writes a request as the command does: the move and the locks of both shards, if nothing holds them. */
-  #request(): void {
-    const from = this.#below(3);
-    const to = (from + 1 + this.#below(2)) % 3;
+  #requestMove(): void {
+    const from = this.#randomBelow(3);
+    const to = (from + 1 + this.#randomBelow(2)) % 3;
     this.#counts.moves += 1;
     const id = `m${this.#counts.moves}`;
     const { store: state } = this.cluster;
-    const held = [from, to].some((shard) => state.items.has(shardLockKey(shard)));
-    if (held) {
+    const locked = [from, to].some((shard) => state.items.has(shardLockKey(shard)));
+    if (locked) {
       this.#counts.refused += 1;
       return;
     }
-    const deadlineMs = Date.now() + 4000 + this.#below(10_000);
-    const returnAtMs = this.#below(3) === 0 ? deadlineMs + 3000 : null;
+    const deadlineMs = Date.now() + 4000 + this.#randomBelow(10_000);
+    const returnAtMs = this.#randomBelow(3) === 0 ? deadlineMs + 3000 : null;
     const filter = { type: null, zone: null, spot: null };
-    const count = 1 + this.#below(3);
+    const count = 1 + this.#randomBelow(3);
     const move = newMove({ id, from, to, count, filter, deadlineMs, returnAtMs });
     const lock = encodeShardLock(id);
     state.putValues({ [moveKey(id)]: move, [shardLockKey(from)]: lock, [shardLockKey(to)]: lock });
@@ -106,52 +106,57 @@
   }
 
   async #submit(): Promise<void> {
-    const node = this.cluster.nodes[this.#below(3)]!;
-    const gang = this.#below(4) === 0;
-    const shape = gang ? { Shape: 'ensemble', Pieces: 2, SnapshotEveryS: 0 } : {};
-    const pieces = 1 + this.#below(6);
-    const owner = this.#below(4) === 0 ? { Owner: LIMITED.name } : {};
-    const body = this.cluster.submission({ Pieces: pieces, GuessS: 1, ...owner, ...shape });
+    const node = this.cluster.nodes[this.#randomBelow(3)]!;
+    const gang = this.#randomBelow(4) === 0;
+    const gangFields = gang ? { Shape: 'ensemble', Pieces: 2, SnapshotEveryS: 0 } : {};
+    const tasks = 1 + this.#randomBelow(6);
+    const teamFields = this.#randomBelow(4) === 0 ? { Owner: LIMITED_TEAM.name } : {};
+    const body = this.cluster.submission({
+      Pieces: tasks,
+      GuessS: 1,
+      ...teamFields,
+      ...gangFields,
+    });
     this.#counts.jobs += 1;
     const uid = await this.cluster.submitBody(node, body);
     this.#jobs.push(uid);
-    if (this.options.faults && this.#below(8) === 0) void this.#cancelLater(node, uid);
+    if (this.options.faults && this.#randomBelow(8) === 0) void this.#cancelLater(node, uid);
   }
 
   async #cancelLater(node: string, uid: string): Promise<void> {
-    await sleep(this.#below(4000));
+    await sleep(this.#randomBelow(4000));
     this.#counts.cancelled += 1;
     this.#cancelling.add(this.cluster.cancel(node, uid));
   }
 
   /** One fault at random, which is repaired after a while. */
-  async #fault(): Promise<void> {
-    const node = this.cluster.nodes[this.#below(3)]!;
+  async #injectFault(): Promise<void> {
+    const node = this.cluster.nodes[this.#randomBelow(3)]!;
     const hosts = this.cluster.workerHosts();
-    const host = hosts[this.#below(Math.max(1, hosts.length))];
-    const fault = this.#below(8);
+    const host = hosts[this.#randomBelow(Math.max(1, hosts.length))];
+    const fault = this.#randomBelow(8);
     if (fault === 0) await this.#restart(node);
-    else if (fault === 1) await this.#cutOff(node);
-    else if (fault === 4) await this.#delayWrites(node);
+    else if (fault === 1) await this.#makeStoreUnavailableTo(node);
+    else if (fault === 4) await this.#delayTransactions(node);
     else if (fault === 5) await this.#storeOutage();
-    else if (host !== undefined) await this.#hostFault(fault, host);
+    else if (host !== undefined) await this.#injectMachineFault(fault, host);
   }
 
   async #restart(node: string): Promise<void> {
     this.#counts.kills += 1;
     this.cluster.kill(node);
-    await sleep(this.#below(2) === 0 ? 100 : 3000);
+    await sleep(this.#randomBelow(2) === 0 ? 100 : 3000);
     await this.cluster.start(node);
   }
 
-  async #cutOff(node: string): Promise<void> {
+  async #makeStoreUnavailableTo(node: string): Promise<void> {
     this.#counts.cuts += 1;
     this.cluster.storeProxies.get(node)!.unavailable = true;
-    await sleep(1000 + this.#below(8000));
+    await sleep(1000 + this.#randomBelow(8000));
     this.cluster.storeProxies.get(node)!.unavailable = false;
   }
 
-  async #delayWrites(node: string): Promise<void> {
+  async #delayTransactions(node: string): Promise<void> {
     this.#counts.lateWrites += 1;
     const door = this.cluster.storeProxies.get(node)!;
     door.lateTransactionMs = 3000;
@@ -162,15 +167,15 @@
   async #storeOutage(): Promise<void> {
     this.#counts.outages += 1;
     this.cluster.store.unavailable = true;
-    await sleep(1000 + this.#below(7000));
+    await sleep(1000 + this.#randomBelow(7000));
     this.cluster.store.recover();
   }
 
-  async #hostFault(fault: number, host: Host): Promise<void> {
+  async #injectMachineFault(fault: number, host: Host): Promise<void> {
     if (fault === 2) {
       this.#counts.hangs += 1;
       host.worker.hung = true;
-      await sleep(1000 + this.#below(4000));
+      await sleep(1000 + this.#randomBelow(4000));
       host.worker.hung = false;
     } else if (fault === 3) {
       this.#counts.notices += 1;
@@ -179,31 +184,31 @@
       this.cluster.cloud.kill(host.worker.name);
     } else {
       this.#counts.unheard += 1;
-      const lost = fault === 6 ? 'losesCommands' : 'losesHeartbeats';
-      host[lost] = true;
-      await sleep(1000 + this.#below(8000));
-      host[lost] = false;
+      const lostDirection = fault === 6 ? 'losesCommands' : 'losesHeartbeats';
+      host[lostDirection] = true;
+      await sleep(1000 + this.#randomBelow(8000));
+      host[lostDirection] = false;
     }
   }
 
-  #watchMoves(): void {
+  #recordMoveDurations(): void {
     for (const move of this.#moves()) {
       const at = this.#requestedAt.get(move.id);
       if (at === undefined || !isTerminal(move)) continue;
       this.#requestedAt.delete(move.id);
-      if (move.state === 'finished') this.#moveMs.push(Date.now() - at);
+      if (move.state === 'finished') this.#moveDurationsMs.push(Date.now() - at);
     }
   }
 
   /** Puts and deletes of transactions that change a move. */
-  #countWrites({ body }: Request): void {
+  #countMoveWrites({ body }: Request): void {
     const { Writes: writes } = body as { Writes: readonly { readonly Put?: string }[] };
     const ofMove = writes.some(({ Put: put }) => put?.startsWith(moveKey('')) ?? false);
     if (ofMove) this.#counts.stateWrites += writes.length;
   }
 
   /** Notes how long machines were without an owner that may use them. */
-  #watchMachines(owners: Map<string, { group: string; token: number; at: number }>): void {
+  #recordPauses(owners: Map<string, { group: string; token: number; at: number }>): void {
     for (const [key, { value }] of this.cluster.store.items) {
       if (!key.startsWith('machines/moved-')) continue;
       // The stored form of a machine group.
@@ -216,7 +221,7 @@
     for (const [name, { token, at }] of owners) {
       const worker = this.cluster.cloud.machines.get(name)?.worker;
       if (at === Infinity || worker === undefined || worker.fencingToken < token) continue;
-      this.#pauseMs.push(Date.now() - at);
+      this.#pausesMs.push(Date.now() - at);
       owners.set(name, { ...owners.get(name)!, at: Infinity });
     }
   }
@@ -226,7 +231,7 @@
     await cluster.open();
     for (const door of cluster.storeProxies.values())
       door.onTransaction = (request) => {
-        this.#countWrites(request);
+        this.#countMoveWrites(request);
       };
     const end = Date.now() + options.durationS * 1000;
     const owners = new Map<string, { group: string; token: number; at: number }>();
@@ -234,21 +239,21 @@
     let nextFault = Date.now() + 5000;
     let fault: Promise<void> = Promise.resolve();
     const watcher = setInterval(() => {
-      this.#watchMoves();
-      this.#watchMachines(owners);
+      this.#recordMoveDurations();
+      this.#recordPauses(owners);
     }, 20);
     while (Date.now() < end) {
       await this.#submit();
       if (Date.now() >= nextMove) {
-        this.#request();
+        this.#requestMove();
         nextMove = Date.now() + options.moveIntervalS * 1000;
       }
       if (options.faults && Date.now() >= nextFault) {
         await fault;
-        fault = this.#fault();
+        fault = this.#injectFault();
         nextFault = Date.now() + 4000;
       }
-      await cluster.runFor(0.2 + this.#below(3) / 10);
+      await cluster.runFor(0.2 + this.#randomBelow(3) / 10);
     }
     await fault;
     await Promise.all(this.#cancelling);
@@ -287,7 +292,7 @@
       ...this.#counts,
       finished: moves.filter((m) => m.state === 'finished').length,
       aborted: moves.filter((m) => m.state === 'aborted').length,
-      machinesMoved: this.#pauseMs.length,
+      machinesMoved: this.#pausesMs.length,
       tasks: [...this.cluster.world.completed.values()].reduce((sum, done) => sum + done.size, 0),
       starts: this.cluster.world.starts,
       tasksStartedAfterCompletion: this.cluster.world.startsAfterCompletion,
@@ -298,8 +303,8 @@
       violations: broken,
       unfinished,
       counts,
-      moveDurationsMs: this.#moveMs,
-      pausesMs: this.#pauseMs,
+      moveDurationsMs: this.#moveDurationsMs,
+      pausesMs: this.#pausesMs,
     };
   }
 }
--- a/test/standins/store.ts
+++ b/test/standins/store.ts
@@ -20,8 +20,8 @@
   readonly #leases = new Map<number, { ttl: number; until: number }>();
   #revision = 0;
   #nextLease = 0;
-  #waiting: (() => void)[] = [];
-  #timer: NodeJS.Timeout | null = null;
+  #pendingWatches: (() => void)[] = [];
+  #expiryTimer: NodeJS.Timeout | null = null;
   unavailable = false;
   /** requests that came in */
   requestCount = 0;
@@ -29,11 +29,11 @@
   limits = { valueBytes: 65_536, transactionOps: 1000, writeRps: Infinity };
   /** transactions refused for their size, and for their number */
   readonly rejectedTransactions = { size: 0, rate: 0 };
-  #tokens = { left: Infinity, at: 0 };
+  #writeTokens = { left: Infinity, at: 0 };
 
   async start(): Promise<void> {
     await this.listen((r) => this.handle(r));
-    this.#timer = setInterval(() => this.#expire(), 50);
+    this.#expiryTimer = setInterval(() => this.#expireLeases(), 50);
   }
 
   /** Revision of the latest transaction. */
@@ -52,10 +52,10 @@
     for (const l of this.#leases.values()) l.until = Date.now() + l.ttl;
   }
 
-  #expire(): void {
+  #expireLeases(): void {
     if (this.unavailable) return;
-    for (const [id, l] of this.#leases) {
-      if (l.until > Date.now()) continue;
+    for (const [id, lease] of this.#leases) {
+      if (lease.until > Date.now()) continue;
       this.#leases.delete(id);
       const keys = [...this.items].filter(([, i]) => i.lease === id).map(([k]) => k);
       if (keys.length > 0) this.#write(keys.map((k) => ({ Drop: k })));
@@ -64,72 +64,75 @@
 
   #write(writes: { Put?: string; Drop?: string; Value?: unknown; Permit?: number }[]): number {
     this.#revision += 1;
-    for (const w of writes) {
-      if (w.Put !== undefined) {
-        this.items.set(w.Put, {
-          value: w.Value,
+    for (const write of writes) {
+      if (write.Put !== undefined) {
+        this.items.set(write.Put, {
+          value: write.Value,
           revision: this.#revision,
-          lease: w.Permit ?? null,
+          lease: write.Permit ?? null,
         });
         this.#changes.push({
-          key: w.Put,
-          value: w.Value,
+          key: write.Put,
+          value: write.Value,
           revision: this.#revision,
           removed: false,
         });
-      } else if (w.Drop !== undefined && this.items.delete(w.Drop)) {
-        this.#changes.push({ key: w.Drop, revision: this.#revision, removed: true });
+      } else if (write.Drop !== undefined && this.items.delete(write.Drop)) {
+        this.#changes.push({ key: write.Drop, revision: this.#revision, removed: true });
       }
     }
-    for (const wake of this.#waiting.splice(0)) wake();
+    for (const wake of this.#pendingWatches.splice(0)) wake();
     return this.#revision;
   }
 
-  async handle(r: Request): Promise<Reply> {
+  async handle(request: Request): Promise<Reply> {
     this.requestCount += 1;
     if (this.unavailable) return { status: 503, body: { error: 'trouble' } };
-    if (r.path === '/multi') return this.#multi(r.body as never);
-    if (r.path === '/leases') {
+    if (request.path === '/multi') return this.#transaction(request.body as never);
+    if (request.path === '/leases') {
       this.#nextLease += 1;
-      const ttl = (r.body as { TtlMs: number }).TtlMs;
+      const ttl = (request.body as { TtlMs: number }).TtlMs;
       this.#leases.set(this.#nextLease, { ttl, until: Date.now() + ttl });
       return { status: 200, body: { Permit: this.#nextLease } };
     }
-    if (r.path.startsWith('/leases/')) {
-      const l = this.#leases.get(Number(r.path.split('/')[2]));
-      if (l === undefined) return { status: 404, body: {} };
-      l.until = Date.now() + l.ttl;
+    if (request.path.startsWith('/leases/')) {
+      const lease = this.#leases.get(Number(request.path.split('/')[2]));
+      if (lease === undefined) return { status: 404, body: {} };
+      lease.until = Date.now() + lease.ttl;
       return { status: 200, body: {} };
     }
-    if (r.path === '/follow') return this.#follow(r.query);
-    if (r.path === '/store') return this.#list(r.query);
-    const key = r.path.slice('/store/'.length);
+    if (request.path === '/follow') return this.#watch(request.query);
+    if (request.path === '/store') return this.#list(request.query);
+    const key = request.path.slice('/store/'.length);
     const item = this.items.get(key);
     if (item === undefined) return { status: 404, body: { Epoch: this.#revision } };
     return { status: 200, body: { K: key, Value: item.value, Stamp: item.revision } };
   }
 
   /** Bursts of one second's worth. */
-  #rateRefuses(writes: number): boolean {
+  #exceedsWriteRate(writes: number): boolean {
     const now = Date.now();
     const { writeRps } = this.limits;
     if (writeRps === Infinity) return false;
-    const passed = (now - this.#tokens.at) / 1000;
-    this.#tokens = { left: Math.min(writeRps, this.#tokens.left + passed * writeRps), at: now };
-    if (this.#tokens.left < writes) return true;
-    this.#tokens.left -= writes;
+    const passed = (now - this.#writeTokens.at) / 1000;
+    this.#writeTokens = {
+      left: Math.min(writeRps, this.#writeTokens.left + passed * writeRps),
+      at: now,
+    };
+    if (this.#writeTokens.left < writes) return true;
+    this.#writeTokens.left -= writes;
     return false;
   }
 
-  #multi(body: { When: { K: string; Stamp: number }[]; Writes: never[] }): Reply {
+  #transaction(body: { When: { K: string; Stamp: number }[]; Writes: never[] }): Reply {
     const { valueBytes, transactionOps } = this.limits;
     const puts = body.Writes as { Value?: unknown }[];
-    const large = puts.some((w) => JSON.stringify(w.Value ?? null).length > valueBytes);
-    if (large || puts.length > transactionOps || body.When.length > 4 * transactionOps) {
+    const tooLarge = puts.some((w) => JSON.stringify(w.Value ?? null).length > valueBytes);
+    if (tooLarge || puts.length > transactionOps || body.When.length > 4 * transactionOps) {
       this.rejectedTransactions.size += 1;
       return { status: 400, body: { error: 'over the limits' } };
     }
-    if (this.#rateRefuses(Math.max(1, puts.length))) {
+    if (this.#exceedsWriteRate(Math.max(1, puts.length))) {
       this.rejectedTransactions.rate += 1;
       return { status: 429, body: { error: 'too many' } };
     }
@@ -145,10 +148,10 @@
   }
 
   #list(query: URLSearchParams): Reply {
-    const starts = query.get('Starts') ?? '';
-    const since = query.get('Since') ?? '';
+    const prefix = query.get('Starts') ?? '';
+    const after = query.get('Since') ?? '';
     const limit = Number(query.get('Limit') ?? 1000);
-    const keys = [...this.items.keys()].filter((k) => k.startsWith(starts) && k > since).sort();
+    const keys = [...this.items.keys()].filter((k) => k.startsWith(prefix) && k > after).sort();
     const entries = keys.slice(0, limit).map((k) => {
       const item = this.items.get(k)!;
       return { K: k, Value: item.value, Stamp: item.revision };
@@ -157,20 +160,20 @@
     return { status: 200, body };
   }
 
-  async #follow(query: URLSearchParams): Promise<Reply> {
+  async #watch(query: URLSearchParams): Promise<Reply> {
     const since = Number(query.get('Since'));
     const until = Date.now() + Math.min(500, Number(query.get('BlockMs')));
-    const found = () => this.#changes.filter((c) => c.revision > since);
-    while (found().length === 0 && Date.now() < until) {
+    const newChanges = () => this.#changes.filter((c) => c.revision > since);
+    while (newChanges().length === 0 && Date.now() < until) {
       await new Promise<void>((resolve) => {
         const timer = setTimeout(resolve, until - Date.now());
-        this.#waiting.push(() => {
+        this.#pendingWatches.push(() => {
           clearTimeout(timer);
           resolve();
         });
       });
     }
-    const changes = found().map((c) =>
+    const changes = newChanges().map((c) =>
       c.removed
         ? { Drop: c.key, Stamp: c.revision }
         : { Put: c.key, Value: c.value, Stamp: c.revision },
@@ -179,7 +182,7 @@
   }
 
   override close(): void {
-    if (this.#timer !== null) clearInterval(this.#timer);
+    if (this.#expiryTimer !== null) clearInterval(this.#expiryTimer);
     super.close();
   }
 }
@@ -216,23 +219,28 @@
     await this.listen((r) => this.#forward(r));
   }
 
-  async #forward(r: Request): Promise<Reply> {
-    if (r.path === '/multi') this.onTransaction?.(r);
+  async #forward(request: Request): Promise<Reply> {
+    if (request.path === '/multi') this.onTransaction?.(request);
     if (this.unavailable) return { status: 503, body: { error: 'trouble' } };
     if (this.delayMs > 0) await sleep(this.delayMs);
-    if (r.path === '/multi' && this.transactionDelayMs > 0) await sleep(this.transactionDelayMs);
-    if (r.path === '/multi' && this.dropsTransactions) return 'hang';
-    if (r.path === '/multi') this.#transactions += 1;
-    if (r.path === '/multi' && this.lateTransactionMs !== null && this.#transactions % 2 === 0) {
+    if (request.path === '/multi' && this.transactionDelayMs > 0)
+      await sleep(this.transactionDelayMs);
+    if (request.path === '/multi' && this.dropsTransactions) return 'hang';
+    if (request.path === '/multi') this.#transactions += 1;
+    if (
+      request.path === '/multi' &&
+      this.lateTransactionMs !== null &&
+      this.#transactions % 2 === 0
+    ) {
       void sleep(this.lateTransactionMs).then(() => {
         this.lateTransactions += 1;
-        return this.store.handle(r);
+        return this.store.handle(request);
       });
       return 'hang';
     }
-    const reply = await this.store.handle(r);
+    const reply = await this.store.handle(request);
     if (this.responseDelayMs > 0) await sleep(this.responseDelayMs);
-    if (r.path === '/multi' && this.losesResponses && this.#transactions % 2 === 0) {
+    if (request.path === '/multi' && this.losesResponses && this.#transactions % 2 === 0) {
       this.lostResponses += 1;
       return 'hang';
     }
--- a/test/standins/user-node.ts
+++ b/test/standins/user-node.ts
@@ -16,12 +16,12 @@
 import type { FakeStore } from './store.js';
 
 /** ms; longer than a node takes to refuse a user. */
-const USER_PATIENCE_MS = 5000;
+const USER_TIMEOUT_MS = 5000;
 
 /** Holds whatever passes through until it is opened. */
 export class Gate {
   #closed = false;
-  #held: (() => void)[] = [];
+  #waiting: (() => void)[] = [];
 
   close(): void {
     this.#closed = true;
@@ -29,25 +29,25 @@
 
   open(): void {
     this.#closed = false;
-    for (const go of this.#held.splice(0)) go();
+    for (const release of this.#waiting.splice(0)) release();
   }
 
   get heldCount(): number {
-    return this.#held.length;
+    return this.#waiting.length;
   }
 
   async pass(): Promise<void> {
-    if (this.#closed) await new Promise<void>((resolve) => this.#held.push(resolve));
+    if (this.#closed) await new Promise<void>((resolve) => this.#waiting.push(resolve));
   }
 }
 
-interface FollowBody {
+interface WatchBody {
   readonly Epoch: number;
   readonly News: readonly { Put?: string; Drop?: string; Value?: unknown; Stamp: number }[];
 }
 
 /** Counts the submissions that have come in, so that a test knows when one waits behind a gate. */
-class ObservedJobs extends JobService {
+class CountingJobService extends JobService {
   calls = 0;
 
   override submit(...args: Parameters<JobService['submit']>): ReturnType<JobService['submit']> {
@@ -57,7 +57,7 @@
 }
 
 /** Counts the readings that were asked for. */
-class ObservedReader extends JobReader {
+class CountingJobReader extends JobReader {
   calls = 0;
 
   override read(uid: string): ReturnType<JobReader['read']> {
@@ -76,16 +76,16 @@
   readonly #reads: LinearizableReads;
   #server: Server | null = null;
   #client: CborClient | null = null;
-  #jobs: ObservedJobs | null = null;
-  #reader: ObservedReader | null = null;
+  #jobs: CountingJobService | null = null;
+  #reader: CountingJobReader | null = null;
   readonly writeRequest = new Gate();
   readonly writeResponse = new Gate();
   readonly readRequest = new Gate();
   readonly readResponse = new Gate();
   readonly watchRequest = new Gate();
   readonly watchResponse = new Gate();
-  #following = false;
-  #followAgain = false;
+  #polling = false;
+  #pollAgain = false;
   /** what a value of the state service may hold, as this node knows it; read at `open` */
   valueBytes = 8192;
 
@@ -107,12 +107,12 @@
     const linearizable = {
       waitUntilCurrent: () => {
         const shown = this.#reads.waitUntilCurrent();
-        this.#follow();
+        this.#pollForWaiters();
         return shown;
       },
     };
     const get = (name: string) => this.#get(name);
-    const reader = new ObservedReader({ get }, this.cache, linearizable);
+    const reader = new CountingJobReader({ get }, this.cache, linearizable);
     this.#reader = reader;
     const routing = {
       types: () => new Map([['m', machineType()]]),
@@ -120,7 +120,7 @@
       termOf: () => 1,
       random: () => 0,
     };
-    const jobs = new ObservedJobs(
+    const jobs = new CountingJobService(
       { client, cache: this.cache, reader, routing, acceptanceGuard: () => null, now: steadyMs },
       { teams: settings().teams, shards: 1, valueBytes: this.valueBytes, loadThreshold: 0.85 },
     );
@@ -156,18 +156,18 @@
 
   /** A call of a user; every answer is judged. */
   async sendUserRequest(call: UserCall, body: { readonly Uid: string }): Promise<Response | null> {
-    const sent = this.history.recordRequest(call, body.Uid);
+    const request = this.history.recordRequest(call, body.Uid);
     const answer = await this.#send(call, body).catch(() => null);
-    this.history.recordAnswer(sent, answer, this.name);
+    this.history.recordAnswer(request, answer, this.name);
     return answer;
   }
 
   #send(call: UserCall, body: { readonly Uid: string }): Promise<Response> {
     const client = this.#client!;
     const path = `/submissions/${body.Uid}`;
-    if (call === 'submit') return client.call('POST', '/submissions', body, USER_PATIENCE_MS);
-    if (call === 'query') return client.call('GET', path, undefined, USER_PATIENCE_MS);
-    return client.call('POST', `${path}/withdraw`, undefined, USER_PATIENCE_MS);
+    if (call === 'submit') return client.call('POST', '/submissions', body, USER_TIMEOUT_MS);
+    if (call === 'query') return client.call('GET', path, undefined, USER_TIMEOUT_MS);
+    return client.call('POST', `${path}/withdraw`, undefined, USER_TIMEOUT_MS);
   }
 
   async #get(key: string): Promise<ReadResult> {
@@ -196,7 +196,7 @@
 
   /** A new listing, as after a restart of the watch. */
   async relist(): Promise<void> {
-    const began = steadyMs();
+    const startedAt = steadyMs();
     const { revision: epoch } = this.store;
     const changes = [...this.store.items].map(([key, { value, revision }]) => {
       return { key, value, revision, removed: false };
@@ -208,35 +208,35 @@
       changes: cached,
       revision: epoch,
       consistentFrom: epoch,
-      readStartedAt: began,
+      readStartedAt: startedAt,
     });
   }
 
   /** Reads the watch until everybody who waits has had a read that began after they came. */
-  #follow(): void {
-    this.#followAgain = true;
-    if (this.#following) return;
-    this.#following = true;
+  #pollForWaiters(): void {
+    this.#pollAgain = true;
+    if (this.#polling) return;
+    this.#polling = true;
     void (async () => {
-      while (this.#followAgain) {
-        this.#followAgain = false;
+      while (this.#pollAgain) {
+        this.#pollAgain = false;
         await this.pollWatch();
       }
-      this.#following = false;
+      this.#polling = false;
     })();
   }
 
   /** One read of the watch. */
   async pollWatch(): Promise<void> {
-    const began = steadyMs();
-    this.#reads.onReadState(began);
+    const startedAt = steadyMs();
+    this.#reads.onReadState(startedAt);
     await this.watchRequest.pass();
     const query = new URLSearchParams({ Since: String(this.cache.revision), BlockMs: '0' });
     const request = { method: 'GET', path: '/follow', query, body: null };
     const reply = await this.store.handle(request);
     if (reply === 'hang') throw new Error('the stand-in answers every watch');
     await this.watchResponse.pass();
-    const { Epoch: epoch, News: news } = reply.body as FollowBody;
+    const { Epoch: epoch, News: news } = reply.body as WatchBody;
     const changes = news.map((n) => ({
       key: n.Put ?? n.Drop ?? '',
       revision: n.Stamp,
@@ -244,7 +244,7 @@
       removed: n.Drop !== undefined,
     }));
     this.#reads.onReadState(null);
-    this.cache.apply({ isListing: false, changes, revision: epoch, readStartedAt: began });
+    this.cache.apply({ isListing: false, changes, revision: epoch, readStartedAt: startedAt });
   }
 
   close(): void {
--- a/test/standins/worker.ts
+++ b/test/standins/worker.ts
@@ -35,12 +35,12 @@
     if (this.completed.get(uid)?.has(Number(index)) ?? false) this.startsAfterCompletion += 1;
     const others = [...(this.runningOn.get(task) ?? [])].filter((m) => m !== machine);
     if (others.length > 0) this.violations.push(`ran_twice ${task} on ${machine} and ${others[0]}`);
-    const set = this.runningOn.get(task) ?? new Set();
-    set.add(machine);
-    this.runningOn.set(task, set);
+    const machines = this.runningOn.get(task) ?? new Set();
+    machines.add(machine);
+    this.runningOn.set(task, machines);
     this.checkCancelled(task, now);
     this.#checkPlace(task, machine);
-    this.#checkLimit(task);
+    this.#checkQuota(task);
   }
 
   /** machines on which tasks of the job are */
@@ -56,23 +56,23 @@
     const zone = this.zoneOf.get(machine);
     if (job === undefined) return;
     const zones = this.#machinesOf(uid).map((m) => this.zoneOf.get(m));
-    const here = zones.filter((z) => z === zone).length;
+    const tasksInZone = zones.filter((z) => z === zone).length;
     const wrong =
       (job.zone !== null && job.zone !== zone) ||
-      (job.oneZone && here < zones.length) ||
-      (job.spread && here > Math.ceil(job.tasks / 2));
+      (job.oneZone && tasksInZone < zones.length) ||
+      (job.spread && tasksInZone > Math.ceil(job.tasks / 2));
     if (wrong) this.violations.push(`wrong_place ${task} in ${zone}`);
   }
 
-  #checkLimit(task: string): void {
+  #checkQuota(task: string): void {
     const team = this.jobs.get(task.slice(0, task.indexOf('/')))?.team ?? '';
-    const limit = this.quotas.get(team);
-    if (limit === undefined) return;
+    const quota = this.quotas.get(team);
+    if (quota === undefined) return;
     let used = 0;
-    for (const [uid, j] of this.jobs) {
-      if (j.team === team) used += j.cpus * this.#machinesOf(uid).length;
+    for (const [uid, job] of this.jobs) {
+      if (job.team === team) used += job.cpus * this.#machinesOf(uid).length;
     }
-    if (used > limit) this.violations.push(`quota ${team}: ${used} of ${limit}`);
+    if (used > quota) this.violations.push(`quota ${team}: ${used} of ${quota}`);
   }
 
   /** A task has completed. The tasks of a gang complete together: when one is done, all of them are. */
@@ -80,8 +80,8 @@
     const done = this.completed.get(uid) ?? new Set();
     const rules = this.jobs.get(uid);
     const gang = rules?.gang ?? false;
-    const together = gang ? Array.from({ length: rules!.tasks }, (_, i) => i) : [index];
-    for (const i of together) done.add(i);
+    const indexes = gang ? Array.from({ length: rules!.tasks }, (_, i) => i) : [index];
+    for (const i of indexes) done.add(i);
     this.completed.set(uid, done);
   }
 
@@ -103,14 +103,14 @@
 
 export const CANCEL_MS = 38_000;
 
-interface Running {
+interface WorkerTask {
   uid: string;
   index: number;
   attempt: number;
   state: 'running' | 'exited';
   why: ReportedTask['why'];
   saved: boolean;
-  leftMs: number;
+  remainingMs: number;
 }
 
 /** Stand-in for a worker: tokens, sessions, leases and commands as the protocol says. */
@@ -121,9 +121,9 @@
   preemptionNoticeS: number | null = null;
   hung = false;
   failsTasks = false;
-  readonly tasks = new Map<string, Running>();
-  #leaseFrom: number;
-  #at: number;
+  readonly tasks = new Map<string, WorkerTask>();
+  #leaseStartMs: number;
+  #nowMs: number;
 
   constructor(
     readonly name: string,
@@ -137,8 +137,8 @@
     readonly address = 'none:1',
     readonly spot = false,
   ) {
-    this.#leaseFrom = now;
-    this.#at = now;
+    this.#leaseStartMs = now;
+    this.#nowMs = now;
   }
 
   heartbeat(): Heartbeat {
@@ -173,7 +173,7 @@
   ): void {
     if (agentEpoch !== this.agentEpoch || fencingToken < this.fencingToken) return;
     this.fencingToken = fencingToken;
-    this.#leaseFrom = sentAt;
+    this.#leaseStartMs = sentAt;
     for (const c of commands) this.#execute(c);
   }
 
@@ -185,56 +185,57 @@
     return true;
   }
 
-  #execute(c: Command): void {
-    const key = `${c.uid}/${c.index}`;
-    const entry = `${key}@${c.attempt}`;
-    const t = this.tasks.get(entry);
-    if (c.op === 'start') {
-      if (t !== undefined) return;
+  #execute(command: Command): void {
+    const key = `${command.uid}/${command.index}`;
+    const entry = `${key}@${command.attempt}`;
+    const existing = this.tasks.get(entry);
+    if (command.op === 'start') {
+      if (existing !== undefined) return;
       const busy = [...this.tasks.values()].some(
-        (o) => o.uid === c.uid && o.index === c.index && o.state === 'running',
+        (o) => o.uid === command.uid && o.index === command.index && o.state === 'running',
       );
-      const task: Running = {
-        uid: c.uid,
-        index: c.index,
-        attempt: c.attempt,
+      const task: WorkerTask = {
+        uid: command.uid,
+        index: command.index,
+        attempt: command.attempt,
         state: busy ? 'exited' : 'running',
         why: busy ? 'busy' : null,
         saved: false,
-        leftMs: typeof this.runMs === 'number' ? this.runMs : this.runMs(c.index),
+        remainingMs: typeof this.runMs === 'number' ? this.runMs : this.runMs(command.index),
       };
       this.tasks.set(entry, task);
       if (busy) return;
-      this.world.onTaskStarted(key, this.name, this.#at);
+      this.world.onTaskStarted(key, this.name, this.#nowMs);
       if (this.failsTasks) this.#exit(task, 'error');
-    } else if (c.op === 'stop') {
-      if (t !== undefined && t.state === 'running') this.#exit(t, 'stopped');
-    } else if (t !== undefined && t.state === 'exited') this.tasks.delete(entry);
+    } else if (command.op === 'stop') {
+      if (existing !== undefined && existing.state === 'running') this.#exit(existing, 'stopped');
+    } else if (existing !== undefined && existing.state === 'exited') this.tasks.delete(entry);
   }
 
-  #exit(t: Running, why: ReportedTask['why']): void {
-    t.state = 'exited';
-    t.why = why;
-    this.world.onTaskEnded(`${t.uid}/${t.index}`, this.name);
+  #exit(task: WorkerTask, why: ReportedTask['why']): void {
+    task.state = 'exited';
+    task.why = why;
+    this.world.onTaskEnded(`${task.uid}/${task.index}`, this.name);
   }
 
   /** Time passes: tasks end, and the lease may. A hanging machine does nothing until it goes on. */
   advance(now: number): void {
-    const passed = now - this.#at;
-    this.#at = now;
+    const elapsedMs = now - this.#nowMs;
+    this.#nowMs = now;
     if (this.hung) return;
-    if (now - this.#leaseFrom > this.leaseMs) {
-      for (const t of this.tasks.values()) if (t.state === 'running') this.#exit(t, 'stopped');
+    if (now - this.#leaseStartMs > this.leaseMs) {
+      for (const task of this.tasks.values())
+        if (task.state === 'running') this.#exit(task, 'stopped');
       this.tasks.clear();
       this.agentEpoch += 1;
-      this.#leaseFrom = now;
+      this.#leaseStartMs = now;
     }
-    for (const t of this.tasks.values()) {
-      if (t.state !== 'running') continue;
-      t.leftMs -= passed;
-      if (t.leftMs > 0) continue;
-      this.world.onTaskCompleted(t.uid, t.index);
-      this.#exit(t, 'done');
+    for (const task of this.tasks.values()) {
+      if (task.state !== 'running') continue;
+      task.remainingMs -= elapsedMs;
+      if (task.remainingMs > 0) continue;
+      this.world.onTaskCompleted(task.uid, task.index);
+      this.#exit(task, 'done');
     }
   }
 
