--- a/test/standins/cloud.ts
+++ b/test/standins/cloud.ts
@@ -1,11 +1,14 @@
+/** Stand-ins for the cloud and for the machines that it rents out, each with a worker that reports over loopback. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { CborClient } from '../../src/transport/http.js';
 import type { Heartbeat } from '../../src/core/model.js';
 import { StandInServer, type Reply, type Request } from './server.js';
 import { FakeWorker, type World } from './worker.js';
 
+/** Task states as heartbeats send them. */
 const WIRE_STATUS = { running: 'running', exited: 'ended' } as const;
 
+/** Returns a heartbeat in its wire format. */
 const heartbeatBody = (heartbeat: Heartbeat): unknown => ({
   Host: heartbeat.machine,
   Address: heartbeat.address,
@@ -24,12 +27,14 @@
   })),
 });
 
+/** A command in its wire format. */
 interface WireOrder {
   Verb: 'start' | 'stop' | 'reap';
   Piece: string;
   Try: number;
   WindupS?: number;
 }
+
 const parseOrder = (order: WireOrder) => {
   const [uid, index] = order.Piece.split('/') as [string, string];
   const task = { uid, index: Number(index), attempt: order.Try };
@@ -37,39 +42,43 @@
   return { op: order.Verb === 'start' ? ('start' as const) : ('forget' as const), ...task };
 };
 
-/** A worker on loopback: reports to one node at a time and takes direct commands. */
+/** A machine on loopback, whose worker sends heartbeats to one node at a time and accepts direct commands. */
 export class WorkerHost extends StandInServer {
   worker!: FakeWorker;
+  /** index of the node that gets the heartbeats */
   nodeIndex = 0;
-  /** its reports reach no node, direct commands reach it */
+  /** whether no heartbeat arrives at a node, while direct commands arrive at the worker */
   losesHeartbeats = false;
-  /** its reports arrive, nothing that it is told does */
+  /** whether neither direct commands nor answers to heartbeats arrive at the worker, while its heartbeats arrive */
   losesCommands = false;
-  /** ms that direct commands are held up before they are carried out */
+  /** ms by which direct commands are delayed before they are executed */
   commandDelayMs = 0;
-  /** the only node that it reaches, and that reaches it; null: all */
+  /** the only node that heartbeats are sent to, while no direct command arrives; null: no restriction */
   onlyNode: string | null = null;
-  /** a node that its reports do not reach; nothing that is sent to it directly arrives meanwhile */
+  /** a node that no heartbeat is sent to, while no direct command arrives; null: none */
   unreachableNode: string | null = null;
-  /** ms after which copies of its reports arrive once more, at any node; null: never */
+  /** ms after which a copy of each heartbeat arrives, at each node in turn; null: never */
   duplicateAfterMs: number | null = null;
+  /** number of copies that were sent */
   duplicatesSent = 0;
+  /** name and address of each node */
   #nodes: readonly [string, string][] = [];
   #stopped = false;
   #heartbeatInFlight = false;
   #lastHeartbeatMs = 0;
   #timer: NodeJS.Timeout | null = null;
 
+  /** Starts to listen and to send heartbeats. `createWorker` gets the address that the worker reports. */
   async start(createWorker: (address: string) => FakeWorker, nodes: readonly [string, string][]) {
-    await this.listen((r) => this.#handleCommands(r));
+    await this.listen((request) => this.#handleCommands(request));
     this.worker = createWorker(this.address);
     this.#nodes = nodes;
     this.#timer = setInterval(() => void this.#sendHeartbeat(nodes), 50);
   }
 
   async #handleCommands(request: Request): Promise<Reply> {
-    const cut = this.onlyNode !== null || this.unreachableNode !== null;
-    if (this.losesCommands || this.worker.hung || cut) return 'hang';
+    const partitioned = this.onlyNode !== null || this.unreachableNode !== null;
+    if (this.losesCommands || this.worker.hung || partitioned) return 'hang';
     if (this.commandDelayMs > 0) await sleep(this.commandDelayMs);
     const body = request.body as { Mandate: number; Tenure: number; Orders: WireOrder[] };
     this.worker.advance(Date.now());
@@ -141,7 +150,7 @@
     timer.unref();
   }
 
-  /** Nobody waits for the answer to a copy. */
+  /** Sends a copy of a heartbeat and ignores the answer. */
   #sendWithoutAnswer(address: string, heartbeat: Heartbeat): void {
     const client = new CborClient(address, 1);
     void client
@@ -151,12 +160,13 @@
   }
 
   #keptHeartbeat: Heartbeat | null = null;
-  /** Keeps a report as the worker would send it now. */
+
+  /** Keeps the heartbeat that the worker would send now, for `deliverKeptHeartbeat`. */
   keepHeartbeat(): void {
     this.#keptHeartbeat = this.worker.heartbeat();
   }
 
-  /** The kept report arrives at every node. */
+  /** Sends the kept heartbeat to every node. */
   deliverKeptHeartbeat(): void {
     if (this.#keptHeartbeat === null || this.#stopped) return;
     for (const [, address] of this.#nodes) this.#sendWithoutAnswer(address, this.#keptHeartbeat);
@@ -169,26 +179,30 @@
   }
 }
 
-/** Stand-in for the cloud; its machines are up at once and report on loopback. */
+/** Rents out machines, which are up at once and send heartbeats on loopback. */
 export class FakeCloud extends StandInServer {
+  /** rented machines by name */
   readonly machines = new Map<string, WorkerHost>();
+  /** names of the machines that a rental got, by the rental's key: a repeated rental gets the same */
   readonly #machinesByRental = new Map<string, string[]>();
   #bootedMachines = 0;
-  /** the next rental is carried out, but its answer gets lost */
+  /** whether the next rental is carried out, but its answer is lost */
   losesNextRentalResponse = false;
-  /** ms that the answer to a rental takes; the machines are there at once */
+  /** ms by which the answer to a rental is delayed; the machines are up before */
   rentalDelayMs = 0;
-  /** names in the calls that returned machines, in order */
+  /** names of returned machines, in the order in which returns were carried out */
   readonly returnedMachines: string[] = [];
-  /** returns are on their way until this is set to false: then they are carried out */
+  /** whether returns are held back; they are carried out when `holdsReturns` is set to false */
   #holdsReturns = false;
   readonly #heldReturns: (readonly string[])[] = [];
-  /** machines at once; more are refused */
+  /** most machines that are rented out at a time */
   maxMachines = Infinity;
 
   constructor(
     private readonly world: World,
+    /** name and address of each node */
     private readonly nodes: readonly [string, string][],
+    /** duration of a task in ms, or a function that returns it for the index of the task */
     private readonly runMs: number | ((index: number) => number),
     private readonly leaseMs: number,
     private readonly zones: readonly string[] = ['z'],
@@ -197,7 +211,7 @@
   }
 
   start(): Promise<void> {
-    return this.listen((r) => this.#handle(r));
+    return this.listen((request) => this.#handle(request));
   }
 
   async #handle(request: Request): Promise<Reply> {
@@ -207,12 +221,12 @@
       return { status: 200, body: { Hosttypes: [{ ...type, ...price }] } };
     }
     if (request.path === '/rentals' && request.method === 'GET') {
-      const hosts = [...this.machines].map(([name, h]) => ({
+      const hosts = [...this.machines].map(([name, host]) => ({
         Uid: name,
-        Address: h.address,
+        Address: host.address,
         Hosttype: 'm',
-        Site: h.worker.zone,
-        Reclaimable: h.worker.spot,
+        Site: host.worker.zone,
+        Reclaimable: host.worker.spot,
         Status: 'running',
         HeldS: 1,
       }));
@@ -249,12 +263,13 @@
     return { status: 200, body: {} };
   }
 
+  /** Holds back returns from now on, which then get no answer; set to false, carries out those held back. */
   set holdsReturns(holds: boolean) {
     this.#holdsReturns = holds;
     if (!holds) for (const names of this.#heldReturns.splice(0)) this.#carryOutReturn(names);
   }
 
-  /** machines in returns that are on their way */
+  /** Names of the machines in returns that are held back. */
   get heldReturns(): readonly string[] {
     return this.#heldReturns.flat();
   }
@@ -264,7 +279,7 @@
     for (const name of names) this.kill(name);
   }
 
-  /** A rental that no controller knows of. */
+  /** Boots a machine that belongs to no rental of a controller; returns its name. */
   bootUnknownMachine(): Promise<string> {
     return this.#boot(false, this.zones[0]!);
   }
@@ -285,7 +300,7 @@
     return name;
   }
 
-  /** The machine and everything on it are gone. */
+  /** Removes a machine and everything that runs on it. */
   kill(name: string): void {
     const host = this.machines.get(name);
     host?.worker.terminate();
--- a/test/standins/cluster.ts
+++ b/test/standins/cluster.ts
@@ -1,3 +1,4 @@
+/** A cluster of whole controllers on loopback, with stand-ins for store, cloud and workers, whose links can be cut. */
 import assert from 'node:assert/strict';
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { PlatformConfig } from '../../src/config/platform.js';
@@ -18,27 +19,35 @@
 import { FakeStore, StoreProxy } from './store.js';
 import { World } from './worker.js';
 
-/** Below the ports that the system hands out, so that nobody is given one between two lives of a node. */
+/**
+ * Ports are counted up from here. They lie below the ephemeral ports of the system, so that no other socket gets the
+ * port of a node between its end and its restart.
+ */
 const FIRST_PORT = 10_000;
 
+/** Size, settings and versions of a cluster. */
 export interface ClusterOptions {
-  /** number of controllers; three if not given */
+  /** number of controllers; 3 by default */
   readonly controllers?: number;
+  /** duration of a task in ms, or a function that returns it for the index of the task */
   readonly runMs: number | ((index: number) => number);
+  /** s after which a worker without an answer to a heartbeat stops its tasks */
   readonly leaseS: number;
+  /** s after a confirmed cancellation within which every task of the job must have stopped */
   readonly cancelS: number;
+  /** teams besides `TEAM` */
   readonly teams?: readonly Team[];
   readonly zones?: readonly string[];
   readonly storeLimits?: PlatformConfig['storeLimits'];
-  /** values that stand in the state service before the first controller starts */
+  /** values that the store holds before the first controller starts, by key */
   readonly initialValues?: Readonly<Record<string, unknown>>;
-  /** version of each node at the start, by name; the present one if not given */
+  /** initial version of each node, by name; `current` by default */
   readonly versions?: Readonly<Record<string, Version>>;
-  /** what is switched on; nothing if not given */
+  /** optional features that are enabled; none by default */
   readonly features?: Partial<OptionalFeatures>;
 }
 
-/** What the version in production reads of the limits: it knows none that are announced. */
+/** Default limits of the store, and those of the version in production: it doesn't know announced limits (`next`). */
 const PRODUCTION_LIMITS: PlatformConfig['storeLimits'] = {
   rps: 600,
   writeRps: 300,
@@ -46,27 +55,33 @@
   transactionOps: 8,
   next: { rps: 600, writeRps: 300 },
 };
-/** ms; a controller that ended by itself is started again, by the same version, after this */
+/** ms after which a controller that exited by itself is started again with the same version. */
 const RESTART_MS = 500;
 
+/** The team of all jobs that name no other; it has no quota. */
 export const TEAM: Team = { name: 't', cpus: 0, gpus: 0, cpusMax: 0, gpusMax: 0 };
 
-/** Whole controllers on loopback, each way between them and to the state service open to trouble. */
+/**
+ * Runs controllers on loopback. Each connection between two nodes and from a node to the store passes a link or a proxy
+ * in which faults can be injected.
+ */
 export class Cluster {
+  /** names of the nodes */
   readonly nodes: readonly string[];
   readonly store = new FakeStore();
+  /** the proxy in front of the store, by node */
   readonly storeProxies = new Map<string, StoreProxy>();
   readonly world: World;
   readonly history: AnswerHistory;
   cloud!: FakeCloud;
   readonly #controllers = new Map<string, Controller>();
-  /** by node, its last life on its way out */
+  /** resolves when the node's killed controller has freed its ports, by node */
   readonly #stopping = new Map<string, Promise<void>>();
-  /** controllers that ended by themselves */
+  /** number of controllers that exited by themselves */
   crashes = 0;
   readonly #clients = new Map<string, CborClient>();
   readonly #configs = new Map<string, PlatformConfig>();
-  /** ways between nodes, by `from to` */
+  /** links between nodes, by `from to` */
   readonly #links = new Map<string, Link>();
   readonly #storeLinks = new Map<string, Link>();
   #submissions = 0;
@@ -85,6 +100,7 @@
     return `${this.#host}:${this.#port}`;
   }
 
+  /** Starts the stand-ins and all controllers; resolves when every node is ready. */
   async open(): Promise<void> {
     this.store.host = this.#host;
     await this.store.start();
@@ -105,7 +121,7 @@
       this.storeProxies.set(node, proxy);
     }
     const { runMs, leaseS, cancelS, teams = [], zones = ['z'], storeLimits } = this.options;
-    for (const t of teams) if (t.cpusMax > 0) this.world.quotas.set(t.name, t.cpusMax);
+    for (const team of teams) if (team.cpusMax > 0) this.world.quotas.set(team.name, team.cpusMax);
     this.cloud = new FakeCloud(this.world, [...listen], runMs, leaseS * 1000, zones);
     this.cloud.host = this.#host;
     await this.cloud.start();
@@ -142,14 +158,15 @@
     const { versions = {} } = this.options;
     await Promise.all(this.nodes.map((node) => this.start(node, versions[node])));
     for (const node of this.nodes)
-      await this.waitUntil(`${node} ready`, 15, () => this.isReady(node));
+      await this.waitUntil(`${node} is ready`, 15, () => this.isReady(node));
   }
 
+  /** Starts a controller; if it exits by itself, it is started again after `RESTART_MS`. */
   async start(node: string, version: Version = 'current'): Promise<void> {
     await this.#stopping.get(node);
     const config = this.#configs.get(node)!;
-    const old = version === 'production';
-    const settings = old ? { ...config, storeLimits: PRODUCTION_LIMITS } : config;
+    const settings =
+      version === 'production' ? { ...config, storeLimits: PRODUCTION_LIMITS } : config;
     const features = { duties: null, shares: null, ...this.options.features };
     const controller: Controller = createController(version, settings, features, () => {
       this.crashes += 1;
@@ -161,6 +178,7 @@
     await controller.start();
   }
 
+  /** Kills a controller; a later `start` waits until its ports are free. */
   kill(node: string): void {
     const controller = this.#controllers.get(node);
     if (controller === undefined) return;
@@ -168,24 +186,24 @@
     this.#stopping.set(node, controller.kill());
   }
 
-  /** Settings of a node, as the platform would hand them over. */
+  /** Returns the settings that the platform would give to a node. */
   configOf(node: string): PlatformConfig {
     return this.#configs.get(node)!;
   }
 
-  /** The process of a node that was started as one. */
+  /** Returns the controller of a node that runs in its own process; fails for any other node. */
   processOf(node: string): ProcessController {
     const controller = this.#controllers.get(node);
     assert.ok(controller instanceof ProcessController, `${node} has a process of its own`);
     return controller;
   }
 
-  /** What the state service holds under a key. */
+  /** Returns the value that the store holds under a key, or undefined. */
   stored(key: string): unknown {
     return this.store.items.get(key)?.value;
   }
 
-  /** Ends a node and starts it again with the given version. */
+  /** Kills a node and starts it with the given version after `downtimeMs`; resolves when it is ready. */
   async replace(node: string, version: Version, downtimeMs = 300): Promise<void> {
     this.kill(node);
     await this.runFor(downtimeMs / 1000);
@@ -193,31 +211,36 @@
     await this.waitUntil(`${node} is ready`, 40, () => this.isReady(node));
   }
 
-  /** Cuts a node from the state service, or lets it back; unlike a refusal it gets no answer. */
+  /** Cuts or restores the link from a node to the store. While it is cut, calls get no answer, not even a 503. */
   partitionFromStore(node: string, partitioned: boolean): void {
     this.#storeLinks.get(node)!.cut = partitioned;
   }
 
-  /** Cuts a node from all other nodes, or lets it back. */
+  /** Cuts or restores all links between a node and the other nodes. */
   partitionFromPeers(node: string, partitioned: boolean): void {
-    for (const [way, link] of this.#links)
-      if (way.split(' ').includes(node)) link.cut = partitioned;
+    for (const [route, link] of this.#links)
+      if (route.split(' ').includes(node)) link.cut = partitioned;
   }
 
+  /** Sends a request to a node; rejects if there is no answer within 3000 ms. */
   call(node: string, method: string, path: string, body?: unknown): Promise<Response> {
     return this.#clients.get(node)!.call(method, path, body, 3000);
   }
 
+  /**
+   * Waits until the condition is met, checking the deadlines of cancellations meanwhile; fails after `seconds`.
+   * `condition` names it in the error.
+   */
   async waitUntil(condition: string, seconds: number, isMet: () => Promise<boolean> | boolean) {
     const end = Date.now() + seconds * 1000;
     while (!(await isMet())) {
-      assert.ok(Date.now() < end, `not within ${seconds} s: ${condition}`);
+      assert.ok(Date.now() < end, `not met within ${seconds} s: ${condition}`);
       this.world.checkCancellations(Date.now());
       await sleep(100);
     }
   }
 
-  /** Time passes while the rules are watched. */
+  /** Waits for `seconds`, checking the deadlines of cancellations meanwhile. */
   async runFor(seconds: number): Promise<void> {
     const end = Date.now() + seconds * 1000;
     while (Date.now() < end) {
@@ -226,11 +249,15 @@
     }
   }
 
+  /** Whether `/ready` of the node answers 200. */
   async isReady(node: string): Promise<boolean> {
     return (await this.call(node, 'GET', '/ready').catch(() => null))?.status === 200;
   }
 
-  /** A call of a user. Every answer is judged by what users had been told when the call was sent. */
+  /**
+   * Sends a user's request. The history checks the answer against what users had been told when the request was sent.
+   * Returns null if no answer arrives.
+   */
   async sendUserRequest(
     node: string,
     call: UserCall,
@@ -246,7 +273,10 @@
     return answer;
   }
 
-  /** What a node says of a job. */
+  /**
+   * Returns the job's status as the node reports it, or the HTTP code if that is not 200. A job that is reported as done
+   * before all of its tasks have completed is a violation.
+   */
   async statusOf(node: string, uid: string): Promise<string> {
     const answer = await this.sendUserRequest(node, 'query', uid);
     const status =
@@ -258,6 +288,7 @@
     return status;
   }
 
+  /** Returns a submission with a new `Uid`. */
   submission(overrides: Record<string, unknown> = {}) {
     return {
       Uid: `job-${String(++this.#submissions).padStart(6, '0')}`,
@@ -282,16 +313,18 @@
     };
   }
 
+  /** Submits a job, repeating until it is accepted; returns its `Uid`. */
   async submit(node: string, overrides: Record<string, unknown> = {}): Promise<string> {
     return this.submitBody(node, this.submission(overrides));
   }
 
+  /** Registers the job's constraints with the world and submits it until it is accepted; returns its `Uid`. */
   async submitBody(node: string, body: ReturnType<Cluster['submission']>): Promise<string> {
     const gang = body.Shape === 'ensemble';
     const { Owner: team, Pieces: tasks, Vcpus: cpus, Site: zone } = body;
     const constraints = { team, tasks, cpus, zone, gang };
     this.world.jobs.set(body.Uid, { ...constraints, oneZone: body.OneZone, spread: body.Spread });
-    await this.waitUntil(`${body.Uid} accepted`, 20, async () => {
+    await this.waitUntil(`${body.Uid} is accepted`, 20, async () => {
       const answer = await this.sendUserRequest(node, 'submit', body.Uid, body);
       return answer?.status === 201 || answer?.status === 200;
     });
@@ -299,8 +332,8 @@
   }
 
   /**
-   * Asks every node at the same moment, and repeats the submission at each. Nobody may say less than was
-   * known to the user when the questions left.
+   * Queries the job and repeats its submission at every node at the same moment. An answer that denies the known job
+   * (404, 400 or 422) or accepts it anew (201) is a violation.
    */
   async queryAndResubmitAtAllNodes(body: ReturnType<Cluster['submission']>): Promise<void> {
     const uid = body.Uid;
@@ -323,9 +356,12 @@
     }
   }
 
-  /** The user is told that the job is cancelled: from now on the rule's time runs. */
+  /**
+   * Repeats a cancellation until it is answered with 200, and returns the final state that users have been told. If it
+   * is `cancelled`, all tasks must stop within `cancelS` from now on.
+   */
   async cancel(node: string, uid: string): Promise<string> {
-    await this.waitUntil(`${uid} cancelled`, 20, async () => {
+    await this.waitUntil(`${uid} is cancelled`, 20, async () => {
       const answer = await this.sendUserRequest(node, 'withdraw', uid);
       if (answer?.status !== 200) return false;
       const { Status } = answer.body as { Status: string };
@@ -335,27 +371,30 @@
     return this.history.reportedFinalState(uid)!;
   }
 
-  /** The node that the shard of a team with a limit belongs to while all live. */
+  /** Returns the preferred node of the shard that keeps the jobs of a team with a quota. */
   preferredNodeOf(team: string): string {
     return this.nodes[shardOfTeam(team, this.nodes.length)]!;
   }
 
-  /** Tasks of the job that are on machines. */
+  /** Returns the number of the job's task attempts that run on machines. */
   runningTasks(uid: string): number {
     let count = 0;
-    for (const [task, on] of this.world.runningOn) if (task.startsWith(`${uid}/`)) count += on.size;
+    for (const [task, machines] of this.world.runningOn)
+      if (task.startsWith(`${uid}/`)) count += machines.size;
     return count;
   }
 
+  /** Returns the workers of all machines that the cloud has rented out. */
   workerHosts(): WorkerHost[] {
     return [...this.cloud.machines.values()];
   }
 
+  /** Kills all controllers and stops the stand-ins. */
   close(): void {
-    for (const n of this.nodes) this.kill(n);
-    for (const c of this.#clients.values()) c.close();
-    for (const l of [...this.#links.values(), ...this.#storeLinks.values()]) l.close();
-    for (const d of this.storeProxies.values()) d.close();
+    for (const node of this.nodes) this.kill(node);
+    for (const client of this.#clients.values()) client.close();
+    for (const link of [...this.#links.values(), ...this.#storeLinks.values()]) link.close();
+    for (const proxy of this.storeProxies.values()) proxy.close();
     this.cloud.close();
     this.store.close();
   }
--- a/test/standins/commands.ts
+++ b/test/standins/commands.ts
@@ -1,13 +1,14 @@
-/** Runs the operator's commands as an operator does: the built program, with settings of its own. */
+/** Runs the operator's commands as an operator does: as the built program, with a settings file. */
 import { execFile } from 'node:child_process';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { stringify } from 'smol-toml';
 
-/** The program as an operator starts it. */
+/** The built program that an operator starts. */
 const PROGRAM = join(import.meta.dirname, '../../../main.js');
 
+/** Returns the platform's settings of a node, with the store at `storeAddress`. */
 const platformSettings = (storeAddress: string): unknown => ({
   node: 'n0',
   site: 'z',
@@ -25,14 +26,17 @@
   },
 });
 
-/** What a run of the program printed, and its exit code. */
+/** The output of a run of the program, and its exit code. */
 export interface CommandResult {
   readonly exitCode: number;
   readonly stdout: string;
   readonly stderr: string;
 }
 
-/** Runs the program with settings whose store is at the address. */
+/**
+ * Calls `use` with a function that runs `command` with arguments. The program's settings name the store at
+ * `storeAddress`; their file is removed when `use` ends.
+ */
 export const withCommands = async (
   storeAddress: string,
   command: 'duties' | 'shares',
@@ -44,11 +48,11 @@
   const run = (...args: string[]): Promise<CommandResult> =>
     new Promise((resolve) => {
       const argv = [PROGRAM, command, ...args, '--config', config];
-      execFile(process.execPath, argv, (error, out, err) => {
+      execFile(process.execPath, argv, (error, stdout, stderr) => {
         resolve({
           exitCode: typeof error?.code === 'number' ? error.code : 0,
-          stdout: out,
-          stderr: err,
+          stdout,
+          stderr,
         });
       });
     });
--- a/test/standins/server.ts
+++ b/test/standins/server.ts
@@ -1,23 +1,28 @@
+/** Base class of stand-ins that are called over HTTP. */
 import { createServer, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { readStream } from '../../src/transport/http.js';
 import { fromBytes, toBytes } from '../../src/wire/cbor.js';
 
+/** A request with its decoded body; null if there is none. */
 export interface Request {
   readonly method: string;
   readonly path: string;
   readonly query: URLSearchParams;
   readonly body: unknown;
 }
+/** An answer, or `hang`: the request never gets one. */
 export type Reply = { readonly status: number; readonly body: unknown } | 'hang';
 
-/** A loopback HTTP server with CBOR bodies, for stand-ins. */
+/** An HTTP server on loopback that reads and writes CBOR bodies. */
 export class StandInServer {
   #server: Server | null = null;
+  /** `HOST:PORT` once it listens */
   address = '';
-  /** the loopback address to listen on */
+  /** loopback address to listen on */
   host = '127.0.0.1';
 
+  /** Starts to listen on a free port of `host`. */
   async listen(handle: (request: Request) => Reply | Promise<Reply>): Promise<void> {
     const server = createServer((req, res) => {
       void (async () => {
@@ -37,6 +42,7 @@
     this.address = `${this.host}:${(server.address() as AddressInfo).port}`;
   }
 
+  /** Stops listening and closes all connections. */
   close(): void {
     this.#server?.close();
     this.#server?.closeAllConnections();
--- a/test/standins/store.ts
+++ b/test/standins/store.ts
@@ -1,11 +1,15 @@
+/** Stand-in for the key-value store, and a proxy in front of it that injects faults for one node. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { StandInServer, type Reply, type Request } from './server.js';
 
 interface Item {
   value: unknown;
+  /** revision of the last write */
   revision: number;
+  /** lease with whose end the key is removed, or null */
   lease: number | null;
 }
+/** A change as the watch reports it; `value` is absent if the key was removed. */
 interface Change {
   key: string;
   revision: number;
@@ -13,49 +17,51 @@
   removed: boolean;
 }
 
-/** Stand-in for the key-value store: keys, transactions, leases, watches and outages. */
+/** Serves keys, transactions, leases, listings and watches from memory, and simulates outages. */
 export class FakeStore extends StandInServer {
   readonly items = new Map<string, Item>();
   readonly #changes: Change[] = [];
-  readonly #leases = new Map<number, { ttl: number; until: number }>();
+  readonly #leases = new Map<number, { ttlMs: number; expiresAtMs: number }>();
   #revision = 0;
   #nextLease = 0;
   #pendingWatches: (() => void)[] = [];
   #expiryTimer: NodeJS.Timeout | null = null;
+  /** whether every request is answered with 503 and no lease expires */
   unavailable = false;
-  /** requests that came in */
+  /** number of requests that arrived */
   requestCount = 0;
-  /** what a value, a transaction and a second may hold; they may fall at any moment */
+  /** largest value, writes in a transaction, and writes in a second; a test may lower them at any moment */
   limits = { valueBytes: 65_536, transactionOps: 1000, writeRps: Infinity };
-  /** transactions refused for their size, and for their number */
+  /** numbers of transactions that were rejected for their size, and for their rate */
   readonly rejectedTransactions = { size: 0, rate: 0 };
-  #writeTokens = { left: Infinity, at: 0 };
+  /** token bucket of writes */
+  #writeTokens = { left: Infinity, refilledAtMs: 0 };
 
   async start(): Promise<void> {
-    await this.listen((r) => this.handle(r));
+    await this.listen((request) => this.handle(request));
     this.#expiryTimer = setInterval(() => this.#expireLeases(), 50);
   }
 
-  /** Revision of the latest transaction. */
+  /** The revision of the latest transaction. */
   get revision(): number {
     return this.#revision;
   }
 
-  /** Values that were there before any controller of the test. */
+  /** Writes values by key, as another client of the store would; limits do not apply. */
   putValues(values: Readonly<Record<string, unknown>>): void {
     this.#write(Object.entries(values).map(([key, value]) => ({ Put: key, Value: value })));
   }
 
-  /** Ends the outage; every lease then has its full time again. */
+  /** Ends an outage; every lease then lasts for its full time again. */
   recover(): void {
     this.unavailable = false;
-    for (const l of this.#leases.values()) l.until = Date.now() + l.ttl;
+    for (const lease of this.#leases.values()) lease.expiresAtMs = Date.now() + lease.ttlMs;
   }
 
   #expireLeases(): void {
     if (this.unavailable) return;
     for (const [id, lease] of this.#leases) {
-      if (lease.until > Date.now()) continue;
+      if (lease.expiresAtMs > Date.now()) continue;
       this.#leases.delete(id);
       const keys = [...this.items].filter(([, i]) => i.lease === id).map(([k]) => k);
       if (keys.length > 0) this.#write(keys.map((k) => ({ Drop: k })));
@@ -85,20 +91,21 @@
     return this.#revision;
   }
 
+  /** Answers a request, also without the HTTP server. */
   async handle(request: Request): Promise<Reply> {
     this.requestCount += 1;
-    if (this.unavailable) return { status: 503, body: { error: 'trouble' } };
+    if (this.unavailable) return { status: 503, body: { error: 'unavailable' } };
     if (request.path === '/multi') return this.#transaction(request.body as never);
     if (request.path === '/leases') {
       this.#nextLease += 1;
-      const ttl = (request.body as { TtlMs: number }).TtlMs;
-      this.#leases.set(this.#nextLease, { ttl, until: Date.now() + ttl });
+      const ttlMs = (request.body as { TtlMs: number }).TtlMs;
+      this.#leases.set(this.#nextLease, { ttlMs, expiresAtMs: Date.now() + ttlMs });
       return { status: 200, body: { Permit: this.#nextLease } };
     }
     if (request.path.startsWith('/leases/')) {
       const lease = this.#leases.get(Number(request.path.split('/')[2]));
       if (lease === undefined) return { status: 404, body: {} };
-      lease.until = Date.now() + lease.ttl;
+      lease.expiresAtMs = Date.now() + lease.ttlMs;
       return { status: 200, body: {} };
     }
     if (request.path === '/follow') return this.#watch(request.query);
@@ -109,15 +116,15 @@
     return { status: 200, body: { K: key, Value: item.value, Stamp: item.revision } };
   }
 
-  /** Bursts of one second's worth. */
+  /** Takes write tokens, if there are enough; allows bursts of one second's writes. Returns whether they lack. */
   #exceedsWriteRate(writes: number): boolean {
     const now = Date.now();
     const { writeRps } = this.limits;
     if (writeRps === Infinity) return false;
-    const passed = (now - this.#writeTokens.at) / 1000;
+    const elapsedS = (now - this.#writeTokens.refilledAtMs) / 1000;
     this.#writeTokens = {
-      left: Math.min(writeRps, this.#writeTokens.left + passed * writeRps),
-      at: now,
+      left: Math.min(writeRps, this.#writeTokens.left + elapsedS * writeRps),
+      refilledAtMs: now,
     };
     if (this.#writeTokens.left < writes) return true;
     this.#writeTokens.left -= writes;
@@ -130,11 +137,11 @@
     const tooLarge = puts.some((w) => JSON.stringify(w.Value ?? null).length > valueBytes);
     if (tooLarge || puts.length > transactionOps || body.When.length > 4 * transactionOps) {
       this.rejectedTransactions.size += 1;
-      return { status: 400, body: { error: 'over the limits' } };
+      return { status: 400, body: { error: 'transaction exceeds the limits' } };
     }
     if (this.#exceedsWriteRate(Math.max(1, puts.length))) {
       this.rejectedTransactions.rate += 1;
-      return { status: 429, body: { error: 'too many' } };
+      return { status: 429, body: { error: 'too many writes' } };
     }
     const failed = body.When.filter((c) => (this.items.get(c.K)?.revision ?? 0) !== c.Stamp);
     if (failed.length > 0) {
@@ -160,13 +167,14 @@
     return { status: 200, body };
   }
 
+  /** Answers with the changes after `Since` as soon as there are any, or after `BlockMs`, at most 500 ms. */
   async #watch(query: URLSearchParams): Promise<Reply> {
     const since = Number(query.get('Since'));
-    const until = Date.now() + Math.min(500, Number(query.get('BlockMs')));
+    const deadlineMs = Date.now() + Math.min(500, Number(query.get('BlockMs')));
     const newChanges = () => this.#changes.filter((c) => c.revision > since);
-    while (newChanges().length === 0 && Date.now() < until) {
+    while (newChanges().length === 0 && Date.now() < deadlineMs) {
       await new Promise<void>((resolve) => {
-        const timer = setTimeout(resolve, until - Date.now());
+        const timer = setTimeout(resolve, deadlineMs - Date.now());
         this.#pendingWatches.push(() => {
           clearTimeout(timer);
           resolve();
@@ -187,28 +195,28 @@
   }
 }
 
-/** One node's way to the state service, which can treat it otherwise than the others. */
+/** Forwards the calls of one node to the store. Faults that are set here affect this node only. */
 export class StoreProxy extends StandInServer {
-  /** told of every transaction that arrives here */
+  /** called with every transaction that arrives at the proxy */
   onTransaction: ((request: Request) => void) | null = null;
-  /** every call gets 503, and open watches wait, while other nodes are served */
+  /** whether every call is answered with 503, while other nodes are served; calls in flight get no answer */
   unavailable = false;
-  /** ms that each answer takes longer */
+  /** ms by which each call is delayed before it reaches the store */
   delayMs = 0;
-  /** ms that each answer is held up on its way back: what it says is that old when it arrives */
+  /** ms by which each answer of the store is delayed: its content is that old when it arrives */
   responseDelayMs = 0;
-  /** ms that each transaction takes longer on its way */
+  /** ms by which each transaction is delayed before it reaches the store, in addition to `delayMs` */
   transactionDelayMs = 0;
-  /** transactions that are still on their way are lost */
+  /** whether transactions are lost before they reach the store, including those that are being delayed */
   dropsTransactions = false;
-  /** every second transaction gets no answer and is carried out this much later, after newer ones */
+  /** every second transaction gets no answer and is executed this many ms later, after newer ones; null: never */
   lateTransactionMs: number | null = null;
-  /** every second transaction is carried out at once, and only its answer is lost */
+  /** whether every second transaction is executed at once, but its answer is lost */
   losesResponses = false;
-  /** answers that were lost */
+  /** number of answers that were lost */
   lostResponses = 0;
   #transactions = 0;
-  /** transactions that were carried out late */
+  /** number of transactions that were executed late */
   lateTransactions = 0;
 
   constructor(private readonly store: FakeStore) {
@@ -216,12 +224,12 @@
   }
 
   async start(): Promise<void> {
-    await this.listen((r) => this.#forward(r));
+    await this.listen((request) => this.#forward(request));
   }
 
   async #forward(request: Request): Promise<Reply> {
     if (request.path === '/multi') this.onTransaction?.(request);
-    if (this.unavailable) return { status: 503, body: { error: 'trouble' } };
+    if (this.unavailable) return { status: 503, body: { error: 'unavailable' } };
     if (this.delayMs > 0) await sleep(this.delayMs);
     if (request.path === '/multi' && this.transactionDelayMs > 0)
       await sleep(this.transactionDelayMs);
--- a/test/standins/worker.ts
+++ b/test/standins/worker.ts
@@ -1,8 +1,11 @@
+/** Stand-in for workers, and the invariants of the simulated world that they run tasks in. */
 import type { Command, Heartbeat, ReportedTask } from '../../src/core/model.js';
 
+/** The parts of a submission that limit where and how many of its tasks may run. */
 export interface JobConstraints {
   readonly team: string;
   readonly tasks: number;
+  /** cpus of each task */
   readonly cpus: number;
   readonly zone: string | null;
   readonly oneZone: boolean;
@@ -10,30 +13,42 @@
   readonly gang?: boolean;
 }
 
-/** What is on which machine in the simulated world; notices every broken rule. */
+/**
+ * Tracks which task runs on which machine, and records every violation of an invariant: a task runs twice at a time
+ * (`ran_twice`), or after its job's cancellation (`ran_cancelled`), in a wrong zone (`wrong_place`), or beyond the quota
+ * of its team (`quota`). Tasks are named `uid/index`.
+ */
 export class World {
+  /** violations; each begins with the name of its rule */
   readonly violations: string[] = [];
+  /** machines on which a task runs, by task */
   readonly runningOn = new Map<string, Set<string>>();
+  /** ms at which the cancellation of a job was confirmed, by uid */
   readonly cancelledAt = new Map<string, number>();
+  /** indexes of completed tasks, by uid */
   readonly completed = new Map<string, Set<number>>();
+  /** number of tasks that were started, repeated starts included */
   starts = 0;
-  /** what jobs ask for, if the rules of places and limits are to be watched */
+  /** constraints by uid; zones and quotas are checked only for the jobs in here */
   readonly jobs = new Map<string, JobConstraints>();
+  /** zone by machine */
   readonly zoneOf = new Map<string, string>();
+  /** most cpus that a team may use at a time, by team */
   readonly quotas = new Map<string, number>();
-  /** starts of jobs whose cancellation had been confirmed */
+  /** number of starts of tasks whose job's cancellation had been confirmed */
   startsAfterCancellation = 0;
-  /** starts of tasks that had completed before */
+  /** number of starts of tasks that had completed before */
   startsAfterCompletion = 0;
 
   constructor(private readonly cancelMs = CANCEL_MS) {}
 
+  /** Records the start of a task and checks the invariants. */
   onTaskStarted(task: string, machine: string, now: number): void {
     this.starts += 1;
     if (this.cancelledAt.has(task.slice(0, task.indexOf('/')))) this.startsAfterCancellation += 1;
     const [uid, index] = task.split('/') as [string, string];
     if (this.completed.get(uid)?.has(Number(index)) ?? false) this.startsAfterCompletion += 1;
-    const others = [...(this.runningOn.get(task) ?? [])].filter((m) => m !== machine);
+    const others = [...(this.runningOn.get(task) ?? [])].filter((name) => name !== machine);
     if (others.length > 0) this.violations.push(`ran_twice ${task} on ${machine} and ${others[0]}`);
     const machines = this.runningOn.get(task) ?? new Set();
     machines.add(machine);
@@ -43,10 +58,10 @@
     this.#checkQuota(task);
   }
 
-  /** machines on which tasks of the job are */
+  /** Returns the machines on which tasks of the job run, each once per task. */
   #machinesOf(uid: string): string[] {
-    return [...this.runningOn].flatMap(([t, machines]) =>
-      t.startsWith(`${uid}/`) ? [...machines] : [],
+    return [...this.runningOn].flatMap(([task, machines]) =>
+      task.startsWith(`${uid}/`) ? [...machines] : [],
     );
   }
 
@@ -57,11 +72,11 @@
     if (job === undefined) return;
     const zones = this.#machinesOf(uid).map((m) => this.zoneOf.get(m));
     const tasksInZone = zones.filter((z) => z === zone).length;
-    const wrong =
+    const misplaced =
       (job.zone !== null && job.zone !== zone) ||
       (job.oneZone && tasksInZone < zones.length) ||
       (job.spread && tasksInZone > Math.ceil(job.tasks / 2));
-    if (wrong) this.violations.push(`wrong_place ${task} in ${zone}`);
+    if (misplaced) this.violations.push(`wrong_place ${task} in ${zone}`);
   }
 
   #checkQuota(task: string): void {
@@ -75,20 +90,22 @@
     if (used > quota) this.violations.push(`quota ${team}: ${used} of ${quota}`);
   }
 
-  /** A task has completed. The tasks of a gang complete together: when one is done, all of them are. */
+  /** Records a completion. The tasks of a gang complete together: when one is done, all of them are. */
   onTaskCompleted(uid: string, index: number): void {
-    const done = this.completed.get(uid) ?? new Set();
-    const rules = this.jobs.get(uid);
-    const gang = rules?.gang ?? false;
-    const indexes = gang ? Array.from({ length: rules!.tasks }, (_, i) => i) : [index];
-    for (const i of indexes) done.add(i);
-    this.completed.set(uid, done);
+    const completed = this.completed.get(uid) ?? new Set();
+    const job = this.jobs.get(uid);
+    const gang = job?.gang ?? false;
+    const indexes = gang ? Array.from({ length: job!.tasks }, (_, i) => i) : [index];
+    for (const i of indexes) completed.add(i);
+    this.completed.set(uid, completed);
   }
 
+  /** Records that a task no longer runs on a machine, whether completed or not. */
   onTaskEnded(task: string, machine: string): void {
     this.runningOn.get(task)?.delete(machine);
   }
 
+  /** Records a violation if the task still runs more than `cancelMs` after its job's cancellation was confirmed. */
   checkCancelled(task: string, now: number): void {
     const at = this.cancelledAt.get(task.slice(0, task.indexOf('/')));
     if (at !== undefined && now - at > this.cancelMs && (this.runningOn.get(task)?.size ?? 0) > 0) {
@@ -96,13 +113,16 @@
     }
   }
 
+  /** Checks the deadline of cancellations for all tasks. */
   checkCancellations(now: number): void {
     for (const task of this.runningOn.keys()) this.checkCancelled(task, now);
   }
 }
 
+/** ms that tasks may run on after a cancellation unless a test sets another limit. */
 export const CANCEL_MS = 38_000;
 
+/** An attempt of a task that the worker runs, or whose end it still reports. */
 interface WorkerTask {
   uid: string;
   index: number;
@@ -110,17 +130,24 @@
   state: 'running' | 'exited';
   why: ReportedTask['why'];
   saved: boolean;
+  /** ms of work that are left */
   remainingMs: number;
 }
 
-/** Stand-in for a worker: tokens, sessions, leases and commands as the protocol says. */
+/** Follows the worker's side of the protocol: fencing tokens, agent epochs, the lease and commands. */
 export class FakeWorker {
   agentEpoch = 1;
+  /** number of the last heartbeat */
   counter = 0;
+  /** the largest fencing token seen; commands under a smaller one are rejected */
   fencingToken = 0;
+  /** s until the cloud preempts the machine, as reported in heartbeats; null: no notice */
   preemptionNoticeS: number | null = null;
+  /** whether the machine hangs: it runs nothing and answers nothing until this is false again */
   hung = false;
+  /** whether every task fails at its start */
   failsTasks = false;
+  /** attempts by `uid/index@attempt` */
   readonly tasks = new Map<string, WorkerTask>();
   #leaseStartMs: number;
   #nowMs: number;
@@ -128,8 +155,9 @@
   constructor(
     readonly name: string,
     private readonly world: World,
-    /** of a task by its number */
+    /** duration of a task in ms, or a function that returns it for the index of the task */
     private readonly runMs: number | ((index: number) => number),
+    /** ms after the last answered heartbeat at which the worker stops its tasks */
     private readonly leaseMs: number,
     now: number,
     readonly zone = 'z',
@@ -141,6 +169,7 @@
     this.#nowMs = now;
   }
 
+  /** Returns the next heartbeat. */
   heartbeat(): Heartbeat {
     this.counter += 1;
     return {
@@ -164,7 +193,10 @@
     };
   }
 
-  /** The answer to the report sent at `sentAt` in the given session. */
+  /**
+   * Handles the answer to the heartbeat that was sent at `sentAt` under `agentEpoch`: renews the lease and executes the
+   * commands. An answer of another agent epoch or under a smaller fencing token is ignored.
+   */
   onHeartbeatAnswer(
     fencingToken: number,
     commands: readonly Command[],
@@ -177,7 +209,7 @@
     for (const c of commands) this.#execute(c);
   }
 
-  /** A direct command; true if executed. */
+  /** Executes direct commands; returns false if the fencing token or the agent epoch is outdated. */
   executeDirect(fencingToken: number, agentEpoch: number, commands: readonly Command[]): boolean {
     if (fencingToken < this.fencingToken || agentEpoch !== this.agentEpoch) return false;
     this.fencingToken = fencingToken;
@@ -218,7 +250,10 @@
     this.world.onTaskEnded(`${task.uid}/${task.index}`, this.name);
   }
 
-  /** Time passes: tasks end, and the lease may. A hanging machine does nothing until it goes on. */
+  /**
+   * Advances the worker's time to `now`: ends tasks, and if the lease has expired, stops all of them and begins a new
+   * agent epoch. A hung machine does nothing.
+   */
   advance(now: number): void {
     const elapsedMs = now - this.#nowMs;
     this.#nowMs = now;
@@ -239,7 +274,7 @@
     }
   }
 
-  /** The machine is gone with everything on it. */
+  /** Ends the machine and everything that runs on it. */
   terminate(): void {
     for (const t of this.tasks.values()) if (t.state === 'running') this.#exit(t, 'stopped');
     this.tasks.clear();
