--- a/test/measurements/duty-takeover.ts
+++ b/test/measurements/duty-takeover.ts
@@ -108,6 +108,6 @@
 const settings = { controllers: 3, 'takeovers of each series': rounds, 'node lease': '6 s' };
 const plot = { title: 'From the end of a holder to the next one', unit: 'ms', series };
 writeFileSync(file, await htmlReport('Takeover of parts and duties', settings, [plot], counts));
-for (const s of series) process.stdout.write(`${JSON.stringify(s.summary())}\n`);
+for (const each of series) process.stdout.write(`${JSON.stringify(each.summary())}\n`);
 process.stdout.write(`${JSON.stringify({ machine: machineText(), ...counts })}\n`);
 process.exit(0);
--- a/test/standins/answer-soak.ts
+++ b/test/standins/answer-soak.ts
@@ -41,14 +41,14 @@
 const RESPONSE_DELAY_MAX_MS = 600;
 
 /**
- * Users submit, repeat, query and cancel jobs at all nodes at the same time, while the store is slow, loses responses or
- * rejects the calls of single nodes, nodes are cut off from their peers, and controllers are killed and restarted. The
- * choices follow the seed, but the timing is real, so a run can't be repeated exactly: a fault that it finds needs a test
- * case of its own.
+ * Users submit, repeat, query and cancel jobs at all nodes at the same time, while the store is slow, loses responses
+ * or rejects the calls of single nodes, nodes are cut off from their peers, and controllers are killed and restarted.
+ * The choices follow the seed, but the timing is real, so a run can't be repeated exactly: a fault that it finds needs
+ * a test case of its own.
  */
 export class AnswerSoak {
   readonly #cluster: Cluster;
-  readonly #randomBelow: (below: number) => number;
+  readonly #randomBelow: (bound: number) => number;
   #answers = 0;
   #faults = 0;
   #activeUsers = 0;
--- a/test/standins/cloud.ts
+++ b/test/standins/cloud.ts
@@ -19,11 +19,11 @@
   Counter: heartbeat.counter,
   Mandate: heartbeat.fencingToken,
   WarningS: heartbeat.preemptionNoticeS,
-  Pieces: heartbeat.tasks.map((t) => ({
-    Piece: `${t.uid}/${t.index}`,
-    Try: t.attempt,
-    Status: WIRE_STATUS[t.state as keyof typeof WIRE_STATUS],
-    ...(t.why === null ? {} : { Cause: t.why, Saved: t.saved }),
+  Pieces: heartbeat.tasks.map((task) => ({
+    Piece: `${task.uid}/${task.index}`,
+    Try: task.attempt,
+    Status: WIRE_STATUS[task.state as keyof typeof WIRE_STATUS],
+    ...(task.why === null ? {} : { Cause: task.why, Saved: task.saved }),
   })),
 });
 
--- a/test/standins/cluster.ts
+++ b/test/standins/cluster.ts
@@ -338,9 +338,9 @@
   async queryAndResubmitAtAllNodes(body: ReturnType<Cluster['submission']>): Promise<void> {
     const uid = body.Uid;
     const answers = await Promise.all(
-      this.nodes.flatMap((n) => [
-        this.sendUserRequest(n, 'query', uid),
-        this.sendUserRequest(n, 'submit', uid, body),
+      this.nodes.flatMap((node) => [
+        this.sendUserRequest(node, 'query', uid),
+        this.sendUserRequest(node, 'submit', uid, body),
       ]),
     );
     for (const answer of answers) {
--- a/test/standins/machine-moves.ts
+++ b/test/standins/machine-moves.ts
@@ -47,7 +47,7 @@
 /** s after the last fault within which all jobs and moves must have ended. */
 const SETTLE_S = 60;
 
-/** Submits jobs and requests moves, injects faults one at a time, and waits in the end until all jobs and moves ended. */
+/** Submits jobs and requests moves, injects faults one at a time, and finally waits until all jobs and moves ended. */
 export class MachineMovesRun {
   readonly cluster = new Cluster({
     runMs: (index) => TASK_MS + (index % 5) * 300,
@@ -56,12 +56,13 @@
     features: FEATURES,
     teams: [LIMITED_TEAM],
   });
-  readonly #randomBelow: (n: number) => number;
+  readonly #randomBelow: (bound: number) => number;
   readonly #jobs: string[] = [];
   /**
-   * What the run did, under the names that measurements print. `refused`: moves that found a lock held; `cuts`: nodes to
-   * which the store was unavailable; `lateWrites`: nodes whose transactions were executed late; `unheard`: machines whose
-   * heartbeats or commands were lost; `notices`: preemptions; `stateWrites`: writes in transactions that write a move.
+   * Numbers of jobs, moves and faults, under the names that measurements print. `refused`: moves that found a lock
+   * held; `cuts`: times that the store was unavailable to one node; `lateWrites`: times that transactions of one node
+   * were executed late; `unheard`: times that heartbeats or commands of a machine were lost; `notices`: preemptions;
+   * `stateWrites`: writes in transactions that write a move.
    */
   readonly #counts = {
     jobs: 0,
@@ -221,8 +222,9 @@
   }
 
   /**
-   * Records how long each moved machine was without an owner whose fencing token its worker knows. `movedMachines` holds
-   * its group of moved machines, the group's term and the ms since when; `at` is Infinity once the pause is recorded.
+   * Records how long each moved machine was without an owner whose fencing token its worker knows. `movedMachines`
+   * holds, by machine, its group, the group's term, and the ms `at` which the group was first seen with it; `at` is
+   * Infinity once the pause is recorded.
    */
   #recordPauses(movedMachines: Map<string, { group: string; term: number; at: number }>): void {
     for (const [key, { value }] of this.cluster.store.items) {
--- a/test/standins/store.ts
+++ b/test/standins/store.ts
@@ -159,9 +159,9 @@
     const after = query.get('Since') ?? '';
     const limit = Number(query.get('Limit') ?? 1000);
     const keys = [...this.items.keys()].filter((k) => k.startsWith(prefix) && k > after).sort();
-    const entries = keys.slice(0, limit).map((k) => {
-      const item = this.items.get(k)!;
-      return { K: k, Value: item.value, Stamp: item.revision };
+    const entries = keys.slice(0, limit).map((key) => {
+      const item = this.items.get(key)!;
+      return { K: key, Value: item.value, Stamp: item.revision };
     });
     const body = { Entries: entries, Truncated: keys.length > limit, Epoch: this.#revision };
     return { status: 200, body };
@@ -181,10 +181,8 @@
         });
       });
     }
-    const changes = newChanges().map((c) =>
-      c.removed
-        ? { Drop: c.key, Stamp: c.revision }
-        : { Put: c.key, Value: c.value, Stamp: c.revision },
+    const changes = newChanges().map(({ key, value, revision, removed }) =>
+      removed ? { Drop: key, Stamp: revision } : { Put: key, Value: value, Stamp: revision },
     );
     return { status: 200, body: { Epoch: this.#revision, News: changes } };
   }
--- a/test/standins/user-node.ts
+++ b/test/standins/user-node.ts
@@ -245,11 +245,11 @@
     if (reply === 'hang') throw new Error('the stand-in answers every watch');
     await this.watchResponse.pass();
     const { Epoch: epoch, News: news } = reply.body as WatchBody;
-    const changes = news.map((n) => ({
-      key: n.Put ?? n.Drop ?? '',
-      revision: n.Stamp,
-      value: n.Value,
-      removed: n.Drop !== undefined,
+    const changes = news.map((entry) => ({
+      key: entry.Put ?? entry.Drop ?? '',
+      revision: entry.Stamp,
+      value: entry.Value,
+      removed: entry.Drop !== undefined,
     }));
     this.#reads.onReadState(null);
     this.cache.apply({ isListing: false, changes, revision: epoch, readStartedAt: startedAt });
--- a/test/standins/worker.ts
+++ b/test/standins/worker.ts
@@ -182,13 +182,13 @@
       counter: this.counter,
       fencingToken: this.fencingToken,
       preemptionNoticeS: this.preemptionNoticeS,
-      tasks: [...this.tasks.values()].map((t) => ({
-        uid: t.uid,
-        index: t.index,
-        attempt: t.attempt,
-        state: t.state,
-        why: t.why,
-        saved: t.saved,
+      tasks: [...this.tasks.values()].map((task) => ({
+        uid: task.uid,
+        index: task.index,
+        attempt: task.attempt,
+        state: task.state,
+        why: task.why,
+        saved: task.saved,
       })),
     };
   }
@@ -206,14 +206,14 @@
     if (agentEpoch !== this.agentEpoch || fencingToken < this.fencingToken) return;
     this.fencingToken = fencingToken;
     this.#leaseStartMs = sentAt;
-    for (const c of commands) this.#execute(c);
+    for (const command of commands) this.#execute(command);
   }
 
   /** Executes direct commands; returns false if the fencing token or the agent epoch is outdated. */
   executeDirect(fencingToken: number, agentEpoch: number, commands: readonly Command[]): boolean {
     if (fencingToken < this.fencingToken || agentEpoch !== this.agentEpoch) return false;
     this.fencingToken = fencingToken;
-    for (const c of commands) this.#execute(c);
+    for (const command of commands) this.#execute(command);
     return true;
   }
 
@@ -276,7 +276,8 @@
 
   /** Ends the machine and everything that runs on it. */
   terminate(): void {
-    for (const t of this.tasks.values()) if (t.state === 'running') this.#exit(t, 'stopped');
+    for (const task of this.tasks.values())
+      if (task.state === 'running') this.#exit(task, 'stopped');
     this.tasks.clear();
   }
 }
