--- a/test/standins/machine-moves.ts
+++ b/test/standins/machine-moves.ts
@@ -318,10 +318,10 @@
       starts: this.cluster.world.starts,
       tasksStartedAfterCompletion: this.cluster.world.startsAfterCompletion,
     };
-    const { violations: broken } = this.cluster.world;
+    const { violations } = this.cluster.world;
     this.cluster.close();
     return {
-      violations: broken,
+      violations,
       unfinished,
       counts,
       moveDurationsMs: this.#moveDurationsMs,
