--- a/test/quotas.test.ts
+++ b/test/quotas.test.ts
@@ -3,12 +3,12 @@
 import pino from 'pino';
 import { CompletionSaver } from '../src/shards/completions/completion-saver.js';
 import { ConfigError, parsePlatformConfig } from '../src/config/platform.js';
-import { SLOT_FILL } from '../src/core/jobs/constants.js';
+import { SLOT_FILL_RATIO } from '../src/core/jobs/constants.js';
 import {
   PROGRESS_SAVE_INTERVAL_MS,
   COMPLETION_SAVE_INTERVAL_MS,
 } from '../src/shards/completions/constants.js';
-import { cutRanges, decodeDone, encodeDone, maxRangeTasks } from '../src/core/jobs/jobs.js';
+import { splitIntoRanges, decodeDone, encodeDone, maxRangeTasks } from '../src/core/jobs/jobs.js';
 import type { JobRecord } from '../src/core/model.js';
 import type { Shard } from '../src/core/shard/shard.js';
 import { CALL_PRIORITY } from '../src/store/call-priority.js';
@@ -62,10 +62,13 @@
   for (const valueBytes of [8192, 2048, 1024, 512]) {
     for (const tasks of [1, 17, 4096, 100_000]) {
       const most = maxRangeTasks(valueBytes);
-      for (const [from, to] of cutRanges(tasks, 3, false, most)) {
+      for (const [from, to] of splitIntoRanges(tasks, 3, false, most)) {
         const bits = encodeDone({ from, to }, new Set());
         const slot = { [`job-${'9'.repeat(20)}/${from}`]: bits };
-        assert.ok(JSON.stringify(slot).length <= valueBytes * SLOT_FILL, `${valueBytes} ${tasks}`);
+        assert.ok(
+          JSON.stringify(slot).length <= valueBytes * SLOT_FILL_RATIO,
+          `${valueBytes} ${tasks}`,
+        );
       }
     }
   }
--- a/test/random.test.ts
+++ b/test/random.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { renewableMs } from '../src/core/cancellation/lease-renewal.js';
+import { renewalWindowMs } from '../src/core/cancellation/lease-renewal.js';
 import { decodeDone, encodeDone } from '../src/core/jobs/jobs.js';
 import type { Command, Heartbeat } from '../src/core/model.js';
 import type { Shard } from '../src/core/shard/shard.js';
-import { randomFrom } from '../src/random.js';
+import { seededRandomInt } from '../src/random.js';
 import { job, LEASE_MS, machine, shardWith, Store } from './helpers.js';
 import { CANCEL_MS, FakeWorker, World } from './standins/worker.js';
 
@@ -37,7 +37,7 @@
 const COPY_MS = 3 * LEASE_MS;
 
 const play = (seed: number) => {
-  const random = randomFrom(seed);
+  const random = seededRandomInt(seed);
   const chance = (percent: number) => random(1000) < percent * 10;
   const world = new World();
   const store = new Store();
@@ -223,7 +223,7 @@
       }
       if (chance(5)) keptForNext.push(r);
       const owner = former !== null && chance(20) ? former : shard;
-      const renewable = now - formerSince <= renewableMs(CANCEL_MS, LEASE_MS);
+      const renewable = now - formerSince <= renewalWindowMs(CANCEL_MS, LEASE_MS);
       const result = owner.handleHeartbeat(r, now, owner === shard, owner === shard || renewable);
       if (result.kind !== 'answer') continue;
       // Some answers get lost on the way back, and all of those to a deaf machine.
--- a/test/rebalancing-commands.test.ts
+++ b/test/rebalancing-commands.test.ts
@@ -61,7 +61,7 @@
 const untilState = (cluster: Cluster, id: string, wanted: Move['state'], seconds = 40) =>
   cluster.waitUntil(`${id} is ${wanted}`, seconds, () => moveOf(cluster, id).state === wanted);
 
-const done = (cluster: Cluster, uid: string) =>
+const untilDone = (cluster: Cluster, uid: string) =>
   cluster.waitUntil(
     `${uid} is done`,
     60,
@@ -104,7 +104,7 @@
       const shown = JSON.parse((await run('--json')).stdout) as ShardsOutput;
       assert.equal(shown.moves.find((m) => m.id === 'first')?.moved.length, 1);
       assert.equal(cluster.stored(shardLockKey(from)), undefined, 'the shards are free again');
-      await done(cluster, uid);
+      await untilDone(cluster, uid);
     },
   );
 });
@@ -129,8 +129,8 @@
         ['finished', 'aborted'].includes(moveOf(cluster, 'm').state),
       );
       const more = await cluster.submit(node, { Pieces: 6 });
-      await done(cluster, uid);
-      await done(cluster, more);
+      await untilDone(cluster, uid);
+      await untilDone(cluster, more);
     });
   }
 });
@@ -189,7 +189,7 @@
       lent === undefined || !machinesOf(cluster, to).includes(lent),
       'it is not there any more',
     );
-    for (const uid of uids) await done(cluster, uid);
+    for (const uid of uids) await untilDone(cluster, uid);
   });
 
   scenario(
--- a/test/singleton-controllers.test.ts
+++ b/test/singleton-controllers.test.ts
@@ -21,7 +21,7 @@
   finalStateRetentionMs: 86_400_000,
   garbageCollectionWritesPerS: 100,
 };
-const IDLE_KEPT_S = 20;
+const IDLE_KEEP_S = 20;
 
 const leaderOf = (cluster: Cluster, role: string): LeaderRecord | null => {
   const record = cluster.stored(leaderKey(role)) as LeaderRecord | undefined;
@@ -57,7 +57,7 @@
   });
 };
 
-const done = (cluster: Cluster, node: string, uid: string) =>
+const untilDone = (cluster: Cluster, node: string, uid: string) =>
   cluster.waitUntil(
     `${uid} is done`,
     40,
@@ -94,8 +94,8 @@
       await cluster.runFor(8);
       cluster.storeProxies.get(frozen)!.transactionDelayMs = 0;
       cluster.processOf(frozen).freeze(false);
-      await done(cluster, other, before);
-      await done(cluster, other, during);
+      await untilDone(cluster, other, before);
+      await untilDone(cluster, other, during);
       await cluster.runFor(4);
       assert.deepEqual(
         leaderOf(cluster, ORPHAN_COLLECTOR_ROLE),
@@ -128,9 +128,9 @@
     {},
     async (cluster) => {
       const first = await cluster.submit('n0', { Pieces: 8 });
-      await done(cluster, 'n0', first);
+      await untilDone(cluster, 'n0', first);
       cluster.cloud.holdsReturns = true;
-      await cluster.waitUntil('idle machines are being returned', IDLE_KEPT_S + 20, () => {
+      await cluster.waitUntil('idle machines are being returned', IDLE_KEEP_S + 20, () => {
         return cluster.cloud.heldReturns.length > 0;
       });
       // Whoever sent the returns ends; the next owners get work that would fit these machines.
@@ -148,7 +148,7 @@
       const used = doomed.filter(carries);
       assert.deepEqual(used, [], 'nothing was started on them');
       cluster.cloud.holdsReturns = false;
-      await done(cluster, 'n1', second);
+      await untilDone(cluster, 'n1', second);
     },
   );
 });
@@ -167,7 +167,7 @@
         };
       }
       const uid = await cluster.submit('n0', { Pieces: 1 });
-      await done(cluster, 'n0', uid);
+      await untilDone(cluster, 'n0', uid);
       const final = `final/${uid}`;
       assert.ok(cluster.stored(final) !== undefined);
       const endedAt = Date.now();
@@ -177,7 +177,7 @@
       const late = await cluster.store.handle(accepted[0]!);
       assert.ok(late !== 'hang' && late.status === 409, 'refused by the store');
       const next = await cluster.submit('n1', { Pieces: 1 });
-      await done(cluster, 'n1', next);
+      await untilDone(cluster, 'n1', next);
     },
   );
 });
@@ -227,7 +227,7 @@
       await cluster.replace('n2', 'production');
       await adopted();
       const uid = await cluster.submit('n0');
-      await done(cluster, 'n0', uid);
+      await untilDone(cluster, 'n0', uid);
     },
   );
 });
--- a/test/standins/answer-history.ts
+++ b/test/standins/answer-history.ts
@@ -1,5 +1,5 @@
 /** Checks that users never get an answer that contradicts what they or other users have been told of a job. */
-import type { Response } from '../../src/transport/http.js';
+import type { CborResponse } from '../../src/transport/http.js';
 
 /** A user's request about a job. */
 export type UserCall = 'submit' | 'query' | 'withdraw';
@@ -51,7 +51,7 @@
   }
 
   /** Records and checks the answer to a request, or null if there was none; `at` is the node that answered. */
-  recordAnswer(request: SentRequest, answer: Response | null, at = ''): void {
+  recordAnswer(request: SentRequest, answer: CborResponse | null, at = ''): void {
     if (answer === null) return;
     const { call, uid, reportedBefore } = request;
     const where = at === '' ? call : `${call} at ${at}`;
--- a/test/standins/answer-soak.ts
+++ b/test/standins/answer-soak.ts
@@ -1,6 +1,6 @@
 /** Soak run of the answers to users under random faults. */
 import { setTimeout as sleep } from 'node:timers/promises';
-import { randomFrom } from '../../src/random.js';
+import { seededRandomInt } from '../../src/random.js';
 import type { UserCall } from './answer-history.js';
 import { Cluster } from './cluster.js';
 
@@ -58,7 +58,7 @@
   constructor(private readonly options: SoakOptions) {
     const { controllers, machines } = options;
     this.#cluster = new Cluster({ controllers, runMs: 1000, leaseS: 4, cancelS: 10 });
-    this.#randomBelow = randomFrom(options.seed);
+    this.#randomBelow = seededRandomInt(options.seed);
     this.#jobsLeft = options.jobs;
     this.#maxMachines = machines;
   }
--- a/test/standins/cluster.ts
+++ b/test/standins/cluster.ts
@@ -4,7 +4,7 @@
 import type { PlatformConfig } from '../../src/config/platform.js';
 import { shardOfTeam } from '../../src/core/jobs/jobs.js';
 import type { Team } from '../../src/core/model.js';
-import { CborClient, type Response } from '../../src/transport/http.js';
+import { CborClient, type CborResponse } from '../../src/transport/http.js';
 import { AnswerHistory, type UserCall } from './answer-history.js';
 import { FakeCloud, type WorkerHost } from './cloud.js';
 import type { OptionalFeatures } from '../../src/service/service.js';
@@ -223,7 +223,7 @@
   }
 
   /** Sends a request to a node; rejects if there is no answer within 3000 ms. */
-  call(node: string, method: string, path: string, body?: unknown): Promise<Response> {
+  call(node: string, method: string, path: string, body?: unknown): Promise<CborResponse> {
     return this.#clients.get(node)!.call(method, path, body, 3000);
   }
 
@@ -263,7 +263,7 @@
     call: UserCall,
     uid: string,
     body?: unknown,
-  ): Promise<Response | null> {
+  ): Promise<CborResponse | null> {
     const request = this.history.recordRequest(call, uid);
     const method = call === 'query' ? 'GET' : 'POST';
     const path = call === 'submit' ? '/submissions' : `/submissions/${uid}`;
--- a/test/standins/machine-moves.ts
+++ b/test/standins/machine-moves.ts
@@ -11,7 +11,7 @@
 } from '@sumacstep/shard-rebalancing';
 import { parseSingletonsConfig } from '../../src/config/singletons.js';
 import { parseRebalancingConfig } from '../../src/config/rebalancing.js';
-import { randomFrom } from '../../src/random.js';
+import { seededRandomInt } from '../../src/random.js';
 import { Cluster } from './cluster.js';
 import type { Request } from './server.js';
 
@@ -84,7 +84,7 @@
   readonly #pausesMs: number[] = [];
 
   constructor(private readonly options: MachineMovesOptions) {
-    this.#randomBelow = randomFrom(options.seed);
+    this.#randomBelow = seededRandomInt(options.seed);
   }
 
   /** Returns the moves in the store. */
--- a/test/standins/user-node.ts
+++ b/test/standins/user-node.ts
@@ -2,7 +2,7 @@
 import { createServer, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import Koa from 'koa';
-import { CborClient, type Response } from '../../src/transport/http.js';
+import { CborClient, type CborResponse } from '../../src/transport/http.js';
 import type { ReadResult } from '../../src/store/types.js';
 import type { CompareAndSwapResult, Guard, Write } from '@sumacstep/leader-election';
 import { LinearizableReads } from '../../src/store/linearizable-reads.js';
@@ -127,7 +127,12 @@
     };
     const jobs = new CountingJobService(
       { client, cache: this.cache, reader, routing, acceptanceGuard: () => null, now: steadyMs },
-      { teams: settings().teams, shards: 1, valueBytes: this.valueBytes, loadThreshold: 0.85 },
+      {
+        teams: settings().teams,
+        shardCount: 1,
+        maxValueBytes: this.valueBytes,
+        loadThreshold: 0.85,
+      },
     );
     this.#jobs = jobs;
     const app = new Koa();
@@ -160,14 +165,17 @@
   }
 
   /** Sends a user's request and has the history check the answer. Returns null if there is none. */
-  async sendUserRequest(call: UserCall, body: { readonly Uid: string }): Promise<Response | null> {
+  async sendUserRequest(
+    call: UserCall,
+    body: { readonly Uid: string },
+  ): Promise<CborResponse | null> {
     const request = this.history.recordRequest(call, body.Uid);
     const answer = await this.#send(call, body).catch(() => null);
     this.history.recordAnswer(request, answer, this.name);
     return answer;
   }
 
-  #send(call: UserCall, body: { readonly Uid: string }): Promise<Response> {
+  #send(call: UserCall, body: { readonly Uid: string }): Promise<CborResponse> {
     const client = this.#client!;
     const path = `/submissions/${body.Uid}`;
     if (call === 'submit') return client.call('POST', '/submissions', body, USER_TIMEOUT_MS);
--- a/test/user-answers.test.ts
+++ b/test/user-answers.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { setImmediate as turn } from 'node:timers/promises';
-import type { Response } from '../src/transport/http.js';
+import type { CborResponse } from '../src/transport/http.js';
 import { storeKey } from '../src/store/keys.js';
 import { AnswerHistory, type UserCall } from './standins/answer-history.js';
 import { FakeStore } from './standins/store.js';
@@ -189,7 +189,7 @@
 /** Node a has accepted the job, its answer from the state service is held, and b's user cancels. */
 const cancelledWhileHeld = async ({
   nodes,
-}: Scene): Promise<{ accepted: Promise<Response | null> }> => {
+}: Scene): Promise<{ accepted: Promise<CborResponse | null> }> => {
   nodes.a.writeResponse.close();
   const accepted = nodes.a.sendUserRequest('submit', BODY);
   await untilTrue(() => nodes.a.writeResponse.heldCount > 0);
