--- a/test/standins/answer-history.ts
+++ b/test/standins/answer-history.ts
@@ -1,15 +1,16 @@
+/** Checks that users never get an answer that contradicts what they or other users have been told of a job. */
 import type { CborResponse } from '../../src/transport/http.js';
 
-/** What a user can ask of a job. */
+/** A user's request about a job. */
 export type UserCall = 'submit' | 'query' | 'withdraw';
 
-/** Strongest answers that users have had of one job. */
+/** What users have been told of one job: whether it is accepted, and its final state. */
 interface ReportedState {
   accepted: boolean;
   final: string | null;
 }
 
-/** A request on its way, with what users had been told of the job when it was sent. */
+/** A request in flight, with what users had been told of the job when it was sent. */
 export interface SentRequest {
   readonly call: UserCall;
   readonly uid: string;
@@ -20,8 +21,10 @@
 const KNOWN_STATES = new Set(['queued', 'running', 'done', 'cancelled']);
 
 /**
- * Judges every answer to a user by what users had been told, at any node, when its request was sent. An
- * answer to a request that was under way at the same time may be older: the two overlap.
+ * Checks every answer against what users had been told, by any node, when its request was sent. Of two requests that
+ * overlap in time, either may be answered from the older state. Violations begin with the name of their rule: an
+ * accepted job is denied (`forgotten`), its state goes back or ends in two ways (`went_back`), or the job was never
+ * submitted (`invented`).
  */
 export class AnswerHistory {
   readonly #reported = new Map<string, ReportedState>();
@@ -30,66 +33,69 @@
 
   constructor(private readonly violations: string[]) {}
 
-  /** The final state that users have been told, or null. */
+  /** Returns the final state of a job that users have been told first, or null. */
   reportedFinalState(uid: string): string | null {
     return this.#reported.get(uid)?.final ?? null;
   }
 
-  /** A job that was submitted before the test began. */
+  /** Registers a job that was submitted before the test began. */
   addEarlierSubmission(uid: string): void {
     this.#submitted.add(uid);
   }
 
-  /** To be called when a request leaves its user. */
+  /** Records that a user sends a request. Returns it for `recordAnswer`. */
   recordRequest(call: UserCall, uid: string): SentRequest {
     if (call === 'submit') this.#submitted.add(uid);
     if (call === 'withdraw') this.#cancelRequested.add(uid);
     return { call, uid, reportedBefore: { ...this.#reportedOf(uid) } };
   }
 
-  /** An answer has reached its user; null if none came. */
+  /** Records and checks the answer to a request, or null if there was none; `at` is the node that answered. */
   recordAnswer(request: SentRequest, answer: CborResponse | null, at = ''): void {
     if (answer === null) return;
-    const { call, uid, reportedBefore: toldBefore } = request;
+    const { call, uid, reportedBefore } = request;
     const where = at === '' ? call : `${call} at ${at}`;
-    if (answer.status === 404 && toldBefore.accepted) {
+    if (answer.status === 404 && reportedBefore.accepted) {
       this.violations.push(`forgotten ${uid}: 404 to ${where}`);
     }
     const refused = answer.status === 400 || answer.status === 422;
-    if (refused && call === 'submit' && toldBefore.accepted) {
+    if (refused && call === 'submit' && reportedBefore.accepted) {
       this.violations.push(`forgotten ${uid}: ${answer.status} to ${where}`);
     }
     if (answer.status !== 200 && answer.status !== 201) return;
     const { Status: status } = answer.body as { Status: string };
     this.#checkStatus(request, answer.status, status, where);
-    const told = this.#reportedOf(uid);
-    told.accepted = true;
-    if (FINAL_STATES.has(status)) told.final ??= status;
+    const reported = this.#reportedOf(uid);
+    reported.accepted = true;
+    if (FINAL_STATES.has(status)) reported.final ??= status;
   }
 
   #checkStatus(request: SentRequest, code: number, status: string, where: string): void {
-    const { call, uid, reportedBefore: toldBefore } = request;
-    const went = (text: string) => this.violations.push(`went_back ${uid}: ${text}, to ${where}`);
+    const { call, uid, reportedBefore } = request;
+    const reportRegression = (text: string) =>
+      this.violations.push(`went_back ${uid}: ${text}, to ${where}`);
     if (!this.#submitted.has(uid)) this.violations.push(`invented ${uid}: ${status} to ${where}`);
-    if (!KNOWN_STATES.has(status)) went(`unknown status ${status}`);
-    if (code === 201 && toldBefore.accepted) went('accepted again with 201');
-    if (toldBefore.final !== null && status !== toldBefore.final) {
-      went(`${toldBefore.final}, then ${status}`);
+    if (!KNOWN_STATES.has(status)) reportRegression(`unknown status ${status}`);
+    if (code === 201 && reportedBefore.accepted) reportRegression('accepted again with 201');
+    if (reportedBefore.final !== null && status !== reportedBefore.final) {
+      reportRegression(`${reportedBefore.final}, then ${status}`);
       return;
     }
     const other = this.reportedFinalState(uid);
     if (FINAL_STATES.has(status) && other !== null && other !== status)
-      went(`${other}, then ${status}`);
-    if (status === 'cancelled' && !this.#cancelRequested.has(uid)) went('cancelled by no user');
-    if (call === 'withdraw' && !FINAL_STATES.has(status)) went(`a cancellation answered ${status}`);
+      reportRegression(`${other}, then ${status}`);
+    if (status === 'cancelled' && !this.#cancelRequested.has(uid))
+      reportRegression('cancelled by no user');
+    if (call === 'withdraw' && !FINAL_STATES.has(status))
+      reportRegression(`a cancellation answered ${status}`);
   }
 
   #reportedOf(uid: string): ReportedState {
-    let told = this.#reported.get(uid);
-    if (told === undefined) {
-      told = { accepted: false, final: null };
-      this.#reported.set(uid, told);
+    let reported = this.#reported.get(uid);
+    if (reported === undefined) {
+      reported = { accepted: false, final: null };
+      this.#reported.set(uid, reported);
     }
-    return told;
+    return reported;
   }
 }
--- a/test/standins/cloud.ts
+++ b/test/standins/cloud.ts
@@ -1,77 +1,86 @@
+/** Stand-ins for the cloud and for the machines that it rents out, each with a worker that reports over loopback. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { CborClient } from '../../src/transport/http.js';
 import type { Heartbeat } from '../../src/core/model.js';
 import { StandInServer, type Reply, type Request } from './server.js';
 import { FakeWorker, type World } from './worker.js';
 
+/** Task states as heartbeats send them. */
 const WIRE_STATUS = { running: 'running', exited: 'ended' } as const;
 
-const heartbeatBody = (r: Heartbeat): unknown => ({
-  Host: r.machine,
-  Address: r.address,
-  Hosttype: r.type,
-  Site: r.zone,
-  Reclaimable: r.spot,
-  Tenure: r.agentEpoch,
-  Counter: r.counter,
-  Mandate: r.fencingToken,
-  WarningS: r.preemptionNoticeS,
-  Pieces: r.tasks.map((t) => ({
-    Piece: `${t.uid}/${t.index}`,
-    Try: t.attempt,
-    Status: WIRE_STATUS[t.state as keyof typeof WIRE_STATUS],
-    ...(t.why === null ? {} : { Cause: t.why, Saved: t.saved }),
+/** Returns a heartbeat in its wire format. */
+const heartbeatBody = (heartbeat: Heartbeat): unknown => ({
+  Host: heartbeat.machine,
+  Address: heartbeat.address,
+  Hosttype: heartbeat.type,
+  Site: heartbeat.zone,
+  Reclaimable: heartbeat.spot,
+  Tenure: heartbeat.agentEpoch,
+  Counter: heartbeat.counter,
+  Mandate: heartbeat.fencingToken,
+  WarningS: heartbeat.preemptionNoticeS,
+  Pieces: heartbeat.tasks.map((task) => ({
+    Piece: `${task.uid}/${task.index}`,
+    Try: task.attempt,
+    Status: WIRE_STATUS[task.state as keyof typeof WIRE_STATUS],
+    ...(task.why === null ? {} : { Cause: task.why, Saved: task.saved }),
   })),
 });
 
+/** A command in its wire format. */
 interface WireOrder {
   Verb: 'start' | 'stop' | 'reap';
   Piece: string;
   Try: number;
   WindupS?: number;
 }
-const parseOrder = (o: WireOrder) => {
-  const [uid, index] = o.Piece.split('/') as [string, string];
-  const task = { uid, index: Number(index), attempt: o.Try };
-  if (o.Verb === 'stop') return { op: 'stop' as const, ...task, graceS: o.WindupS ?? 0 };
-  return { op: o.Verb === 'start' ? ('start' as const) : ('forget' as const), ...task };
+
+const parseOrder = (order: WireOrder) => {
+  const [uid, index] = order.Piece.split('/') as [string, string];
+  const task = { uid, index: Number(index), attempt: order.Try };
+  if (order.Verb === 'stop') return { op: 'stop' as const, ...task, graceS: order.WindupS ?? 0 };
+  return { op: order.Verb === 'start' ? ('start' as const) : ('forget' as const), ...task };
 };
 
-/** A worker on loopback: reports to one node at a time and takes direct commands. */
+/** A machine on loopback, whose worker sends heartbeats to one node at a time and accepts direct commands. */
 export class WorkerHost extends StandInServer {
   worker!: FakeWorker;
+  /** index of the node that gets the heartbeats */
   nodeIndex = 0;
-  /** its reports reach no node, direct commands reach it */
+  /** whether no heartbeat arrives at a node, while direct commands arrive at the worker */
   losesHeartbeats = false;
-  /** its reports arrive, nothing that it is told does */
+  /** whether neither direct commands nor answers to heartbeats arrive at the worker, while its heartbeats arrive */
   losesCommands = false;
-  /** ms that direct commands are held up before they are carried out */
+  /** ms by which direct commands are delayed before they are executed */
   commandDelayMs = 0;
-  /** the only node that it reaches, and that reaches it; null: all */
+  /** the only node that heartbeats are sent to, while no direct command arrives; null: no restriction */
   onlyNode: string | null = null;
-  /** a node that its reports do not reach; nothing that is sent to it directly arrives meanwhile */
+  /** a node that no heartbeat is sent to, while no direct command arrives; null: none */
   unreachableNode: string | null = null;
-  /** ms after which copies of its reports arrive once more, at any node; null: never */
+  /** ms after which a copy of each heartbeat arrives, at each node in turn; null: never */
   duplicateAfterMs: number | null = null;
+  /** number of copies that were sent */
   duplicatesSent = 0;
+  /** name and address of each node */
   #nodes: readonly [string, string][] = [];
   #stopped = false;
   #heartbeatInFlight = false;
   #lastHeartbeatMs = 0;
   #timer: NodeJS.Timeout | null = null;
 
-  async start(make: (address: string) => FakeWorker, nodes: readonly [string, string][]) {
-    await this.listen((r) => this.#handleCommands(r));
-    this.worker = make(this.address);
+  /** Starts to listen and to send heartbeats. `createWorker` gets the address that the worker reports. */
+  async start(createWorker: (address: string) => FakeWorker, nodes: readonly [string, string][]) {
+    await this.listen((request) => this.#handleCommands(request));
+    this.worker = createWorker(this.address);
     this.#nodes = nodes;
     this.#timer = setInterval(() => void this.#sendHeartbeat(nodes), 50);
   }
 
-  async #handleCommands(r: Request): Promise<Reply> {
-    const cut = this.onlyNode !== null || this.unreachableNode !== null;
-    if (this.losesCommands || this.worker.hung || cut) return 'hang';
+  async #handleCommands(request: Request): Promise<Reply> {
+    const partitioned = this.onlyNode !== null || this.unreachableNode !== null;
+    if (this.losesCommands || this.worker.hung || partitioned) return 'hang';
     if (this.commandDelayMs > 0) await sleep(this.commandDelayMs);
-    const body = r.body as { Mandate: number; Tenure: number; Orders: WireOrder[] };
+    const body = request.body as { Mandate: number; Tenure: number; Orders: WireOrder[] };
     this.worker.advance(Date.now());
     const executed = this.worker.executeDirect(
       body.Mandate,
@@ -98,13 +107,13 @@
       this.#heartbeatInFlight = false;
       return;
     }
-    const report = this.worker.heartbeat();
+    const heartbeat = this.worker.heartbeat();
     const sentAt = Date.now();
     const client = new CborClient(nodes[this.nodeIndex]![1], 1);
     if (this.duplicateAfterMs !== null)
-      this.#scheduleDuplicate(nodes, report, this.duplicateAfterMs);
+      this.#scheduleDuplicate(nodes, heartbeat, this.duplicateAfterMs);
     try {
-      const answer = await client.call('POST', '/agent/beat', heartbeatBody(report), 1000);
+      const answer = await client.call('POST', '/agent/beat', heartbeatBody(heartbeat), 1000);
       const body = answer.body as {
         Mandate?: number;
         Orders?: WireOrder[];
@@ -114,11 +123,11 @@
       if (answer.status === 200) {
         const orders = (body.Orders ?? []).map(parseOrder);
         this.worker.advance(Date.now());
-        this.worker.onHeartbeatAnswer(body.Mandate ?? 0, orders, sentAt, report.agentEpoch);
+        this.worker.onHeartbeatAnswer(body.Mandate ?? 0, orders, sentAt, heartbeat.agentEpoch);
       } else {
-        const to = nodes.findIndex(([name]) => name === body.ReportsTo);
+        const target = nodes.findIndex(([name]) => name === body.ReportsTo);
         this.nodeIndex =
-          to >= 0 && to !== this.nodeIndex ? to : (this.nodeIndex + 1) % nodes.length;
+          target >= 0 && target !== this.nodeIndex ? target : (this.nodeIndex + 1) % nodes.length;
       }
     } catch {
       this.nodeIndex = (this.nodeIndex + 1) % nodes.length;
@@ -128,31 +137,36 @@
     }
   }
 
-  #scheduleDuplicate(nodes: readonly [string, string][], report: Heartbeat, ms: number): void {
+  #scheduleDuplicate(
+    nodes: readonly [string, string][],
+    heartbeat: Heartbeat,
+    delayMs: number,
+  ): void {
     const timer = setTimeout(() => {
       if (this.#stopped) return;
       this.duplicatesSent += 1;
-      this.#sendWithoutAnswer(nodes[this.duplicatesSent % nodes.length]![1], report);
-    }, ms);
+      this.#sendWithoutAnswer(nodes[this.duplicatesSent % nodes.length]![1], heartbeat);
+    }, delayMs);
     timer.unref();
   }
 
-  /** Nobody waits for the answer to a copy. */
-  #sendWithoutAnswer(address: string, report: Heartbeat): void {
+  /** Sends a copy of a heartbeat and ignores the answer. */
+  #sendWithoutAnswer(address: string, heartbeat: Heartbeat): void {
     const client = new CborClient(address, 1);
     void client
-      .call('POST', '/agent/beat', heartbeatBody(report), 1000)
+      .call('POST', '/agent/beat', heartbeatBody(heartbeat), 1000)
       .catch(() => null)
       .finally(() => client.close());
   }
 
   #keptHeartbeat: Heartbeat | null = null;
-  /** Keeps a report as the worker would send it now. */
+
+  /** Keeps the heartbeat that the worker would send now, for `deliverKeptHeartbeat`. */
   keepHeartbeat(): void {
     this.#keptHeartbeat = this.worker.heartbeat();
   }
 
-  /** The kept report arrives at every node. */
+  /** Sends the kept heartbeat to every node. */
   deliverKeptHeartbeat(): void {
     if (this.#keptHeartbeat === null || this.#stopped) return;
     for (const [, address] of this.#nodes) this.#sendWithoutAnswer(address, this.#keptHeartbeat);
@@ -165,26 +179,30 @@
   }
 }
 
-/** Stand-in for the cloud; its machines are up at once and report on loopback. */
+/** Rents out machines, which are up at once and send heartbeats on loopback. */
 export class FakeCloud extends StandInServer {
+  /** rented machines by name */
   readonly machines = new Map<string, WorkerHost>();
+  /** names of the machines that a rental got, by the rental's key: a repeated rental gets the same */
   readonly #machinesByRental = new Map<string, string[]>();
   #bootedMachines = 0;
-  /** the next rental is carried out, but its answer gets lost */
+  /** whether the next rental is carried out, but its answer is lost */
   losesNextRentalResponse = false;
-  /** ms that the answer to a rental takes; the machines are there at once */
+  /** ms by which the answer to a rental is delayed; the machines are up before */
   rentalDelayMs = 0;
-  /** names in the calls that returned machines, in order */
+  /** names of returned machines, in the order in which returns were carried out */
   readonly returnedMachines: string[] = [];
-  /** returns are on their way until this is set to false: then they are carried out */
+  /** whether returns are held back; they are carried out when `holdsReturns` is set to false */
   #holdsReturns = false;
   readonly #heldReturns: (readonly string[])[] = [];
-  /** machines at once; more are refused */
+  /** most machines that are rented out at a time */
   maxMachines = Infinity;
 
   constructor(
     private readonly world: World,
+    /** name and address of each node */
     private readonly nodes: readonly [string, string][],
+    /** duration of a task in ms, or a function that returns it for the index of the task */
     private readonly runMs: number | ((index: number) => number),
     private readonly leaseMs: number,
     private readonly zones: readonly string[] = ['z'],
@@ -193,35 +211,40 @@
   }
 
   start(): Promise<void> {
-    return this.listen((r) => this.#handle(r));
+    return this.listen((request) => this.#handle(request));
   }
 
-  async #handle(r: Request): Promise<Reply> {
-    if (r.path === '/machine_types') {
+  async #handle(request: Request): Promise<Reply> {
+    if (request.path === '/machine_types') {
       const type = { Label: 'm', Vcpus: 8, Cards: 2, MemGb: 64, CacheGb: 50, FetchGbPerS: 1 };
       const price = { Price: 4, LowPrice: 1, BootS: 5, Sites: this.zones };
       return { status: 200, body: { Hosttypes: [{ ...type, ...price }] } };
     }
-    if (r.path === '/rentals' && r.method === 'GET') {
-      const hosts = [...this.machines].map(([name, h]) => ({
+    if (request.path === '/rentals' && request.method === 'GET') {
+      const hosts = [...this.machines].map(([name, host]) => ({
         Uid: name,
-        Address: h.address,
+        Address: host.address,
         Hosttype: 'm',
-        Site: h.worker.zone,
-        Reclaimable: h.worker.spot,
+        Site: host.worker.zone,
+        Reclaimable: host.worker.spot,
         Status: 'running',
         HeldS: 1,
       }));
       return { status: 200, body: { Hosts: hosts, Truncated: false } };
     }
-    if (r.path === '/rentals') {
-      const body = r.body as { Hire: string; Number: number; Reclaimable: boolean; Site: string };
+    if (request.path === '/rentals') {
+      const body = request.body as {
+        Hire: string;
+        Number: number;
+        Reclaimable: boolean;
+        Site: string;
+      };
       let names = this.#machinesByRental.get(body.Hire);
       if (names === undefined) {
         names = [];
-        const room = Math.min(body.Number, this.maxMachines - this.machines.size);
-        if (room <= 0) return { status: 503, body: { error: 'no capacity' } };
-        for (let i = 0; i < room; i++) names.push(await this.#boot(body.Reclaimable, body.Site));
+        const granted = Math.min(body.Number, this.maxMachines - this.machines.size);
+        if (granted <= 0) return { status: 503, body: { error: 'no capacity' } };
+        for (let i = 0; i < granted; i++) names.push(await this.#boot(body.Reclaimable, body.Site));
       }
       this.#machinesByRental.set(body.Hire, names);
       if (this.rentalDelayMs > 0) await sleep(this.rentalDelayMs);
@@ -231,7 +254,7 @@
       }
       return { status: 200, body: { Hosts: names } };
     }
-    const { Hosts: names } = r.body as { Hosts: string[] };
+    const { Hosts: names } = request.body as { Hosts: string[] };
     if (this.#holdsReturns) {
       this.#heldReturns.push(names);
       return 'hang';
@@ -240,12 +263,13 @@
     return { status: 200, body: {} };
   }
 
+  /** Holds back returns from now on, which then get no answer; set to false, carries out those held back. */
   set holdsReturns(holds: boolean) {
     this.#holdsReturns = holds;
     if (!holds) for (const names of this.#heldReturns.splice(0)) this.#carryOutReturn(names);
   }
 
-  /** machines in returns that are on their way */
+  /** Names of the machines in returns that are held back. */
   get heldReturns(): readonly string[] {
     return this.#heldReturns.flat();
   }
@@ -255,7 +279,7 @@
     for (const name of names) this.kill(name);
   }
 
-  /** A rental that no controller knows of. */
+  /** Boots a machine that belongs to no rental of a controller; returns its name. */
   bootUnknownMachine(): Promise<string> {
     return this.#boot(false, this.zones[0]!);
   }
@@ -276,7 +300,7 @@
     return name;
   }
 
-  /** The machine and everything on it are gone. */
+  /** Removes a machine and everything that runs on it. */
   kill(name: string): void {
     const host = this.machines.get(name);
     host?.worker.terminate();
--- a/test/standins/commands.ts
+++ b/test/standins/commands.ts
@@ -1,20 +1,21 @@
-/** Runs the operator's commands as an operator does: the built program, with settings of its own. */
+/** Runs the operator's commands as an operator does: as the built program, with a settings file. */
 import { execFile } from 'node:child_process';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { stringify } from 'smol-toml';
 
-/** The program as an operator starts it. */
+/** The built program that an operator starts. */
 const PROGRAM = join(import.meta.dirname, '../../../main.js');
 
-const platformSettings = (state: string): unknown => ({
+/** Returns the platform's settings of a node, with the store at `storeAddress`. */
+const platformSettings = (storeAddress: string): unknown => ({
   node: 'n0',
   site: 'z',
   serve_on: '127.0.0.1:1',
   peer_bind: '127.0.0.1:2',
   known: ['n1', 'n2'].map((node) => ({ node, site: 'z', endpoint: '127.0.0.1:3' })),
-  services: { cloud: '127.0.0.1:4', state },
+  services: { cloud: '127.0.0.1:4', state: storeAddress },
   settings: {
     nodes: 3,
     zones: ['z'],
@@ -25,30 +26,33 @@
   },
 });
 
-/** What a run of the program printed, and its exit code. */
+/** The output of a run of the program, and its exit code. */
 export interface CommandResult {
   readonly exitCode: number;
   readonly stdout: string;
   readonly stderr: string;
 }
 
-/** Runs the program with settings whose store is at the address. */
+/**
+ * Calls `use` with a function that runs `command` with arguments. The program's settings name the store at
+ * `storeAddress`; their file is removed when `use` ends.
+ */
 export const withCommands = async (
-  state: string,
+  storeAddress: string,
   command: 'duties' | 'shares',
   use: (run: (...args: string[]) => Promise<CommandResult>) => Promise<void>,
 ): Promise<void> => {
   const folder = mkdtempSync(join(tmpdir(), 'duties-'));
   const config = join(folder, 'platform.toml');
-  writeFileSync(config, stringify(platformSettings(state)));
+  writeFileSync(config, stringify(platformSettings(storeAddress)));
   const run = (...args: string[]): Promise<CommandResult> =>
     new Promise((resolve) => {
-      const all = [PROGRAM, command, ...args, '--config', config];
-      execFile(process.execPath, all, (error, out, err) => {
+      const argv = [PROGRAM, command, ...args, '--config', config];
+      execFile(process.execPath, argv, (error, stdout, stderr) => {
         resolve({
           exitCode: typeof error?.code === 'number' ? error.code : 0,
-          stdout: out,
-          stderr: err,
+          stdout,
+          stderr,
         });
       });
     });
