--- a/test/answer-soak.test.ts
+++ b/test/answer-soak.test.ts
@@ -1,33 +1,34 @@
+/**
+ * Short run of the answer soak test, which keeps the soak itself working; scripts/answer-soak.sh makes the long run.
+ * It guards against answers that contradict earlier ones at a scale and in combinations of faults that no single
+ * test covers.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { AnswerSoak } from './standins/answer-soak.js';
 
-/**
- * A small run of the soak, so that it goes on working; the long one is scripts/answer-soak.sh. It guards
- * against answers that go back at a size and in meetings of faults that no case names.
- */
-const numberOf = (name: string, otherwise: number): number =>
-  Number(process.env[name] ?? otherwise);
+const numberFromEnv = (name: string, fallback: number): number =>
+  Number(process.env[name] ?? fallback);
 
-const SEED = numberOf('SOAK_SEED', 1);
+const SEED = numberFromEnv('SOAK_SEED', 1);
 const OPTIONS = {
   seed: SEED,
-  controllers: numberOf('SOAK_CONTROLLERS', 4),
-  machines: numberOf('SOAK_MACHINES', 30),
-  jobs: numberOf('SOAK_JOBS', 40),
-  users: numberOf('SOAK_USERS', 12),
+  controllers: numberFromEnv('SOAK_CONTROLLERS', 4),
+  machines: numberFromEnv('SOAK_MACHINES', 30),
+  jobs: numberFromEnv('SOAK_JOBS', 40),
+  users: numberFromEnv('SOAK_USERS', 12),
 };
 
-/** ms; several times what the run needs on a busy machine: it ends instead of hanging */
+/** Several times what the run needs on a busy machine, so that a run that hangs fails. */
 const TIMEOUT_MS = 600_000;
 
 test(
-  `users at all nodes while faults are mixed, seed ${SEED}`,
+  `users at all nodes get consistent answers during combined faults, seed ${SEED}`,
   { timeout: TIMEOUT_MS },
-  async (t) => {
+  async (context) => {
     const { broken, ...figures } = await new AnswerSoak(OPTIONS).run();
-    t.diagnostic(JSON.stringify(figures));
+    context.diagnostic(JSON.stringify(figures));
     assert.deepEqual(broken, []);
-    assert.ok(figures.answers > OPTIONS.jobs * 3, 'users were answered');
+    assert.ok(figures.answers > OPTIONS.jobs * 3, 'users got answers');
   },
 );
--- a/test/combined-faults.test.ts
+++ b/test/combined-faults.test.ts
@@ -1,396 +1,422 @@
+/**
+ * Combined faults, each case on three whole controllers with stand-ins for store, cloud and workers. During all faults
+ * the invariants hold: no task runs on two machines, team limits and placement constraints are kept, cancelled tasks
+ * are gone in time, and no answer contradicts an earlier one. Once the faults are over, every job that was accepted and
+ * not cancelled is done, at every node. The comment of a case says what would go wrong without the guard that it
+ * tests. cancellation-outage.test.ts covers a refusal followed by an outage.
+ */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { setTimeout as sleep } from 'node:timers/promises';
 import { Cluster, type ClusterOptions } from './standins/cluster.js';
 
-/**
- * Troubles that meet, each on three whole controllers with stand-ins round them. Whatever meets, the
- * rules hold: no task on two machines, limits and places kept, cancelled tasks gone in time, nobody told
- * anything older; and once it is over everything accepted and not cancelled is done, at every node.
- * A row says what goes wrong without what guards against it. A refusal followed by an outage is in cancellation-outage.test.ts.
- */
 const LEASE_S = 4;
 const CANCEL_S = 10;
-const RUN_MS = 3000;
-/** leases that outlive a takeover, so that what ran before it is still there */
-const LASTING = { runMs: 14_000, leaseS: 12, cancelS: 26 };
-const LIMITED_ALSO = { name: 'limited too', cpus: 0, gpus: 0, cpusMax: 6, gpusMax: 0 };
-const LIMITED = { name: 'limited', cpus: 0, gpus: 0, cpusMax: 8, gpusMax: 0 };
+const TASK_RUN_MS = 3000;
+/** Leases that outlive a takeover, so that tasks started before it still run after it. */
+const LONG_LEASE = { runMs: 14_000, leaseS: 12, cancelS: 26 };
+const SECOND_LIMITED_TEAM = { name: 'limited too', cpus: 0, gpus: 0, cpusMax: 6, gpusMax: 0 };
+const LIMITED_TEAM = { name: 'limited', cpus: 0, gpus: 0, cpusMax: 8, gpusMax: 0 };
 
-interface Row {
+interface FaultCase {
   readonly name: string;
   readonly options?: Partial<ClusterOptions>;
   readonly jobs: readonly Record<string, unknown>[];
-  /** what happens once the jobs are in and something runs; uids in the order of the jobs */
-  readonly meet: (c: Cluster, uids: readonly string[]) => Promise<void>;
+  /** called once all jobs are accepted and tasks run; `uids` has the order of `jobs` */
+  readonly injectFaults: (cluster: Cluster, uids: readonly string[]) => Promise<void>;
 }
 
-const SMALL = { Vcpus: 1, Cards: 0, MemGb: 1, GuessS: 20 };
-const LONG = { ...SMALL, Pieces: 20 };
+const SMALL_JOB = { Vcpus: 1, Cards: 0, MemGb: 1, GuessS: 20 };
+const LARGE_JOB = { ...SMALL_JOB, Pieces: 20 };
 
-const late = (c: Cluster, ms: number | null) => {
-  for (const d of c.doors.values()) d.lateMs = ms;
+const delayTransactions = (cluster: Cluster, ms: number | null) => {
+  for (const door of cluster.doors.values()) door.lateMs = ms;
 };
-const crash = async (c: Cluster, node: string, awayMs: number) => {
-  c.kill(node);
-  await c.pass(awayMs / 1000);
-  await c.start(node);
+const crashAndRestart = async (cluster: Cluster, node: string, downMs: number) => {
+  cluster.kill(node);
+  await cluster.pass(downMs / 1000);
+  await cluster.start(node);
 };
 
-const ROWS: Row[] = [
+const FAULT_CASES: FaultCase[] = [
   {
-    // Completions saved by a newer write would be undone by the late one, whose conditions must fail.
-    name: 'transactions without an answer are carried out after newer ones of the same controller',
-    jobs: [LONG, { ...LONG, Pieces: 40 }, { ...SMALL, Shape: 'ensemble', Pieces: 2 }],
-    meet: async (c, [, second]) => {
-      late(c, 2500);
-      const executed = () => [...c.doors.values()].reduce((sum, d) => sum + d.late, 0);
-      await c.pass(6);
-      const cancelling = c.cancel('n1', second!);
-      await c.pass(2);
-      // How many transactions there are depends on how they fall together: more work brings more.
-      for (let i = 0; i < 10 && executed() < 3; i++) await c.submit('n2', { ...SMALL, Pieces: 2 });
-      late(c, null);
+    // A late write whose conditions do not fail would undo the completions that a newer write has saved.
+    name: 'unanswered transactions are applied late, after newer ones of the same controller: no completion is undone',
+    jobs: [LARGE_JOB, { ...LARGE_JOB, Pieces: 40 }, { ...SMALL_JOB, Shape: 'ensemble', Pieces: 2 }],
+    injectFaults: async (cluster, [, second]) => {
+      delayTransactions(cluster, 2500);
+      const executed = () => [...cluster.doors.values()].reduce((sum, door) => sum + door.late, 0);
+      await cluster.pass(6);
+      const cancelling = cluster.cancel('n1', second!);
+      await cluster.pass(2);
+      // The number of transactions depends on how writes are batched: more jobs cause more of them.
+      for (let i = 0; i < 10 && executed() < 3; i++)
+        await cluster.submit('n2', { ...SMALL_JOB, Pieces: 2 });
+      delayTransactions(cluster, null);
       await cancelling;
-      assert.ok(executed() >= 3, `${executed()} transactions were late`);
+      assert.ok(executed() >= 3, `${executed()} transactions were applied late`);
     },
   },
   {
-    // A start given up as lost and given elsewhere would run twice when the command is carried out.
-    name: 'commands are held up for seconds, and the machine then goes on',
-    jobs: [LONG, { ...SMALL, Pieces: 3 }],
-    meet: async (c, [first]) => {
-      for (const h of c.hosts()) h.heldMs = 2500;
-      const more = await c.submit('n2', LONG);
-      await c.pass(2);
-      for (const h of c.hosts().slice(0, 2)) h.worker.hung = true;
-      await c.cancel('n0', first!);
-      await c.pass(3);
-      for (const h of c.hosts()) {
-        h.heldMs = 0;
-        h.worker.hung = false;
+    // A start that is taken for lost and repeated on another machine would run twice once the delayed command is
+    // carried out.
+    name: 'commands are delayed by seconds while machines hang and resume: no task runs twice',
+    jobs: [LARGE_JOB, { ...SMALL_JOB, Pieces: 3 }],
+    injectFaults: async (cluster, [first]) => {
+      for (const host of cluster.hosts()) host.heldMs = 2500;
+      const more = await cluster.submit('n2', LARGE_JOB);
+      await cluster.pass(2);
+      for (const host of cluster.hosts().slice(0, 2)) host.worker.hung = true;
+      await cluster.cancel('n0', first!);
+      await cluster.pass(3);
+      for (const host of cluster.hosts()) {
+        host.heldMs = 0;
+        host.worker.hung = false;
       }
-      await c.until(`${more} done`, 60, async () => (await c.statusOf('n0', more)) === 'done');
+      await cluster.until(
+        `${more} done`,
+        60,
+        async () => (await cluster.statusOf('n0', more)) === 'done',
+      );
     },
   },
   {
-    // Preemption, passing and starts in two ways must not start anything twice, and nobody starves.
-    name: 'more work than room, urgent and not, over slow links',
+    // Preemption, migration, and starts by direct command as well as by heartbeat answer must start nothing twice, and
+    // no job starves.
+    name: 'more tasks than capacity at different priorities, with slow store and commands: all jobs get done',
     jobs: [
-      { ...LONG, Rank: 'idle', Vcpus: 2, Pieces: 16 },
-      { ...LONG, Rank: 'urgent', Vcpus: 4, Pieces: 6 },
-      { ...SMALL, Rank: 'prod', Shape: 'ensemble', Vcpus: 8, Pieces: 2 },
+      { ...LARGE_JOB, Rank: 'idle', Vcpus: 2, Pieces: 16 },
+      { ...LARGE_JOB, Rank: 'urgent', Vcpus: 4, Pieces: 6 },
+      { ...SMALL_JOB, Rank: 'prod', Shape: 'ensemble', Vcpus: 8, Pieces: 2 },
     ],
-    meet: async (c) => {
-      c.cloud.most = 4;
-      for (const d of c.doors.values()) d.slowMs = 150;
-      for (const h of c.hosts()) h.heldMs = 300;
-      await c.submit('n1', { ...SMALL, Rank: 'urgent', Vcpus: 8, Pieces: 4 });
-      await c.pass(10);
-      for (const d of c.doors.values()) d.slowMs = 0;
-      for (const h of c.hosts()) h.heldMs = 0;
+    injectFaults: async (cluster) => {
+      cluster.cloud.most = 4;
+      for (const door of cluster.doors.values()) door.slowMs = 150;
+      for (const host of cluster.hosts()) host.heldMs = 300;
+      await cluster.submit('n1', { ...SMALL_JOB, Rank: 'urgent', Vcpus: 8, Pieces: 4 });
+      await cluster.pass(10);
+      for (const door of cluster.doors.values()) door.slowMs = 0;
+      for (const host of cluster.hosts()) host.heldMs = 0;
     },
   },
   {
-    // An answer from before the cancellation, or an owner that hears of it too late.
-    name: 'the state service answers slowly, then not at all, while users cancel and ask',
-    jobs: [LONG, LONG, LONG],
-    meet: async (c, uids) => {
-      for (const d of c.doors.values()) d.slowMs = 500;
-      await Promise.all(uids.slice(0, 2).map((uid, i) => c.cancel(`n${i}`, uid)));
-      for (const n of c.names) for (const uid of uids) await c.statusOf(n, uid);
-      c.state.unavailable = true;
+    // Users could get an answer that is older than the cancellation, or an owner could learn of it too late.
+    name: 'the state service answers slowly, then not at all, while users cancel and query: no stale answer',
+    jobs: [LARGE_JOB, LARGE_JOB, LARGE_JOB],
+    injectFaults: async (cluster, uids) => {
+      for (const door of cluster.doors.values()) door.slowMs = 500;
+      await Promise.all(uids.slice(0, 2).map((uid, i) => cluster.cancel(`n${i}`, uid)));
+      for (const node of cluster.names) for (const uid of uids) await cluster.statusOf(node, uid);
+      cluster.state.unavailable = true;
       for (let i = 0; i < 12; i++) {
-        await c.pass(1);
-        for (const uid of uids) await c.statusOf(c.names[i % 3]!, uid);
+        await cluster.pass(1);
+        for (const uid of uids) await cluster.statusOf(cluster.names[i % 3]!, uid);
       }
-      for (const d of c.doors.values()) d.slowMs = 0;
-      c.state.recover();
+      for (const door of cluster.doors.values()) door.slowMs = 0;
+      cluster.state.recover();
     },
   },
   {
-    // Everything has ended with its lease, and whoever comes back must not take it for running.
-    name: 'all controllers are away for longer than a lease',
-    jobs: [LONG, { ...SMALL, Pieces: 3 }, { ...SMALL, Shape: 'ensemble', Pieces: 3 }],
-    meet: async (c, [first]) => {
-      await c.cancel('n0', first!);
-      for (const n of c.names) c.kill(n);
-      await c.pass(LEASE_S + 2);
-      await Promise.all(c.names.map((n) => c.start(n)));
+    // All tasks end with their leases, and the restarted controllers must not take them for running.
+    name: 'all controllers are down for longer than a lease: all jobs run again',
+    jobs: [LARGE_JOB, { ...SMALL_JOB, Pieces: 3 }, { ...SMALL_JOB, Shape: 'ensemble', Pieces: 3 }],
+    injectFaults: async (cluster, [first]) => {
+      await cluster.cancel('n0', first!);
+      for (const node of cluster.names) cluster.kill(node);
+      await cluster.pass(LEASE_S + 2);
+      await Promise.all(cluster.names.map((node) => cluster.start(node)));
     },
   },
   {
-    // The new owner would take the old list for the machine's answer and start what runs there.
-    name: 'reports are held back until a new leader has acted, and then arrive there',
-    jobs: [LONG, LONG],
-    meet: async (c) => {
-      for (const h of c.hosts()) h.copyMs = 3500;
-      await c.pass(1.5);
-      await crash(c, 'n1', 1000);
-      await c.pass(3);
-      await crash(c, 'n0', 3000);
-      await c.pass(4);
-      assert.ok(c.hosts().some((h) => h.copies > 3));
-      for (const h of c.hosts()) h.copyMs = null;
+    // The new owner would take the old task list for the machine's current one and start again what runs there.
+    name: 'delayed copies of reports reach a new leader after it has acted: nothing is started again',
+    jobs: [LARGE_JOB, LARGE_JOB],
+    injectFaults: async (cluster) => {
+      for (const host of cluster.hosts()) host.copyMs = 3500;
+      await cluster.pass(1.5);
+      await crashAndRestart(cluster, 'n1', 1000);
+      await cluster.pass(3);
+      await crashAndRestart(cluster, 'n0', 3000);
+      await cluster.pass(4);
+      assert.ok(cluster.hosts().some((host) => host.copies > 3));
+      for (const host of cluster.hosts()) host.copyMs = null;
     },
   },
   {
-    // The controller inside would keep leases for ever by its old term, the others start all again.
-    name: 'a zone with workers and a controller is cut off for longer than a lease',
+    // The controller in the zone would renew leases forever under its old term, while the other controllers start all
+    // of its tasks again.
+    name: 'a zone with workers and a controller is cut off for longer than a lease: no task runs twice',
     options: { zones: ['z', 'y'] },
-    jobs: [LONG, { ...LONG, Spread: true }, { ...SMALL, OneZone: true, Pieces: 6 }],
-    meet: async (c, [first]) => {
-      c.doors.get('n0')!.refusing = true;
-      c.cutPeers('n0', true);
-      for (const h of c.hosts()) if (h.worker.zone === 'y') h.only = 'n0';
-      await c.pass(2);
-      await c.cancel('n1', first!);
-      await c.pass(LEASE_S + 6);
-      for (const h of c.hosts()) h.only = null;
-      c.cutPeers('n0', false);
-      c.doors.get('n0')!.refusing = false;
+    jobs: [LARGE_JOB, { ...LARGE_JOB, Spread: true }, { ...SMALL_JOB, OneZone: true, Pieces: 6 }],
+    injectFaults: async (cluster, [first]) => {
+      cluster.doors.get('n0')!.refusing = true;
+      cluster.cutPeers('n0', true);
+      for (const host of cluster.hosts()) if (host.worker.zone === 'y') host.only = 'n0';
+      await cluster.pass(2);
+      await cluster.cancel('n1', first!);
+      await cluster.pass(LEASE_S + 6);
+      for (const host of cluster.hosts()) host.only = null;
+      cluster.cutPeers('n0', false);
+      cluster.doors.get('n0')!.refusing = false;
     },
   },
   {
-    // Each change of owner rebuilds from reports; one that forgets what is in doubt runs it twice.
-    name: 'leaders change ten times, also inside an outage',
-    options: LASTING,
-    jobs: [LONG, LONG, { ...SMALL, Shape: 'ensemble', Pieces: 3 }],
-    meet: async (c, [first]) => {
+    // Each new owner rebuilds its state from reports; one that forgets the tasks in doubt would run them twice.
+    name: 'leaders change ten times, also during an outage of the state service: no task runs twice',
+    options: LONG_LEASE,
+    jobs: [LARGE_JOB, LARGE_JOB, { ...SMALL_JOB, Shape: 'ensemble', Pieces: 3 }],
+    injectFaults: async (cluster, [first]) => {
       for (let i = 0; i < 10; i++) {
-        if (i === 5) c.state.unavailable = true;
-        if (i === 8) c.state.recover();
-        if (i === 3) await c.cancel('n2', first!);
-        await crash(c, c.names[i % 3]!, i % 2 === 0 ? 300 : 900);
-        await c.pass(0.5);
+        if (i === 5) cluster.state.unavailable = true;
+        if (i === 8) cluster.state.recover();
+        if (i === 3) await cluster.cancel('n2', first!);
+        await crashAndRestart(cluster, cluster.names[i % 3]!, i % 2 === 0 ? 300 : 900);
+        await cluster.pass(0.5);
       }
     },
   },
   {
-    // Answers to commands look like reports, but renew no lease: what starts there is killed by it.
-    name: 'workers reach no controller, while direct commands still reach them',
-    jobs: [LONG, { ...SMALL, Pieces: 3 }],
-    meet: async (c, [first]) => {
-      const hosts = c.hosts();
-      for (const h of hosts) h.losesHeartbeats = true;
-      await c.cancel('n0', first!);
-      await c.submit('n1', LONG);
-      await c.pass(LEASE_S + 4);
-      for (const h of hosts) h.losesHeartbeats = false;
+    // Answers to direct commands look like reports but renew no lease: a task started by one is stopped when the
+    // machine's lease expires.
+    name: 'heartbeats of all workers are lost while direct commands arrive: all jobs get done later',
+    jobs: [LARGE_JOB, { ...SMALL_JOB, Pieces: 3 }],
+    injectFaults: async (cluster, [first]) => {
+      const hosts = cluster.hosts();
+      for (const host of hosts) host.losesHeartbeats = true;
+      await cluster.cancel('n0', first!);
+      await cluster.submit('n1', LARGE_JOB);
+      await cluster.pass(LEASE_S + 4);
+      for (const host of hosts) host.losesHeartbeats = false;
     },
   },
   {
-    // Taken as news, it would free what runs or bring back what has ended.
-    name: 'old reports arrive after newer ones, also from earlier sessions and attempts',
-    jobs: [LONG, LONG],
-    meet: async (c) => {
-      for (const h of c.hosts()) h.copyMs = (LEASE_S + 2) * 1000;
-      await c.pass(1);
-      for (const h of c.hosts().slice(0, 1)) h.losesHeartbeats = true;
-      await c.pass(LEASE_S + 1);
-      for (const h of c.hosts()) h.losesHeartbeats = false;
-      await c.submit('n2', LONG);
-      await c.pass(5);
-      assert.ok(c.hosts().some((h) => h.copies > 3));
-      for (const h of c.hosts()) h.copyMs = null;
+    // An old report taken for a current one would free the capacity of running tasks or restore tasks that have ended.
+    name: 'old reports arrive after newer ones, also from earlier sessions and attempts: they are ignored',
+    jobs: [LARGE_JOB, LARGE_JOB],
+    injectFaults: async (cluster) => {
+      for (const host of cluster.hosts()) host.copyMs = (LEASE_S + 2) * 1000;
+      await cluster.pass(1);
+      for (const host of cluster.hosts().slice(0, 1)) host.losesHeartbeats = true;
+      await cluster.pass(LEASE_S + 1);
+      for (const host of cluster.hosts()) host.losesHeartbeats = false;
+      await cluster.submit('n2', LARGE_JOB);
+      await cluster.pass(5);
+      assert.ok(cluster.hosts().some((host) => host.copies > 3));
+      for (const host of cluster.hosts()) host.copyMs = null;
     },
   },
   {
-    // The first task's end is known to its old owner only, unless it was saved before it was forgotten.
-    name: 'jobs of two or three tasks end far apart across a change of leader',
+    // Only the old owner knows that the first task has ended, unless it saved the completion before it told the worker
+    // to forget the task.
+    name: 'tasks of a job end far apart across changes of leader: no completion is lost',
     options: { runMs: (index) => 1500 + index * 5000 },
-    jobs: [1, 2, 3].flatMap((n) => [
-      { ...SMALL, Pieces: 2 },
-      { ...SMALL, Pieces: 3, GuessS: 10 * n },
+    jobs: [1, 2, 3].flatMap((factor) => [
+      { ...SMALL_JOB, Pieces: 2 },
+      { ...SMALL_JOB, Pieces: 3, GuessS: 10 * factor },
     ]),
-    meet: async (c) => {
-      await c.pass(1.8);
-      await crash(c, 'n0', 500);
-      await c.pass(1);
-      await crash(c, 'n1', 3000);
-      await crash(c, 'n2', 200);
+    injectFaults: async (cluster) => {
+      await cluster.pass(1.8);
+      await crashAndRestart(cluster, 'n0', 500);
+      await cluster.pass(1);
+      await crashAndRestart(cluster, 'n1', 3000);
+      await crashAndRestart(cluster, 'n2', 200);
     },
   },
   {
-    // What may still run on a machine that can't be asked counts against the limit, cancelled or not.
-    name: 'a team at its limit: the leader changes, machines can not be asked, a job is cancelled',
-    options: { ...LASTING, teams: [LIMITED] },
-    jobs: [1, 2, 3].map(() => ({ ...SMALL, Owner: 'limited', Vcpus: 2, Pieces: 4 })),
-    meet: async (c, [first]) => {
-      const owner = c.ownerOf('limited');
-      const other = c.names.find((n) => n !== owner)!;
-      const busy = c.hosts().filter((h) => h.worker.tasks.size > 0);
-      for (const h of busy) h.worker.hung = true;
-      await c.pass(0.3);
-      c.kill(owner);
-      const cancelling = c.cancel(other, first!);
-      await c.pass(9);
+    // Tasks that may still run on an unreachable machine count against the limit, cancelled or not.
+    name: 'a team is at its limit, the leader changes, machines hang, a job is cancelled: the limit is kept',
+    options: { ...LONG_LEASE, teams: [LIMITED_TEAM] },
+    jobs: [1, 2, 3].map(() => ({ ...SMALL_JOB, Owner: 'limited', Vcpus: 2, Pieces: 4 })),
+    injectFaults: async (cluster, [first]) => {
+      const owner = cluster.ownerOf('limited');
+      const other = cluster.names.find((node) => node !== owner)!;
+      const busy = cluster.hosts().filter((host) => host.worker.tasks.size > 0);
+      for (const host of busy) host.worker.hung = true;
+      await cluster.pass(0.3);
+      cluster.kill(owner);
+      const cancelling = cluster.cancel(other, first!);
+      await cluster.pass(9);
       await cancelling;
-      for (const h of c.hosts()) h.worker.hung = false;
-      await c.start(owner);
+      for (const host of cluster.hosts()) host.worker.hung = false;
+      await cluster.start(owner);
     },
   },
   {
-    // It can't know that it was replaced, and would start tasks and keep leases by its old term.
-    name: 'a leader loses state service and controllers, not workers and users; jobs are cancelled',
-    jobs: [LONG, LONG, LONG],
-    meet: async (c, uids) => {
-      c.doors.get('n0')!.refusing = true;
-      c.cutPeers('n0', true);
-      await c.pass(1);
-      await c.cancel('n1', uids[0]!);
-      await c.cancel('n2', uids[1]!);
+    // The leader cannot know that it was replaced, and would start tasks and renew leases under its old term.
+    name: 'a leader is cut off from state service and controllers, but not from workers and users: cancelled jobs stop in time',
+    jobs: [LARGE_JOB, LARGE_JOB, LARGE_JOB],
+    injectFaults: async (cluster, uids) => {
+      cluster.doors.get('n0')!.refusing = true;
+      cluster.cutPeers('n0', true);
+      await cluster.pass(1);
+      await cluster.cancel('n1', uids[0]!);
+      await cluster.cancel('n2', uids[1]!);
       for (let i = 0; i < CANCEL_S + 2; i++) {
-        await c.pass(1);
-        for (const n of c.names) for (const uid of uids) await c.statusOf(n, uid);
+        await cluster.pass(1);
+        for (const node of cluster.names) for (const uid of uids) await cluster.statusOf(node, uid);
       }
-      c.cutPeers('n0', false);
-      c.doors.get('n0')!.refusing = false;
+      cluster.cutPeers('n0', false);
+      cluster.doors.get('n0')!.refusing = false;
     },
   },
   {
-    // A task that may still be there binds its job's zone, until it is surely gone.
-    name: 'jobs bound to one zone, arrays too, lose machines',
+    // A task that may still run on an unreachable machine keeps its job in that zone until the task is certainly gone.
+    name: 'jobs bound to one zone, arrays among them, lose machines: zone constraints are kept',
     options: { zones: ['z', 'y'] },
     jobs: [
-      { ...SMALL, OneZone: true, Pieces: 12 },
-      { ...SMALL, OneZone: true, Shape: 'ensemble', Pieces: 3 },
-      { ...SMALL, Site: 'y', Pieces: 6 },
-      { ...SMALL, Spread: true, Pieces: 5 },
+      { ...SMALL_JOB, OneZone: true, Pieces: 12 },
+      { ...SMALL_JOB, OneZone: true, Shape: 'ensemble', Pieces: 3 },
+      { ...SMALL_JOB, Site: 'y', Pieces: 6 },
+      { ...SMALL_JOB, Spread: true, Pieces: 5 },
     ],
-    meet: async (c) => {
-      const [one, two, three] = [...c.cloud.machines.keys()];
-      if (one !== undefined) c.cloud.kill(one);
-      if (two !== undefined) c.cloud.machines.get(two)!.worker.hung = true;
-      await crash(c, 'n1', 500);
-      if (three !== undefined) c.cloud.kill(three);
-      await c.pass(2);
-      for (const h of c.hosts()) h.worker.hung = false;
+    injectFaults: async (cluster) => {
+      const [one, two, three] = [...cluster.cloud.machines.keys()];
+      if (one !== undefined) cluster.cloud.kill(one);
+      if (two !== undefined) cluster.cloud.machines.get(two)!.worker.hung = true;
+      await crashAndRestart(cluster, 'n1', 500);
+      if (three !== undefined) cluster.cloud.kill(three);
+      await cluster.pass(2);
+      for (const host of cluster.hosts()) host.worker.hung = false;
     },
   },
   {
-    // Two writers of the end: one of them wins in the state service, and all say what it said.
-    name: 'a cancellation, a question or a repeat meets the end of the last task',
+    // Two nodes write the job's final state: one of them wins in the state service, and all answers give the state that
+    // it wrote.
+    name: 'a cancellation, queries and a repeated submission coincide with the end of the last task: one final state',
     options: { runMs: 1000 },
     jobs: [],
-    meet: async (c) => {
+    injectFaults: async (cluster) => {
       const ends: string[] = [];
       for (let i = 0; i < 8; i++) {
-        const uid = await c.submit(c.names[i % 3]!, { ...SMALL, Pieces: 2 });
-        await c.until('all of it runs', 20, () => c.running(uid) === 2);
-        // From well before the end is saved to just after it is. The canceller's read is old when its
-        // transaction arrives, and others have been told of the end by then.
-        const slow = c.doors.get(c.names[(i + 1) % 3]!)!;
-        slow.slowWritesMs = 700;
+        const uid = await cluster.submit(cluster.names[i % 3]!, { ...SMALL_JOB, Pieces: 2 });
+        await cluster.until('all of it runs', 20, () => cluster.running(uid) === 2);
+        // The cancellation starts at moments from well before to just after the final state is saved. Its read is stale
+        // when its transaction arrives, and users of other nodes have been told the final state by then.
+        const slowDoor = cluster.doors.get(cluster.names[(i + 1) % 3]!)!;
+        slowDoor.slowWritesMs = 700;
         await sleep(500 + i * 120);
         const asking = async () => {
           for (let asked = 0; asked < 24; asked++) {
-            await c.statusOf(c.names[i % 3]!, uid);
+            await cluster.statusOf(cluster.names[i % 3]!, uid);
             await sleep(50);
           }
         };
         const [end] = await Promise.all([
-          c.cancel(c.names[(i + 1) % 3]!, uid),
+          cluster.cancel(cluster.names[(i + 1) % 3]!, uid),
           asking(),
-          c.ask(c.names[i % 3]!, 'submit', uid, c.submission({ ...SMALL, Uid: uid })),
+          cluster.ask(
+            cluster.names[i % 3]!,
+            'submit',
+            uid,
+            cluster.submission({ ...SMALL_JOB, Uid: uid }),
+          ),
         ]);
-        slow.slowWritesMs = 0;
-        for (const n of c.names) assert.equal(await c.statusOf(n, uid), end);
+        slowDoor.slowWritesMs = 0;
+        for (const node of cluster.names) assert.equal(await cluster.statusOf(node, uid), end);
         ends.push(end);
       }
       assert.ok(ends.includes('done'), ends.join(' '));
     },
   },
   {
-    // Late transactions of earlier lives must not give a shard to somebody who is not there.
-    name: 'controllers hand over and back, all end, and one returns within a second',
-    jobs: [LONG, LONG, { ...SMALL, Pieces: 3 }],
-    meet: async (c) => {
-      await crash(c, 'n1', 4000);
-      await c.pass(2);
-      await crash(c, 'n1', 200);
-      for (const n of c.names) c.kill(n);
-      await c.pass(0.5);
-      await c.start('n2');
-      await c.pass(6);
-      await c.start('n0');
-      await c.start('n1');
+    // Late transactions of earlier incarnations must not give a shard to a controller that is not running.
+    name: 'shards change hands and back, all controllers end, one restarts within a second: shards get live owners',
+    jobs: [LARGE_JOB, LARGE_JOB, { ...SMALL_JOB, Pieces: 3 }],
+    injectFaults: async (cluster) => {
+      await crashAndRestart(cluster, 'n1', 4000);
+      await cluster.pass(2);
+      await crashAndRestart(cluster, 'n1', 200);
+      for (const node of cluster.names) cluster.kill(node);
+      await cluster.pass(0.5);
+      await cluster.start('n2');
+      await cluster.pass(6);
+      await cluster.start('n0');
+      await cluster.start('n1');
     },
   },
   {
-    // A machine that does not hear the new owner may still run what an earlier one started.
-    name: 'a leader ends while machines with long tasks are out of reach, or deaf',
-    options: LASTING,
-    jobs: [LONG, LONG],
-    meet: async (c, [first]) => {
-      c.hosts().forEach((h, i) => {
-        if (i % 3 === 0) h.losesCommands = true;
-        if (i % 3 === 1) h.worker.hung = true;
+    // A machine that commands of the new owner do not reach may still run tasks that an earlier owner started.
+    name: 'a leader ends while machines with long tasks hang or lose commands: no task runs twice',
+    options: LONG_LEASE,
+    jobs: [LARGE_JOB, LARGE_JOB],
+    injectFaults: async (cluster, [first]) => {
+      cluster.hosts().forEach((host, index) => {
+        if (index % 3 === 0) host.losesCommands = true;
+        if (index % 3 === 1) host.worker.hung = true;
       });
-      c.kill('n0');
-      await c.pass(1);
-      await c.cancel('n1', first!);
-      await c.pass(12);
-      for (const h of c.hosts()) {
-        h.losesCommands = false;
-        h.worker.hung = false;
+      cluster.kill('n0');
+      await cluster.pass(1);
+      await cluster.cancel('n1', first!);
+      await cluster.pass(12);
+      for (const host of cluster.hosts()) {
+        host.losesCommands = false;
+        host.worker.hung = false;
       }
-      await c.start('n0');
+      await cluster.start('n0');
     },
   },
   {
-    // Handed back at once, the shard was its cut node's again, which returned every machine as silent.
-    name: 'a controller is cut from its workers alone, with long tasks on every machine',
-    options: LASTING,
-    jobs: [LONG, LONG, LONG],
-    meet: async (c) => {
-      await c.until('machines of every shard have work', 10, () => c.world.started >= 12);
-      const busy = c.hosts().filter((h) => h.worker.tasks.size > 0);
-      const sessions = busy.map((h) => h.worker.agentEpoch);
-      for (const h of c.hosts()) h.cutFrom = 'n0';
-      await c.pass(10);
-      for (const h of busy) {
-        assert.ok([...c.cloud.machines.values()].includes(h), `${h.worker.name} was returned`);
+    // When the shard was handed back at once, the controller that was cut off owned it again and returned every machine
+    // to the cloud for lost heartbeats.
+    name: 'a controller is cut off from workers only, with long tasks on them: no machine is returned',
+    options: LONG_LEASE,
+    jobs: [LARGE_JOB, LARGE_JOB, LARGE_JOB],
+    injectFaults: async (cluster) => {
+      await cluster.until(
+        'machines of every shard have work',
+        10,
+        () => cluster.world.started >= 12,
+      );
+      const busy = cluster.hosts().filter((host) => host.worker.tasks.size > 0);
+      const sessions = busy.map((host) => host.worker.agentEpoch);
+      for (const host of cluster.hosts()) host.cutFrom = 'n0';
+      await cluster.pass(10);
+      for (const host of busy) {
+        assert.ok(
+          [...cluster.cloud.machines.values()].includes(host),
+          `${host.worker.name} was returned`,
+        );
       }
-      const after = busy.map((h) => h.worker.agentEpoch);
-      assert.deepEqual(after, sessions, 'no lease ran out');
-      for (const h of c.hosts()) h.cutFrom = null;
+      const after = busy.map((host) => host.worker.agentEpoch);
+      assert.deepEqual(after, sessions, 'no lease expired');
+      for (const host of cluster.hosts()) host.cutFrom = null;
     },
   },
   {
-    // What hangs or is cut off may run on after the cancellation, and counts against each limit.
-    name: 'every team is at its limit, jobs are cancelled whose machines are out of reach, owners change',
-    options: { ...LASTING, teams: [LIMITED, LIMITED_ALSO] },
+    // Tasks on machines that hang or are cut off may run on after the cancellation, and count against each limit.
+    name: 'teams are at their limits, jobs on unreachable machines are cancelled, owners change: limits are kept',
+    options: { ...LONG_LEASE, teams: [LIMITED_TEAM, SECOND_LIMITED_TEAM] },
     jobs: [1, 2, 3].flatMap(() => [
-      { ...SMALL, Owner: 'limited', Vcpus: 2, Pieces: 4 },
-      { ...SMALL, Owner: 'limited too', Vcpus: 3, Pieces: 2 },
+      { ...SMALL_JOB, Owner: 'limited', Vcpus: 2, Pieces: 4 },
+      { ...SMALL_JOB, Owner: 'limited too', Vcpus: 3, Pieces: 2 },
     ]),
-    meet: async (c, uids) => {
-      const busy = c.hosts().filter((h) => h.worker.tasks.size > 0);
-      busy.forEach((h, i) => {
-        if (i % 2 === 0) h.worker.hung = true;
-        else h.losesCommands = h.losesHeartbeats = true;
+    injectFaults: async (cluster, uids) => {
+      const busy = cluster.hosts().filter((host) => host.worker.tasks.size > 0);
+      busy.forEach((host, index) => {
+        if (index % 2 === 0) host.worker.hung = true;
+        else host.losesCommands = host.losesHeartbeats = true;
       });
-      const cancelling = [c.cancel('n0', uids[0]!), c.cancel('n1', uids[1]!)];
-      for (const n of c.names) await crash(c, n, 300);
-      await c.pass(8);
+      const cancelling = [cluster.cancel('n0', uids[0]!), cluster.cancel('n1', uids[1]!)];
+      for (const node of cluster.names) await crashAndRestart(cluster, node, 300);
+      await cluster.pass(8);
       await Promise.all(cancelling);
-      for (const h of c.hosts()) h.worker.hung = h.losesCommands = h.losesHeartbeats = false;
+      for (const host of cluster.hosts())
+        host.worker.hung = host.losesCommands = host.losesHeartbeats = false;
     },
   },
   {
-    // A node that has not read yet what another one has just answered would say less than that.
-    name: 'users ask at all nodes within milliseconds after acceptance, end and cancellation',
+    // A node that has not yet read the write behind another node's answer would give an older answer.
+    name: 'queries reach all nodes within milliseconds after acceptance, end and cancellation: no stale answer',
     options: { runMs: 1200 },
     jobs: [],
-    meet: async (c) => {
-      const follow = async (i: number) => {
-        const body = c.submission({ ...SMALL, Pieces: 2 });
-        const uid = await c.submitBody(c.names[i % 3]!, body);
-        await c.look(body);
-        if (i % 3 === 0) await c.cancel(c.names[(i + 1) % 3]!, uid);
+    injectFaults: async (cluster) => {
+      const follow = async (index: number) => {
+        const body = cluster.submission({ ...SMALL_JOB, Pieces: 2 });
+        const uid = await cluster.submitBody(cluster.names[index % 3]!, body);
+        await cluster.look(body);
+        if (index % 3 === 0) await cluster.cancel(cluster.names[(index + 1) % 3]!, uid);
         for (let looks = 0; looks < 25; looks++) {
-          await c.look(body);
+          await cluster.look(body);
           await sleep(looks < 5 ? 2 : 60);
         }
       };
@@ -400,138 +426,142 @@
     },
   },
   {
-    // Carried out after the new owner's word, a start of the deposed one would run twice.
-    name: 'commands of an owner that has ended arrive after those of the next',
-    options: LASTING,
-    jobs: [LONG, { ...SMALL, Pieces: 3 }],
-    meet: async (c) => {
+    // A start command of the previous owner that is carried out after those of the new owner would run a task twice.
+    name: 'commands of an owner that has ended arrive after those of the next: no task runs twice',
+    options: LONG_LEASE,
+    jobs: [LARGE_JOB, { ...SMALL_JOB, Pieces: 3 }],
+    injectFaults: async (cluster) => {
       for (let i = 0; i < 3; i++) {
-        for (const h of c.hosts()) h.heldMs = 3000;
-        await c.submit(c.names[(i + 1) % 3]!, LONG);
-        await c.pass(0.6);
-        c.kill(c.names[i]!);
-        for (const h of c.hosts()) h.heldMs = 0;
-        await c.pass(i === 0 ? 0.2 : 8);
-        await c.start(c.names[i]!);
-        await c.pass(2);
+        for (const host of cluster.hosts()) host.heldMs = 3000;
+        await cluster.submit(cluster.names[(i + 1) % 3]!, LARGE_JOB);
+        await cluster.pass(0.6);
+        cluster.kill(cluster.names[i]!);
+        for (const host of cluster.hosts()) host.heldMs = 0;
+        await cluster.pass(i === 0 ? 0.2 : 8);
+        await cluster.start(cluster.names[i]!);
+        await cluster.pass(2);
       }
     },
   },
   {
-    // Whoever takes or gives a shard must carry what was cancelled on the way.
-    name: 'jobs are cancelled in the seconds in which a shard changes hands',
-    options: LASTING,
-    jobs: Array.from({ length: 14 }, () => ({ ...LONG, Pieces: 17 })),
-    meet: async (c, uids) => {
-      const open = [...uids];
+    // Both the old and the new owner of a shard must know the cancellations made during the change.
+    name: 'jobs are cancelled in the seconds in which a shard changes hands: none runs on',
+    options: LONG_LEASE,
+    jobs: Array.from({ length: 14 }, () => ({ ...LARGE_JOB, Pieces: 17 })),
+    injectFaults: async (cluster, uids) => {
+      const uncancelled = [...uids];
       const cancelOver = async (seconds: number) => {
-        for (let t = 0; t < seconds * 2 && open.length > 4; t++) {
-          await Promise.all([c.cancel(c.names[1 + (t % 2)]!, open.pop()!), c.pass(0.5)]);
+        for (let round = 0; round < seconds * 2 && uncancelled.length > 4; round++) {
+          await Promise.all([
+            cluster.cancel(cluster.names[1 + (round % 2)]!, uncancelled.pop()!),
+            cluster.pass(0.5),
+          ]);
         }
       };
-      c.kill('n0');
+      cluster.kill('n0');
       await cancelOver(3);
-      // Its old incarnation's lease ends, the shard is taken, and goes back after a while.
-      await c.pass(4);
-      await c.start('n0');
-      await c.pass(4);
+      // The lease of n0's old incarnation expires, another node takes the shard, and later gives it back.
+      await cluster.pass(4);
+      await cluster.start('n0');
+      await cluster.pass(4);
       await cancelOver(6);
     },
   },
   {
-    // A write taken for lost and repeated, or left out, though others have read it already.
-    name: 'transactions are carried out at once and only their answers are lost',
-    jobs: [LONG, { ...LONG, Pieces: 40 }, { ...SMALL, Shape: 'ensemble', Pieces: 2 }],
-    meet: async (c, [, second]) => {
+    // A controller could take a write for lost and repeat or drop it, though others have already read it.
+    name: 'transactions are applied at once and only their answers are lost: no write is repeated or dropped',
+    jobs: [LARGE_JOB, { ...LARGE_JOB, Pieces: 40 }, { ...SMALL_JOB, Shape: 'ensemble', Pieces: 2 }],
+    injectFaults: async (cluster, [, second]) => {
       const losing = (on: boolean) => {
-        for (const d of c.doors.values()) d.losingAnswers = on;
+        for (const door of cluster.doors.values()) door.losingAnswers = on;
       };
       losing(true);
-      const more = c.submission(LONG);
-      const submitting = c.submitBody('n1', more);
-      const cancelling = c.cancel('n2', second!);
-      await c.pass(5);
-      await crash(c, 'n0', 300);
-      await c.pass(4);
+      const more = cluster.submission(LARGE_JOB);
+      const submitting = cluster.submitBody('n1', more);
+      const cancelling = cluster.cancel('n2', second!);
+      await cluster.pass(5);
+      await crashAndRestart(cluster, 'n0', 300);
+      await cluster.pass(4);
       losing(false);
       await Promise.all([submitting, cancelling]);
-      await c.look(more);
-      const lost = [...c.doors.values()].reduce((sum, d) => sum + d.lost, 0);
+      await cluster.look(more);
+      const lost = [...cluster.doors.values()].reduce((sum, door) => sum + door.lost, 0);
       assert.ok(lost >= 3, `${lost} answers were lost`);
     },
   },
   {
-    // Each job costs writes of its own: what waits for them must not go missing, nor start again.
-    name: 'jobs of one task come four a second, a quarter of them is cancelled',
+    // Each job needs writes of its own: jobs that wait for them must neither be lost nor started again.
+    name: 'jobs of one task arrive four a second and a quarter of them is cancelled: none is lost',
     options: { runMs: 1500 },
     jobs: [],
-    meet: async (c) => {
+    injectFaults: async (cluster) => {
       const work: Promise<unknown>[] = [];
       for (let i = 0; i < 60; i++) {
-        const node = c.names[i % 3]!;
+        const node = cluster.names[i % 3]!;
         const one = async () => {
-          const uid = await c.submit(node, { ...SMALL, Pieces: 1 });
+          const uid = await cluster.submit(node, { ...SMALL_JOB, Pieces: 1 });
           if (i % 4 !== 0) return;
           await sleep((i * 37) % 1600);
-          await c.cancel(c.names[(i + 1) % 3]!, uid);
+          await cluster.cancel(cluster.names[(i + 1) % 3]!, uid);
         };
         work.push(one());
-        if (i === 30) work.push(crash(c, 'n1', 300));
-        await c.pass(0.25);
+        if (i === 30) work.push(crashAndRestart(cluster, 'n1', 300));
+        await cluster.pass(0.25);
       }
       await Promise.all(work);
     },
   },
   {
-    // Nothing recorded says that anything could run there: the next owner would start it all again.
-    name: 'new machines are up at once and get work while writes lag, and the owner ends',
-    // Older machines are free again while the new ones can't be asked and their leases last.
+    // No record says that tasks could run on the new machines: the next owner would start all of them again.
+    name: 'new machines get tasks at once while writes lag, and the owner ends: no task runs twice',
+    // Older machines become free while the new ones hang and their leases still run.
     options: { runMs: 5000, leaseS: 20, cancelS: 42 },
-    jobs: [LONG],
-    meet: async (c) => {
-      for (const [i, node] of c.names.entries()) {
-        for (const d of c.doors.values()) d.slowWritesMs = 900;
-        const before = new Set(c.cloud.machines.keys());
-        const fresh = () => c.hosts().filter((h) => !before.has(h.worker.name));
-        // A machine each, and more of them than there are.
-        await c.submit(node, { ...SMALL, Vcpus: 8, Pieces: before.size + 6 });
-        await c.until('new machines', 30, () => fresh().length > 0);
-        // Its rental is recorded after one slow write, that it is up after another one.
-        await c.pass(1.9 + i * 0.25);
-        // The last writes never arrive, among them the records of machines that are up, and the next
-        // owner can't ask those machines at first.
-        for (const n of c.names) c.kill(n);
-        for (const d of c.doors.values()) d.dropsWrites = true;
-        for (const h of fresh()) h.worker.hung = true;
-        await c.pass(1.2);
-        for (const d of c.doors.values()) {
-          d.dropsWrites = false;
-          d.slowWritesMs = 0;
+    jobs: [LARGE_JOB],
+    injectFaults: async (cluster) => {
+      for (const [index, node] of cluster.names.entries()) {
+        for (const door of cluster.doors.values()) door.slowWritesMs = 900;
+        const before = new Set(cluster.cloud.machines.keys());
+        const fresh = () => cluster.hosts().filter((host) => !before.has(host.worker.name));
+        // Each task takes a whole machine, and there are more tasks than machines.
+        await cluster.submit(node, { ...SMALL_JOB, Vcpus: 8, Pieces: before.size + 6 });
+        await cluster.until('new machines', 30, () => fresh().length > 0);
+        // One slow write records the rental, a second one that the machine is up.
+        await cluster.pass(1.9 + index * 0.25);
+        // The last writes never arrive, among them the records of machines that are up, and those machines do not
+        // answer the next owner at first.
+        for (const other of cluster.names) cluster.kill(other);
+        for (const door of cluster.doors.values()) door.dropsWrites = true;
+        for (const host of fresh()) host.worker.hung = true;
+        await cluster.pass(1.2);
+        for (const door of cluster.doors.values()) {
+          door.dropsWrites = false;
+          door.slowWritesMs = 0;
         }
-        await Promise.all(c.names.map((n) => c.start(n)));
-        await c.until(`${node} is ready`, 30, () => c.ready(node));
-        await c.pass(7);
-        for (const h of c.hosts()) h.worker.hung = false;
+        await Promise.all(cluster.names.map((other) => cluster.start(other)));
+        await cluster.until(`${node} is ready`, 30, () => cluster.ready(node));
+        await cluster.pass(7);
+        for (const host of cluster.hosts()) host.worker.hung = false;
       }
     },
   },
   {
-    // It lists nothing of what runs there now; taken for the machine's answer, all would start again.
-    name: 'an old report reaches every controller just as a new owner begins',
-    options: LASTING,
-    jobs: [{ ...SMALL, Pieces: 6 }],
-    meet: async (c) => {
-      for (const h of c.hosts()) h.keepReport();
-      await c.submit('n1', LONG);
-      await c.submit('n2', LONG);
-      await c.pass(2);
-      for (const [i, n] of c.names.entries()) {
-        c.kill(n);
-        await c.pass(i === 0 ? 7 : 0.3);
-        const starting = c.start(n);
-        for (let t = 0; t < 25; t++) {
-          for (const h of c.hosts()) h.deliverKept();
-          await c.pass(0.1);
+    // The old report lists no task that runs now: taken for the machine's current report, it would cause all of them
+    // to start again.
+    name: 'an old report reaches every controller just as a new owner starts: nothing is started again',
+    options: LONG_LEASE,
+    jobs: [{ ...SMALL_JOB, Pieces: 6 }],
+    injectFaults: async (cluster) => {
+      for (const host of cluster.hosts()) host.keepReport();
+      await cluster.submit('n1', LARGE_JOB);
+      await cluster.submit('n2', LARGE_JOB);
+      await cluster.pass(2);
+      for (const [index, node] of cluster.names.entries()) {
+        cluster.kill(node);
+        await cluster.pass(index === 0 ? 7 : 0.3);
+        const starting = cluster.start(node);
+        for (let round = 0; round < 25; round++) {
+          for (const host of cluster.hosts()) host.deliverKept();
+          await cluster.pass(0.1);
         }
         await starting;
       }
@@ -539,37 +569,43 @@
   },
 ];
 
-describe('troubles that meet', { concurrency: 6 }, () => {
-  for (const row of ROWS) {
-    test(row.name, async () => {
-      const c = new Cluster({
-        runMs: RUN_MS,
+describe('combined faults', { concurrency: 6 }, () => {
+  for (const faultCase of FAULT_CASES) {
+    test(faultCase.name, async () => {
+      const cluster = new Cluster({
+        runMs: TASK_RUN_MS,
         leaseS: LEASE_S,
         cancelS: CANCEL_S,
-        teams: [LIMITED],
-        ...row.options,
+        teams: [LIMITED_TEAM],
+        ...faultCase.options,
       });
       try {
-        await c.open();
+        await cluster.open();
         const uids: string[] = [];
-        for (const [i, body] of row.jobs.entries()) uids.push(await c.submit(`n${i % 3}`, body));
-        await c.until('some of it runs', 20, () => uids.length === 0 || c.world.started > 3);
-        await row.meet(c, uids);
-        for (const n of c.names) await c.until(`${n} is back`, 40, () => c.ready(n));
-        for (const uid of c.world.jobs.keys()) {
-          const end = c.world.cancelledAt.has(uid) ? 'cancelled' : 'done';
-          for (const n of c.names) {
-            await c.until(`${uid} ${end}`, 60, async () => (await c.statusOf(n, uid)) === end);
+        for (const [index, body] of faultCase.jobs.entries())
+          uids.push(await cluster.submit(`n${index % 3}`, body));
+        await cluster.until('tasks run', 20, () => uids.length === 0 || cluster.world.started > 3);
+        await faultCase.injectFaults(cluster, uids);
+        for (const node of cluster.names)
+          await cluster.until(`${node} is back`, 40, () => cluster.ready(node));
+        for (const uid of cluster.world.jobs.keys()) {
+          const end = cluster.world.cancelledAt.has(uid) ? 'cancelled' : 'done';
+          for (const node of cluster.names) {
+            await cluster.until(
+              `${uid} ${end}`,
+              60,
+              async () => (await cluster.statusOf(node, uid)) === end,
+            );
           }
         }
-        const cancelled = [...c.world.cancelledAt.keys()];
-        await c.until('cancelled tasks are gone', CANCEL_S + 2, () =>
-          cancelled.every((uid) => c.running(uid) === 0),
+        const cancelled = [...cluster.world.cancelledAt.keys()];
+        await cluster.until('cancelled tasks are gone', CANCEL_S + 2, () =>
+          cancelled.every((uid) => cluster.running(uid) === 0),
         );
-        assert.deepEqual(c.world.broken, []);
-        assert.ok(c.world.started > 3, 'something ran');
+        assert.deepEqual(cluster.world.broken, []);
+        assert.ok(cluster.world.started > 3, 'tasks were started');
       } finally {
-        c.close();
+        cluster.close();
       }
     });
   }
--- a/test/mixed-versions.test.ts
+++ b/test/mixed-versions.test.ts
@@ -1,3 +1,10 @@
+/**
+ * Whole controllers of the version in production and of the present one over the same shards, replacing each other in
+ * both directions and in the middle of operations of several steps. The old controllers are the real program, bundled
+ * from the commit that deploy/service.toml names. At every change of owner the invariants hold: no task runs on two
+ * machines, no completed task is started again, no `done` is taken back, team limits and placement constraints are
+ * kept, and all accepted jobs get done.
+ */
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { describe, test } from 'node:test';
@@ -6,32 +13,26 @@
 import { job } from './helpers.js';
 import { Cluster, type ClusterOptions } from './standins/cluster.js';
 
-/**
- * Whole controllers of the version in production and of the present one over the same shards, in both
- * directions and in the middle of what takes several steps. The old ones are the real program, bundled
- * from the commit that deploy/service.toml names. Whatever changes hands: no task on two machines, no
- * completed task started again, no `done` taken back, limits and places kept, all accepted jobs done.
- */
 const LEASE_S = 12;
 const CANCEL_S = 26;
-const SMALL = { Vcpus: 1, Cards: 0, MemGb: 1, GuessS: 20 };
+const SMALL_JOB = { Vcpus: 1, Cards: 0, MemGb: 1, GuessS: 20 };
 const ALL_PRODUCTION = { n0: 'production', n1: 'production', n2: 'production' } as const;
 
-interface Row {
+interface VersionCase {
   readonly name: string;
   readonly options?: Partial<ClusterOptions>;
-  /** tasks that the seeded values record as done, by job */
+  /** tasks that the seeded values record as completed, by uid of the job */
   readonly completed?: ReadonlyMap<string, ReadonlySet<number>>;
   readonly jobs: readonly Record<string, unknown>[];
-  readonly meet: (c: Cluster, uids: readonly string[]) => Promise<void>;
+  readonly scenario: (cluster: Cluster, uids: readonly string[]) => Promise<void>;
 }
 
-// --- values that the version in production has written --------------------------------------------
+// Values in the format that the version in production writes.
 
 const SEEDED_JOBS = 12;
 const SEEDED_TASKS = 400;
 const SEEDED_LEFT = 4;
-/** The state service's limits as announced to the present version, smaller than the seeded slot. */
+/** Limits of the state service as announced to the present version; a value may hold less than the seeded slot. */
 const SMALL_LIMITS = {
   rps: 600,
   writeRps: 300,
@@ -40,7 +41,7 @@
   next: { rps: 600, writeRps: 150 },
 };
 
-/** Arrays with all but the last few tasks done, the bitmaps of each shard together in one large slot. */
+/** Returns arrays with all but the last few tasks completed, the bitmaps of each shard in one large completion slot. */
 const seededArrays = (shards: readonly number[]) => {
   const values: Record<string, unknown> = {};
   const completed = new Map<string, ReadonlySet<number>>();
@@ -48,8 +49,8 @@
   const done = new Set(Array.from({ length: SEEDED_TASKS - SEEDED_LEFT }, (_, i) => i));
   for (const shard of shards) {
     const slot: Record<string, string> = {};
-    for (let n = 0; n < SEEDED_JOBS; n++) {
-      const uid = `job-90${shard}0${String(n).padStart(2, '0')}`;
+    for (let jobNumber = 0; jobNumber < SEEDED_JOBS; jobNumber++) {
+      const uid = `job-90${shard}0${String(jobNumber).padStart(2, '0')}`;
       const demand = { cpus: 1, gpus: 0, memoryGb: 1 };
       const record = job({ uid, tasks: SEEDED_TASKS, demand, estimateS: 20 }, 0, shard);
       values[`active/${uid}`] = encodeJob({ ...record, at: Date.now() });
@@ -64,13 +65,13 @@
 const SEEDED = seededArrays([0]);
 const SEEDED_TWICE = seededArrays([0, 1]);
 
-const slotsOf = (c: Cluster, shard: number): string[] =>
-  [...c.state.items.keys()].filter((k) => k.startsWith(`done/${shard}/`));
+const slotKeysOf = (cluster: Cluster, shard: number): string[] =>
+  [...cluster.state.items.keys()].filter((k) => k.startsWith(`done/${shard}/`));
 
-/** Shards of the ranges of all unfinished jobs, by job and first task. */
-const shardsOfRanges = (c: Cluster): Map<string, number> => {
+/** Returns the shard of each task range of all unfinished jobs, by job and first task. */
+const shardsOfRanges = (cluster: Cluster): Map<string, number> => {
   const out = new Map<string, number>();
-  for (const [key, { value }] of c.state.items) {
+  for (const [key, { value }] of cluster.state.items) {
     if (!key.startsWith('active/')) continue;
     const { ranges } = value as { ranges: [number, number, number, number][] };
     for (const [from, , shard] of ranges) out.set(`${key}/${from}`, shard);
@@ -78,28 +79,28 @@
   return out;
 };
 
-const ROWS: Row[] = [
+const VERSION_CASES: VersionCase[] = [
   {
-    // An owner that misreads the other's records would take running tasks for fresh ones.
-    name: 'the owner of a shard is old, new, old, new',
+    // An owner that misreads the records of the other version would take running tasks for tasks not started yet.
+    name: 'the owner of a shard is old, new, old, new: no task runs twice',
     options: { versions: ALL_PRODUCTION, runMs: (index) => 3000 + index * 2500 },
     jobs: [
-      { ...SMALL, Pieces: 16 },
-      { ...SMALL, Pieces: 16 },
-      { ...SMALL, Shape: 'ensemble', Pieces: 3 },
+      { ...SMALL_JOB, Pieces: 16 },
+      { ...SMALL_JOB, Pieces: 16 },
+      { ...SMALL_JOB, Shape: 'ensemble', Pieces: 3 },
     ],
-    meet: async (c, [first]) => {
-      await c.replace('n0', 'current');
-      await c.replace('n0', 'production');
-      await c.cancel('n0', first!);
-      await c.replace('n1', 'current');
-      await c.replace('n0', 'current');
+    scenario: async (cluster, [first]) => {
+      await cluster.replace('n0', 'current');
+      await cluster.replace('n0', 'production');
+      await cluster.cancel('n0', first!);
+      await cluster.replace('n1', 'current');
+      await cluster.replace('n0', 'current');
     },
   },
   {
-    // A range stands in two slots when the old version takes over in the middle. It goes on with one
-    // copy; a new owner that continues must not write the other, older one over it.
-    name: 'an old owner takes over while a completion slot is split, and a new one continues',
+    // A range is recorded in two slots when the old version takes over in the middle of the split. The old version
+    // updates one copy; a new owner that continues the split must not overwrite it with the other, outdated one.
+    name: 'an old owner takes over while a completion slot is split, and a new one continues: no completion is lost',
     options: {
       versions: ALL_PRODUCTION,
       runMs: (index) => 4000 + (index % SEEDED_LEFT) * 8000,
@@ -108,95 +109,102 @@
     },
     completed: SEEDED.completed,
     jobs: [],
-    meet: async (c) => {
-      const door = c.doors.get('n0')!;
-      await c.until('tasks run', 20, () => c.world.started > 8);
-      c.kill('n0');
+    scenario: async (cluster) => {
+      const door = cluster.doors.get('n0')!;
+      await cluster.until('tasks run', 20, () => cluster.world.started > 8);
+      cluster.kill('n0');
       door.slowWritesMs = 700;
-      await c.start('n0', 'current');
-      await c.until('the split has begun', 30, () => slotsOf(c, 0).length > 1);
-      c.kill('n0');
+      await cluster.start('n0', 'current');
+      await cluster.until('the split has begun', 30, () => slotKeysOf(cluster, 0).length > 1);
+      cluster.kill('n0');
       door.slowWritesMs = 0;
-      await c.start('n0', 'production');
-      await c.until('the old version owns it', 40, () => c.ready('n0'));
-      await c.pass(6);
-      await c.replace('n0', 'current');
+      await cluster.start('n0', 'production');
+      await cluster.until('the old version owns it', 40, () => cluster.ready('n0'));
+      await cluster.pass(6);
+      await cluster.replace('n0', 'current');
     },
   },
   {
-    // A rental that one version began is settled by the other under the same name, and recorded once.
-    name: 'a rental changes hands while its answer is under way, in both directions',
+    // A rental request that one version sent is completed by the other under the same name, and its machines are
+    // recorded once.
+    name: 'the version changes while the answer to a rental request is in flight, both ways: machines are recorded once',
     options: { versions: ALL_PRODUCTION, runMs: 3000 },
-    jobs: [{ ...SMALL, Pieces: 16 }],
-    meet: async (c) => {
+    jobs: [{ ...SMALL_JOB, Pieces: 16 }],
+    scenario: async (cluster) => {
       for (const [from, to] of [
         ['production', 'current'],
         ['current', 'production'],
       ] as const) {
-        for (const n of c.names) if (from === 'current') await c.replace(n, from);
-        c.cloud.slowRentalMs = 2500;
-        await c.submit('n1', { ...SMALL, Vcpus: 6, Pieces: 40 });
-        const hires = () => [...c.state.items.keys()].filter((k) => k.startsWith('hires/'));
-        await c.until(`a rental of the ${from} version is open`, 30, () => hires().length > 0);
-        for (const n of c.names) c.kill(n);
-        c.cloud.slowRentalMs = 0;
-        await Promise.all(c.names.map((n) => c.start(n, to)));
+        for (const node of cluster.names) if (from === 'current') await cluster.replace(node, from);
+        cluster.cloud.slowRentalMs = 2500;
+        await cluster.submit('n1', { ...SMALL_JOB, Vcpus: 6, Pieces: 40 });
+        const rentalKeys = () =>
+          [...cluster.state.items.keys()].filter((k) => k.startsWith('hires/'));
+        await cluster.until(
+          `a rental request of the ${from} version is in flight`,
+          30,
+          () => rentalKeys().length > 0,
+        );
+        for (const node of cluster.names) cluster.kill(node);
+        cluster.cloud.slowRentalMs = 0;
+        await Promise.all(cluster.names.map((node) => cluster.start(node, to)));
       }
-      const recorded = [...c.state.items]
+      const recorded = [...cluster.state.items]
         .filter(([key]) => key.startsWith('machines/'))
         .flatMap(([, { value }]) => Object.keys((value as { hosts: object }).hosts));
       assert.equal(new Set(recorded).size, recorded.length, 'no machine has two records');
     },
   },
   {
-    // Carried out after its sender's end, a cancellation counts for whoever is asked next.
-    name: 'a cancellation is cut short by the end of its node and repeated at the other version',
+    // A cancellation that is carried out after its node has ended must be honored by the node that is asked next.
+    name: 'a cancellation is interrupted by the end of its node and repeated at the other version: the job is cancelled',
     options: { versions: { n1: 'production', n2: 'production' }, runMs: 30_000 },
     jobs: [
-      { ...SMALL, Pieces: 16 },
-      { ...SMALL, Pieces: 16 },
+      { ...SMALL_JOB, Pieces: 16 },
+      { ...SMALL_JOB, Pieces: 16 },
     ],
-    meet: async (c, [first, second]) => {
-      for (const [uid, at, next] of [
+    scenario: async (cluster, [first, second]) => {
+      for (const [uid, node, nextNode] of [
         [first!, 'n1', 'n0'],
         [second!, 'n0', 'n2'],
       ] as const) {
-        c.doors.get(at)!.slowWritesMs = 1500;
-        const cut = c.ask(at, 'withdraw', uid);
-        await c.pass(0.5);
-        c.kill(at);
-        await cut;
-        await c.cancel(next, uid);
-        c.doors.get(at)!.slowWritesMs = 0;
-        await c.start(at, at === 'n0' ? 'production' : 'current');
+        cluster.doors.get(node)!.slowWritesMs = 1500;
+        const unanswered = cluster.ask(node, 'withdraw', uid);
+        await cluster.pass(0.5);
+        cluster.kill(node);
+        await unanswered;
+        await cluster.cancel(nextNode, uid);
+        cluster.doors.get(node)!.slowWritesMs = 0;
+        await cluster.start(node, node === 'n0' ? 'production' : 'current');
       }
     },
   },
   {
-    // Tasks that pass belong to one shard at any moment, whoever owns either.
-    name: 'tasks pass between shards whose owners change version on the way',
+    // Tasks that migrate between shards belong to exactly one of them at any moment, whichever version owns each shard.
+    name: 'tasks migrate between shards whose owners change version meanwhile: no task runs twice',
     options: { versions: { n1: 'production', n2: 'production' }, runMs: 6000 },
-    jobs: [1, 2, 3].map(() => ({ ...SMALL, Vcpus: 2, Pieces: 18 })),
-    meet: async (c) => {
-      c.cloud.most = Math.max(2, c.cloud.machines.size - 2);
-      const before = shardsOfRanges(c);
-      const passed = () =>
-        [...shardsOfRanges(c)].some(([range, shard]) => before.get(range) !== shard);
-      for (const d of c.doors.values()) d.slowWritesMs = 300;
-      for (let i = 0; i < 4; i++) await c.submit(c.names[i % 3]!, { ...SMALL, Pieces: 18 });
-      const most = c.hosts().slice(0, 1);
-      for (const h of most) c.cloud.kill(h.worker.name);
-      await c.until('tasks pass', 60, passed);
-      await c.replace('n0', 'production');
-      await c.replace('n1', 'current');
-      for (const d of c.doors.values()) d.slowWritesMs = 0;
-      c.cloud.most = Infinity;
+    jobs: [1, 2, 3].map(() => ({ ...SMALL_JOB, Vcpus: 2, Pieces: 18 })),
+    scenario: async (cluster) => {
+      cluster.cloud.most = Math.max(2, cluster.cloud.machines.size - 2);
+      const before = shardsOfRanges(cluster);
+      const hasMigrated = () =>
+        [...shardsOfRanges(cluster)].some(([range, shard]) => before.get(range) !== shard);
+      for (const door of cluster.doors.values()) door.slowWritesMs = 300;
+      for (let i = 0; i < 4; i++)
+        await cluster.submit(cluster.names[i % 3]!, { ...SMALL_JOB, Pieces: 18 });
+      const lostHosts = cluster.hosts().slice(0, 1);
+      for (const host of lostHosts) cluster.cloud.kill(host.worker.name);
+      await cluster.until('tasks migrate', 60, hasMigrated);
+      await cluster.replace('n0', 'production');
+      await cluster.replace('n1', 'current');
+      for (const door of cluster.doors.values()) door.slowWritesMs = 0;
+      cluster.cloud.most = Infinity;
     },
   },
   {
-    // The old version ends by itself when a value is refused, comes back and ends again; the present
-    // one has made the values small before, and goes on when it has the shard again.
-    name: 'the limits of the state service fall while both versions serve',
+    // The old version exits when a value is refused, restarts and exits again. The present version has split its
+    // values before, and continues when it owns the shard again.
+    name: 'the limits of the state service fall while both versions serve: the present version sends nothing too large',
     options: {
       versions: { n1: 'production', n2: 'production' },
       runMs: (index) => 3000 + (index % 16) * 1500,
@@ -205,69 +213,90 @@
     },
     completed: SEEDED_TWICE.completed,
     jobs: [
-      { ...SMALL, Pieces: 16 },
-      { ...SMALL, Pieces: 16 },
+      { ...SMALL_JOB, Pieces: 16 },
+      { ...SMALL_JOB, Pieces: 16 },
     ],
-    meet: async (c, [first]) => {
-      const large = () =>
-        [...c.state.items].some(
+    scenario: async (cluster, [first]) => {
+      const hasLargeSlot = () =>
+        [...cluster.state.items].some(
           ([k, i]) => k.startsWith('done/0/') && JSON.stringify(i.value).length > 700,
         );
-      await c.until('the present version has split the slot', 30, () => !large());
-      c.state.limits = { valueBytes: 700, transactionOps: 3, writeRps: 150 };
-      for (let i = 0; i < 3; i++) await c.submit('n1', { ...SMALL, Pieces: 16 });
-      c.kill('n0');
-      await c.pass(9);
-      await c.start('n0', 'current');
-      await c.cancel('n0', first!);
-      await c.until('the old version meets a refusal, and ends', 60, () => c.crashes > 0);
-      await c.replace('n1', 'current');
-      await c.replace('n2', 'current');
-      const refused = c.state.refused.size;
-      await c.pass(3);
-      assert.equal(c.state.refused.size, refused, 'the present version sends nothing too large');
+      await cluster.until('the present version has split the slot', 30, () => !hasLargeSlot());
+      cluster.state.limits = { valueBytes: 700, transactionOps: 3, writeRps: 150 };
+      for (let i = 0; i < 3; i++) await cluster.submit('n1', { ...SMALL_JOB, Pieces: 16 });
+      cluster.kill('n0');
+      await cluster.pass(9);
+      await cluster.start('n0', 'current');
+      await cluster.cancel('n0', first!);
+      await cluster.until(
+        'the old version gets a refusal and exits',
+        60,
+        () => cluster.crashes > 0,
+      );
+      await cluster.replace('n1', 'current');
+      await cluster.replace('n2', 'current');
+      const refusedBefore = cluster.state.refused.size;
+      await cluster.pass(3);
+      assert.equal(
+        cluster.state.refused.size,
+        refusedBefore,
+        'the present version sends nothing too large',
+      );
     },
   },
 ];
 
 test('the bundled controller is the version that the deploy file names', () => {
-  const read = (path: string) => readFileSync(new URL(`../../../${path}`, import.meta.url), 'utf8');
-  const commit = /^production = "([0-9a-f]{40})"$/m.exec(read('deploy/service.toml'))?.[1];
-  const bundle = read('test/fixtures/production/controller.js');
+  const readFile = (path: string) =>
+    readFileSync(new URL(`../../../${path}`, import.meta.url), 'utf8');
+  const commit = /^production = "([0-9a-f]{40})"$/m.exec(readFile('deploy/service.toml'))?.[1];
+  const bundle = readFile('test/fixtures/production/controller.js');
   assert.ok(commit !== undefined && bundle.startsWith(`// Generated by scripts/`));
   assert.equal(/from commit ([0-9a-f]{40})/.exec(bundle)?.[1], commit);
 });
 
-describe('both versions side by side', { concurrency: 3 }, () => {
-  for (const row of ROWS) {
-    test(row.name, async () => {
-      const c = new Cluster({ runMs: 3000, leaseS: LEASE_S, cancelS: CANCEL_S, ...row.options });
-      for (const [uid, done] of row.completed ?? []) c.world.completed.set(uid, new Set(done));
-      const { seed = {} } = row.options ?? {};
+describe('production and present version on the same shards', { concurrency: 3 }, () => {
+  for (const versionCase of VERSION_CASES) {
+    test(versionCase.name, async () => {
+      const cluster = new Cluster({
+        runMs: 3000,
+        leaseS: LEASE_S,
+        cancelS: CANCEL_S,
+        ...versionCase.options,
+      });
+      for (const [uid, done] of versionCase.completed ?? [])
+        cluster.world.completed.set(uid, new Set(done));
+      const { seed = {} } = versionCase.options ?? {};
       try {
-        await c.open();
+        await cluster.open();
         const uids: string[] = [];
-        for (const [i, body] of row.jobs.entries()) uids.push(await c.submit(`n${i % 3}`, body));
-        await c.until('some of it runs', 30, () => c.world.started > 3);
-        await row.meet(c, uids);
-        for (const n of c.names) await c.until(`${n} is back`, 40, () => c.ready(n));
+        for (const [index, body] of versionCase.jobs.entries())
+          uids.push(await cluster.submit(`n${index % 3}`, body));
+        await cluster.until('tasks run', 30, () => cluster.world.started > 3);
+        await versionCase.scenario(cluster, uids);
+        for (const node of cluster.names)
+          await cluster.until(`${node} is back`, 40, () => cluster.ready(node));
         const seeded = Object.keys(seed).flatMap((k) =>
           k.startsWith('active/') ? [k.slice('active/'.length)] : [],
         );
-        for (const uid of [...c.world.jobs.keys(), ...seeded]) {
-          const end = c.world.cancelledAt.has(uid) ? 'cancelled' : 'done';
-          for (const n of c.names) {
-            await c.until(`${uid} ${end}`, 90, async () => (await c.statusOf(n, uid)) === end);
+        for (const uid of [...cluster.world.jobs.keys(), ...seeded]) {
+          const end = cluster.world.cancelledAt.has(uid) ? 'cancelled' : 'done';
+          for (const node of cluster.names) {
+            await cluster.until(
+              `${uid} ${end}`,
+              90,
+              async () => (await cluster.statusOf(node, uid)) === end,
+            );
           }
         }
-        const cancelled = [...c.world.cancelledAt.keys()];
-        await c.until('cancelled tasks are gone', CANCEL_S + 2, () =>
-          cancelled.every((uid) => c.running(uid) === 0),
+        const cancelled = [...cluster.world.cancelledAt.keys()];
+        await cluster.until('cancelled tasks are gone', CANCEL_S + 2, () =>
+          cancelled.every((uid) => cluster.running(uid) === 0),
         );
-        assert.deepEqual(c.world.broken, []);
-        assert.equal(c.world.startedCompleted, 0, 'no completed task is started again');
+        assert.deepEqual(cluster.world.broken, []);
+        assert.equal(cluster.world.startedCompleted, 0, 'no completed task was started again');
       } finally {
-        c.close();
+        cluster.close();
       }
     });
   }
--- a/test/random.test.ts
+++ b/test/random.test.ts
@@ -1,3 +1,17 @@
+/**
+ * One shard under random faults, with fixed seeds.
+ *
+ * - Owners change, some within a fraction of a second. Former owners that lost contact with all other nodes go on
+ *   answering heartbeats for as long as an unknown cancellation allows.
+ * - Answers get lost. Direct commands arrive late. Copies of reports arrive late by up to several leases, at whichever
+ *   owner the shard has then; some old reports reach the next owner as it starts.
+ * - Machines hang, fall silent, lose all commands, or lose all heartbeats while commands reach them, and are returned.
+ * - Saves of completions get no answer, and are applied later or at once.
+ * - Jobs and services arrive and are cancelled, also while their machines hang and at the moment of their end.
+ *
+ * After each step no task may be on two machines and no cancelled job may still run, and every job that was not
+ * cancelled is still known.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { renewableMs } from '../src/core/cancellation/lease-renewal.js';
@@ -8,17 +22,8 @@
 import { job, LEASE_MS, machine, shardWith, Store } from './helpers.js';
 import { CANCEL_MS, FakeWorker, World } from './standins/worker.js';
 
-/**
- * Owners come and go, some within a fraction of a second; answers get lost, direct commands arrive
- * late, copies of reports come late by up to several leases, at whoever owns the shard then; machines
- * hang, fall silent, hear nothing of what they are told, or reach nobody while commands reach them, and
- * are returned; former owners that lost sight of everybody go on answering, for as long as an unknown
- * cancellation allows; saves get no answer and count later or at once; old reports are kept for the
- * next owner; jobs and services arrive, are cancelled, also
- * while their machines hang and at the moment of their end. After each step no task may be on two machines
- * and no cancelled job may still run, and what was not cancelled is still known.
- */
-interface Late {
+/** Direct commands that the network delivers at time `at`, after their sender stopped waiting for the answer. */
+interface DelayedCommands {
   at: number;
   worker: FakeWorker;
   term: number;
@@ -26,94 +31,99 @@
   commands: readonly Command[];
 }
 
-/** A copy of a report that the network delivers once more. */
-interface Copy {
+/** A copy of a report that the network delivers once more, at time `at`. */
+interface DuplicateReport {
   at: number;
   heartbeat: Heartbeat;
 }
 
 const STEP_MS = 500;
-/** ms; copies come by up to this late: well over a lease. */
-const COPY_MS = 3 * LEASE_MS;
+/** Copies of reports arrive late by up to this, which is well over a lease. */
+const MAX_DUPLICATE_DELAY_MS = 3 * LEASE_MS;
 
-const play = (seed: number) => {
+const simulate = (seed: number) => {
   const random = randomFrom(seed);
   const chance = (percent: number) => random(1000) < percent * 10;
   const world = new World();
   const store = new Store();
   let term = 1;
   let shard: Shard = shardWith(store, term);
-  /** owners that do not know yet that they are none any more: they still answer, but start nothing */
-  let former: Shard | null = null;
+  /** the previous owner, which does not know yet that it was replaced: it still answers, but starts nothing */
+  let formerOwner: Shard | null = null;
   const workers = new Map<string, FakeWorker>();
+  /** until when a machine neither sends reports nor takes commands */
   const silentUntil = new Map<string, number>();
-  /** machines whose reports arrive while nothing reaches them */
-  const noTakeoverUntil = new Map<string, number>();
-  /** machines that reach no owner, while commands reach them */
-  const muteUntil = new Map<string, number>();
-  /** saves without an answer, carried out later */
-  const lateSaves: { at: number; save: () => void }[] = [];
-  /** since when the former owner knows nothing new */
-  let formerSince = 0;
+  /** until when nothing that is sent to a machine arrives, while its reports do */
+  const commandsLostUntil = new Map<string, number>();
+  /** until when the reports of a machine reach no owner, while direct commands reach the machine */
+  const heartbeatsLostUntil = new Map<string, number>();
+  /** saves without an answer, applied later */
+  const delayedSaves: { at: number; save: () => void }[] = [];
+  /** since when the former owner has learned of no cancellation */
+  let formerOwnerSinceMs = 0;
   let cancelledAtEnd = 0;
   let servicesStarted = 0;
-  const late: Late[] = [];
+  const delayedCommands: DelayedCommands[] = [];
   const hungUntil = new Map<string, number>();
-  const copies: Copy[] = [];
-  /** copies that the network keeps until the next owner begins */
-  let keptForNext: Heartbeat[] = [];
-  let copied = 0;
-  let keptDelivered = 0;
-  let lostAnswers = 0;
-  let deafened = 0;
+  const duplicates: DuplicateReport[] = [];
+  /** reports that the network holds back until the next owner starts */
+  let reportsForNextOwner: Heartbeat[] = [];
+  let duplicatesDelivered = 0;
+  let delayedReportsDelivered = 0;
+  let saveAnswersLost = 0;
+  let commandLossFaults = 0;
   let machines = 0;
   let jobs = 0;
 
-  const finalise = (now: number): void => {
-    for (const j of [...shard.jobs.values()]) {
-      const { uid, tasks, kind } = j.spec;
+  /** Saves completions, with faults, and ends the jobs whose tasks are all completed. */
+  const saveAndFinalize = (now: number): void => {
+    for (const jobState of [...shard.jobs.values()]) {
+      const { uid, tasks, kind } = jobState.spec;
       if (kind === 'service') {
-        if (j.savedCompletions.size + j.unsavedCompletions.size > 0)
+        if (jobState.savedCompletions.size + jobState.unsavedCompletions.size > 0)
           world.broken.push(`service done ${uid}`);
         continue;
       }
-      const saving = [...j.unsavedCompletions];
+      const saving = [...jobState.unsavedCompletions];
       if (saving.length > 0 && chance(10)) {
-        // No answer: the owner goes on as if nothing was saved, and the write is carried out later.
-        const bits = new Set([...j.savedCompletions, ...saving]);
+        // No answer: the owner goes on as if nothing was saved, and the write is applied later.
+        const bits = new Set([...jobState.savedCompletions, ...saving]);
         const save = () => {
           const range = { from: 0, to: tasks };
           const before = decodeDone(range, store.doneBitmaps.get(`${uid}/0`) ?? '');
           store.doneBitmaps.set(`${uid}/0`, encodeDone(range, new Set([...before, ...bits])));
         };
-        lateSaves.push({ at: now + 2000 + random(10_000), save });
+        delayedSaves.push({ at: now + 2000 + random(10_000), save });
         continue;
       }
       if (saving.length > 0 && chance(5)) {
-        // Carried out at once, and only the answer is lost: others read what this owner takes for open.
-        lostAnswers += 1;
+        // Applied at once, and only the answer is lost: others read completions that this owner takes for unsaved.
+        saveAnswersLost += 1;
         const range = { from: 0, to: tasks };
         store.doneBitmaps.set(
           `${uid}/0`,
-          encodeDone(range, new Set([...j.savedCompletions, ...saving])),
+          encodeDone(range, new Set([...jobState.savedCompletions, ...saving])),
         );
         continue;
       }
       shard.markCompletionsSaved(uid, saving);
-      if (j.savedCompletions.size > 0) {
-        store.doneBitmaps.set(`${uid}/0`, encodeDone({ from: 0, to: tasks }, j.savedCompletions));
+      if (jobState.savedCompletions.size > 0) {
+        store.doneBitmaps.set(
+          `${uid}/0`,
+          encodeDone({ from: 0, to: tasks }, jobState.savedCompletions),
+        );
       }
-      if (j.savedCompletions.size === tasks && !j.ended) {
+      if (jobState.savedCompletions.size === tasks && !jobState.ended) {
         if (chance(10)) {
-          // Called off in the moment of its end: the cancellation comes first.
+          // The job is cancelled at the moment of its end, and the cancellation comes first.
           cancelledAtEnd += 1;
           store.jobs.delete(uid);
           world.cancelledAt.set(uid, now);
           continue;
         }
         const done = world.completed.get(uid)?.size ?? 0;
-        // The tasks of a gang complete together: one that is done speaks for all.
-        const needed = j.spec.kind === 'gang' ? 1 : tasks;
+        // The tasks of a gang complete together: one completed task stands for all.
+        const needed = jobState.spec.kind === 'gang' ? 1 : tasks;
         if (done < needed) world.broken.push(`not_done ${uid}`);
         store.jobs.delete(uid);
       }
@@ -142,7 +152,7 @@
       if (uid !== undefined) {
         store.jobs.delete(uid);
         world.cancelledAt.set(uid, now);
-        // Users call it off, and its machines hang in that moment.
+        // The machines of the cancelled job hang at that moment.
         if (chance(40)) {
           for (const [task, on] of world.on) {
             if (!task.startsWith(`${uid}/`)) continue;
@@ -152,41 +162,41 @@
       }
     }
     if (chance(0.7)) {
-      // Now and then the next owner ends again before it has done anything.
+      // Sometimes the next owner ends before it has done anything.
       for (let lives = chance(20) ? 2 : 1; lives > 0; lives--) {
-        former = shard;
-        formerSince = now;
+        formerOwner = shard;
+        formerOwnerSinceMs = now;
         term += 1;
         shard = shardWith(store, term, {}, now);
-        for (const heartbeat of keptForNext) shard.handleHeartbeat(heartbeat, now, true);
-        keptDelivered += keptForNext.length;
+        for (const heartbeat of reportsForNextOwner) shard.handleHeartbeat(heartbeat, now, true);
+        delayedReportsDelivered += reportsForNextOwner.length;
       }
-      keptForNext = [];
+      reportsForNextOwner = [];
     }
-    for (const c of copies.filter((x) => x.at <= now)) {
-      copies.splice(copies.indexOf(c), 1);
-      copied += 1;
-      // Nobody waits for the answer to a copy.
-      shard.handleHeartbeat(c.heartbeat, now, true);
-      if (former !== null) former.handleHeartbeat(c.heartbeat, now, false);
+    for (const copy of duplicates.filter((message) => message.at <= now)) {
+      duplicates.splice(duplicates.indexOf(copy), 1);
+      duplicatesDelivered += 1;
+      // The answer to a copy reaches nobody.
+      shard.handleHeartbeat(copy.heartbeat, now, true);
+      if (formerOwner !== null) formerOwner.handleHeartbeat(copy.heartbeat, now, false);
     }
     shard.sync(store, now);
     shard.expireLeases(now);
     shard.placeAll(now);
 
-    for (const { machine: m, commands, starts } of shard.directCommands(now)) {
-      const worker = workers.get(m.record.name);
+    for (const { machine: machineState, commands, starts } of shard.directCommands(now)) {
+      const worker = workers.get(machineState.record.name);
       if (worker === undefined) continue;
-      const agentEpoch = m.agentEpoch;
+      const agentEpoch = machineState.agentEpoch;
       if (chance(30)) {
-        // No answer: carried out later, or twice, or never.
-        for (let copies = random(3); copies > 0; copies--) {
-          late.push({ at: now + random(60_000), worker, term, agentEpoch, commands });
+        // No answer: the commands are carried out later, twice, or never.
+        for (let repeats = random(3); repeats > 0; repeats--) {
+          delayedCommands.push({ at: now + random(60_000), worker, term, agentEpoch, commands });
         }
         continue;
       }
-      // What a deaf machine is told has no answer, and never arrives.
-      if ((noTakeoverUntil.get(worker.name) ?? 0) > now) continue;
+      // Commands to a machine that loses all commands never arrive and get no answer.
+      if ((commandsLostUntil.get(worker.name) ?? 0) > now) continue;
       if (worker.hung || (silentUntil.get(worker.name) ?? 0) > now) {
         shard.settleDirectStarts(starts, false);
         continue;
@@ -195,102 +205,114 @@
       shard.handleCommandStatus(worker.heartbeat(), now);
       shard.settleDirectStarts(starts, executed);
     }
-    for (const l of late.filter((x) => x.at <= now)) {
-      late.splice(late.indexOf(l), 1);
-      if (workers.has(l.worker.name)) l.worker.direct(l.term, l.agentEpoch, l.commands);
+    for (const delayed of delayedCommands.filter((message) => message.at <= now)) {
+      delayedCommands.splice(delayedCommands.indexOf(delayed), 1);
+      if (workers.has(delayed.worker.name))
+        delayed.worker.direct(delayed.term, delayed.agentEpoch, delayed.commands);
     }
 
-    for (const [name, w] of [...workers]) {
-      w.advance(now);
-      if (chance(0.3)) w.hung = !w.hung;
+    for (const [name, worker] of [...workers]) {
+      worker.advance(now);
+      if (chance(0.3)) worker.hung = !worker.hung;
       const until = hungUntil.get(name);
       if (until !== undefined) {
-        w.hung = until > now;
-        if (!w.hung) hungUntil.delete(name);
+        worker.hung = until > now;
+        if (!worker.hung) hungUntil.delete(name);
       }
-      if (chance(0.2)) muteUntil.set(name, now + random(40_000));
+      if (chance(0.2)) heartbeatsLostUntil.set(name, now + random(40_000));
       if (chance(0.3)) silentUntil.set(name, now + random(30_000));
       if (chance(0.3)) {
-        noTakeoverUntil.set(name, now + random(40_000));
-        deafened += 1;
+        commandsLostUntil.set(name, now + random(40_000));
+        commandLossFaults += 1;
       }
-      if (w.hung || (silentUntil.get(name) ?? 0) > now) continue;
-      if ((muteUntil.get(name) ?? 0) > now) continue;
+      if (worker.hung || (silentUntil.get(name) ?? 0) > now) continue;
+      if ((heartbeatsLostUntil.get(name) ?? 0) > now) continue;
       if (random(6) > 0) continue;
-      const r = w.heartbeat();
+      const report = worker.heartbeat();
       for (let more = chance(15) ? 1 + random(2) : 0; more > 0; more--) {
-        copies.push({ at: now + random(COPY_MS), heartbeat: r });
+        duplicates.push({ at: now + random(MAX_DUPLICATE_DELAY_MS), heartbeat: report });
       }
-      if (chance(5)) keptForNext.push(r);
-      const owner = former !== null && chance(20) ? former : shard;
-      const renewable = now - formerSince <= renewableMs(CANCEL_MS, LEASE_MS);
-      const result = owner.handleHeartbeat(r, now, owner === shard, owner === shard || renewable);
+      if (chance(5)) reportsForNextOwner.push(report);
+      const owner = formerOwner !== null && chance(20) ? formerOwner : shard;
+      const mayRenew = now - formerOwnerSinceMs <= renewableMs(CANCEL_MS, LEASE_MS);
+      const result = owner.handleHeartbeat(
+        report,
+        now,
+        owner === shard,
+        owner === shard || mayRenew,
+      );
       if (result.kind !== 'answer') continue;
-      // Some answers get lost on the way back, and all of those to a deaf machine.
-      if ((noTakeoverUntil.get(name) ?? 0) > now) continue;
-      if (!chance(15)) w.answered(owner.term, result.commands, now, r.agentEpoch);
+      // Some answers get lost, and all answers to machines that lose commands.
+      if ((commandsLostUntil.get(name) ?? 0) > now) continue;
+      if (!chance(15)) worker.answered(owner.term, result.commands, now, report.agentEpoch);
     }
-    for (const m of [...shard.machines.values()]) {
+    for (const machineState of [...shard.machines.values()]) {
       if (
-        !shard.heartbeatsLost(m, now) &&
-        !shard.commandsLost(m, now) &&
-        m.faultStatus !== 'quarantined'
+        !shard.heartbeatsLost(machineState, now) &&
+        !shard.commandsLost(machineState, now) &&
+        machineState.faultStatus !== 'quarantined'
       )
         continue;
-      m.terminating = true;
+      machineState.terminating = true;
       if (chance(50)) continue;
-      workers.get(m.record.name)?.vanish();
-      workers.delete(m.record.name);
-      shard.removeMachine(m.record.name, now);
-      store.machines.delete(m.record.name);
+      workers.get(machineState.record.name)?.vanish();
+      workers.delete(machineState.record.name);
+      shard.removeMachine(machineState.record.name, now);
+      store.machines.delete(machineState.record.name);
     }
-    finalise(now);
-    for (const l of lateSaves.filter((x) => x.at <= now)) {
-      lateSaves.splice(lateSaves.indexOf(l), 1);
-      l.save();
+    saveAndFinalize(now);
+    for (const delayed of delayedSaves.filter((message) => message.at <= now)) {
+      delayedSaves.splice(delayedSaves.indexOf(delayed), 1);
+      delayed.save();
     }
     world.check(now);
     if (world.broken.length > 0) break;
   }
-  // Nothing that was accepted and not called off is forgotten.
+  // No job that was accepted and not cancelled is forgotten.
   for (const uid of store.jobs.keys()) {
     if (!shard.jobs.has(uid)) world.broken.push(`forgotten ${uid}`);
   }
   return {
     world,
-    copied,
-    deafened,
+    duplicatesDelivered,
+    commandLossFaults,
     cancelledAtEnd,
     servicesStarted,
-    keptDelivered,
-    lostAnswers,
+    delayedReportsDelivered,
+    saveAnswersLost,
   };
 };
 
-test('random failures break no rule, with fixed seeds', () => {
+test('random faults, with fixed seeds: no invariant is violated', () => {
   let started = 0;
   let completed = 0;
-  let copied = 0;
-  let deafened = 0;
+  let duplicatesDelivered = 0;
+  let commandLossFaults = 0;
   let cancelledAtEnd = 0;
   let servicesStarted = 0;
-  let keptDelivered = 0;
-  let lostAnswers = 0;
+  let delayedReportsDelivered = 0;
+  let saveAnswersLost = 0;
   for (let seed = 1; seed <= 60; seed++) {
-    const { world, ...seen } = play(seed);
+    const { world, ...counts } = simulate(seed);
     assert.deepEqual(world.broken, [], `seed ${seed}`);
-    copied += seen.copied;
-    deafened += seen.deafened;
-    cancelledAtEnd += seen.cancelledAtEnd;
-    servicesStarted += seen.servicesStarted;
-    keptDelivered += seen.keptDelivered;
-    lostAnswers += seen.lostAnswers;
+    duplicatesDelivered += counts.duplicatesDelivered;
+    commandLossFaults += counts.commandLossFaults;
+    cancelledAtEnd += counts.cancelledAtEnd;
+    servicesStarted += counts.servicesStarted;
+    delayedReportsDelivered += counts.delayedReportsDelivered;
+    saveAnswersLost += counts.saveAnswersLost;
     started += world.started;
     for (const done of world.completed.values()) completed += done.size;
   }
-  assert.ok(started > 2000, `only ${started} starts: the day tests nothing`);
+  assert.ok(started > 2000, `only ${started} starts: too few to test anything`);
   assert.ok(completed > 1000, `only ${completed} completions`);
   assert.ok(cancelledAtEnd > 20 && servicesStarted > 100, `${cancelledAtEnd} ${servicesStarted}`);
-  assert.ok(keptDelivered > 100 && lostAnswers > 50, `${keptDelivered} ${lostAnswers}`);
-  assert.ok(copied > 1000 && deafened > 100, `${copied} copies, ${deafened} losesAnswers machines`);
+  assert.ok(
+    delayedReportsDelivered > 100 && saveAnswersLost > 50,
+    `${delayedReportsDelivered} ${saveAnswersLost}`,
+  );
+  assert.ok(
+    duplicatesDelivered > 1000 && commandLossFaults > 100,
+    `${duplicatesDelivered} copies, ${commandLossFaults} faults that lose commands`,
+  );
 });
--- a/test/service-faults.test.ts
+++ b/test/service-faults.test.ts
@@ -1,13 +1,13 @@
+/**
+ * Services on three whole controllers while machines, zones and controllers fail. In every case the invariants hold,
+ * the service is never `done`, all replicas run again on reachable machines within the bound of the case, and after the
+ * cancellation all of them are gone in time.
+ */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { Cluster, type ClusterOptions } from './standins/cluster.js';
 import type { WorkerHost } from './standins/cloud.js';
 
-/**
- * Standing services on three whole controllers while machines, zones and controllers fail. In every row
- * the rules hold, the service is never `done`, all replicas run again on machines that can be reached
- * within the row's bound, and after the cancellation all of them are gone in time.
- */
 const LEASE_S = 8;
 const CANCEL_S = 18;
 const FOREVER_MS = 1e9;
@@ -22,231 +22,255 @@
   Reclaimable: false,
 };
 
-interface Row {
+interface FaultCase {
   readonly name: string;
   readonly options?: Partial<ClusterOptions>;
   readonly service: Record<string, unknown> & { readonly Pieces: number };
-  /** what fails; the bound counts from its end */
-  readonly fault: (c: Cluster, uid: string) => Promise<void> | void;
-  /** s until all replicas run again on machines that can be reached */
-  readonly within: number;
+  /** injects the fault; `recoveryWithinS` counts from its return */
+  readonly injectFault: (cluster: Cluster, uid: string) => Promise<void> | void;
+  /** bound on the time until all replicas run again on reachable machines */
+  readonly recoveryWithinS: number;
 }
 
-const reachable = (h: WorkerHost) => !h.worker.hung && !h.losesHeartbeats && !h.losesCommands;
+const reachable = (host: WorkerHost) =>
+  !host.worker.hung && !host.losesHeartbeats && !host.losesCommands;
 
-const onHost = (h: WorkerHost, uid: string): number =>
-  [...h.worker.tasks.values()].filter((t) => t.uid === uid && t.state === 'running').length;
+const replicasOn = (host: WorkerHost, uid: string): number =>
+  [...host.worker.tasks.values()].filter((t) => t.uid === uid && t.state === 'running').length;
 
-/** Replicas on machines that can be reached. */
-const served = (c: Cluster, uid: string): number =>
-  c
+/** Returns the number of replicas that run on reachable machines. */
+const servedReplicas = (cluster: Cluster, uid: string): number =>
+  cluster
     .hosts()
     .filter(reachable)
-    .reduce((sum, h) => sum + onHost(h, uid), 0);
+    .reduce((sum, host) => sum + replicasOn(host, uid), 0);
 
-const carrying = (c: Cluster, uid: string): WorkerHost[] =>
-  c.hosts().filter((h) => onHost(h, uid) > 0);
+const hostsWithReplicas = (cluster: Cluster, uid: string): WorkerHost[] =>
+  cluster.hosts().filter((host) => replicasOn(host, uid) > 0);
 
-/** Breaks one machine that carries replicas, and waits until they are not served any more. */
-const breakOne = (breaks: (h: WorkerHost) => void) => (c: Cluster, uid: string) => {
-  const before = served(c, uid);
-  breaks(carrying(c, uid)[0]!);
-  assert.ok(served(c, uid) < before);
-};
+/** Applies the fault to one machine with replicas and checks that its replicas no longer count as reachable. */
+const breakOneMachine =
+  (applyFault: (host: WorkerHost) => void) => (cluster: Cluster, uid: string) => {
+    const before = servedReplicas(cluster, uid);
+    applyFault(hostsWithReplicas(cluster, uid)[0]!);
+    assert.ok(servedReplicas(cluster, uid) < before);
+  };
 
-const MACHINE_FAULTS: [string, (h: WorkerHost) => void][] = [
-  ['hangs', (h) => (h.worker.hung = true)],
-  ['reaches no controller', (h) => (h.losesHeartbeats = true)],
-  ['commands lost', (h) => (h.losesCommands = true)],
-  ['is cut off both ways', (h) => (h.losesHeartbeats = h.losesCommands = true)],
+const MACHINE_FAULTS: [string, (host: WorkerHost) => void][] = [
+  ['hangs', (host) => (host.worker.hung = true)],
+  ['reaches no controller', (host) => (host.losesHeartbeats = true)],
+  ['loses commands', (host) => (host.losesCommands = true)],
+  ['is cut off both ways', (host) => (host.losesHeartbeats = host.losesCommands = true)],
 ];
 
-const ROWS: Row[] = [
-  ...MACHINE_FAULTS.map(([what, breaks]): Row => ({
-    // Longer than the lease: a machine that hears nothing goes on reporting until its lease ends.
-    name: `a machine with replicas ${what}`,
+const FAULT_CASES: FaultCase[] = [
+  ...MACHINE_FAULTS.map(([faultName, applyFault]): FaultCase => ({
+    // Longer than the lease: a machine that loses commands goes on sending heartbeats until its lease expires.
+    name: `a machine with replicas ${faultName}: they run elsewhere`,
     service: { ...REPLICA, Pieces: 4 },
-    fault: breakOne(breaks),
-    within: 2 * LEASE_S,
+    injectFault: breakOneMachine(applyFault),
+    recoveryWithinS: 2 * LEASE_S,
   })),
   {
-    name: 'the machine of a service of one replica is gone',
+    name: 'the machine of a service of one replica is gone: the replica runs elsewhere',
     service: { ...REPLICA, Pieces: 1 },
-    fault: (c, uid) => c.cloud.kill(carrying(c, uid)[0]!.worker.name),
-    within: 2 * LEASE_S,
+    injectFault: (cluster, uid) =>
+      cluster.cloud.kill(hostsWithReplicas(cluster, uid)[0]!.worker.name),
+    recoveryWithinS: 2 * LEASE_S,
   },
   {
-    name: 'a machine of a service of hundreds of replicas is gone',
+    name: 'a machine of a service of hundreds of replicas is gone: they run elsewhere',
     service: { ...REPLICA, Vcpus: 0.1, MemGb: 0.1, Pieces: 200 },
-    fault: (c, uid) => c.cloud.kill(carrying(c, uid)[0]!.worker.name),
-    within: 3 * LEASE_S,
+    injectFault: (cluster, uid) =>
+      cluster.cloud.kill(hostsWithReplicas(cluster, uid)[0]!.worker.name),
+    recoveryWithinS: 3 * LEASE_S,
   },
   {
-    name: 'a machine of replicas with GPUs is gone, and another one has to be rented',
+    name: 'a machine of replicas with GPUs is gone, and another one has to be rented: they run there',
     service: { ...REPLICA, Vcpus: 2, Cards: 2, Pieces: 3 },
-    fault: (c, uid) => c.cloud.kill(carrying(c, uid)[0]!.worker.name),
-    within: 3 * LEASE_S,
+    injectFault: (cluster, uid) =>
+      cluster.cloud.kill(hostsWithReplicas(cluster, uid)[0]!.worker.name),
+    recoveryWithinS: 3 * LEASE_S,
   },
   {
-    name: 'a spot machine is taken back after a notice',
+    name: 'a spot machine is preempted after a notice: its replicas leave before',
     service: { ...REPLICA, Reclaimable: true, Pieces: 4 },
-    fault: async (c, uid) => {
-      const host = carrying(c, uid)[0]!;
+    injectFault: async (cluster, uid) => {
+      const host = hostsWithReplicas(cluster, uid)[0]!;
       host.worker.noticeS = 4;
-      await c.pass(4);
-      assert.equal(onHost(host, uid), 0, 'its replicas left before it went');
-      c.cloud.kill(host.worker.name);
+      await cluster.pass(4);
+      assert.equal(replicasOn(host, uid), 0, 'its replicas left before the preemption');
+      cluster.cloud.kill(host.worker.name);
     },
-    within: LEASE_S,
+    recoveryWithinS: LEASE_S,
   },
   {
-    name: 'all machines of a service that is bound to one zone are gone',
+    name: 'all machines of a service that is bound to one zone are gone: all replicas run again',
     options: { zones: ['z', 'y'] },
     service: { ...REPLICA, OneZone: true, Pieces: 4 },
-    fault: (c, uid) => {
-      for (const h of carrying(c, uid)) c.cloud.kill(h.worker.name);
+    injectFault: (cluster, uid) => {
+      for (const host of hostsWithReplicas(cluster, uid)) cluster.cloud.kill(host.worker.name);
     },
-    within: 3 * LEASE_S,
+    recoveryWithinS: 3 * LEASE_S,
   },
   {
-    name: 'one of two zones is cut off under a service that is spread over both',
+    name: 'one of two zones of a spread service is cut off: the other one serves its half',
     options: { zones: ['z', 'y'] },
     service: { ...REPLICA, Spread: true, Pieces: 6 },
-    fault: async (c, uid) => {
-      const cut = c.hosts().filter((h) => h.worker.zone === 'y');
-      for (const h of cut) h.losesHeartbeats = h.losesCommands = true;
-      for (let t = 0; t < 4; t++) {
-        await c.pass(1);
-        assert.ok(served(c, uid) >= 3, 'the other zone serves its half');
+    injectFault: async (cluster, uid) => {
+      const cutHosts = cluster.hosts().filter((host) => host.worker.zone === 'y');
+      for (const host of cutHosts) host.losesHeartbeats = host.losesCommands = true;
+      for (let round = 0; round < 4; round++) {
+        await cluster.pass(1);
+        assert.ok(servedReplicas(cluster, uid) >= 3, 'the other zone serves its half');
       }
-      for (const h of cut) h.losesHeartbeats = h.losesCommands = false;
+      for (const host of cutHosts) host.losesHeartbeats = host.losesCommands = false;
     },
-    within: 3 * LEASE_S,
+    recoveryWithinS: 3 * LEASE_S,
   },
   {
-    name: 'all controllers are away for longer than a worker lease',
+    name: 'all controllers are down for longer than a worker lease: all replicas run again',
     service: { ...REPLICA, Pieces: 4 },
-    fault: async (c, uid) => {
-      for (const n of c.names) c.kill(n);
-      await c.pass(LEASE_S + 3);
-      assert.equal(c.running(uid), 0, 'the leases have ended');
-      await Promise.all(c.names.map((n) => c.start(n)));
+    injectFault: async (cluster, uid) => {
+      for (const node of cluster.names) cluster.kill(node);
+      await cluster.pass(LEASE_S + 3);
+      assert.equal(cluster.running(uid), 0, 'the leases have expired');
+      await Promise.all(cluster.names.map((n) => cluster.start(n)));
     },
-    within: 3 * LEASE_S,
+    recoveryWithinS: 3 * LEASE_S,
   },
   {
-    // A change of owner alone stops nothing.
-    name: 'every controller is started again, one after the other',
+    // A change of owner alone must not stop any task.
+    name: 'all controllers restart one after the other: no replica stops or is started again',
     service: { ...REPLICA, Pieces: 4 },
-    fault: async (c, uid) => {
-      const { started } = c.world;
-      for (const n of c.names) {
-        await c.replace(n, 'current');
-        assert.equal(c.running(uid), 4);
+    injectFault: async (cluster, uid) => {
+      const { started } = cluster.world;
+      for (const node of cluster.names) {
+        await cluster.replace(node, 'current');
+        assert.equal(cluster.running(uid), 4);
       }
-      assert.equal(c.world.started, started);
+      assert.equal(cluster.world.started, started);
     },
-    within: 1,
+    recoveryWithinS: 1,
   },
   {
-    name: 'the state service is out for longer than a worker lease',
+    name: 'the state service is unavailable for longer than a worker lease: all replicas go on',
     service: { ...REPLICA, Pieces: 4 },
-    fault: async (c, uid) => {
-      c.state.unavailable = true;
-      await c.pass(LEASE_S + 2);
-      assert.equal(served(c, uid), 4, 'replicas go on');
-      c.state.recover();
+    injectFault: async (cluster, uid) => {
+      cluster.state.unavailable = true;
+      await cluster.pass(LEASE_S + 2);
+      assert.equal(servedReplicas(cluster, uid), 4, 'replicas go on');
+      cluster.state.recover();
     },
-    within: 1,
+    recoveryWithinS: 1,
   },
   {
-    // As a faulty job would: tried elsewhere with growing pauses, and never given up.
-    name: 'replicas fail on every machine for a while',
+    // Handled as for a faulty job: replicas are started on other machines with growing backoff, and never given up.
+    name: 'replicas fail on every machine for a while: retried with growing backoff, and run in the end',
     service: { ...REPLICA, Pieces: 2 },
-    fault: async (c, uid) => {
-      const spoil = () => {
-        for (const h of c.hosts()) h.worker.faulty = true;
+    injectFault: async (cluster, uid) => {
+      const makeAllFaulty = () => {
+        for (const host of cluster.hosts()) host.worker.faulty = true;
       };
-      spoil();
-      for (const h of carrying(c, uid)) c.cloud.kill(h.worker.name);
-      const { started } = c.world;
-      for (let t = 0; t < 24; t++) {
-        await c.pass(0.5);
-        spoil();
+      makeAllFaulty();
+      for (const host of hostsWithReplicas(cluster, uid)) cluster.cloud.kill(host.worker.name);
+      const { started } = cluster.world;
+      for (let round = 0; round < 24; round++) {
+        await cluster.pass(0.5);
+        makeAllFaulty();
       }
-      assert.ok(c.world.started - started < 40, 'the pauses grow');
-      for (const h of c.hosts()) h.worker.faulty = false;
+      assert.ok(cluster.world.started - started < 40, 'the backoff grows');
+      for (const host of cluster.hosts()) host.worker.faulty = false;
     },
-    within: 6 * LEASE_S,
+    recoveryWithinS: 6 * LEASE_S,
   },
 ];
 
 const withCluster = async (
   options: Partial<ClusterOptions>,
-  work: (c: Cluster) => Promise<void>,
+  work: (cluster: Cluster) => Promise<void>,
 ): Promise<void> => {
-  const c = new Cluster({ runMs: FOREVER_MS, leaseS: LEASE_S, cancelS: CANCEL_S, ...options });
+  const cluster = new Cluster({
+    runMs: FOREVER_MS,
+    leaseS: LEASE_S,
+    cancelS: CANCEL_S,
+    ...options,
+  });
   try {
-    await c.open();
-    await work(c);
-    assert.deepEqual(c.world.broken, []);
+    await cluster.open();
+    await work(cluster);
+    assert.deepEqual(cluster.world.broken, []);
   } finally {
-    c.close();
+    cluster.close();
   }
 };
 
-const cancelAll = async (c: Cluster, uids: readonly string[]) => {
-  for (const uid of uids) assert.equal(await c.cancel('n1', uid), 'cancelled');
-  await c.until('its replicas are gone', CANCEL_S, () => uids.every((u) => c.running(u) === 0));
+const cancelAll = async (cluster: Cluster, uids: readonly string[]) => {
+  for (const uid of uids) assert.equal(await cluster.cancel('n1', uid), 'cancelled');
+  await cluster.until('the replicas are gone', CANCEL_S, () =>
+    uids.every((u) => cluster.running(u) === 0),
+  );
 };
 
-describe('services while something fails', { concurrency: 5 }, () => {
-  for (const row of ROWS) {
-    test(row.name, async () => {
-      await withCluster(row.options ?? {}, async (c) => {
-        const uid = await c.submit('n0', row.service);
-        const all = row.service.Pieces;
-        await c.until('all replicas run', 40, () => served(c, uid) === all);
-        await row.fault(c, uid);
-        await c.until(`${all} replicas run again`, row.within, () => served(c, uid) === all);
-        assert.equal(c.running(uid), all, 'none runs twice');
-        for (const n of c.names) {
-          await c.until(`${n} knows it`, 20, async () => (await c.statusOf(n, uid)) === 'running');
+describe('services during faults', { concurrency: 5 }, () => {
+  for (const faultCase of FAULT_CASES) {
+    test(faultCase.name, async () => {
+      await withCluster(faultCase.options ?? {}, async (cluster) => {
+        const uid = await cluster.submit('n0', faultCase.service);
+        const total = faultCase.service.Pieces;
+        await cluster.until('all replicas run', 40, () => servedReplicas(cluster, uid) === total);
+        await faultCase.injectFault(cluster, uid);
+        await cluster.until(
+          `${total} replicas run again`,
+          faultCase.recoveryWithinS,
+          () => servedReplicas(cluster, uid) === total,
+        );
+        assert.equal(cluster.running(uid), total, 'none runs twice');
+        for (const node of cluster.names) {
+          await cluster.until(
+            `${node} reports it running`,
+            20,
+            async () => (await cluster.statusOf(node, uid)) === 'running',
+          );
         }
-        await cancelAll(c, [uid]);
+        await cancelAll(cluster, [uid]);
       });
     });
   }
 
-  test('replicas that end by themselves again and again: never done, run again', async () => {
-    await withCluster({ runMs: 700 }, async (c) => {
-      const uid = await c.submit('n0', { ...REPLICA, Pieces: 2 });
-      await c.until('they have run again', 40, () => c.world.started >= 6);
-      for (const n of c.names) {
-        assert.ok(['queued', 'running'].includes(await c.statusOf(n, uid)));
+  test('replicas that exit again and again are started again, and the service is never done', async () => {
+    await withCluster({ runMs: 700 }, async (cluster) => {
+      const uid = await cluster.submit('n0', { ...REPLICA, Pieces: 2 });
+      await cluster.until('replicas were started again', 40, () => cluster.world.started >= 6);
+      for (const node of cluster.names) {
+        assert.ok(['queued', 'running'].includes(await cluster.statusOf(node, uid)));
       }
-      await cancelAll(c, [uid]);
+      await cancelAll(cluster, [uid]);
     });
   });
 
-  test("a team's limit: more than all of it is refused, what others use is waited for", async () => {
-    await withCluster({ teams: [LIMITED] }, async (c) => {
+  test("a service above its team's limit is refused; one that fits waits while other services use the limit", async () => {
+    await withCluster({ teams: [LIMITED] }, async (cluster) => {
       const limited = { ...REPLICA, Owner: 'limited', Vcpus: 2 };
-      for (const n of c.names) {
-        const body = c.submission({ ...limited, Pieces: 5 });
-        const answer = await c.call(n, 'POST', '/submissions', body);
+      for (const node of cluster.names) {
+        const body = cluster.submission({ ...limited, Pieces: 5 });
+        const answer = await cluster.call(node, 'POST', '/submissions', body);
         assert.equal(answer.status, 422, 'five replicas of two CPUs are over eight');
-        assert.equal((await c.call(n, 'GET', `/submissions/${body.Uid}`)).status, 404);
+        assert.equal((await cluster.call(node, 'GET', `/submissions/${body.Uid}`)).status, 404);
       }
-      const first = await c.submit('n0', { ...limited, Pieces: 3 });
-      await c.until('the first runs', 40, () => served(c, first) === 3);
-      const second = await c.submit('n1', { ...limited, Pieces: 4 });
-      await c.pass(4);
-      assert.equal(served(c, first), 3);
-      assert.ok(served(c, second) <= 1, 'one CPU pair is left for it');
-      await cancelAll(c, [first]);
-      await c.until('the second runs', 2 * LEASE_S, () => served(c, second) === 4);
-      await cancelAll(c, [second]);
+      const first = await cluster.submit('n0', { ...limited, Pieces: 3 });
+      await cluster.until('the first runs', 40, () => servedReplicas(cluster, first) === 3);
+      const second = await cluster.submit('n1', { ...limited, Pieces: 4 });
+      await cluster.pass(4);
+      assert.equal(servedReplicas(cluster, first), 3);
+      assert.ok(servedReplicas(cluster, second) <= 1, 'the limit leaves two CPUs to it');
+      await cancelAll(cluster, [first]);
+      await cluster.until(
+        'the second runs',
+        2 * LEASE_S,
+        () => servedReplicas(cluster, second) === 4,
+      );
+      await cancelAll(cluster, [second]);
     });
   });
 });
