--- a/test/combined-faults.test.ts
+++ b/test/combined-faults.test.ts
@@ -1,8 +1,8 @@
 /**
- * Combined faults, each case on three whole controllers with stand-ins for store, cloud and workers. During all faults
- * the invariants hold: no task runs on two machines, team limits and placement constraints are kept, cancelled tasks
- * are gone in time, and no answer contradicts an earlier one. Once the faults are over, every job that was accepted and
- * not cancelled is done, at every node. The comment of a case says what would go wrong without the guard that it
+ * Combined faults, each case on three whole controllers with stand-ins for state service, cloud and workers. During all
+ * faults the invariants hold: no task runs on two machines, team limits and placement constraints are kept, cancelled
+ * tasks are gone in time, and no answer contradicts an earlier one. Once the faults are over, every job that was accepted
+ * and not cancelled is done, at every node. The comment of a case says what would go wrong without the guard that it
  * tests. cancellation-outage.test.ts covers a refusal followed by an outage.
  */
 import assert from 'node:assert/strict';
@@ -29,9 +29,11 @@
 const SMALL_JOB = { Vcpus: 1, Cards: 0, MemGb: 1, GuessS: 20 };
 const LARGE_JOB = { ...SMALL_JOB, Pieces: 20 };
 
+/** Leaves every second transaction of all nodes unanswered and applies it `ms` later; null ends that. */
 const delayTransactions = (cluster: Cluster, ms: number | null) => {
   for (const door of cluster.doors.values()) door.lateMs = ms;
 };
+/** Kills a node and starts it again `downMs` later. */
 const crashAndRestart = async (cluster: Cluster, node: string, downMs: number) => {
   cluster.kill(node);
   await cluster.pass(downMs / 1000);
@@ -83,7 +85,7 @@
   {
     // Preemption, migration, and starts by direct command as well as by heartbeat answer must start nothing twice, and
     // no job starves.
-    name: 'more tasks than capacity at different priorities, with slow store and commands: all jobs get done',
+    name: 'more tasks than capacity at different priorities, with slow state service and commands: all jobs get done',
     jobs: [
       { ...LARGE_JOB, Rank: 'idle', Vcpus: 2, Pieces: 16 },
       { ...LARGE_JOB, Rank: 'urgent', Vcpus: 4, Pieces: 6 },
@@ -208,7 +210,7 @@
   {
     // Only the old owner knows that the first task has ended, unless it saved the completion before it told the worker
     // to forget the task.
-    name: 'tasks of a job end far apart across changes of leader: no completion is lost',
+    name: 'jobs of two or three tasks that end far apart, across changes of leader: no completion is lost',
     options: { runMs: (index) => 1500 + index * 5000 },
     jobs: [1, 2, 3].flatMap((factor) => [
       { ...SMALL_JOB, Pieces: 2 },
--- a/test/mixed-versions.test.ts
+++ b/test/mixed-versions.test.ts
@@ -219,7 +219,7 @@
     scenario: async (cluster, [first]) => {
       const hasLargeSlot = () =>
         [...cluster.state.items].some(
-          ([k, i]) => k.startsWith('done/0/') && JSON.stringify(i.value).length > 700,
+          ([key, { value }]) => key.startsWith('done/0/') && JSON.stringify(value).length > 700,
         );
       await cluster.until('the present version has split the slot', 30, () => !hasLargeSlot());
       cluster.state.limits = { valueBytes: 700, transactionOps: 3, writeRps: 150 };
@@ -276,8 +276,8 @@
         await versionCase.scenario(cluster, uids);
         for (const node of cluster.names)
           await cluster.until(`${node} is back`, 40, () => cluster.ready(node));
-        const seeded = Object.keys(seed).flatMap((k) =>
-          k.startsWith('active/') ? [k.slice('active/'.length)] : [],
+        const seeded = Object.keys(seed).flatMap((key) =>
+          key.startsWith('active/') ? [key.slice('active/'.length)] : [],
         );
         for (const uid of [...cluster.world.jobs.keys(), ...seeded]) {
           const end = cluster.world.cancelledAt.has(uid) ? 'cancelled' : 'done';
--- a/test/service-faults.test.ts
+++ b/test/service-faults.test.ts
@@ -11,7 +11,7 @@
 const LEASE_S = 8;
 const CANCEL_S = 18;
 const FOREVER_MS = 1e9;
-const LIMITED = { name: 'limited', cpus: 0, gpus: 0, cpusMax: 8, gpusMax: 0 };
+const LIMITED_TEAM = { name: 'limited', cpus: 0, gpus: 0, cpusMax: 8, gpusMax: 0 };
 const REPLICA = {
   Shape: 'service',
   Rank: 'prod',
@@ -250,7 +250,7 @@
   });
 
   test("a service above its team's limit is refused; one that fits waits while other services use the limit", async () => {
-    await withCluster({ teams: [LIMITED] }, async (cluster) => {
+    await withCluster({ teams: [LIMITED_TEAM] }, async (cluster) => {
       const limited = { ...REPLICA, Owner: 'limited', Vcpus: 2 };
       for (const node of cluster.names) {
         const body = cluster.submission({ ...limited, Pieces: 5 });
--- a/test/services.test.ts
+++ b/test/services.test.ts
@@ -257,8 +257,8 @@
     const store = new Store().add(...machines);
     const world = new World();
     const shard = shardWith(store);
-    const workers = machines.map((m) => {
-      return new FakeWorker(m.name, world, FOREVER_MS, LEASE_MS, 0, m.zone);
+    const workers = machines.map((record) => {
+      return new FakeWorker(record.name, world, FOREVER_MS, LEASE_MS, 0, record.zone);
     });
     const exchangeHeartbeats = (now: number) => {
       shard.placeAll(now);
