--- a/test/combined-faults.test.ts
+++ b/test/combined-faults.test.ts
@@ -1,8 +1,8 @@
 /**
  * Combined faults, each case on three whole controllers with stand-ins for state service, cloud and workers. During all
  * faults the invariants hold: no task runs on two machines, team limits and placement constraints are kept, cancelled
- * tasks are gone in time, and no answer contradicts an earlier one. Once the faults are over, every job that was accepted
- * and not cancelled is done, at every node. The comment of a case says what would go wrong without the guard that it
+ * tasks are gone in time, and no answer contradicts an earlier one. Once the faults are over, every job that was
+ * accepted and not cancelled is done, at every node. The comment of a case says what would go wrong without the guard that it
  * tests. cancellation-outage.test.ts covers a refusal followed by an outage.
  */
 import assert from 'node:assert/strict';
--- a/test/services.test.ts
+++ b/test/services.test.ts
@@ -238,8 +238,8 @@
 });
 
 test('for a replica that fits no machine, one is rented in the zone that its service needs (table)', () => {
-  // When capacity was counted over all zones, machines of another zone, or machines full of replicas that never end, hid
-  // the shortage: a service spread over two zones waited forever with half of its replicas.
+  // When capacity was counted over all zones, machines of another zone, or machines full of replicas that never end,
+  // hid the shortage: a service spread over two zones waited forever with half of its replicas.
   const fullMachineService = service({ uid: 'job-000009', tasks: 8, spot: false });
   const cases: [string, Parameters<typeof job>[0], ReturnType<typeof machine>[], string[]][] = [
     ['spread, machines in one zone', { tasks: 4, spread: true }, [machine('a')], ['y']],
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -130,8 +130,8 @@
 });
 
 /**
- * Present names of fields of messages between nodes, by their names in the version in production. On the wire fields are
- * numbers.
+ * Present names of fields of messages between nodes, by their names in the version in production. On the wire fields
+ * are numbers.
  */
 const PRESENT_NAMES: Readonly<Record<string, string>> = {
   hasState: 'hasStore',
