--- a/packages/leader-election/src/authorization.ts
+++ b/packages/leader-election/src/authorization.ts
@@ -107,7 +107,7 @@
   ) {}
 
   /** The intent at a stored revision, whether this leadership or an earlier one wrote it; throws a `RangeError` if it is absent. */
-  static found(authorization: Authorization, stored: Guard): RecordedIntent {
+  static fromStored(authorization: Authorization, stored: Guard): RecordedIntent {
     if (stored.revision === 0) throw new RangeError(`${stored.key} is not recorded`);
     return new RecordedIntent(stored.key, authorization);
   }
--- a/packages/leader-election/src/election-policy.ts
+++ b/packages/leader-election/src/election-policy.ts
@@ -45,7 +45,7 @@
   view.members.length > 0 && view.members.every((member) => member.supportsElection);
 
 /** Whether two members are the same incarnation of the same node. */
-export const sameMember = (a: Member, b: Member): boolean =>
+export const isSameMember = (a: Member, b: Member): boolean =>
   a.node === b.node && a.incarnation === b.incarnation;
 
 const FNV_OFFSET = 0x811c9dc5;
@@ -61,7 +61,7 @@
 };
 
 /** How many roles a node leads by the records. */
-const rolesLedBy = (view: ElectionView, node: string): number => {
+const countRolesLedBy = (view: ElectionView, node: string): number => {
   let led = 0;
   for (const { value } of view.records.values()) if (value.holder?.node === node) led += 1;
   return led;
@@ -76,7 +76,7 @@
   const nodes = [...new Set(view.members.map((member) => member.node))];
   const rank = (node: string): readonly [number, number, number] => [
     node === former ? 1 : 0,
-    rolesLedBy(view, node),
+    countRolesLedBy(view, node),
     fnv1a(`${role} ${node}`),
   ];
   return nodes.sort((a, b) => {
@@ -110,11 +110,11 @@
   #step(role: string, view: ElectionView, now: number): ElectionStep | null {
     const record = view.records.get(role) ?? null;
     const leader = record?.value.holder ?? null;
-    if (record !== null && leader !== null && sameMember(leader, this.self)) {
+    if (record !== null && leader !== null && isSameMember(leader, this.self)) {
       this.#vacantSince.delete(role);
       return this.#stepAsLeader(role, record, view);
     }
-    if (leader !== null && view.members.some((member) => sameMember(member, leader))) {
+    if (leader !== null && view.members.some((member) => isSameMember(member, leader))) {
       // An earlier incarnation of this node: that process has ended, even if its lease is still alive.
       if (leader.node === this.self.node) return { kind: 'acquire', role, previous: record };
       this.#vacantSince.delete(role);
--- a/packages/leader-election/src/fencing-rejections.ts
+++ b/packages/leader-election/src/fencing-rejections.ts
@@ -53,7 +53,9 @@
       this.#countAndLog(rejection, newerToken);
       return;
     }
-    const pending = this.#lookUp(rejection).finally(() => this.#pending.delete(pending));
+    const pending = this.#lookUpTokenAndCount(rejection).finally(() =>
+      this.#pending.delete(pending),
+    );
     this.#pending.add(pending);
   }
 
@@ -62,7 +64,7 @@
     while (this.#pending.size > 0) await Promise.all(this.#pending);
   }
 
-  async #lookUp(rejection: FencingRejection): Promise<void> {
+  async #lookUpTokenAndCount(rejection: FencingRejection): Promise<void> {
     try {
       this.#countAndLog(rejection, await this.currentToken(rejection.role));
     } catch (error) {
--- a/packages/leader-election/src/index.ts
+++ b/packages/leader-election/src/index.ts
@@ -105,7 +105,7 @@
   type CompareAndSwapStore,
   type Guard,
   type LeaseStore,
-  type Urgency,
+  type TransactionPriority,
   type Versioned,
   type Write,
 } from './store.js';
--- a/packages/leader-election/src/leader-election.ts
+++ b/packages/leader-election/src/leader-election.ts
@@ -3,7 +3,7 @@
 import {
   ElectionPolicy,
   allSupportElection,
-  sameMember,
+  isSameMember,
   type ElectionStep,
   type ElectionView,
 } from './election-policy.js';
@@ -71,8 +71,8 @@
 export class LeaderElection {
   readonly #policy: ElectionPolicy;
   /** roles with a call under way */
-  readonly #busy = new Set<string>();
-  readonly #transfers = new Map<string, PendingTransfer>();
+  readonly #rolesInFlight = new Set<string>();
+  readonly #pendingTransfers = new Map<string, PendingTransfer>();
 
   constructor(
     private readonly options: LeaderElectionOptions,
@@ -85,10 +85,11 @@
   tick(): void {
     const { hasAuthority, view, steadyMs } = this.dependencies;
     if (!hasAuthority()) return;
-    for (const [role, transfer] of this.#transfers) void this.#commitTransfer(role, transfer);
+    for (const [role, transfer] of this.#pendingTransfers)
+      void this.#commitTransfer(role, transfer);
     const steps = this.#policy.steps(view(), steadyMs());
     for (const step of steps) {
-      if (!this.#transfers.has(step.role)) this.#carryOut(step);
+      if (!this.#pendingTransfers.has(step.role)) this.#execute(step);
     }
   }
 
@@ -109,8 +110,8 @@
   /** Gives up the leadership of a role, for any other node to acquire; does nothing if this process does not lead. */
   release(role: string): void {
     const record = this.#ownRecord(role);
-    if (record === null || this.#transfers.has(role)) return;
-    this.#beginTransfer(role, this.#transferOf(role, record, null));
+    if (record === null || this.#pendingTransfers.has(role)) return;
+    this.#beginTransfer(role, this.#buildTransfer(role, record, null));
   }
 
   /** The role's record if it names this incarnation of the node. */
@@ -118,17 +119,17 @@
     const record = this.dependencies.view().records.get(role);
     const leader = record?.value.holder ?? null;
     if (record === undefined || leader === null) return null;
-    return sameMember(leader, this.options.self) ? record : null;
+    return isSameMember(leader, this.options.self) ? record : null;
   }
 
   #isLeader(role: string, revision: number): boolean {
     const { hasAuthority, view } = this.dependencies;
-    if (!hasAuthority() || this.#transfers.has(role)) return false;
+    if (!hasAuthority() || this.#pendingTransfers.has(role)) return false;
     const record = this.#ownRecord(role);
     return record?.revision === revision && allSupportElection(view());
   }
 
-  #carryOut(step: ElectionStep): void {
+  #execute(step: ElectionStep): void {
     switch (step.kind) {
       case 'acquire':
         void this.#exclusively(step.role, () => this.#acquire(step.role, step.previous));
@@ -138,7 +139,7 @@
         const requestGuard: Guard = { key: transferRequestKey(role), revision: request.revision };
         const targetGuards =
           to === null ? [] : [{ key: this.#memberKey(to), revision: to.revision }];
-        const transfer = this.#transferOf(role, record, to);
+        const transfer = this.#buildTransfer(role, record, to);
         this.#beginTransfer(role, {
           guards: [...transfer.guards, requestGuard, ...targetGuards],
           writes: [...transfer.writes, { drop: requestGuard.key }],
@@ -157,20 +158,20 @@
 
   /** One call at a time for each role; while the store is unavailable, the next round tries again. */
   async #exclusively(role: string, work: () => Promise<void>): Promise<void> {
-    if (this.#busy.has(role)) return;
-    this.#busy.add(role);
+    if (this.#rolesInFlight.has(role)) return;
+    this.#rolesInFlight.add(role);
     try {
       await work();
     } catch (error) {
       if (!(error instanceof StoreUnavailableError)) throw error;
       this.dependencies.log.debug({ role, error: error.message }, 'leadership not written');
     } finally {
-      this.#busy.delete(role);
+      this.#rolesInFlight.delete(role);
     }
   }
 
   async #acquire(role: string, previous: Versioned<LeaderRecord> | null): Promise<void> {
-    const acquisition = this.#acquisitionOf(role, previous);
+    const acquisition = this.#buildAcquisition(role, previous);
     if (acquisition === null) return;
     const { guards, record } = acquisition;
     const { store, onCommitted, log } = this.dependencies;
@@ -183,24 +184,24 @@
   }
 
   /** Depends on this incarnation being registered, and on the lease of the former leader having ended. */
-  #acquisitionOf(role: string, previous: Versioned<LeaderRecord> | null): Acquisition | null {
+  #buildAcquisition(role: string, previous: Versioned<LeaderRecord> | null): Acquisition | null {
     const { self } = this.options;
-    const own = this.dependencies.view().members.find((member) => sameMember(member, self));
+    const own = this.dependencies.view().members.find((member) => isSameMember(member, self));
     if (own === undefined) return null;
     const guards: Guard[] = [
       { key: leaderKey(role), revision: previous?.revision ?? 0 },
       { key: this.#memberKey(self), revision: own.revision },
     ];
     if (previous === null)
-      return { guards, record: this.#record(self, null, nextToken(INITIAL_TOKEN)) };
+      return { guards, record: this.#createRecord(self, null, nextToken(INITIAL_TOKEN)) };
     const { holder: leader, former, token } = previous.value;
     if (leader !== null && leader.node !== self.node) {
       guards.push({ key: this.#memberKey(leader), revision: 0 });
     }
-    return { guards, record: this.#record(self, leader?.node ?? former, nextToken(token)) };
+    return { guards, record: this.#createRecord(self, leader?.node ?? former, nextToken(token)) };
   }
 
-  #record(
+  #createRecord(
     holder: Member | null,
     former: string | null,
     token: LeaderRecord['token'],
@@ -220,12 +221,16 @@
   }
 
   /** The transaction that writes the next record: led by `to`, or released if that is null. */
-  #transferOf(role: string, record: Versioned<LeaderRecord>, to: Member | null): PendingTransfer {
+  #buildTransfer(
+    role: string,
+    record: Versioned<LeaderRecord>,
+    to: Member | null,
+  ): PendingTransfer {
     const next = to === null ? null : { node: to.node, incarnation: to.incarnation };
     // A release keeps its token: the leadership that follows takes the next one.
     const { token } = record.value;
     const tokenAfter = next === null ? token : nextToken(token);
-    const value = this.#record(next, this.options.self.node, tokenAfter);
+    const value = this.#createRecord(next, this.options.self.node, tokenAfter);
     return {
       guards: [{ key: leaderKey(role), revision: record.revision }],
       writes: [{ put: leaderKey(role), value }],
@@ -234,7 +239,7 @@
 
   /** From here on this process does not act as the leader, whatever becomes of the transaction. */
   #beginTransfer(role: string, transfer: PendingTransfer): void {
-    this.#transfers.set(role, transfer);
+    this.#pendingTransfers.set(role, transfer);
     void this.#commitTransfer(role, transfer);
   }
 
@@ -251,7 +256,7 @@
         onCommitted(writes, outcome.epoch);
         log.info({ role }, 'leadership transferred');
       }
-      this.#transfers.delete(role);
+      this.#pendingTransfers.delete(role);
     });
   }
 }
--- a/packages/leader-election/src/retention.ts
+++ b/packages/leader-election/src/retention.ts
@@ -36,7 +36,7 @@
 /** How long values are retained, and how exact the clocks are. */
 export interface RetentionOptions {
   /** ms */
-  readonly keepMs: number;
+  readonly retentionMs: number;
   /** share by which a steady clock may be fast */
   readonly clockDrift: number;
 }
@@ -50,7 +50,7 @@
   previous: RetentionRecord,
   passedMs: number,
   revision: number,
-  { keepMs, clockDrift }: RetentionOptions,
+  { retentionMs: keepMs, clockDrift }: RetentionOptions,
 ): RetentionRecord => {
   const observedMs = previous.observedMs + Math.max(0, passedMs) * (1 - clockDrift);
   const last = previous.marks.at(-1);
--- a/packages/leader-election/src/session-lease.ts
+++ b/packages/leader-election/src/session-lease.ts
@@ -75,7 +75,7 @@
       this.log.info({ lease: this.#id }, 'lease granted');
     } else if (!(await this.store.renew(this.#id))) {
       this.log.info({ lease: this.#id }, 'lease ended');
-      this.#drop();
+      this.#discardLease();
       return;
     }
     if (this.registeredAt === Infinity && !(await this.#register(this.#id))) return;
@@ -89,12 +89,12 @@
   async #register(id: number): Promise<boolean> {
     const { key, value } = this.registration;
     const epoch = await this.store.register(key, value, id);
-    if (epoch === null) this.#drop();
+    if (epoch === null) this.#discardLease();
     else this.registeredAt = epoch;
     return epoch !== null;
   }
 
-  #drop(): void {
+  #discardLease(): void {
     this.#id = null;
     this.registeredAt = Infinity;
     this.#validity.end();
--- a/packages/leader-election/src/status.ts
+++ b/packages/leader-election/src/status.ts
@@ -2,7 +2,7 @@
  * A description of who leads which role, for operators. `sumacstep duties --json` prints it as it is: the names of
  * its properties are a part of that output and never change.
  */
-import { allSupportElection, sameMember, type ElectionView } from './election-policy.js';
+import { allSupportElection, isSameMember, type ElectionView } from './election-policy.js';
 import type { FencingToken } from './fencing-token.js';
 
 /** Until when a leadership lasts. */
@@ -46,11 +46,11 @@
 const validityOf = (view: ElectionView, role: string): LeadershipValidity => {
   const leader = view.records.get(role)?.value.holder ?? null;
   if (leader === null) return { kind: 'vacant' };
-  const live = view.members.some((member) => sameMember(member, leader));
+  const live = view.members.some((member) => isSameMember(member, leader));
   return { kind: live ? 'lease_renewed' : 'lease_ended' };
 };
 
-const waitsFor = (view: ElectionView, role: string, to: string | null): string => {
+const describeWait = (view: ElectionView, role: string, to: string | null): string => {
   if (!allSupportElection(view)) return 'a node that does not know duties';
   if (to !== null && !view.members.some((member) => member.node === to)) return `${to} to live`;
   return validityOf(view, role).kind === 'lease_renewed' ? 'the holder' : 'a new holder';
@@ -59,7 +59,7 @@
 const pendingTransfer = (view: ElectionView, role: string): PendingTransferStatus | null => {
   const request = view.transferRequests.get(role)?.value;
   if (request === undefined) return null;
-  return { to: request.to, id: request.id, waitsFor: waitsFor(view, role, request.to) };
+  return { to: request.to, id: request.id, waitsFor: describeWait(view, role, request.to) };
 };
 
 const statusOf = (view: ElectionView, role: string): LeadershipStatus => {
--- a/packages/leader-election/src/store.ts
+++ b/packages/leader-election/src/store.ts
@@ -24,15 +24,15 @@
 }
 
 /** The priority of a transaction: leases and leadership come before everything else. */
-export type Urgency = 'lease' | 'normal' | 'background';
+export type TransactionPriority = 'lease' | 'normal' | 'background';
 
 /**
  * Atomic transactions of a store whose priorities are of type `U`. A call rejects with `StoreUnavailableError` if
  * the store refused it or its outcome is unknown.
  */
-export interface CompareAndSwapStore<U = Urgency> {
+export interface CompareAndSwapStore<U = TransactionPriority> {
   compareAndSwap(
-    urgency: U,
+    priority: U,
     guards: readonly Guard[],
     writes: readonly Write[],
   ): Promise<CompareAndSwapResult>;
--- a/packages/leader-election/test/components.test.ts
+++ b/packages/leader-election/test/components.test.ts
@@ -129,6 +129,9 @@
     leadership,
     new FencingRejections(() => Promise.resolve(null), log),
   );
-  assert.throws(() => RecordedIntent.found(authorization, { key: 'intent', revision: 0 }));
-  assert.equal(RecordedIntent.found(authorization, { key: 'intent', revision: 4 }).key, 'intent');
+  assert.throws(() => RecordedIntent.fromStored(authorization, { key: 'intent', revision: 0 }));
+  assert.equal(
+    RecordedIntent.fromStored(authorization, { key: 'intent', revision: 4 }).key,
+    'intent',
+  );
 });
--- a/packages/leader-election/test/leader-election.test.ts
+++ b/packages/leader-election/test/leader-election.test.ts
@@ -22,7 +22,7 @@
 });
 
 /** An election whose transactions are kept, and answered by the test. */
-const scene = (leader: string, live: readonly string[]) => {
+const startElection = (leader: string, live: readonly string[]) => {
   const sent: {
     guards: readonly Guard[];
     answer: (outcome: CompareAndSwapResult | Error) => void;
@@ -70,7 +70,7 @@
 };
 
 test('a takeover depends on the record, the own membership, and the end of the former leader', () => {
-  const { election, sent } = scene('b', ['a', 'c']);
+  const { election, sent } = startElection('b', ['a', 'c']);
   election.tick();
   assert.deepEqual(sent[0]?.guards, [
     { key: leaderKey('d'), revision: 7 },
@@ -80,7 +80,7 @@
 });
 
 test('while the outcome of a transfer is unknown its sender does not act, and repeats it', async () => {
-  const { election, sent } = scene('a', ['a', 'c']);
+  const { election, sent } = startElection('a', ['a', 'c']);
   const authorization = election.authorize('d');
   assert.ok(authorization !== null && authorization.isValid());
   election.release('d');
--- a/packages/leader-election/test/simulated-cluster.ts
+++ b/packages/leader-election/test/simulated-cluster.ts
@@ -9,7 +9,7 @@
 } from '@sumacstep/leader-election';
 import type { ElectionEvent } from './history.js';
 import {
-  MACHINE_KEY,
+  LEADER_WRITE_KEY,
   ROLE,
   SimulatedNode,
   type ClusterFaults,
@@ -22,7 +22,7 @@
 /** A fast network and exact clocks. */
 export const NO_FAULTS: ClusterFaults = {
   delayMs: () => 5,
-  fate: () => 'normal',
+  callOutcome: () => 'normal',
   lateByMs: () => 0,
   isRefused: () => false,
   drift: () => 0,
@@ -38,7 +38,7 @@
   readonly violations: string[] = [];
   readonly counts = { rejectedByMachine: 0, returned: 0, used: 0 };
   timeOfDay = 0;
-  #machineToken = 0;
+  #newestMachineToken = 0;
   #nextMachine = 0;
   /** nodes whose calls the store refuses */
   readonly #unreachable = new Set<string>();
@@ -47,14 +47,15 @@
   constructor(
     private readonly faults: ClusterFaults,
     /** ms until the cloud carries a return out */
-    private readonly cloudMs: () => number = () => 10,
+    private readonly cloudDelayMs: () => number = () => 10,
   ) {
     this.store.observe((writes) => {
       for (const write of writes) {
         if (!('put' in write)) continue;
-        if (write.put === MACHINE_KEY) {
+        if (write.put === LEADER_WRITE_KEY) {
           this.history.push({ kind: 'executed', by: 'store', token: write.value as number });
-        } else if (write.put === leaderKey(ROLE)) this.#noteRecord(decodeLeaderRecord(write.value));
+        } else if (write.put === leaderKey(ROLE))
+          this.#recordAcquisition(decodeLeaderRecord(write.value));
       }
     });
     this.time.every(50, () => {
@@ -101,13 +102,13 @@
     return electionViewOf(this.store).records.get(ROLE)?.value.token ?? 0;
   }
 
-  #noteRecord({ holder, token }: LeaderRecord): void {
+  #recordAcquisition({ holder, token }: LeaderRecord): void {
     if (holder === null) return;
     this.history.push({ kind: 'acquired', leader: holder.incarnation, token });
   }
 
   /** Notes an order that the node's own check has let pass. */
-  sent(node: SimulatedNode, { fencingToken: token }: Authorization): void {
+  recordSent(node: SimulatedNode, { fencingToken: token }: Authorization): void {
     this.history.push({ kind: 'sent', leader: node.incarnation, token });
   }
 
@@ -115,15 +116,15 @@
   commandMachine(node: SimulatedNode, authorization: Authorization): void {
     const { fencingToken: token } = authorization;
     this.time.after(this.faults.delayMs(), () => {
-      if (token < this.#machineToken) {
+      if (token < this.#newestMachineToken) {
         this.counts.rejectedByMachine += 1;
-        const newer = this.#machineToken;
-        node.resume(() => {
+        const newer = this.#newestMachineToken;
+        node.runWhenAwake(() => {
           authorization.recordRejection('machine', newer);
         });
         return;
       }
-      this.#machineToken = token;
+      this.#newestMachineToken = token;
       this.history.push({ kind: 'executed', by: 'machine', token });
     });
   }
@@ -157,8 +158,8 @@
       return;
     }
     authorization.ensureValid();
-    this.sent(node, authorization);
-    this.time.after(this.cloudMs(), () => {
+    this.recordSent(node, authorization);
+    this.time.after(this.cloudDelayMs(), () => {
       this.counts.returned += 1;
       if (this.store.items.has(`used/${name}`)) this.violations.push(`${name} returned and used`);
     });
--- a/packages/leader-election/test/simulated-node.ts
+++ b/packages/leader-election/test/simulated-node.ts
@@ -18,7 +18,7 @@
 /** The role that all nodes are candidates for. */
 export const ROLE = 'work';
 /** Each write of a leader goes to this key, with its fencing token as the value. */
-export const MACHINE_KEY = 'machine';
+export const LEADER_WRITE_KEY = 'machine';
 const TICK_MS = 250;
 const WATCH_MS = 200;
 const TIMING = { ttlMs: 6000, renewMs: 1500, retryMs: 300, clockDrift: 0.001, marginMs: 500 };
@@ -44,7 +44,7 @@
   /** whether the node's calls reach the store */
   reaches(node: SimulatedNode): boolean;
   /** notes an order that the node's own check has let pass */
-  sent(node: SimulatedNode, authorization: Authorization): void;
+  recordSent(node: SimulatedNode, authorization: Authorization): void;
   commandMachine(node: SimulatedNode, authorization: Authorization): void;
   useOrReturn(
     node: SimulatedNode,
@@ -87,7 +87,7 @@
     this.rejections = new FencingRejections((role) => this.#currentToken(role), log);
     const key = memberKey(this);
     const value = memberValue(supportsElection);
-    this.#lease = new SessionLease(client, { key, value }, TIMING, () => this.steady(), log);
+    this.#lease = new SessionLease(client, { key, value }, TIMING, () => this.steadyMs(), log);
     this.election = this.#createElection(client, log);
     this.#schedule(supportsElection);
   }
@@ -102,7 +102,7 @@
         onCommitted: () => {
           this.#refreshView();
         },
-        steadyMs: () => this.steady(),
+        steadyMs: () => this.steadyMs(),
         wallClockMs: () => this.environment.timeOfDay,
         rejections: this.rejections,
         log,
@@ -140,7 +140,7 @@
   }
 
   /** The steady clock of this node, ms: it continues while the process is frozen. */
-  steady(): number {
+  steadyMs(): number {
     return this.environment.time.now * (1 + this.#drift);
   }
 
@@ -173,11 +173,11 @@
   #refreshView(): void {
     if (!this.environment.reaches(this)) return;
     this.#view = electionViewOf(this.environment.store);
-    this.#viewAt = this.steady();
+    this.#viewAt = this.steadyMs();
   }
 
   #hasAuthority(): boolean {
-    return this.#lease.valid(this.steady()) && this.#viewAt >= this.#lease.validSince;
+    return this.#lease.valid(this.steadyMs()) && this.#viewAt >= this.#lease.validSince;
   }
 
   #currentToken(role: string): Promise<number | null> {
@@ -197,14 +197,14 @@
   async act(authorization: Authorization): Promise<void> {
     try {
       authorization.ensureValid();
-      this.environment.sent(this, authorization);
+      this.environment.recordSent(this, authorization);
       this.environment.commandMachine(this, authorization);
       await fencedCompareAndSwap(
         this.#store,
         authorization,
         'normal',
         [],
-        [{ put: MACHINE_KEY, value: authorization.fencingToken }],
+        [{ put: LEADER_WRITE_KEY, value: authorization.fencingToken }],
       );
       await this.environment.useOrReturn(this, this.#store, authorization);
     } catch (error) {
@@ -214,7 +214,7 @@
   }
 
   /** Runs the work once this process is not frozen, unless it has ended. */
-  resume(work: () => void): void {
+  runWhenAwake(work: () => void): void {
     this.#whenAwake(work);
   }
 }
--- a/packages/leader-election/test/simulated-store.ts
+++ b/packages/leader-election/test/simulated-store.ts
@@ -15,14 +15,14 @@
 }
 
 /** ms after which a caller stops waiting */
-const CALL_MS = 2000;
+const CALL_TIMEOUT_MS = 2000;
 
 /** What happens to the calls of one client; each function is asked anew for every call. */
 export interface NetworkFaults {
   /** ms that a message is on its way */
   delayMs(): number;
   /** what else happens to the call */
-  fate(): 'normal' | 'answer_lost' | 'carried_out_late';
+  callOutcome(): 'normal' | 'answer_lost' | 'carried_out_late';
   /** ms after which a late call is carried out */
   lateByMs(): number;
   /** whether the store refuses calls of this client alone */
@@ -141,10 +141,10 @@
           });
         }
       };
-      const fate = network.fate();
+      const fate = network.callOutcome();
       if (fate === 'normal') this.time.after(network.delayMs(), arrive);
       else {
-        this.time.after(CALL_MS, () => {
+        this.time.after(CALL_TIMEOUT_MS, () => {
           resume(lost);
         });
         const ms = fate === 'carried_out_late' ? network.lateByMs() : network.delayMs();
--- a/packages/leader-election/test/single-leader.test.ts
+++ b/packages/leader-election/test/single-leader.test.ts
@@ -117,7 +117,7 @@
     // Woken between its check and its calls: the command and the write are on their way already.
     cluster.commandMachine(old, authorization);
     const client = cluster.store.clientOf({ ...NO_FAULTS }, (work) => {
-      old.resume(work);
+      old.runWhenAwake(work);
     });
     const late = fencedCompareAndSwap(
       client,
@@ -168,7 +168,7 @@
       let calls = 0;
       const faults: ClusterFaults = {
         ...NO_FAULTS,
-        fate: () => (++calls % 3 === 0 ? fate : 'normal'),
+        callOutcome: () => (++calls % 3 === 0 ? fate : 'normal'),
         lateByMs: () => 3500,
       };
       const cluster = new SimulatedCluster(faults);
@@ -219,7 +219,7 @@
   const below = (limit: number) => uniformInt(generator, 0, limit - 1);
   const faults: ClusterFaults = {
     delayMs: () => 1 + below(below(20) === 0 ? 1500 : 20),
-    fate: () => (['answer_lost', 'carried_out_late'] as const)[below(40)] ?? 'normal',
+    callOutcome: () => (['answer_lost', 'carried_out_late'] as const)[below(40)] ?? 'normal',
     lateByMs: () => 2000 + below(10_000),
     isRefused: () => false,
     drift: () => (below(1001) - 500) / 1_000_000,
--- a/packages/shard-rebalancing/src/index.ts
+++ b/packages/shard-rebalancing/src/index.ts
@@ -21,7 +21,7 @@
   moveEndpoints,
   remainingCount,
   type MoveEndpoints,
-  type MoveFacts,
+  type MoveConditions,
 } from './move-state-machine.js';
 
 /** Selection of the machines that move. */
--- a/packages/shard-rebalancing/src/machine-selection.ts
+++ b/packages/shard-rebalancing/src/machine-selection.ts
@@ -13,7 +13,7 @@
   /** whether a standing service runs there, which does not end by itself */
   readonly runsService: boolean;
   /** why it can't move now whatever it runs (unreachable, being returned, preempted), or null */
-  readonly ineligibleBecause: string | null;
+  readonly ineligibleReason: string | null;
   /** no task is there, none may arrive, and the worker lists none: it may move at once */
   readonly readyToMove: boolean;
 }
@@ -28,7 +28,7 @@
   (spot === null || spot === machine.spot);
 
 const isEligible = (move: Move, machine: Candidate): boolean => {
-  if (machine.ineligibleBecause !== null) return false;
+  if (machine.ineligibleReason !== null) return false;
   if (move.direction === 'back') return move.moved.includes(machine.name);
   return !machine.runsService && matchesFilter(move.filter, machine);
 };
@@ -47,7 +47,7 @@
 const MAX_NAMED_MACHINES = 3;
 
 /** What the selected machines, or those that are lacking, wait for. The texts are stored and printed. */
-const waitReason = (
+const findWaitReason = (
   move: Move,
   machines: readonly Candidate[],
   chosen: readonly Candidate[],
@@ -63,8 +63,8 @@
   const matching = machines.filter(
     (machine) => move.direction === 'back' || matchesFilter(move.filter, machine),
   );
-  const ineligible = matching.find((machine) => machine.ineligibleBecause !== null);
-  if (ineligible !== undefined) return `${ineligible.name}: ${ineligible.ineligibleBecause}`;
+  const ineligible = matching.find((machine) => machine.ineligibleReason !== null);
+  if (ineligible !== undefined) return `${ineligible.name}: ${ineligible.ineligibleReason}`;
   const serving = matching.find((machine) => machine.runsService);
   if (serving !== undefined) return `${serving.name}: a standing service runs there`;
   return `${lacking} more machines of the kind`;
@@ -94,6 +94,6 @@
   return {
     chosen: chosen.map((machine) => machine.name),
     ready,
-    waitsFor: waitReason(move, machines, chosen),
+    waitsFor: findWaitReason(move, machines, chosen),
   };
 };
--- a/packages/shard-rebalancing/src/move-state-machine.ts
+++ b/packages/shard-rebalancing/src/move-state-machine.ts
@@ -19,7 +19,7 @@
   direction === 'forth' ? count - moved.length : moved.length;
 
 /** What the coordinator knows when it takes a step. */
-export interface MoveFacts {
+export interface MoveConditions {
   /** time of day, ms */
   readonly nowMs: number;
   /**
@@ -29,11 +29,11 @@
   readonly obstacle: string | null;
 }
 
-const waitFor = (move: Move, waitsFor: string): Move | null =>
+const withWaitReason = (move: Move, waitsFor: string): Move | null =>
   move.waitsFor === waitsFor ? null : { ...move, waitsFor };
 
 /** Machines go back to the shard that they came from. */
-const sendBack = (move: Move): Move => ({
+const startReturn = (move: Move): Move => ({
   ...move,
   state: 'preparing',
   direction: 'back',
@@ -41,7 +41,7 @@
   waitsFor: null,
 });
 
-const end = (move: Move, state: 'finished' | 'aborted'): Move => ({
+const withTerminalState = (move: Move, state: 'finished' | 'aborted'): Move => ({
   ...move,
   state,
   chosen: [],
@@ -49,25 +49,28 @@
 });
 
 /** What has moved goes back, so that the shards' machines are as before. */
-const abort = (move: Move): Move =>
-  move.moved.length === 0 ? end(move, 'aborted') : { ...sendBack(move), abortAsked: true };
+const startAbort = (move: Move): Move =>
+  move.moved.length === 0
+    ? withTerminalState(move, 'aborted')
+    : { ...startReturn(move), abortAsked: true };
 
 const advanceBack = (move: Move, obstacle: string | null): Move | null => {
-  if (move.moved.length === 0) return end(move, move.abortAsked ? 'aborted' : 'finished');
-  return obstacle === null ? null : waitFor(move, obstacle);
+  if (move.moved.length === 0)
+    return withTerminalState(move, move.abortAsked ? 'aborted' : 'finished');
+  return obstacle === null ? null : withWaitReason(move, obstacle);
 };
 
-const advanceForth = (move: Move, { nowMs, obstacle }: MoveFacts): Move | null => {
-  if (move.abortAsked) return abort(move);
+const advanceForth = (move: Move, { nowMs, obstacle }: MoveConditions): Move | null => {
+  if (move.abortAsked) return startAbort(move);
   if (move.state === 'lent') {
-    return move.returnAtMs !== null && nowMs >= move.returnAtMs ? sendBack(move) : null;
+    return move.returnAtMs !== null && nowMs >= move.returnAtMs ? startReturn(move) : null;
   }
   if (move.moved.length >= move.count) {
-    if (move.returnAtMs === null) return end(move, 'finished');
+    if (move.returnAtMs === null) return withTerminalState(move, 'finished');
     return { ...move, state: 'lent', chosen: [], waitsFor: null };
   }
-  if (nowMs >= move.deadlineMs) return abort(move);
-  if (obstacle !== null) return waitFor(move, obstacle);
+  if (nowMs >= move.deadlineMs) return startAbort(move);
+  if (obstacle !== null) return withWaitReason(move, obstacle);
   if (move.state === 'requested') return { ...move, state: 'preparing', waitsFor: null };
   return null;
 };
@@ -76,7 +79,7 @@
  * The coordinator's next step, or null if there is none. Pure, and right however often and late it is taken, since
  * the result is written only over the revision that it was computed from.
  */
-export const advanceMove = (move: Move, facts: MoveFacts): Move | null => {
+export const advanceMove = (move: Move, facts: MoveConditions): Move | null => {
   if (isTerminal(move)) return null;
   return move.direction === 'back' ? advanceBack(move, facts.obstacle) : advanceForth(move, facts);
 };
--- a/packages/shard-rebalancing/test/moves.test.ts
+++ b/packages/shard-rebalancing/test/moves.test.ts
@@ -97,7 +97,7 @@
   spot: false,
   tasks: 0,
   runsService: false,
-  ineligibleBecause: null,
+  ineligibleReason: null,
   readyToMove: false,
   ...changes,
 });
--- a/src/cloud/cloud-client.ts
+++ b/src/cloud/cloud-client.ts
@@ -5,16 +5,16 @@
 import type { Authorization, RecordedIntent } from '@sumacstep/leader-election';
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { MachineType } from '../core/model.js';
-import { CborClient, NoResponseError, type Response } from '../transport/http.js';
+import { CborClient, NoResponseError, type CborResponse } from '../transport/http.js';
 import { TokenBucket } from '../transport/token-bucket.js';
 import {
   machineListSchema,
   machineTypesSchema,
-  rentBody,
-  rentedSchema,
+  rentalRequestBody,
+  rentedMachinesSchema,
   returnBody,
   type ListedMachine,
-  type RentRequest,
+  type CloudRentalRequest,
 } from '../wire/cloud.js';
 import {
   CLOUD_BURST_S,
@@ -37,7 +37,7 @@
 const CALL_PRIORITY = { return: 0, rent: 1, list: 2 } as const;
 type CallPriority = (typeof CALL_PRIORITY)[keyof typeof CALL_PRIORITY];
 
-interface Call {
+interface CloudCall {
   readonly priority: CallPriority;
   readonly method: 'GET' | 'POST';
   readonly path: string;
@@ -53,10 +53,10 @@
   readonly #http: CborClient;
   readonly #tokens: TokenBucket;
   /** calls that wait for a token, by priority */
-  readonly #waiting = [0, 0, 0];
+  readonly #waitingCalls = [0, 0, 0];
   #rps: number;
   /** pages of the last complete list */
-  #pages = 1;
+  #listPageCount = 1;
 
   constructor(
     address: string,
@@ -76,7 +76,7 @@
 
   /** ms between two lists so that reading them leaves the other calls their share of the limit. */
   minListIntervalMs(): number {
-    return (this.#pages * 1000) / (this.#rps * LIST_RATE_SHARE);
+    return (this.#listPageCount * 1000) / (this.#rps * LIST_RATE_SHARE);
   }
 
   /** Reads all machine types. */
@@ -94,16 +94,16 @@
    * Rents machines. The request may be repeated under its name. Throws `NotLeaderError` if the
    * authorization has ended at the moment of sending.
    */
-  async rent(rental: RentRequest, { authorization }: RecordedIntent): Promise<RentResult> {
+  async rent(rental: CloudRentalRequest, { authorization }: RecordedIntent): Promise<RentResult> {
     const response = await this.#call({
       priority: CALL_PRIORITY.rent,
       method: 'POST',
       path: '/rentals',
-      body: rentBody(rental),
+      body: rentalRequestBody(rental),
       authorization,
     });
     const { status, body } = response;
-    if (status === 200) return { kind: 'rented', machines: rentedSchema.parse(body) };
+    if (status === 200) return { kind: 'rented', machines: rentedMachinesSchema.parse(body) };
     if (status === 400) return { kind: 'malformed', answer: JSON.stringify(body) };
     const error = (body as { error?: unknown } | null)?.error;
     if (status === 503 && error === 'no capacity') return { kind: 'no_capacity' };
@@ -142,7 +142,7 @@
       machines.push(...page.machines);
       const last = page.machines.at(-1);
       if (!page.more || last === undefined) {
-        this.#pages = pages;
+        this.#listPageCount = pages;
         return machines;
       }
       since = last.name;
@@ -155,23 +155,23 @@
   }
 
   async #takeToken(priority: CallPriority): Promise<void> {
-    this.#waiting[priority]! += 1;
+    this.#waitingCalls[priority]! += 1;
     try {
       for (;;) {
-        const precededByOthers = this.#waiting.slice(0, priority).some((calls) => calls > 0);
-        if (!precededByOthers && this.#tokens.take(1, this.now())) return;
+        const precededByOthers = this.#waitingCalls.slice(0, priority).some((calls) => calls > 0);
+        if (!precededByOthers && this.#tokens.tryTake(1, this.now())) return;
         await sleep(Math.max(TOKEN_POLL_MS, Math.ceil(this.#tokens.waitMs(1, this.now()))));
       }
     } finally {
-      this.#waiting[priority]! -= 1;
+      this.#waitingCalls[priority]! -= 1;
     }
   }
 
-  async #call({ priority, method, path, body, authorization }: Call): Promise<Response> {
+  async #call({ priority, method, path, body, authorization }: CloudCall): Promise<CborResponse> {
     await this.#takeToken(priority);
     // The authorization may have ended while the call waited or the process was suspended.
     authorization?.ensureValid();
-    let response: Response;
+    let response: CborResponse;
     try {
       response = await this.#http.call(method, path, body, CLOUD_CALL_TIMEOUT_MS);
     } catch (error) {
@@ -183,7 +183,7 @@
   }
 }
 
-const unexpectedStatus = (what: string, { status, body }: Response): CloudRequestError => {
+const unexpectedStatus = (what: string, { status, body }: CborResponse): CloudRequestError => {
   const error = (body as { error?: unknown } | null)?.error;
   const detail = error === undefined ? '' : ` (${JSON.stringify(error)})`;
   return new CloudRequestError('unavailable', `${what}: the cloud answered ${status}${detail}`);
--- a/src/cloud/constants.ts
+++ b/src/cloud/constants.ts
@@ -1,7 +1,7 @@
 /** Timing and limits of the calls to the cloud. */
 
 /** ms; between tries to read the machine types. */
-export const TYPES_RETRY_MS = 1000;
+export const MACHINE_TYPES_RETRY_MS = 1000;
 
 /** machines in one page of the cloud's list; the protocol's limit. */
 export const CLOUD_LIST_PAGE_SIZE = 500;
@@ -22,4 +22,4 @@
 export const CLOUD_BURST_S = 1.5;
 
 /** ms; machine types (prices) are read again this often. */
-export const TYPES_REFRESH_MS = 60_000;
+export const MACHINE_TYPES_REFRESH_MS = 60_000;
--- a/src/cloud/machine-types.ts
+++ b/src/cloud/machine-types.ts
@@ -3,12 +3,12 @@
 import type { Logger } from 'pino';
 import type { MachineType } from '../core/model.js';
 import type { CloudClient } from './cloud-client.js';
-import { TYPES_REFRESH_MS, TYPES_RETRY_MS } from './constants.js';
+import { MACHINE_TYPES_REFRESH_MS, MACHINE_TYPES_RETRY_MS } from './constants.js';
 import { CloudRequestError } from './errors.js';
 
 /** The machine types of the cloud, read again from time to time since prices change. */
 export class MachineTypes {
-  #types: ReadonlyMap<string, MachineType> | null = null;
+  #machineTypes: ReadonlyMap<string, MachineType> | null = null;
 
   constructor(
     private readonly cloud: Pick<CloudClient, 'listMachineTypes'>,
@@ -17,14 +17,14 @@
 
   /** By name; null until they have been read for the first time. */
   get current(): ReadonlyMap<string, MachineType> | null {
-    return this.#types;
+    return this.#machineTypes;
   }
 
   /** Reads them until the signal is given, and then rejects with its `AbortError`. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const read = await this.#refresh();
-      await sleep(read ? TYPES_REFRESH_MS : TYPES_RETRY_MS, undefined, { signal });
+      await sleep(read ? MACHINE_TYPES_REFRESH_MS : MACHINE_TYPES_RETRY_MS, undefined, { signal });
     }
   }
 
@@ -32,7 +32,7 @@
   async #refresh(): Promise<boolean> {
     try {
       const types = await this.cloud.listMachineTypes();
-      this.#types = new Map(types.map((type) => [type.name, type]));
+      this.#machineTypes = new Map(types.map((type) => [type.name, type]));
       return true;
     } catch (error) {
       if (!(error instanceof CloudRequestError)) throw error;
--- a/src/commands/duties.ts
+++ b/src/commands/duties.ts
@@ -15,7 +15,7 @@
 import type { WatchCache } from '../store/watch-cache.js';
 import { CommandError, EXIT } from './exit-codes.js';
 import { StoreAccess } from './store-access.js';
-import { table } from './table.js';
+import { formatTable } from './table.js';
 
 /** attempts of a request that meets another one at the same moment */
 const MAX_ATTEMPTS = 3;
@@ -52,22 +52,22 @@
   vacant: '-',
 };
 
-const timeText = (ms: number | null): string =>
+const formatTime = (ms: number | null): string =>
   ms === null ? '-' : new Date(ms).toISOString().replace(/\.\d+Z$/, 'Z');
 
-const transferText = (request: LeadershipStatus['handOver']): string =>
+const formatTransfer = (request: LeadershipStatus['handOver']): string =>
   request === null
     ? '-'
     : `to ${request.to ?? 'any'} (${request.id}), waits for ${request.waitsFor}`;
 
-const render = ({ duties, pausedBy, parts }: LeadershipOutput): string => {
+const formatLeadership = ({ duties, pausedBy, parts }: LeadershipOutput): string => {
   const rows = duties.map((status) => [
     status.duty,
     status.holder ?? '-',
     String(status.token ?? '-'),
-    timeText(status.sinceMs),
+    formatTime(status.sinceMs),
     VALIDITY_TEXT[status.until.kind],
-    transferText(status.handOver),
+    formatTransfer(status.handOver),
   ]);
   const owners = parts.map((owner) => [
     owner.duty,
@@ -78,7 +78,7 @@
     '-',
   ]);
   const titles = ['DUTY', 'HOLDER', 'TOKEN', 'SINCE', 'UNTIL', 'HAND-OVER'];
-  const text = table(titles, [...rows, ...owners]);
+  const text = formatTable(titles, [...rows, ...owners]);
   if (pausedBy.length === 0) return text;
   return `${text}paused: duties are not known to ${pausedBy.join(', ')}\n`;
 };
@@ -87,21 +87,21 @@
 export const showLeadership = async (config: PlatformConfig, json: boolean): Promise<string> => {
   const store = new StoreAccess(config);
   try {
-    const cache = await store.read(['parts/', 'nodes/', 'duties/']);
+    const cache = await store.readPrefixes(['parts/', 'nodes/', 'duties/']);
     const report = describeLeadership(electionView(cache.tables), SINGLETON_ROLES);
     const output: LeadershipOutput = { ...report, parts: describeShardOwners(cache) };
-    return json ? `${JSON.stringify(output, null, 2)}\n` : render(output);
+    return json ? `${JSON.stringify(output, null, 2)}\n` : formatLeadership(output);
   } finally {
     store.close();
   }
 };
 
-const checkRole = (role: string): void => {
+const assertKnownRole = (role: string): void => {
   if ((SINGLETON_ROLES as readonly string[]).includes(role)) return;
   throw new CommandError(EXIT.badInput, `no such duty: ${role} (${SINGLETON_ROLES.join(', ')})`);
 };
 
-const checkNode = (config: PlatformConfig, node: string): void => {
+const assertKnownNode = (config: PlatformConfig, node: string): void => {
   const nodes = [config.node, ...config.peers.map((peer) => peer.node)];
   if (nodes.includes(node)) return;
   throw new CommandError(EXIT.badInput, `no such node: ${node} (${nodes.join(', ')})`);
@@ -124,13 +124,15 @@
   role: string,
   request: LeadershipTransferRequest,
 ): Promise<TransferRequestOutput> => {
-  checkRole(role);
-  if (request.to !== null) checkNode(config, request.to);
+  assertKnownRole(role);
+  if (request.to !== null) assertKnownNode(config, request.to);
   const store = new StoreAccess(config);
   const requestKey = transferRequestKey(role);
   try {
     for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
-      const found = await store.attempt(() => store.client.get(requestKey, CALL_PRIORITY.read));
+      const found = await store.callWithRetries(() =>
+        store.client.get(requestKey, CALL_PRIORITY.read),
+      );
       if (!('missing' in found)) {
         const stored = decodeTransferRequest(found.value);
         if (stored?.id === request.id) return { duty: role, request: stored, written: false };
@@ -139,7 +141,7 @@
       }
       const guards = [{ key: requestKey, revision: 0 }];
       const writes = [{ put: requestKey, value: request }];
-      const result = await store.attempt(() =>
+      const result = await store.callWithRetries(() =>
         store.client.compareAndSwap(CALL_PRIORITY.background, guards, writes),
       );
       if (result.ok) return { duty: role, request, written: true };
@@ -152,15 +154,17 @@
 
 /** Deletes a request that is not carried out yet; resolves with false if there was none. Rejects with `CommandError`. */
 export const withdrawTransfer = async (config: PlatformConfig, role: string): Promise<boolean> => {
-  checkRole(role);
+  assertKnownRole(role);
   const store = new StoreAccess(config);
   const requestKey = transferRequestKey(role);
   try {
-    const found = await store.attempt(() => store.client.get(requestKey, CALL_PRIORITY.read));
+    const found = await store.callWithRetries(() =>
+      store.client.get(requestKey, CALL_PRIORITY.read),
+    );
     if ('missing' in found) return false;
     const guards = [{ key: requestKey, revision: found.revision }];
     const writes = [{ drop: requestKey }];
-    const result = await store.attempt(() =>
+    const result = await store.callWithRetries(() =>
       store.client.compareAndSwap(CALL_PRIORITY.background, guards, writes),
     );
     return result.ok;
--- a/src/commands/program.ts
+++ b/src/commands/program.ts
@@ -8,7 +8,7 @@
 import { CommandError, EXIT } from './exit-codes.js';
 import {
   abortMove,
-  checkRequest,
+  validateRequest,
   planMove,
   requestMove,
   showShards,
@@ -114,7 +114,7 @@
 const IS_SPOT_BY_KIND: Readonly<Record<string, boolean>> = { spot: true, ordinary: false };
 
 /** A request from options, not checked yet: invalid values are kept, so that the check can name them. */
-const requestFrom = (options: Omit<MoveOptions, 'config'>, nowMs: number): unknown => {
+const requestFromOptions = (options: Omit<MoveOptions, 'config'>, nowMs: number): unknown => {
   const toNumber = (text: string | undefined) => (text === undefined ? undefined : Number(text));
   const spot = options.kind === undefined ? null : (IS_SPOT_BY_KIND[options.kind] ?? options.kind);
   const returnAtMs = options.returnAt === undefined ? null : Date.parse(options.returnAt);
@@ -130,8 +130,8 @@
 };
 
 /** The requests of a plan file, or the one that the options describe. */
-const requestsFrom = (options: MoveOptions, nowMs: number): unknown[] => {
-  if (options.plan === undefined) return [requestFrom(options, nowMs)];
+const readRequests = (options: MoveOptions, nowMs: number): unknown[] => {
+  if (options.plan === undefined) return [requestFromOptions(options, nowMs)];
   let raw: unknown;
   try {
     raw = parse(readFileSync(options.plan, 'utf8'));
@@ -143,7 +143,7 @@
   if (!Array.isArray(moves) || moves.length === 0) {
     throw new CommandError(EXIT.badInput, `${options.plan}: no [[move]]`);
   }
-  return moves.map((move) => requestFrom(move as MoveOptions, nowMs));
+  return moves.map((move) => requestFromOptions(move as MoveOptions, nowMs));
 };
 
 /** Acts on the requests one after another, once all of them are checked. */
@@ -153,15 +153,15 @@
 ): Promise<T[]> => {
   const config = loadPlatformConfig(options.config);
   const nowMs = Date.now();
-  const requests = requestsFrom(options, nowMs).map((request) =>
-    checkRequest(config, request, nowMs),
+  const requests = readRequests(options, nowMs).map((request) =>
+    validateRequest(config, request, nowMs),
   );
   const results: T[] = [];
   for (const request of requests) results.push(await act(config, request));
   return results;
 };
 
-const planText = (plan: PlanOutput): string => {
+const formatPlan = (plan: PlanOutput): string => {
   const { request, matching, lacking, renewsTerm, teamsOfSource, jobsInSource } = plan;
   const lines = [
     `${request.count} of ${matching.length} machines would move from part ${request.from} to part ${request.to}; no task is stopped`,
@@ -175,7 +175,7 @@
   return lines.join('\n');
 };
 
-const moveText = ({ move, written }: MoveOutput): string =>
+const formatMove = ({ move, written }: MoveOutput): string =>
   `${move.id}: ${written ? 'asked' : 'known'}, ${move.state}${move.abortAsked ? ', given up' : ''}`;
 
 /** Adds `sumacstep shares`: show, plan, move, abort. */
@@ -193,7 +193,7 @@
   ).action((options: MoveOptions) =>
     runCommand(async () => {
       const plans = await forEachRequest(options, planMove);
-      return formatOutput(plans, plans.map(planText).join('\n\n'), options.json);
+      return formatOutput(plans, plans.map(formatPlan).join('\n\n'), options.json);
     }),
   );
 
@@ -201,7 +201,7 @@
     (options: MoveOptions) =>
       runCommand(async () => {
         const moves = await forEachRequest(options, requestMove);
-        return formatOutput(moves, moves.map(moveText).join('\n'), options.json);
+        return formatOutput(moves, moves.map(formatMove).join('\n'), options.json);
       }),
   );
 
@@ -209,7 +209,7 @@
     (id: string, options: CommandOptions) =>
       runCommand(async () => {
         const output = await abortMove(loadPlatformConfig(options.config), id);
-        return formatOutput(output, moveText(output), options.json);
+        return formatOutput(output, formatMove(output), options.json);
       }),
   );
 };
--- a/src/commands/shares.ts
+++ b/src/commands/shares.ts
@@ -16,12 +16,12 @@
 import type { PlatformConfig } from '../config/platform.js';
 import { hasGuarantee, hasLimit, shardOfTeam } from '../core/jobs/jobs.js';
 import type { MachineRecord } from '../core/model.js';
-import { movesById, obstacleTo } from '../rebalancing/move-coordinator.js';
+import { movesById, findObstacle } from '../rebalancing/move-coordinator.js';
 import { CALL_PRIORITY } from '../store/call-priority.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import { CommandError, EXIT } from './exit-codes.js';
 import { StoreAccess } from './store-access.js';
-import { table } from './table.js';
+import { formatTable } from './table.js';
 
 /** attempts of a request that meets another one at the same moment */
 const MAX_ATTEMPTS = 3;
@@ -84,10 +84,10 @@
   }
 };
 
-const machinesOf = (cache: WatchCache, shard: number): MachineRecord[] =>
+const machinesOfShard = (cache: WatchCache, shard: number): MachineRecord[] =>
   [...cache.machines.values()].map(({ value }) => value).filter((record) => record.shard === shard);
 
-const kindsOf = (machines: readonly MachineRecord[]): KindCount[] => {
+const countKinds = (machines: readonly MachineRecord[]): KindCount[] => {
   const kinds = new Map<string, KindCount>();
   for (const { type, zone, spot } of machines) {
     const name = `${type} ${zone} ${spot}`;
@@ -99,55 +99,55 @@
 
 const describeShard = (cache: WatchCache, shard: number): ShardMachines => {
   const owner = cache.tables.shards.get(String(shard))?.value;
-  const machines = machinesOf(cache, shard);
+  const machines = machinesOfShard(cache, shard);
   return {
     part: shard,
     owner: owner?.owner ?? null,
     term: owner?.term ?? null,
     machines: machines.length,
-    kinds: kindsOf(machines),
+    kinds: countKinds(machines),
   };
 };
 
-const timeText = (ms: number | null): string => (ms === null ? '-' : new Date(ms).toISOString());
+const formatTime = (ms: number | null): string => (ms === null ? '-' : new Date(ms).toISOString());
 
-const kindText = ({ machines, type, zone, spot }: KindCount): string =>
+const formatKindCount = ({ machines, type, zone, spot }: KindCount): string =>
   `${machines} ${type} ${zone}${spot ? ' spot' : ''}`;
 
-const render = ({ shares, moves }: ShardsOutput): string => {
+const formatShards = ({ shares, moves }: ShardsOutput): string => {
   const parts = shares.map((share) => [
     String(share.part),
     share.owner ?? '-',
     String(share.machines),
-    share.kinds.map(kindText).join(', '),
+    share.kinds.map(formatKindCount).join(', '),
   ]);
   const rows = moves.map((move) => [
     move.id,
     `${move.from} -> ${move.to}`,
     `${move.moved.length} of ${move.count}`,
     move.direction === 'back' ? `${move.state}, back` : move.state,
-    timeText(move.deadlineMs),
-    timeText(move.returnAtMs),
+    formatTime(move.deadlineMs),
+    formatTime(move.returnAtMs),
     move.waitsFor ?? '-',
   ]);
-  const text = table(['PART', 'OWNER', 'MACHINES', 'KINDS'], parts);
+  const text = formatTable(['PART', 'OWNER', 'MACHINES', 'KINDS'], parts);
   if (rows.length === 0) return text;
   const titles = ['MOVE', 'PARTS', 'MOVED', 'STATE', 'DEADLINE', 'RETURN', 'WAITS FOR'];
-  return `${text}\n${table(titles, rows)}`;
+  return `${text}\n${formatTable(titles, rows)}`;
 };
 
 /** The machines of each shard, and all moves, as JSON or as tables. Rejects with `CommandError`. */
 export const showShards = (config: PlatformConfig, json: boolean): Promise<string> =>
   withStore(config, async (store) => {
-    const cache = await store.read(['parts/', 'machines/', 'shares/']);
+    const cache = await store.readPrefixes(['parts/', 'machines/', 'shares/']);
     const shares = Array.from({ length: config.nodes }, (_, part) => describeShard(cache, part));
     const moves = [...movesById(cache.tables).values()].map(({ value }) => value);
     const output: ShardsOutput = { shares, moves };
-    return json ? `${JSON.stringify(output, null, 2)}\n` : render(output);
+    return json ? `${JSON.stringify(output, null, 2)}\n` : formatShards(output);
   });
 
 /** Reads a request as an operator wrote it; throws a `CommandError` that names each invalid field. */
-export const checkRequest = (
+export const validateRequest = (
   config: PlatformConfig,
   value: unknown,
   nowMs: number,
@@ -171,7 +171,7 @@
 };
 
 /** The move that has locked one of the shards; null if none has. */
-const lockingMove = (cache: WatchCache, { from, to }: MoveRequest): string | null => {
+const findLockingMove = (cache: WatchCache, { from, to }: MoveRequest): string | null => {
   for (const { value } of cache.tables.moves.values()) {
     if (value.kind === 'lock' && (value.shard === from || value.shard === to)) return value.move;
   }
@@ -181,8 +181,8 @@
 /** What a move would do and disrupt. Nothing is written. Rejects with `CommandError`. */
 export const planMove = (config: PlatformConfig, request: MoveRequest): Promise<PlanOutput> =>
   withStore(config, async (store) => {
-    const cache = await store.read(['parts/', 'nodes/', 'machines/', 'shares/', 'active/']);
-    const matching = machinesOf(cache, request.from).filter((machine) =>
+    const cache = await store.readPrefixes(['parts/', 'nodes/', 'machines/', 'shares/', 'active/']);
+    const matching = machinesOfShard(cache, request.from).filter((machine) =>
       matchesFilter(request.filter, machine),
     );
     const term = (shard: number) => cache.tables.shards.get(String(shard))?.value.term ?? 0;
@@ -199,8 +199,8 @@
       jobsInSource: jobs.filter(({ value: job }) =>
         job.ranges.some(({ shard }) => shard === request.from),
       ).length,
-      heldBy: lockingMove(cache, request),
-      obstacle: obstacleTo(cache.tables, newMove(request)),
+      heldBy: findLockingMove(cache, request),
+      obstacle: findObstacle(cache.tables, newMove(request)),
     };
   });
 
@@ -220,7 +220,7 @@
     const key = moveKey(request.id);
     const locks = [shardLockKey(request.from), shardLockKey(request.to)];
     for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
-      const found = await store.attempt(() => store.client.get(key, CALL_PRIORITY.read));
+      const found = await store.callWithRetries(() => store.client.get(key, CALL_PRIORITY.read));
       if (!('missing' in found)) {
         const move = decodeMove(found.value);
         if (move !== null) return { move, written: false };
@@ -230,13 +230,13 @@
       const guards = [key, ...locks].map((name) => ({ key: name, revision: 0 }));
       const lock = encodeShardLock(request.id);
       const writes = [{ put: key, value: move }, ...locks.map((put) => ({ put, value: lock }))];
-      const result = await store.attempt(() =>
+      const result = await store.callWithRetries(() =>
         store.client.compareAndSwap(CALL_PRIORITY.background, guards, writes),
       );
       if (result.ok) return { move, written: true };
       const held = result.failed.find((name) => locks.includes(name));
       if (held === undefined) continue;
-      const holder = await store.attempt(() => store.client.get(held, CALL_PRIORITY.read));
+      const holder = await store.callWithRetries(() => store.client.get(held, CALL_PRIORITY.read));
       if ('missing' in holder) continue;
       const id = decodeShardLock(holder.value) ?? 'one of another version';
       // An answer that got lost: the lock is this move's own.
@@ -251,7 +251,7 @@
   withStore(config, async (store) => {
     const key = moveKey(id);
     for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
-      const found = await store.attempt(() => store.client.get(key, CALL_PRIORITY.read));
+      const found = await store.callWithRetries(() => store.client.get(key, CALL_PRIORITY.read));
       const move = 'missing' in found ? null : decodeMove(found.value);
       if (move === null || 'missing' in found) {
         throw new CommandError(EXIT.badInput, `no such move: ${id}`);
@@ -260,7 +260,7 @@
       const next: Move = { ...move, abortAsked: true };
       const guards = [{ key, revision: found.revision }];
       const writes = [{ put: key, value: next }];
-      const result = await store.attempt(() =>
+      const result = await store.callWithRetries(() =>
         store.client.compareAndSwap(CALL_PRIORITY.background, guards, writes),
       );
       if (result.ok) return { move: next, written: true };
--- a/src/commands/store-access.ts
+++ b/src/commands/store-access.ts
@@ -32,7 +32,7 @@
   }
 
   /** Repeats a call that failed; rejects with a `CommandError` (unavailable) once the attempts are used up. */
-  async attempt<T>(call: () => Promise<T>): Promise<T> {
+  async callWithRetries<T>(call: () => Promise<T>): Promise<T> {
     for (let attempt = 1; ; attempt++) {
       try {
         return await call();
@@ -49,8 +49,8 @@
   }
 
   /** What the store holds under the prefixes now. */
-  async read(prefixes: readonly CachedPrefix[]): Promise<WatchCache> {
-    const listing = await this.attempt(() => listPrefixes(this.client, prefixes));
+  async readPrefixes(prefixes: readonly CachedPrefix[]): Promise<WatchCache> {
+    const listing = await this.callWithRetries(() => listPrefixes(this.client, prefixes));
     const cache = new WatchCache();
     cache.apply(listing);
     return cache;
--- a/src/commands/table.ts
+++ b/src/commands/table.ts
@@ -3,7 +3,10 @@
 const COLUMN_GAP = '  ';
 
 /** Rows below their titles, in columns as wide as their widest cell. */
-export const table = (titles: readonly string[], rows: readonly (readonly string[])[]): string => {
+export const formatTable = (
+  titles: readonly string[],
+  rows: readonly (readonly string[])[],
+): string => {
   const lines = [titles, ...rows];
   const widths = titles.map((_, column) =>
     Math.max(...lines.map((line) => line[column]?.length ?? 0)),
--- a/src/config/ini-file.ts
+++ b/src/config/ini-file.ts
@@ -3,7 +3,7 @@
 import { ConfigError, describeIssues } from './platform.js';
 
 /** A number between two bounds. */
-export const range = (least: number, most: number, fallback: number) =>
+export const numberBetween = (least: number, most: number, fallback: number) =>
   z.coerce.number().min(least).max(most).default(fallback);
 
 /** Reads an INI text by its schema; throws a `ConfigError` that names every bad key. */
--- a/src/config/operator.ts
+++ b/src/config/operator.ts
@@ -1,30 +1,33 @@
 /** The operator's own settings (`--operator`, INI). */
 import * as z from 'zod';
-import { parseIni, range } from './ini-file.js';
-import { readText } from './platform.js';
+import { parseIni, numberBetween } from './ini-file.js';
+import { readConfigFile } from './platform.js';
 
 /** Every key is documented in deploy/operator.ini. */
 const schema = z
   .object({
     placement: z
-      .object({ load_threshold: range(0, 10, 0.85), preempt: z.boolean().default(true) })
+      .object({ load_threshold: numberBetween(0, 10, 0.85), preempt: z.boolean().default(true) })
       .strict()
       .prefault({}),
     capacity: z
       .object({
-        reserve_sigma: range(0, 5, 1),
-        drain_s: range(5, 3600, 45),
-        idle_keep_s: range(0, 3600, 10),
-        machines_most: range(1, 100_000, 10_000),
+        reserve_sigma: numberBetween(0, 5, 1),
+        drain_s: numberBetween(5, 3600, 45),
+        idle_keep_s: numberBetween(0, 3600, 10),
+        machines_most: numberBetween(1, 100_000, 10_000),
       })
       .strict()
       .prefault({}),
     state: z
-      .object({ request_share: range(0.05, 1, 0.9), write_share: range(0.05, 1, 0.9) })
+      .object({
+        request_share: numberBetween(0.05, 1, 0.9),
+        write_share: numberBetween(0.05, 1, 0.9),
+      })
       .strict()
       .prefault({}),
     cloud: z
-      .object({ request_share: range(0.05, 1, 0.9) })
+      .object({ request_share: numberBetween(0.05, 1, 0.9) })
       .strict()
       .prefault({}),
   })
@@ -63,4 +66,4 @@
 export const loadOperatorConfig = (file: string | undefined): OperatorConfig =>
   file === undefined
     ? parseOperatorConfig('(defaults)', '')
-    : parseOperatorConfig(file, readText(file));
+    : parseOperatorConfig(file, readConfigFile(file));
--- a/src/config/platform.ts
+++ b/src/config/platform.ts
@@ -16,31 +16,31 @@
 
 const BYTES_PER_KB = 1024;
 
-const address = z.string().regex(/^[^:\s]+:\d{1,5}$/, 'must be HOST:PORT');
-const positive = z.number().positive();
-const nonNegative = z.number().nonnegative();
+const addressSchema = z.string().regex(/^[^:\s]+:\d{1,5}$/, 'must be HOST:PORT');
+const positiveSchema = z.number().positive();
+const nonNegativeSchema = z.number().nonnegative();
 
 const schema = z.object({
   node: z.string().min(1),
   site: z.string().min(1),
-  serve_on: address,
-  peer_bind: address,
+  serve_on: addressSchema,
+  peer_bind: addressSchema,
   known: z
-    .array(z.object({ node: z.string().min(1), site: z.string(), endpoint: address }))
+    .array(z.object({ node: z.string().min(1), site: z.string(), endpoint: addressSchema }))
     .default([]),
-  services: z.object({ cloud: address, state: address }),
+  services: z.object({ cloud: addressSchema, state: addressSchema }),
   settings: z.object({
     nodes: z.number().int().positive(),
     zones: z.array(z.string()).min(1),
-    time_bound_ms: nonNegative.default(0),
+    time_bound_ms: nonNegativeSchema.default(0),
     teams: z
       .array(
         z.object({
           name: z.string().min(1),
-          cpus: nonNegative.default(0),
-          cpus_max: nonNegative.default(0),
-          gpus: nonNegative.default(0),
-          gpus_max: nonNegative.default(0),
+          cpus: nonNegativeSchema.default(0),
+          cpus_max: nonNegativeSchema.default(0),
+          gpus: nonNegativeSchema.default(0),
+          gpus_max: nonNegativeSchema.default(0),
         }),
       )
       .default([]),
@@ -49,34 +49,38 @@
         z.object({
           kind: z.string(),
           class: z.string().optional(),
-          within_s: nonNegative.optional(),
-          share: nonNegative.optional(),
+          within_s: nonNegativeSchema.optional(),
+          share: nonNegativeSchema.optional(),
         }),
       )
       .default([]),
     workers: z.object({
-      report_s: positive,
-      lease_s: positive,
-      gang_wait_s: positive,
-      gang_peer_s: positive,
-      cancel_s: positive,
+      report_s: positiveSchema,
+      lease_s: positiveSchema,
+      gang_wait_s: positiveSchema,
+      gang_peer_s: positiveSchema,
+      cancel_s: positiveSchema,
     }),
     state: z.object({
-      rps: positive,
-      write_rps: positive,
-      value_kb: positive,
+      rps: positiveSchema,
+      write_rps: positiveSchema,
+      value_kb: positiveSchema,
       txn_ops: z.number().int().positive(),
       next: z
         .object({
-          rps: positive.optional(),
-          write_rps: positive.optional(),
-          value_kb: positive.optional(),
+          rps: positiveSchema.optional(),
+          write_rps: positiveSchema.optional(),
+          value_kb: positiveSchema.optional(),
           txn_ops: z.number().int().positive().optional(),
         })
         .optional(),
     }),
-    cloud: z.object({ rps: positive, list_lag_s: nonNegative }),
-    quota: z.object({ cores: positive, memory_mb: positive, max_sockets: positive }),
+    cloud: z.object({ rps: positiveSchema, list_lag_s: nonNegativeSchema }),
+    quota: z.object({
+      cores: positiveSchema,
+      memory_mb: positiveSchema,
+      max_sockets: positiveSchema,
+    }),
   }),
 });
 
@@ -130,7 +134,7 @@
 type PlatformFile = z.infer<typeof schema>;
 type Settings = PlatformFile['settings'];
 
-const teamsOf = ({ teams }: Settings): ReadonlyMap<string, Team> =>
+const toTeams = ({ teams }: Settings): ReadonlyMap<string, Team> =>
   new Map(
     teams.map(({ name, cpus, gpus, cpus_max, gpus_max }) => [
       name,
@@ -138,7 +142,7 @@
     ]),
   );
 
-const objectivesOf = ({ objectives }: Settings): Objective[] =>
+const toObjectives = ({ objectives }: Settings): Objective[] =>
   objectives.map((objective) => ({
     kind: objective.kind,
     jobClass: objective.class ?? null,
@@ -146,7 +150,7 @@
     share: objective.share ?? 0,
   }));
 
-const workerTimingOf = ({ workers }: Settings): WorkerTiming => ({
+const toWorkerTiming = ({ workers }: Settings): WorkerTiming => ({
   heartbeatIntervalS: workers.report_s,
   leaseS: workers.lease_s,
   gangWaitS: workers.gang_wait_s,
@@ -154,7 +158,7 @@
   cancelS: workers.cancel_s,
 });
 
-const storeLimitsOf = ({ state }: Settings): StoreServiceLimits => ({
+const toStoreLimits = ({ state }: Settings): StoreServiceLimits => ({
   rps: state.rps,
   writeRps: state.write_rps,
   valueBytes: Math.min(state.value_kb, state.next?.value_kb ?? Infinity) * BYTES_PER_KB,
@@ -175,10 +179,10 @@
   store: node.services.state,
   nodes: settings.nodes,
   zones: settings.zones,
-  teams: teamsOf(settings),
-  objectives: objectivesOf(settings),
-  workers: workerTimingOf(settings),
-  storeLimits: storeLimitsOf(settings),
+  teams: toTeams(settings),
+  objectives: toObjectives(settings),
+  workers: toWorkerTiming(settings),
+  storeLimits: toStoreLimits(settings),
   cloudLimits: { rps: settings.cloud.rps, listLagS: settings.cloud.list_lag_s },
   sockets: settings.quota.max_sockets,
 });
@@ -202,7 +206,7 @@
 };
 
 /** The text of a settings file; throws a `ConfigError` if it cannot be read. */
-export const readText = (file: string): string => {
+export const readConfigFile = (file: string): string => {
   try {
     return readFileSync(file, 'utf8');
   } catch (error) {
@@ -212,4 +216,4 @@
 
 /** Reads and checks the platform's file. */
 export const loadPlatformConfig = (file: string): PlatformConfig =>
-  parsePlatformConfig(file, readText(file));
+  parsePlatformConfig(file, readConfigFile(file));
--- a/src/config/rebalancing.ts
+++ b/src/config/rebalancing.ts
@@ -1,13 +1,13 @@
 /** Settings of shard rebalancing (`--shares`, INI). */
 import * as z from 'zod';
-import { parseIni, range } from './ini-file.js';
-import { readText } from './platform.js';
+import { parseIni, numberBetween } from './ini-file.js';
+import { readConfigFile } from './platform.js';
 
 /** Every key is documented in deploy/shares.ini. */
 const schema = z
   .object({
     shares: z
-      .object({ emptying_most: range(1, 1000, 20).pipe(z.number().int()) })
+      .object({ emptying_most: numberBetween(1, 1000, 20).pipe(z.number().int()) })
       .strict()
       .prefault({}),
   })
@@ -26,4 +26,4 @@
 
 /** Null without a file: moves are off. */
 export const loadRebalancingConfig = (file: string | undefined): RebalancingConfig | null =>
-  file === undefined ? null : parseRebalancingConfig(file, readText(file));
+  file === undefined ? null : parseRebalancingConfig(file, readConfigFile(file));
--- a/src/config/singletons.ts
+++ b/src/config/singletons.ts
@@ -1,7 +1,7 @@
 /** Settings of the singleton controllers (`--duties`, INI). */
 import * as z from 'zod';
-import { parseIni, range } from './ini-file.js';
-import { readText } from './platform.js';
+import { parseIni, numberBetween } from './ini-file.js';
+import { readConfigFile } from './platform.js';
 
 /** Every key is documented in deploy/duties.ini. */
 const schema = z
@@ -17,8 +17,8 @@
     clear: z
       .object({
         enabled: z.boolean().default(false),
-        final_keep_h: range(1, 87_600, 720),
-        writes_per_s: range(0.1, 1000, 2),
+        final_keep_h: numberBetween(1, 87_600, 720),
+        writes_per_s: numberBetween(0.1, 1000, 2),
       })
       .strict()
       .prefault({}),
@@ -55,4 +55,4 @@
 
 /** Null without a file: singleton controllers are off. */
 export const loadSingletonsConfig = (file: string | undefined): SingletonsConfig | null =>
-  file === undefined ? null : parseSingletonsConfig(file, readText(file));
+  file === undefined ? null : parseSingletonsConfig(file, readConfigFile(file));
--- a/src/constants.ts
+++ b/src/constants.ts
@@ -7,13 +7,13 @@
 export const DEBOUNCE_MS = 250;
 
 /** share; steady clocks drift by up to 0.05 % each, so two of them differ by at most twice that. */
-export const CLOCK_DRIFT = 0.001;
+export const MAX_RELATIVE_CLOCK_DRIFT = 0.001;
 
 /** ms; the wanted state is compared with what is this often. */
-export const LOOP_MS = 500;
+export const RECONCILE_INTERVAL_MS = 500;
 
 /** machines; the protocol's limit for one return. */
-export const MAX_RETURN_BATCH = 100;
+export const MAX_MACHINES_PER_RETURN = 100;
 
 /** ms; interval of the summary line at `info`. */
-export const SUMMARY_MS = 30_000;
+export const SUMMARY_INTERVAL_MS = 30_000;
--- a/src/core/capacity/capacity-planner.ts
+++ b/src/core/capacity/capacity-planner.ts
@@ -1,7 +1,7 @@
 /** Plans which machines a shard rents and returns, from the machines it has and its demand for them. */
 import { BOOT_TIMEOUT_FACTOR } from './constants.js';
 import { tasksNeedingCapacity } from '../reachability/failure-tracker.js';
-import { timesIn, type JobSpec, type MachineType } from '../model.js';
+import { fitCount, type JobSpec, type MachineType } from '../model.js';
 import type { JobState, MachineState } from '../shard/shard.js';
 import { ReachableCapacity, zoneForNewMachines } from './reachable-capacity.js';
 import {
@@ -321,7 +321,7 @@
     const { spec } = job;
     const type = cheapestType(spec, this.input.types.values());
     if (type === null) return;
-    const count = Math.ceil(tasks / Math.max(1, timesIn(spec.demand, type)));
+    const count = Math.ceil(tasks / Math.max(1, fitCount(spec.demand, type)));
     const zone = zoneForNewMachines(job, type, this.#retained);
     const expected = spec.spot ? this.#rent(type, true, count, zone) : 0;
     if (expected < count) this.#rent(type, false, count - expected, zone);
--- a/src/core/capacity/reachable-capacity.ts
+++ b/src/core/capacity/reachable-capacity.ts
@@ -4,8 +4,8 @@
  * has.
  */
 import type { JobState, MachineState } from '../shard/types.js';
-import { add, timesIn, ZERO, type MachineType, type Resources } from '../model.js';
-import { tasksAllowedIn } from '../placement/zones.js';
+import { add, fitCount, ZERO_RESOURCES, type MachineType, type Resources } from '../model.js';
+import { tasksAllowedInZone } from '../placement/zones.js';
 
 /** A rental that has not been answered yet. */
 export interface PendingRental {
@@ -35,7 +35,7 @@
   job: JobState,
   preemptionEnabled: boolean,
 ): Resources => {
-  let free: Resources = machine.type ?? ZERO;
+  let free: Resources = machine.type ?? ZERO_RESOURCES;
   for (const placement of machine.tasks.values()) {
     const stays =
       placement.job.spec.kind === 'service' ||
@@ -84,11 +84,11 @@
     // Tasks of arrays and gangs end some time, so a machine that runs them counts with all of its capacity. For a
     // service, `#addByMachine` counts what the replicas on each machine leave.
     for (const { type, zone, spot, count } of isService ? this.#pendingPools : this.#allPools) {
-      if (mayUse(job, type.name, spot)) addTasks(zone, timesIn(spec.demand, type) * count);
+      if (mayUse(job, type.name, spot)) addTasks(zone, fitCount(spec.demand, type) * count);
     }
     if (isService || job.avoidedMachines.size > 0) this.#addByMachine(job, addTasks);
     const allowed = [...tasksByZone].map(([zone, tasks]) =>
-      Math.min(tasks, tasksAllowedIn(job, zone)),
+      Math.min(tasks, tasksAllowedInZone(job, zone)),
     );
     return spec.oneZone ? Math.max(0, ...allowed) : allowed.reduce((sum, tasks) => sum + tasks, 0);
   }
@@ -101,10 +101,10 @@
       const { type, zone, spot, name } = { ...machine.record, type: machine.type };
       if (type === null || !mayUse(job, type.name, spot)) continue;
       const avoided = (job.avoidedMachines.get(name) ?? -Infinity) > this.now;
-      if (!isService && avoided) addTasks(zone, -timesIn(spec.demand, type));
+      if (!isService && avoided) addTasks(zone, -fitCount(spec.demand, type));
       if (!isService || avoided) continue;
       const free = capacityForReplicas(machine, job, this.preemptionEnabled);
-      addTasks(zone, Math.max(0, timesIn(spec.demand, free)));
+      addTasks(zone, Math.max(0, fitCount(spec.demand, free)));
     }
   }
 }
@@ -120,7 +120,7 @@
   if (!spec.oneZone && !spec.spread) return null;
   const machinesIn = (zone: string) =>
     retained.filter((machine) => machine.record.zone === zone).length;
-  const zones = type.zones.filter((zone) => tasksAllowedIn(job, zone) > 0);
+  const zones = type.zones.filter((zone) => tasksAllowedInZone(job, zone) > 0);
   // A job bound to one zone gets machines where most are already, one that must spread where fewest are.
   const sign = spec.oneZone ? -1 : 1;
   zones.sort((a, b) => sign * (machinesIn(a) - machinesIn(b)) || (a < b ? -1 : 1));
--- a/src/core/capacity/wanted-machines.ts
+++ b/src/core/capacity/wanted-machines.ts
@@ -1,11 +1,11 @@
 /** Computes how many machines of each type a shard needs, from its jobs and from the statistics of their classes. */
 import { IGNORED_MACHINE_FRACTION, DEFAULT_RUN_S } from './constants.js';
-import { typesFor } from '../jobs/admission.js';
+import { feasibleTypes } from '../jobs/admission.js';
 import { tasksNeedingCapacity } from '../reachability/failure-tracker.js';
 import type { ClassStats } from './workload-statistics.js';
 import {
   dominantShare,
-  timesIn,
+  fitCount,
   type JobSpec,
   type MachineType,
   type Objective,
@@ -65,7 +65,7 @@
 export const cheapestType = (spec: JobSpec, types: Iterable<MachineType>): MachineType | null => {
   let cheapest: MachineType | null = null;
   let lowestPrice = Infinity;
-  for (const type of typesFor(spec, types)) {
+  for (const type of feasibleTypes(spec, types)) {
     const price = (spec.spot ? type.spotPrice : type.price) * dominantShare(spec.demand, type);
     if (price < lowestPrice) {
       cheapest = type;
@@ -139,7 +139,7 @@
   for (const [jobClass, need] of needsByClass(input)) {
     const stats = input.classStats.get(jobClass);
     const runS = stats?.runS ?? (need.spec.estimateS > 0 ? need.spec.estimateS : DEFAULT_RUN_S);
-    const tasksPerMachine = Math.max(1, timesIn(need.spec.demand, need.type));
+    const tasksPerMachine = Math.max(1, fitCount(need.spec.demand, need.type));
     // Replicas never end, so their run time does not tell how many there are at once. Capacity is kept for those
     // that may arrive while a machine boots.
     const isService = need.spec.kind === 'service';
--- a/src/core/jobs/constants.ts
+++ b/src/core/jobs/constants.ts
@@ -1,7 +1,7 @@
 /** Sizes of task ranges and of their records, and routing. */
 
 /** share of a value's limit up to which completions of ranges are put together in it */
-export const SLOT_FILL = 0.6;
+export const SLOT_FILL_RATIO = 0.6;
 
 /** tasks; a range is not cut smaller than this, since each range costs writes of its own. */
 export const MIN_RANGE_TASKS = 16;
--- a/src/core/jobs/jobs.ts
+++ b/src/core/jobs/jobs.ts
@@ -1,4 +1,9 @@
-import { MIN_RANGE_TASKS, MAX_RANGE_TASKS, RANGE_NAME_BYTES, SLOT_FILL } from './constants.js';
+import {
+  MIN_RANGE_TASKS,
+  MAX_RANGE_TASKS,
+  RANGE_NAME_BYTES,
+  SLOT_FILL_RATIO,
+} from './constants.js';
 import type { JobRecord, JobSpec, TaskRange, Team } from '../model.js';
 
 /** Completed tasks of a range as a bitmap in hex, four tasks a character, first task first. */
@@ -42,7 +47,7 @@
 };
 
 /** What either of two bitmaps of the same range says is done; the longer one's length. */
-export const eitherDone = (a: string, b: string): string => {
+export const mergeDone = (a: string, b: string): string => {
   const [long, short] = a.length >= b.length ? [a, b] : [b, a];
   let out = '';
   for (let c = 0; c < short.length; c++) {
@@ -60,7 +65,7 @@
   team !== undefined && (team.cpus > 0 || team.gpus > 0);
 
 /** Gangs, jobs that look at zones and teams with a limit or guarantee need one owner that counts for all. */
-export const staysWhole = (spec: JobSpec, team: Team | undefined): boolean =>
+export const requiresSingleShard = (spec: JobSpec, team: Team | undefined): boolean =>
   spec.kind === 'gang' || spec.oneZone || spec.spread || hasLimit(team) || hasGuarantee(team);
 
 const hash = (text: string): number => {
@@ -78,11 +83,11 @@
 export const maxRangeTasks = (valueBytes: number): number =>
   Math.max(
     MIN_RANGE_TASKS,
-    Math.min(MAX_RANGE_TASKS, 4 * Math.floor(valueBytes * SLOT_FILL - RANGE_NAME_BYTES)),
+    Math.min(MAX_RANGE_TASKS, 4 * Math.floor(valueBytes * SLOT_FILL_RATIO - RANGE_NAME_BYTES)),
   );
 
 /** Cuts a job into ranges; the shards are chosen by the caller. */
-export const cutRanges = (
+export const splitIntoRanges = (
   tasks: number,
   shards: number,
   whole: boolean,
--- a/src/core/model.ts
+++ b/src/core/model.ts
@@ -1,5 +1,5 @@
 /** The vocabulary of the scheduler: jobs, machines, heartbeats, commands and resources. Nothing here does input or output. */
-import { ROUNDING, TASKS_WITHOUT_DEMAND } from './constants.js';
+import { ROUNDING_TOLERANCE, ZERO_DEMAND_TASKS_PER_MACHINE } from './constants.js';
 
 /** Amounts of each resource: demand, capacity, or shares of either. */
 export interface Resources {
@@ -164,7 +164,7 @@
     };
 
 /** Nothing of any resource. */
-export const ZERO: Resources = { cpus: 0, gpus: 0, memoryGb: 0 };
+export const ZERO_RESOURCES: Resources = { cpus: 0, gpus: 0, memoryGb: 0 };
 
 /** a + b * times, by resource. */
 export const add = (a: Resources, b: Resources, times = 1): Resources => ({
@@ -175,16 +175,16 @@
 
 /** Whether the demand fits into what is free. */
 export const fits = (demand: Resources, free: Resources): boolean =>
-  RESOURCE_KINDS.every((kind) => demand[kind] <= free[kind] + ROUNDING);
+  RESOURCE_KINDS.every((kind) => demand[kind] <= free[kind] + ROUNDING_TOLERANCE);
 
 /** How many times `demand` fits into `room`. */
-export const timesIn = (demand: Resources, room: Resources): number => {
+export const fitCount = (demand: Resources, room: Resources): number => {
   let times = Infinity;
   for (const kind of RESOURCE_KINDS) {
     if (demand[kind] <= 0) continue;
-    times = Math.min(times, Math.floor((room[kind] + ROUNDING) / demand[kind]));
+    times = Math.min(times, Math.floor((room[kind] + ROUNDING_TOLERANCE) / demand[kind]));
   }
-  return Number.isFinite(times) ? times : TASKS_WITHOUT_DEMAND;
+  return Number.isFinite(times) ? times : ZERO_DEMAND_TASKS_PER_MACHINE;
 };
 
 /** C' of the paper: each resource's largest capacity on any machine. */
--- a/src/core/ownership/ownership-policy.ts
+++ b/src/core/ownership/ownership-policy.ts
@@ -1,5 +1,10 @@
 /** Who should own which shard: decisions over what the store shows, without input or output. */
-import { FAILBACK_HOLD_MS, MAX_FAILBACK_MS, FAILBACK_MS, FAILOVER_GRACE_MS } from './constants.js';
+import {
+  FAILBACK_HOLD_MS,
+  MAX_FAILBACK_DELAY_MS,
+  FAILBACK_DELAY_MS,
+  FAILOVER_GRACE_MS,
+} from './constants.js';
 
 /** One life of a node that owns a shard. */
 export interface Owner {
@@ -31,7 +36,7 @@
     };
 
 /** Since when a node has been fit to get a shard back. */
-interface FitSince {
+interface EligibleSince {
   readonly incarnation: string;
   /** steady ms */
   readonly at: number;
@@ -53,12 +58,12 @@
 
 /** Delay that doubles with each repetition, up to `MAX_FAILBACK_MS`. */
 const backoffMs = (firstMs: number, repetitions: number): number =>
-  Math.min(MAX_FAILBACK_MS, firstMs * 2 ** repetitions);
+  Math.min(MAX_FAILBACK_DELAY_MS, firstMs * 2 ** repetitions);
 
 /** Decides on failover and failback; remembers since when shards had no live owner and nodes were fit. */
 export class OwnershipPolicy {
   readonly #ownerlessSince = new Map<number, number>();
-  readonly #fitSince = new Map<string, FitSince>();
+  readonly #eligibleSince = new Map<string, EligibleSince>();
   /** how often each shard failed back from this node */
   readonly #failbacks = new Map<number, number>();
   /** the owner of each shard at the last decision */
@@ -74,7 +79,7 @@
     now: number,
     fitIncarnation: (node: string) => string | null,
   ): OwnershipStep[] {
-    this.#observeFitNodes(view, now, fitIncarnation);
+    this.#observeEligibleNodes(view, now, fitIncarnation);
     const steps: OwnershipStep[] = [];
     for (let shard = 0; shard < view.shardCount; shard++) {
       const step = this.#decideShard(shard, view, now);
@@ -84,11 +89,11 @@
   }
 
   /** Each failback of a shard doubles the delay before its next one. */
-  failedBack(shard: number): void {
+  recordFailback(shard: number): void {
     this.#failbacks.set(shard, (this.#failbacks.get(shard) ?? 0) + 1);
   }
 
-  #observeFitNodes(
+  #observeEligibleNodes(
     view: OwnershipView,
     now: number,
     fitIncarnation: (node: string) => string | null,
@@ -96,9 +101,9 @@
     for (const node of view.nodes) {
       const incarnation = fitIncarnation(node);
       if (incarnation === null || !view.live.get(node)?.has(incarnation)) {
-        this.#fitSince.delete(node);
-      } else if (this.#fitSince.get(node)?.incarnation !== incarnation) {
-        this.#fitSince.set(node, { incarnation, at: now });
+        this.#eligibleSince.delete(node);
+      } else if (this.#eligibleSince.get(node)?.incarnation !== incarnation) {
+        this.#eligibleSince.set(node, { incarnation, at: now });
       }
     }
   }
@@ -119,10 +124,10 @@
   /** A shard that this node holds for another one returns once that one has been fit for long enough. */
   #decideFailback(shard: number, view: OwnershipView, now: number): OwnershipStep | null {
     const to = preferredNode(shard, view.nodes);
-    const fit = this.#fitSince.get(to);
+    const fit = this.#eligibleSince.get(to);
     if (fit === undefined) return null;
-    const delayMs = backoffMs(FAILBACK_MS, this.#failbacks.get(shard) ?? 0);
-    if (now - fit.at < delayMs || this.#failbackHeld(shard, now)) return null;
+    const delayMs = backoffMs(FAILBACK_DELAY_MS, this.#failbacks.get(shard) ?? 0);
+    if (now - fit.at < delayMs || this.#isFailbackOnHold(shard, now)) return null;
     return { kind: 'transfer', shard, to, incarnation: fit.incarnation };
   }
 
@@ -163,7 +168,7 @@
     this.#receivedTransfers.set(shard, { at: now, count });
   }
 
-  #failbackHeld(shard: number, now: number): boolean {
+  #isFailbackOnHold(shard: number, now: number): boolean {
     const received = this.#receivedTransfers.get(shard);
     if (received === undefined) return false;
     return now - received.at < backoffMs(FAILBACK_HOLD_MS, received.count - 1);
--- a/src/core/placement/candidates.ts
+++ b/src/core/placement/candidates.ts
@@ -1,7 +1,7 @@
 import { satisfiesConstraints } from './constraints.js';
 import type { JobState, MachineState } from '../shard/types.js';
 import type { ShardState } from '../shard/shard-state.js';
-import { fits, timesIn, type Resources } from '../model.js';
+import { fits, fitCount, type Resources } from '../model.js';
 import { UnusedVolumeIndex } from './unused-volume-index.js';
 
 const replicasOn = (m: MachineState, job: JobState): number => {
@@ -43,13 +43,13 @@
     this.#machines = new UnusedVolumeIndex(usable, state.largestCapacity);
   }
 
-  get empty(): boolean {
+  get isEmpty(): boolean {
     return this.#machines.size === 0;
   }
 
   /** True if the pass has shown already that there is no room for the job. */
-  hopeless(job: JobState, tasks: number): boolean {
-    if (this.empty) return true;
+  isKnownUnschedulable(job: JobState, tasks: number): boolean {
+    if (this.isEmpty) return true;
     if (this.#held.has(job.spec.uid)) return false;
     const failed = this.#failed.get(job.constraintKey);
     const { demand } = job.spec;
@@ -57,7 +57,7 @@
   }
 
   /** Notes that the job found no room, for reasons that hold for others as well. */
-  noRoom(job: JobState, tasks: number): void {
+  recordUnschedulable(job: JobState, tasks: number): void {
     // What one of them could not get for reasons of its own, others may.
     if (job.avoidedMachines.size > 0) return;
     if (job.placements.size > 0 && (job.spec.oneZone || job.spec.spread)) return;
@@ -70,11 +70,11 @@
   hasSlots(job: JobState, tasks: number, zone: string | null): boolean {
     const { demand } = job.spec;
     let slots = 0;
-    for (const m of this.#machines.emptiestFirst(demand)) {
+    for (const m of this.#machines.mostUnusedFirst(demand)) {
       this.state.workCounters.machinesVisited += 1;
       if (zone !== null && m.record.zone !== zone) continue;
       if (!fits(demand, m.free) || !satisfiesConstraints(m, job, this.now)) continue;
-      slots += timesIn(demand, m.free);
+      slots += fitCount(demand, m.free);
       if (slots >= tasks) return true;
     }
     return false;
@@ -86,7 +86,7 @@
    * so machines that hold it come first. And one machine's loss should leave half of a service, and
    * rather more, so machines with fewer of its replicas come first.
    */
-  best(
+  bestMachine(
     job: JobState,
     demand: Resources,
     partner: JobState | null = null,
@@ -146,12 +146,12 @@
   }
 
   /** After something was placed on the machine. */
-  taken(m: MachineState): void {
+  capacityTaken(m: MachineState): void {
     this.#update(m, fits(this.least, m.free));
   }
 
   /** After something was taken back from the machine. */
-  givenBack(m: MachineState): void {
+  capacityReturned(m: MachineState): void {
     this.#update(m, true);
   }
 
--- a/src/core/placement/constraints.ts
+++ b/src/core/placement/constraints.ts
@@ -1,7 +1,7 @@
 import type { JobSpec } from '../model.js';
 import type { JobState, MachineState } from '../shard/types.js';
 import type { ShardState } from '../shard/shard-state.js';
-import { tasksAllowedIn } from './zones.js';
+import { tasksAllowedInZone } from './zones.js';
 
 /** Everything about a job, besides its size, that decides where it may go: jobs that share it are alike. */
 export const constraintKey = (spec: JobSpec): string => {
@@ -19,7 +19,7 @@
   if (job.avoidedMachines.size > 0 && (job.avoidedMachines.get(m.record.name) ?? -Infinity) > now)
     return false;
   if (m.faultStatus !== 'healthy' && m.tasks.size > 0) return false;
-  return tasksAllowedIn(job, m.record.zone) > 0;
+  return tasksAllowedInZone(job, m.record.zone) > 0;
 };
 
 /** The one check that every start passes. */
--- a/src/core/placement/partners.ts
+++ b/src/core/placement/partners.ts
@@ -1,13 +1,13 @@
 import { placeableTasks } from '../reachability/failure-tracker.js';
 import type { JobState, WorkCounters } from '../shard/types.js';
-import { complement, type TaskGroup } from './pairing.js';
+import { findComplement, type TaskGroup } from './pairing.js';
 
 /**
  * The waiting jobs of one pass, among which complements are sought. A job's complement stays the same until
  * it has no more tasks, since the jobs behind it in the queue only lose tasks during a pass: so it is
  * sought once a job, not once a task.
  */
-export class Partners {
+export class ComplementFinder {
   #chosen: { readonly of: JobState; readonly partner: JobState | null } | null = null;
   readonly #severalKinds: boolean;
 
@@ -22,13 +22,13 @@
   }
 
   /** The waiting job whose tasks complement the job's best, of those behind it in the queue. */
-  of(job: JobState, position: number): JobState | null {
+  complementOf(job: JobState, position: number): JobState | null {
     if (!this.#severalKinds) return null;
     if (this.#chosen?.of === job) {
       const { partner } = this.#chosen;
       if (partner === null || placeableTasks(partner, this.now) > 0) return partner;
     }
-    const partner = complement(job.demandShare, this.#behind(job, position))?.item ?? null;
+    const partner = findComplement(job.demandShare, this.#behind(job, position))?.item ?? null;
     this.#chosen = { of: job, partner };
     return partner;
   }
--- a/src/core/placement/quotas.ts
+++ b/src/core/placement/quotas.ts
@@ -1,13 +1,13 @@
 import type { JobState } from '../shard/types.js';
 import type { ShardState } from '../shard/shard-state.js';
-import { add, ZERO, type Resources } from '../model.js';
+import { add, ZERO_RESOURCES, type Resources } from '../model.js';
 
 /** Limits and guarantees of teams, by what their placed tasks use. */
 export class Quotas {
   constructor(private readonly state: ShardState) {}
 
   /** How many more tasks of the job its team's limit allows now. */
-  underLimit(job: JobState): number {
+  tasksWithinLimit(job: JobState): number {
     const team = this.state.settings.teams.get(job.spec.team);
     if (team === undefined || (team.cpusMax <= 0 && team.gpusMax <= 0)) return Infinity;
     // What an unanswered machine runs for the team is not known, nor whose the tasks are that are
@@ -17,7 +17,7 @@
       [...this.state.machines.values()].some((m) => m.unknownTaskCount > 0)
     )
       return 0;
-    const used = this.used(job.spec.team);
+    const used = this.usedBy(job.spec.team);
     const { cpus, gpus } = job.spec.demand;
     let room = Infinity;
     if (team.cpusMax > 0 && cpus > 0) room = Math.min(room, (team.cpusMax - used.cpus) / cpus);
@@ -25,8 +25,8 @@
     return Math.max(0, Math.floor(room + 1e-9));
   }
 
-  used(team: string): Resources {
-    let used = ZERO;
+  usedBy(team: string): Resources {
+    let used = ZERO_RESOURCES;
     for (const job of this.state.jobs.values()) {
       if (job.spec.team === team) used = add(used, job.spec.demand, job.placements.size);
     }
@@ -34,17 +34,17 @@
   }
 
   /** True if the team of the job stays within its guarantee with one more task of the job. */
-  guaranteed(job: JobState): boolean {
+  staysWithinGuarantee(job: JobState): boolean {
     const team = this.state.settings.teams.get(job.spec.team);
     if (team === undefined || (team.cpus <= 0 && team.gpus <= 0)) return false;
-    const used = add(this.used(job.spec.team), job.spec.demand);
+    const used = add(this.usedBy(job.spec.team), job.spec.demand);
     return (team.cpus <= 0 || used.cpus <= team.cpus) && (team.gpus <= 0 || used.gpus <= team.gpus);
   }
 
-  beyondGuarantee(name: string): boolean {
+  exceedsGuarantee(name: string): boolean {
     const team = this.state.settings.teams.get(name);
     if (team === undefined) return true;
-    const used = this.used(name);
+    const used = this.usedBy(name);
     return used.cpus > team.cpus || used.gpus > team.gpus;
   }
 }
--- a/src/core/placement/scheduler.ts
+++ b/src/core/placement/scheduler.ts
@@ -1,11 +1,11 @@
-import { BEGIN_MS, NO_AIM_S } from './constants.js';
+import { FIRST_TASK_DUE_MS, DEFAULT_START_OBJECTIVE_S } from './constants.js';
 import { placeableTasks } from '../reachability/failure-tracker.js';
 import { taskKey } from '../shard/placements.js';
 import type { JobState, MachineState, Placement } from '../shard/types.js';
 import { type ShardState } from '../shard/shard-state.js';
 import type { Quotas } from './quotas.js';
 import { add, fits, RESOURCE_KINDS, type Resources } from '../model.js';
-import { Partners } from './partners.js';
+import { ComplementFinder } from './partners.js';
 import type { Preemption } from '../preemption/preemption.js';
 import { Candidates } from './candidates.js';
 
@@ -27,7 +27,8 @@
       if (due >= now) return due;
     }
     const { deadlineS, estimateS } = job.spec;
-    const last = aims.at(-1) ?? (deadlineS === null ? NO_AIM_S : deadlineS - estimateS);
+    const last =
+      aims.at(-1) ?? (deadlineS === null ? DEFAULT_START_OBJECTIVE_S : deadlineS - estimateS);
     return job.acceptedAtMonotonic + last * 1000;
   }
 
@@ -50,10 +51,10 @@
       }
       // Whoever has begun may wait for the next aim after one is missed; whoever has not keeps its
       // place, or newer work would pass it over again and again.
-      const latest = hasBegun(job) ? Infinity : job.acceptedAtMonotonic + BEGIN_MS;
+      const latest = hasBegun(job) ? Infinity : job.acceptedAtMonotonic + FIRST_TASK_DUE_MS;
       const due = Math.min(this.#due(job, aims, now), latest);
       job.startDeadline = due;
-      open.push({ job, guaranteed: this.limits.guaranteed(job), due });
+      open.push({ job, guaranteed: this.limits.staysWithinGuarantee(job), due });
     }
     open.sort(
       (a, b) =>
@@ -87,7 +88,7 @@
     const noRoom = new Set(stuck);
     for (const job of queue)
       job.unschedulableSince = noRoom.has(job) ? (job.unschedulableSince ?? now) : null;
-    this.preemption.makeRoom(stuck, now);
+    this.preemption.reserveCapacity(stuck, now);
     return stuck;
   }
 
@@ -129,7 +130,7 @@
 
   #place(queue: readonly JobState[], rooms: Candidates): JobState[] {
     const stuck: JobState[] = [];
-    const partners = new Partners(queue, rooms.now, this.state.workCounters);
+    const partners = new ComplementFinder(queue, rooms.now, this.state.workCounters);
     queue.forEach((job, position) => {
       if (job.spec.kind === 'gang') {
         if (!this.#placeGang(job, rooms)) stuck.push(job);
@@ -145,25 +146,30 @@
   }
 
   /** Places the next task of the job with its complement, or alone when the pair fits nowhere. */
-  #placeEntity(job: JobState, position: number, partners: Partners, rooms: Candidates): boolean {
-    if (rooms.hopeless(job, 1)) return false;
-    const room = this.limits.underLimit(job);
+  #placeEntity(
+    job: JobState,
+    position: number,
+    partners: ComplementFinder,
+    rooms: Candidates,
+  ): boolean {
+    if (rooms.isKnownUnschedulable(job, 1)) return false;
+    const room = this.limits.tasksWithinLimit(job);
     if (room < 1) return false;
-    const partner = partners.of(job, position);
-    if (partner !== null && this.limits.underLimit(partner) >= 1) {
+    const partner = partners.complementOf(job, position);
+    if (partner !== null && this.limits.tasksWithinLimit(partner) >= 1) {
       const sameTeam = partner.spec.team === job.spec.team;
       const pairLimit = !sameTeam || room >= 2 || room === Infinity;
       const both = add(job.spec.demand, partner.spec.demand);
-      const m = pairLimit ? rooms.best(job, both, partner) : null;
+      const m = pairLimit ? rooms.bestMachine(job, both, partner) : null;
       if (m !== null) {
         this.#start(job, m, rooms);
         this.#start(partner, m, rooms);
         return true;
       }
     }
-    const m = rooms.best(job, job.spec.demand);
+    const m = rooms.bestMachine(job, job.spec.demand);
     if (m === null) {
-      rooms.noRoom(job, 1);
+      rooms.recordUnschedulable(job, 1);
       return false;
     }
     this.#start(job, m, rooms);
@@ -177,15 +183,15 @@
     attempt = this.state.nextAttempt(),
   ): Placement {
     const p = this.state.place(job, job.waitingTasks[0]!, attempt, m, rooms.now);
-    rooms.taken(m);
+    rooms.capacityTaken(m);
     return p;
   }
 
   /** All tasks of a gang or none: each in turn on the most matched machine. */
   #placeGang(job: JobState, rooms: Candidates): boolean {
     const tasks = job.waitingTasks.length;
-    if (job.placements.size > 0 || rooms.hopeless(job, tasks)) return false;
-    if (this.limits.underLimit(job) < tasks) return false;
+    if (job.placements.size > 0 || rooms.isKnownUnschedulable(job, tasks)) return false;
+    if (this.limits.tasksWithinLimit(job) < tasks) return false;
     const zones = job.spec.oneZone ? rooms.zones : [null];
     for (const zone of zones) {
       if (!rooms.hasSlots(job, tasks, zone)) continue;
@@ -193,7 +199,7 @@
       const placed: Placement[] = [];
       const holds = new Map<MachineState, MachineState['reservation']>();
       while (job.waitingTasks.length > 0) {
-        const m = rooms.best(job, job.spec.demand, null, zone);
+        const m = rooms.bestMachine(job, job.spec.demand, null, zone);
         if (m === null) break;
         if (!holds.has(m)) holds.set(m, m.reservation);
         placed.push(this.#start(job, m, rooms, attempt));
@@ -202,7 +208,7 @@
       this.#takeBack(job, placed, rooms);
       for (const [m, hold] of holds) m.reservation = hold;
     }
-    rooms.noRoom(job, tasks);
+    rooms.recordUnschedulable(job, tasks);
     return false;
   }
 
@@ -213,7 +219,7 @@
       job.placements.delete(p.index);
       job.waitingTasks.push(p.index);
       this.state.updateFreeCapacity(p.machine, p.machine.idleSince);
-      rooms.givenBack(p.machine);
+      rooms.capacityReturned(p.machine);
     }
     job.waitingTasks.sort((a, b) => a - b);
   }
--- a/src/core/placement/unused-volume-index.ts
+++ b/src/core/placement/unused-volume-index.ts
@@ -1,5 +1,5 @@
-import { ROUNDING } from '../constants.js';
-import { EQUAL_VOLUME, ORDER_BLOCK, VOLUME_SLACK } from './constants.js';
+import { ROUNDING_TOLERANCE } from '../constants.js';
+import { EQUAL_VOLUME_TOLERANCE, INDEX_BLOCK_SIZE, FIT_VOLUME_TOLERANCE } from './constants.js';
 import { unusedVolume } from './unused-volume.js';
 import type { MachineState } from '../shard/types.js';
 import type { Resources } from '../model.js';
@@ -47,9 +47,9 @@
   /** False if the demand surely fits none of them. */
   mayFit(demand: Resources): boolean {
     return (
-      demand.cpus <= this.#cpus + ROUNDING &&
-      demand.gpus <= this.#gpus + ROUNDING &&
-      demand.memoryGb <= this.#memoryGb + ROUNDING
+      demand.cpus <= this.#cpus + ROUNDING_TOLERANCE &&
+      demand.gpus <= this.#gpus + ROUNDING_TOLERANCE &&
+      demand.memoryGb <= this.#memoryGb + ROUNDING_TOLERANCE
     );
   }
 
@@ -74,8 +74,8 @@
   ) {
     for (const m of machines) this.#entries.set(m, this.#entry(m));
     const sorted = [...this.#entries.values()].sort((a, b) => (isBefore(a, b) ? -1 : 1));
-    for (let at = 0; at < sorted.length; at += ORDER_BLOCK) {
-      this.#blocks.push(new Block(sorted.slice(at, at + ORDER_BLOCK)));
+    for (let at = 0; at < sorted.length; at += INDEX_BLOCK_SIZE) {
+      this.#blocks.push(new Block(sorted.slice(at, at + INDEX_BLOCK_SIZE)));
     }
   }
 
@@ -123,18 +123,18 @@
       0,
       entry,
     );
-    if (entries.length <= 2 * ORDER_BLOCK) this.#blocks[at]!.measure();
+    if (entries.length <= 2 * INDEX_BLOCK_SIZE) this.#blocks[at]!.measure();
     else this.#split(at);
   }
 
   #split(at: number): void {
     const { entries } = this.#blocks[at]!;
-    const halves = [entries.slice(0, ORDER_BLOCK), entries.slice(ORDER_BLOCK)];
+    const halves = [entries.slice(0, INDEX_BLOCK_SIZE), entries.slice(INDEX_BLOCK_SIZE)];
     this.#blocks.splice(at, 1, ...halves.map((half) => new Block(half)));
   }
 
   /** Machines that may fit the demand, those with the most unused volume first. */
-  *emptiestFirst(demand: Resources): Iterable<MachineState> {
+  *mostUnusedFirst(demand: Resources): Iterable<MachineState> {
     for (let at = this.#blocks.length - 1; at >= 0; at--) {
       const block = this.#blocks[at]!;
       if (!block.mayFit(demand)) continue;
@@ -147,7 +147,7 @@
    * by name. `takes` must accept only machines that the demand fits.
    */
   leastUnused(demand: Resources, takes: (m: MachineState) => boolean): MachineState | null {
-    const least = unusedVolume(demand, this.largest) - VOLUME_SLACK;
+    const least = unusedVolume(demand, this.largest) - FIT_VOLUME_TOLERANCE;
     const from = firstPosition(this.#blocks, (block) => block.last.volume >= least);
     let best: MachineState | null = null;
     let most = Infinity;
@@ -160,7 +160,7 @@
         if (volume > most) break;
         if (best !== null && m.record.name > best.record.name) continue;
         if (!takes(m)) continue;
-        if (best === null) most = volume + EQUAL_VOLUME;
+        if (best === null) most = volume + EQUAL_VOLUME_TOLERANCE;
         best = m;
       }
     }
--- a/src/core/placement/unused-volume.ts
+++ b/src/core/placement/unused-volume.ts
@@ -1,4 +1,4 @@
-import { EQUAL_VOLUME } from './constants.js';
+import { EQUAL_VOLUME_TOLERANCE } from './constants.js';
 import { RESOURCE_KINDS, type Resources } from '../model.js';
 
 /** Unused resource volume, equation (2) of the paper. */
@@ -9,7 +9,7 @@
 };
 
 /** A machine with its free resources. */
-export interface Candidate {
+export interface MachineCandidate {
   readonly name: string;
   readonly free: Resources;
   /** true if the machine holds the image already; decides between equal volumes */
@@ -17,7 +17,7 @@
 }
 
 /** The most matched machine: least unused volume, then the image, then the name. */
-export const mostMatched = <M extends Candidate>(
+export const bestFit = <M extends MachineCandidate>(
   candidates: Iterable<M>,
   largest: Resources,
 ): M | null => {
@@ -26,8 +26,8 @@
   for (const c of candidates) {
     const volume = unusedVolume(c.free, largest);
     if (best !== null) {
-      if (volume > bestVolume + EQUAL_VOLUME) continue;
-      if (volume > bestVolume - EQUAL_VOLUME) {
+      if (volume > bestVolume + EQUAL_VOLUME_TOLERANCE) continue;
+      if (volume > bestVolume - EQUAL_VOLUME_TOLERANCE) {
         const image = Number(c.hasImage ?? false) - Number(best.hasImage ?? false);
         if (image < 0 || (image === 0 && c.name >= best.name)) continue;
       }
--- a/src/core/placement/zones.ts
+++ b/src/core/placement/zones.ts
@@ -3,7 +3,7 @@
 /** Zone constraints of jobs. What may still be on a machine counts, whatever was told to it. */
 
 /** How many more tasks of the job its constraints allow in a zone, given where the others are. */
-export const tasksAllowedIn = (job: JobState, zone: string): number => {
+export const tasksAllowedInZone = (job: JobState, zone: string): number => {
   const { spec } = job;
   if (spec.zone !== null && spec.zone !== zone) return 0;
   if (!spec.oneZone && !spec.spread) return Infinity;
--- a/src/core/preemption/preemption.ts
+++ b/src/core/preemption/preemption.ts
@@ -1,9 +1,13 @@
-import { COLLECT_SHARE, RESERVATION_MS, ROOM_TRIES } from './constants.js';
+import {
+  PARTIAL_RESERVATION_SHARE,
+  RESERVATION_TTL_MS,
+  MAX_RESERVATION_ATTEMPTS,
+} from './constants.js';
 import { isFeasible } from '../placement/constraints.js';
 import type { JobState, MachineState, Placement } from '../shard/types.js';
 import type { ShardState } from '../shard/shard-state.js';
 import type { Quotas } from '../placement/quotas.js';
-import { add, dominantShare, fits, timesIn, type JobSpec, type Resources } from '../model.js';
+import { add, dominantShare, fits, fitCount, type JobSpec, type Resources } from '../model.js';
 
 /** A machine that could take tasks of a job, at once or after stopping others. */
 interface Option {
@@ -29,16 +33,17 @@
    * having enough in sight: so every gang gets its machines at some time, however many smaller jobs
    * there are. One gang always may, more of them only on a small share of the shard's machines.
    */
-  makeRoom(stuck: readonly JobState[], now: number): void {
+  reserveCapacity(stuck: readonly JobState[], now: number): void {
     const collecting = new Set<string>();
-    let left = Math.floor(this.state.machines.size * COLLECT_SHARE);
+    let left = Math.floor(this.state.machines.size * PARTIAL_RESERVATION_SHARE);
     let tries = 0;
     const lowest = this.#lowestRank();
     for (const job of stuck) {
-      if (tries >= ROOM_TRIES) break;
-      if (this.limits.underLimit(job) < 1) continue;
+      if (tries >= MAX_RESERVATION_ATTEMPTS) break;
+      if (this.limits.tasksWithinLimit(job) < 1) continue;
       const mayStop =
-        this.state.settings.preempt && (job.priorityRank > lowest || this.limits.guaranteed(job));
+        this.state.settings.preempt &&
+        (job.priorityRank > lowest || this.limits.staysWithinGuarantee(job));
       if (job.spec.kind !== 'gang') {
         if (!mayStop) continue;
         tries += 1;
@@ -70,8 +75,8 @@
     if (victim.job.priorityRank < job.priorityRank) return true;
     return (
       victim.job.spec.team !== job.spec.team &&
-      this.limits.guaranteed(job) &&
-      this.limits.beyondGuarantee(victim.job.spec.team)
+      this.limits.staysWithinGuarantee(job) &&
+      this.limits.exceedsGuarantee(victim.job.spec.team)
     );
   }
 
@@ -92,7 +97,7 @@
     const held = [...this.state.machines.values()].filter((m) => m.reservation?.uid === uid);
     const firm = held.filter((m) => m.reservation?.partial !== true);
     let open = tasks;
-    for (const m of firm) open -= timesIn(job.spec.demand, this.#freeAfterStops(m));
+    for (const m of firm) open -= fitCount(job.spec.demand, this.#freeAfterStops(m));
     if (open <= 0) return true;
     const zone = job.spec.oneZone ? (firm[0]?.record.zone ?? null) : null;
     const options: Option[] = [];
@@ -108,7 +113,7 @@
     usable.sort((a, b) => a.loss - b.loss);
     for (const o of usable) {
       if (open <= 0) break;
-      o.m.reservation = { uid, until: now + RESERVATION_MS, partial: false };
+      o.m.reservation = { uid, until: now + RESERVATION_TTL_MS, partial: false };
       for (const p of o.victims) this.state.requestStop(p, p.job.spec.saveS + 1, now);
       open -= o.slots;
     }
@@ -126,7 +131,7 @@
       if (m.type === null || !fits(demand, m.type) || !isFeasible(this.state, m, job, now))
         continue;
       const free = fits(demand, m.free);
-      const slots = timesIn(demand, free ? m.free : m.type);
+      const slots = fitCount(demand, free ? m.free : m.type);
       const loss = free ? 0 : this.#busyS(m, now);
       options.push({ m, slots, victims: [], loss, held: m.reservation?.uid === uid });
     }
@@ -143,7 +148,7 @@
     let machines = 0;
     for (const o of usable) {
       if (open <= 0) break;
-      o.m.reservation = { uid, until: now + RESERVATION_MS, partial: true };
+      o.m.reservation = { uid, until: now + RESERVATION_TTL_MS, partial: true };
       open -= o.slots;
       machines += 1;
     }
@@ -175,7 +180,7 @@
     const { demand } = job.spec;
     const fetchS = this.#fetchS(m, job.spec);
     if (fits(demand, m.free)) {
-      return { m, slots: timesIn(demand, m.free), victims: [], loss: fetchS };
+      return { m, slots: fitCount(demand, m.free), victims: [], loss: fetchS };
     }
     if (!mayStop) return null;
     let free = m.free;
--- a/src/core/shard/lease-expiry.ts
+++ b/src/core/shard/lease-expiry.ts
@@ -1,5 +1,5 @@
 /** Timeouts of a shard: leases, unsent starts and reservations. */
-import { CLOCK_DRIFT } from '../../constants.js';
+import { MAX_RELATIVE_CLOCK_DRIFT } from '../../constants.js';
 import { UNDISPATCHED_START_TIMEOUT_MS, WORKER_LEASE_MARGIN_MS } from './constants.js';
 import { isUndispatched } from './placements.js';
 import type { ShardState } from './shard-state.js';
@@ -10,7 +10,7 @@
  * sent in time, clears expired reservations, and removes orphaned machines that are empty.
  */
 export const expireLeases = (state: ShardState, now: number): void => {
-  const leaseMs = state.settings.leaseMs * (1 + CLOCK_DRIFT) + WORKER_LEASE_MARGIN_MS;
+  const leaseMs = state.settings.leaseMs * (1 + MAX_RELATIVE_CLOCK_DRIFT) + WORKER_LEASE_MARGIN_MS;
   for (const machine of state.machines.values()) {
     if (machine.confirmedSince !== null && now - machine.leaseRenewedAt > leaseMs) {
       endLease(state, machine, now);
--- a/src/core/shard/shard-queries.ts
+++ b/src/core/shard/shard-queries.ts
@@ -1,5 +1,5 @@
 /** Read-only queries on a shard's state for other modules. */
-import { ROUNDING } from '../constants.js';
+import { ROUNDING_TOLERANCE } from '../constants.js';
 import { PRIORITY_RANK } from '../model.js';
 import { tasksNeedingCapacity } from '../reachability/failure-tracker.js';
 import type { ShardState } from './shard-state.js';
@@ -44,7 +44,7 @@
 export const machinesWithFreeCapacity = (state: ShardState, now: number): MachineState[] => {
   // Every task takes some CPU and memory, so a machine without either can't take any.
   const hasFreeCapacity = ({ free }: MachineState) =>
-    free.cpus > ROUNDING && free.memoryGb > ROUNDING;
+    free.cpus > ROUNDING_TOLERANCE && free.memoryGb > ROUNDING_TOLERANCE;
   return [...state.machines.values()].filter(
     (machine) =>
       hasFreeCapacity(machine) &&
--- a/src/core/shard/shard-state.ts
+++ b/src/core/shard/shard-state.ts
@@ -2,7 +2,7 @@
  * Holds the state of one shard under one term: its jobs, its machines and the placements of tasks on them. Placements
  * are added, released and stopped only here; the scheduler decides which tasks to place where.
  */
-import { add, largestCapacity, ZERO, type Resources } from '../model.js';
+import { add, largestCapacity, ZERO_RESOURCES, type Resources } from '../model.js';
 import { MachineHealth } from '../reachability/machine-health.js';
 import { ATTEMPTS_PER_TERM } from './constants.js';
 import { isUndispatched, taskKey } from './placements.js';
@@ -164,7 +164,7 @@
 
   /** Computes the machine's free capacity from its placements. */
   updateFreeCapacity(machine: MachineState, now: number): void {
-    let free: Resources = machine.type ?? ZERO;
+    let free: Resources = machine.type ?? ZERO_RESOURCES;
     for (const { job } of machine.tasks.values()) free = add(free, job.spec.demand, -1);
     machine.free = free;
     if (machine.tasks.size > 0) machine.idleSince = now;
--- a/src/core/shard/store-synchronizer.ts
+++ b/src/core/shard/store-synchronizer.ts
@@ -4,13 +4,13 @@
 import {
   PRIORITY_RANK,
   shareOf,
-  ZERO,
+  ZERO_RESOURCES,
   type JobRecord,
   type MachineRecord,
   type TaskRange,
 } from '../model.js';
 import { constraintKey } from '../placement/constraints.js';
-import { dominant } from '../placement/pairing.js';
+import { dominantResource } from '../placement/pairing.js';
 import type { ShardState } from './shard-state.js';
 import type { ChangedRecords, JobState, MachineState, StoredRecords } from './types.js';
 
@@ -97,7 +97,7 @@
       commandsLostSince: null,
       consecutiveLostCommands: 0,
       tasks: new Map(),
-      free: type ?? ZERO,
+      free: type ?? ZERO_RESOURCES,
       idleSince: now,
       reservation: null,
       reportedTaskCount: 0,
@@ -138,7 +138,7 @@
       spec,
       priorityRank: PRIORITY_RANK[spec.priority],
       demandShare,
-      dominantResource: dominant(demandShare),
+      dominantResource: dominantResource(demandShare),
       constraintKey: constraintKey(spec),
       acceptedAt: at,
       // A job's age counts from its acceptance, also after a change of the shard's owner.
--- a/src/peers/frames.ts
+++ b/src/peers/frames.ts
@@ -96,12 +96,12 @@
 const encode = (status: PeerStatus): Buffer =>
   Buffer.from(Status.encodeDelimited(Status.fromObject(status)).finish());
 
-const withoutImages = (status: PeerStatus): PeerStatus => ({
+const withoutMachineImages = (status: PeerStatus): PeerStatus => ({
   ...status,
   shards: status.shards.map((shard) => ({ ...shard, images: [] })),
 });
 
-const withoutProgress = (status: PeerStatus): PeerStatus => ({
+const withoutProgressAndCapacityImages = (status: PeerStatus): PeerStatus => ({
   ...status,
   jobs: [],
   shards: status.shards.map((shard) => ({
@@ -130,9 +130,12 @@
       return;
     }
     this.onOversized(whole.length);
-    const shorter = withoutImages(status);
+    const shorter = withoutMachineImages(status);
     const bytes = encode(shorter);
-    callback(null, bytes.length <= MAX_FRAME_BYTES ? bytes : encode(withoutProgress(shorter)));
+    callback(
+      null,
+      bytes.length <= MAX_FRAME_BYTES ? bytes : encode(withoutProgressAndCapacityImages(shorter)),
+    );
   }
 }
 
@@ -146,16 +149,16 @@
 /** Transforms a byte stream of length-delimited frames into statuses; a malformed frame ends it with an error. */
 export class StatusDecoder extends Transform {
   /** bytes of a frame that is not complete yet */
-  #rest: Buffer = Buffer.alloc(0);
+  #buffered: Buffer = Buffer.alloc(0);
 
   constructor() {
     super({ readableObjectMode: true });
   }
 
   override _transform(chunk: Buffer, _: BufferEncoding, callback: TransformCallback): void {
-    this.#rest = this.#rest.length === 0 ? chunk : Buffer.concat([this.#rest, chunk]);
+    this.#buffered = this.#buffered.length === 0 ? chunk : Buffer.concat([this.#buffered, chunk]);
     try {
-      for (let frame = this.#next(); frame !== null; frame = this.#next()) {
+      for (let frame = this.#nextFrame(); frame !== null; frame = this.#nextFrame()) {
         const message = Status.decode(frame);
         this.push(Status.toObject(message, { arrays: true, defaults: true, longs: Number }));
       }
@@ -166,8 +169,8 @@
   }
 
   /** The next complete frame; null if more bytes are needed. */
-  #next(): Uint8Array | null {
-    const reader = protobuf.Reader.create(this.#rest);
+  #nextFrame(): Uint8Array | null {
+    const reader = protobuf.Reader.create(this.#buffered);
     let length: number;
     try {
       length = reader.uint32();
@@ -177,9 +180,9 @@
     }
     if (length > MAX_FRAME_BYTES) throw new FrameTooLongError(length);
     const end = reader.pos + length;
-    if (this.#rest.length < end) return null;
-    const frame = this.#rest.subarray(reader.pos, end);
-    this.#rest = this.#rest.subarray(end);
+    if (this.#buffered.length < end) return null;
+    const frame = this.#buffered.subarray(reader.pos, end);
+    this.#buffered = this.#buffered.subarray(end);
     return frame;
   }
 }
--- a/src/peers/gossip.ts
+++ b/src/peers/gossip.ts
@@ -2,12 +2,12 @@
 import { connect, createServer, type Server, type Socket } from 'node:net';
 import { finished, pipeline } from 'node:stream';
 import type { Logger } from 'pino';
-import { SUMMARY_MS } from '../constants.js';
+import { SUMMARY_INTERVAL_MS } from '../constants.js';
 import {
-  DETAILED_STATUS_INTERVAL,
+  MESSAGES_PER_DETAILED_STATUS,
   GOSSIP_INTERVAL_MS,
-  PEER_FRESH_MS,
-  CANCELLATION_FLUSH_MS,
+  PEER_TIMEOUT_MS,
+  CANCELLATION_FLUSH_DELAY_MS,
 } from './constants.js';
 import { StatusDecoder, StatusEncoder, type Echo, type PeerStatus } from './frames.js';
 import { parseAddress } from '../transport/address.js';
@@ -22,7 +22,7 @@
 interface ReceivedStatus {
   readonly status: PeerStatus;
   /** when it arrived, monotonic ms */
-  readonly at: number;
+  readonly receivedAt: number;
   /** `sentAt` of the newest message of ours that the peer acknowledged; -Infinity if none of this incarnation */
   readonly acknowledgedAt: number;
 }
@@ -31,7 +31,7 @@
 export type OwnStatus = Omit<PeerStatus, 'node' | 'incarnation' | 'sentAt' | 'echoes' | 'detailed'>;
 
 /** A brief status, completed with the details of the last detailed one. */
-const withDetails = (status: PeerStatus, last: PeerStatus): PeerStatus => ({
+const mergeDetails = (status: PeerStatus, last: PeerStatus): PeerStatus => ({
   ...status,
   jobs: last.jobs,
   shards: status.shards.map((p) => ({
@@ -41,7 +41,7 @@
 });
 
 /** Gossip intervals without any traffic after which a connection is closed. */
-const IDLE_INTERVALS = 5;
+const IDLE_TIMEOUT_INTERVALS = 5;
 
 /** What the gossip needs of the rest of the node. */
 export interface GossipDependencies {
@@ -66,7 +66,7 @@
   readonly #encoder: StatusEncoder;
   readonly #sockets = new Set<Socket>();
   #lastOversizedAt = -Infinity;
-  #ticks = 0;
+  #intervalBroadcasts = 0;
   #server: Server | null = null;
   #timer: NodeJS.Timeout | null = null;
   #flushTimer: NodeJS.Timeout | null = null;
@@ -88,7 +88,7 @@
       pipeline(socket, decoder, () => undefined);
     });
     this.#server = server;
-    this.#timer = setInterval(() => this.#tick(), GOSSIP_INTERVAL_MS);
+    this.#timer = setInterval(() => this.#broadcastAtInterval(), GOSSIP_INTERVAL_MS);
     return new Promise((resolve, reject) => {
       server.once('error', reject);
       server.listen(port, host, resolve);
@@ -105,14 +105,14 @@
       echo.node === node && (echo.incarnation === '' || echo.incarnation === incarnation);
     const acknowledgedAt = status.echoes.find(isOurs)?.sentAt ?? -Infinity;
     const complete =
-      status.detailed || !sameIncarnation ? status : withDetails(status, known.status);
-    this.#received.set(status.node, { status: complete, at: now(), acknowledgedAt });
+      status.detailed || !sameIncarnation ? status : mergeDetails(status, known.status);
+    this.#received.set(status.node, { status: complete, receivedAt: now(), acknowledgedAt });
     onStatus(status, acknowledgedAt);
   }
 
-  #tick(): void {
-    const detailed = this.#ticks % DETAILED_STATUS_INTERVAL === 0;
-    this.#ticks += 1;
+  #broadcastAtInterval(): void {
+    const detailed = this.#intervalBroadcasts % MESSAGES_PER_DETAILED_STATUS === 0;
+    this.#intervalBroadcasts += 1;
     this.#broadcast(detailed);
   }
 
@@ -128,17 +128,17 @@
   }
 
   /** Broadcasts soon, without waiting for the interval: there is a cancellation to pass on. */
-  flush(): void {
+  broadcastSoon(): void {
     this.#flushTimer ??= setTimeout(() => {
       this.#flushTimer = null;
       this.#broadcast(false);
-    }, CANCELLATION_FLUSH_MS);
+    }, CANCELLATION_FLUSH_DELAY_MS);
   }
 
   #warnOversized(bytes: number): void {
     const { now, log } = this.dependencies;
     const at = now();
-    if (at - this.#lastOversizedAt < SUMMARY_MS) return;
+    if (at - this.#lastOversizedAt < SUMMARY_INTERVAL_MS) return;
     this.#lastOversizedAt = at;
     log.info({ bytes }, 'status shortened');
   }
@@ -154,7 +154,7 @@
   #connect(peer: Peer): Socket {
     const { host, port } = parseAddress(peer.address);
     const socket = connect(port, host);
-    socket.setTimeout(GOSSIP_INTERVAL_MS * IDLE_INTERVALS, () => socket.destroy());
+    socket.setTimeout(GOSSIP_INTERVAL_MS * IDLE_TIMEOUT_INTERVALS, () => socket.destroy());
     socket.setNoDelay(true);
     this.#sockets.add(socket);
     this.#outbound.set(peer.node, socket);
@@ -173,7 +173,7 @@
 
   /** Peers that acknowledged a message of ours within `PEER_FRESH_MS`: both directions work. */
   reachable(): PeerStatus[] {
-    const since = this.dependencies.now() - PEER_FRESH_MS;
+    const since = this.dependencies.now() - PEER_TIMEOUT_MS;
     return [...this.#received.values()]
       .filter(({ acknowledgedAt }) => acknowledgedAt >= since)
       .map(({ status }) => status);
@@ -181,13 +181,17 @@
 
   /** The newest status of every peer, however old, the newest first: for what changes slowly. */
   latest(): PeerStatus[] {
-    return [...this.#received.values()].sort((a, b) => b.at - a.at).map(({ status }) => status);
+    return [...this.#received.values()]
+      .sort((a, b) => b.receivedAt - a.receivedAt)
+      .map(({ status }) => status);
   }
 
   /** Statuses that arrived within `PEER_FRESH_MS`. */
   recent(): PeerStatus[] {
-    const since = this.dependencies.now() - PEER_FRESH_MS;
-    return [...this.#received.values()].filter(({ at }) => at >= since).map(({ status }) => status);
+    const since = this.dependencies.now() - PEER_TIMEOUT_MS;
+    return [...this.#received.values()]
+      .filter(({ receivedAt: at }) => at >= since)
+      .map(({ status }) => status);
   }
 
   /** Ends the broadcast and all connections. */
--- a/src/peers/shard-directory.ts
+++ b/src/peers/shard-directory.ts
@@ -1,8 +1,8 @@
 import { DEBOUNCE_MS } from '../constants.js';
-import { BALANCE_MARGIN, BALANCE_RATIO, UNKNOWN_LOAD } from './constants.js';
+import { MIN_LOAD_DIFFERENCE, MIN_LOAD_RATIO, UNKNOWN_LOAD } from './constants.js';
 import { loadIndex } from '../core/capacity/allocation-ratio.js';
 import type { ShardLoad } from '../core/jobs/jobs.js';
-import { fits, PRIORITY_RANK, timesIn, type JobSpec, type Resources } from '../core/model.js';
+import { fits, PRIORITY_RANK, fitCount, type JobSpec, type Resources } from '../core/model.js';
 import type { MachineState, Shard } from '../core/shard/shard.js';
 import type { PeerStatus, FreeCapacity } from './frames.js';
 
@@ -27,7 +27,7 @@
 /** All ranks, the lowest first. */
 const RANKS = Object.values(PRIORITY_RANK).sort((a, b) => a - b);
 
-const capacityFits = (spec: JobSpec, room: FreeCapacity): boolean =>
+const isFeasible = (spec: JobSpec, room: FreeCapacity): boolean =>
   fits(spec.demand, room) &&
   PRIORITY_RANK[spec.priority] >= room.minimumRank &&
   (spec.types === null || spec.types.includes(room.type)) &&
@@ -35,7 +35,7 @@
   (!room.spot || spec.spot);
 
 /** Machines with room, those alike put together: after a boot wave there are a hundred of them. */
-const freeCapacityOf = (shard: Shard, now: number): FreeCapacity[] => {
+const groupFreeCapacity = (shard: Shard, now: number): FreeCapacity[] => {
   const out = new Map<string, FreeCapacity>();
   const note = (machine: MachineState, free: Resources, rank: number) => {
     const { type, zone, spot } = machine.record;
@@ -71,14 +71,14 @@
 /** Loads, room and progress of all shards. */
 export class ShardDirectory {
   /** the loads of our own shards as last told to the others */
-  readonly #announcedLoads = new Map<number, number[]>();
+  readonly #ownLoads = new Map<number, number[]>();
   /** the room of our own shards as of some moments ago */
-  readonly #freeCapacityCache = new Map<
+  readonly #ownFreeCapacityCache = new Map<
     number,
     { of: Shard; at: number; rooms: readonly FreeCapacity[] }
   >();
   /** what each node told of its jobs, by job: users ask many times a second */
-  readonly #progressIndex = new WeakMap<PeerStatus['jobs'], Map<string, PeerStatus['jobs']>>();
+  readonly #progressIndexes = new WeakMap<PeerStatus['jobs'], Map<string, PeerStatus['jobs']>>();
 
   constructor(
     private readonly shards: number,
@@ -91,7 +91,7 @@
     return this.owned().get(shard)?.shard;
   }
 
-  #announced(shard: number): PeerStatus['shards'][number] | undefined {
+  #announcedStatus(shard: number): PeerStatus['shards'][number] | undefined {
     for (const { shards } of this.peers.recent()) {
       const told = shards.find((p) => p.shard === shard);
       if (told !== undefined) return told;
@@ -102,18 +102,18 @@
   #freeCapacity(shard: number): readonly FreeCapacity[] {
     const own = this.#ownShard(shard);
     return own === undefined
-      ? (this.#announced(shard)?.freeCapacity ?? [])
+      ? (this.#announcedStatus(shard)?.freeCapacity ?? [])
       : this.#ownFreeCapacity(shard, own);
   }
 
   /** Looking through the machines takes time, and a burst of submissions asks again and again. */
   #ownFreeCapacity(index: number, shard: Shard): readonly FreeCapacity[] {
     const now = this.now();
-    const known = this.#freeCapacityCache.get(index);
+    const known = this.#ownFreeCapacityCache.get(index);
     if (known !== undefined && known.of === shard && now - known.at < DEBOUNCE_MS)
       return known.rooms;
-    const rooms = freeCapacityOf(shard, now);
-    this.#freeCapacityCache.set(index, { of: shard, at: now, rooms });
+    const rooms = groupFreeCapacity(shard, now);
+    this.#ownFreeCapacityCache.set(index, { of: shard, at: now, rooms });
     return rooms;
   }
 
@@ -128,12 +128,12 @@
         gb: [...m.images.values()],
       }));
     const loads = shard.allocationRatios(now);
-    this.#announcedLoads.set(index, loads);
+    this.#ownLoads.set(index, loads);
     const waiting = RANKS.map((rank) => shard.waitingTasks(rank, now));
     return {
       shard: index,
       loads,
-      freeCapacity: freeCapacityOf(shard, now),
+      freeCapacity: groupFreeCapacity(shard, now),
       waiting,
       images,
       activeTasks: shard.activeTasksByClass(now),
@@ -148,10 +148,10 @@
       const own = this.#ownShard(shard);
       // Our own figures are as old as those of the others, at most a second: submissions are many.
       const loads =
-        own === undefined ? this.#announced(shard)?.loads : this.#announcedLoads.get(shard);
+        own === undefined ? this.#announcedStatus(shard)?.loads : this.#ownLoads.get(shard);
       const load = loads?.[loadIndex(rank, spec.spot)] ?? UNKNOWN_LOAD;
       const fitting = this.#freeCapacity(shard).filter(
-        (r) => r.minimumRank === 0 && capacityFits(spec, r),
+        (r) => r.minimumRank === 0 && isFeasible(spec, r),
       );
       const hasImage = fitting.some((r) => r.images.includes(spec.image));
       out.push({ shard, load, fitsNow: fitting.length > 0, hasImage });
@@ -169,11 +169,11 @@
       const own = this.#ownShard(shard);
       const waiting =
         own === undefined
-          ? (this.#announced(shard)?.waiting[rank] ?? 1)
+          ? (this.#announcedStatus(shard)?.waiting[rank] ?? 1)
           : own.waitingTasks(rank, this.now());
       if (waiting > 0) continue;
-      const rooms = this.#freeCapacity(shard).filter((r) => capacityFits(spec, r));
-      const tasks = rooms.reduce((sum, r) => sum + timesIn(spec.demand, r) * r.count, 0);
+      const rooms = this.#freeCapacity(shard).filter((r) => isFeasible(spec, r));
+      const tasks = rooms.reduce((sum, r) => sum + fitCount(spec.demand, r) * r.count, 0);
       const image = rooms.some((r) => r.images.includes(spec.image));
       if (tasks === 0) continue;
       if (best === null || (image && !best.image)) best = { shard, tasks, image };
@@ -187,20 +187,20 @@
    */
   lessAllocated(spec: JobSpec, than: number): number | null {
     const index = loadIndex(PRIORITY_RANK[spec.priority], spec.spot);
-    const own = this.#announcedLoads.get(than)?.[index];
+    const own = this.#ownLoads.get(than)?.[index];
     if (own === undefined) return null;
     let least: { shard: number; load: number } | null = null;
     for (let shard = 0; shard < this.shards; shard++) {
       const loads =
         this.#ownShard(shard) === undefined
-          ? this.#announced(shard)?.loads
-          : this.#announcedLoads.get(shard);
+          ? this.#announcedStatus(shard)?.loads
+          : this.#ownLoads.get(shard);
       const load = loads?.[index];
       if (shard === than || load === undefined) continue;
       if (least === null || load < least.load) least = { shard, load };
     }
     if (least === null) return null;
-    const worthIt = own > Math.max(least.load * BALANCE_RATIO, least.load + BALANCE_MARGIN);
+    const worthIt = own > Math.max(least.load * MIN_LOAD_RATIO, least.load + MIN_LOAD_DIFFERENCE);
     return worthIt ? least.shard : null;
   }
 
@@ -210,7 +210,7 @@
     for (let shard = 0; shard < this.shards; shard++) {
       if (shard === not) continue;
       for (const { jobClass, tasks } of this.#ownShard(shard)?.activeTasksByClass(this.now()) ??
-        this.#announced(shard)?.activeTasks ??
+        this.#announcedStatus(shard)?.activeTasks ??
         []) {
         out.set(jobClass, (out.get(jobClass) ?? 0) + tasks);
       }
@@ -223,12 +223,12 @@
     let done = 0;
     let running = 0;
     for (const { shard } of this.owned().values()) {
-      const counts = progressIn(shard, uid);
+      const counts = jobProgressInShard(shard, uid);
       done += counts.done;
       running += counts.running;
     }
     for (const { jobs } of this.peers.recent()) {
-      for (const told of this.#byUid(jobs).get(uid) ?? []) {
+      for (const told of this.#progressByUid(jobs).get(uid) ?? []) {
         if (this.owned().has(told.shard)) continue;
         done += told.done;
         running += told.running;
@@ -238,8 +238,8 @@
   }
 
   /** The list is the same until the node tells another one. */
-  #byUid(jobs: PeerStatus['jobs']): Map<string, PeerStatus['jobs']> {
-    let byUid = this.#progressIndex.get(jobs);
+  #progressByUid(jobs: PeerStatus['jobs']): Map<string, PeerStatus['jobs']> {
+    let byUid = this.#progressIndexes.get(jobs);
     if (byUid === undefined) {
       byUid = new Map();
       for (const job of jobs) {
@@ -247,7 +247,7 @@
         if (same === undefined) byUid.set(job.uid, [job]);
         else same.push(job);
       }
-      this.#progressIndex.set(jobs, byUid);
+      this.#progressIndexes.set(jobs, byUid);
     }
     return byUid;
   }
@@ -262,7 +262,7 @@
   }
 
   /** The node in touch to which most workers of the shard report. */
-  nodeReachingMostWorkers(shard: number): string | null {
+  peerReceivingHeartbeats(shard: number): string | null {
     let best: { node: string; workers: number } | null = null;
     for (const s of this.peers.reachable()) {
       const workers = s.observedWorkers.find((x) => x.shard === shard)?.workers ?? 0;
@@ -273,7 +273,10 @@
 }
 
 /** Tasks of a job in one shard that are done, saved or not, and that run. */
-export const progressIn = (shard: Shard, uid: string): { done: number; running: number } => {
+export const jobProgressInShard = (
+  shard: Shard,
+  uid: string,
+): { done: number; running: number } => {
   const job = shard.jobs.get(uid);
   if (job === undefined) return { done: 0, running: 0 };
   const running = [...job.placements.values()].filter((p) => p.state === 'running').length;
--- a/src/rebalancing/move-candidates.ts
+++ b/src/rebalancing/move-candidates.ts
@@ -8,7 +8,7 @@
 } from '../core/shard/shard.js';
 
 /** Why a machine can't move now whatever it runs, or null. The text is stored and printed. */
-const ineligibility = (shard: Shard, machine: MachineState, now: number): string | null => {
+const findIneligibleReason = (shard: Shard, machine: MachineState, now: number): string | null => {
   if (isLeaving(machine)) return 'is to be returned';
   if (machine.preemptionAt !== null) return 'has a notice';
   if (!machine.record.up) return 'is not up yet';
@@ -22,9 +22,9 @@
  * A machine as a candidate at `now` (steady ms). It is ready to move only when nothing is on it and nothing may
  * still arrive there.
  */
-export const candidateOf = (shard: Shard, machine: MachineState, now: number): Candidate => {
+export const toCandidate = (shard: Shard, machine: MachineState, now: number): Candidate => {
   const { name, type, zone, spot } = machine.record;
-  const ineligibleBecause = ineligibility(shard, machine, now);
+  const ineligibleBecause = findIneligibleReason(shard, machine, now);
   const empty =
     machine.tasks.size === 0 &&
     machine.unknownTaskCount === 0 &&
@@ -37,7 +37,7 @@
     spot,
     tasks: machine.tasks.size,
     runsService: hostsServiceReplicas(machine),
-    ineligibleBecause,
+    ineligibleReason: ineligibleBecause,
     readyToMove: ineligibleBecause === null && empty && machine.cordoned,
   };
 };
--- a/src/rebalancing/move-coordinator.ts
+++ b/src/rebalancing/move-coordinator.ts
@@ -34,14 +34,14 @@
 };
 
 /** Whether every live node takes part in moves: before that no move begins. */
-export const allSupportRebalancing = ({ nodes }: Pick<Tables, 'nodes'>): boolean => {
+export const allNodesSupportRebalancing = ({ nodes }: Pick<Tables, 'nodes'>): boolean => {
   for (const { value } of nodes.values()) if (!value.supportsRebalancing) return false;
   return nodes.size > 0;
 };
 
 /** Why no step of a move may be taken now; null if nothing prevents it. The text is stored and printed. */
-export const obstacleTo = (tables: Tables, move: Move): string | null => {
-  if (!allSupportRebalancing(tables)) return 'a node that does not know moves';
+export const findObstacle = (tables: Tables, move: Move): string | null => {
+  if (!allNodesSupportRebalancing(tables)) return 'a node that does not know moves';
   for (const shard of [move.from, move.to]) {
     const owner = tables.shards.get(String(shard))?.value;
     const live = owner !== undefined && tables.nodes.has(`${owner.owner}/${owner.incarnation}`);
@@ -63,7 +63,7 @@
 /** Begins and ends moves, and sends machines back at a move's deadline or at the stated time. */
 export class MoveCoordinator {
   /** moves with a write under way */
-  readonly #busy = new Set<string>();
+  readonly #writesInFlight = new Set<string>();
 
   constructor(private readonly dependencies: MoveCoordinatorDependencies) {}
 
@@ -75,8 +75,8 @@
     const authorization = election.authorize(MOVE_COORDINATOR_ROLE);
     if (authorization === null) return;
     for (const [id, { value: move, revision }] of moves) {
-      if (isTerminal(move) || this.#busy.has(id)) continue;
-      const obstacle = obstacleTo(cache.tables, move);
+      if (isTerminal(move) || this.#writesInFlight.has(id)) continue;
+      const obstacle = findObstacle(cache.tables, move);
       const next = advanceMove(move, { nowMs: timeOfDay(), obstacle });
       if (next !== null) void this.#write(authorization, next, revision);
     }
@@ -89,7 +89,7 @@
     if (isTerminal(move)) {
       writes.push({ drop: shardLockKey(move.from) }, { drop: shardLockKey(move.to) });
     }
-    this.#busy.add(move.id);
+    this.#writesInFlight.add(move.id);
     try {
       const guards = [{ key, revision }];
       const outcome = await fencedCompareAndSwap(
@@ -107,7 +107,7 @@
       if (!(error instanceof StoreRequestError)) throw error;
       log.debug({ move: move.id, error: error.message }, 'move not written');
     } finally {
-      this.#busy.delete(move.id);
+      this.#writesInFlight.delete(move.id);
     }
   }
 }
--- a/src/rebalancing/shard-mover.ts
+++ b/src/rebalancing/shard-mover.ts
@@ -16,8 +16,8 @@
 import type { StoreClient } from '../store/store-client.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import { WAIT_REASON_WRITE_INTERVAL_MS } from './constants.js';
-import { candidateOf } from './move-candidates.js';
-import { movesById, obstacleTo } from './move-coordinator.js';
+import { toCandidate } from './move-candidates.js';
+import { movesById, findObstacle } from './move-coordinator.js';
 
 const sameNames = (a: readonly string[], b: readonly string[]): boolean =>
   a.length === b.length && a.every((name, i) => name === b[i]);
@@ -56,11 +56,11 @@
  */
 export class ShardMover {
   /** moves with a write under way */
-  readonly #busy = new Set<string>();
+  readonly #writesInFlight = new Set<string>();
   /** whether machines may be cordoned since an earlier round */
-  #cordoned = false;
+  #mayHaveCordoned = false;
   /** when what a move waits for was last written, steady ms */
-  readonly #writtenAt = new Map<string, number>();
+  readonly #reasonWrittenAt = new Map<string, number>();
 
   constructor(
     private readonly config: RebalancingConfig,
@@ -71,16 +71,16 @@
   tick(): void {
     const { cache, shardController } = this.dependencies;
     const moves = [...movesById(cache.tables).values()].filter(({ value }) => !isTerminal(value));
-    if (moves.length > 0 || this.#cordoned) this.#cordonChosen(moves);
-    this.#cordoned = moves.length > 0;
+    if (moves.length > 0 || this.#mayHaveCordoned) this.#cordonChosen(moves);
+    this.#mayHaveCordoned = moves.length > 0;
     for (const move of moves) {
       const { state } = move.value;
       if (state !== 'preparing' && state !== 'moving') continue;
-      if (obstacleTo(cache.tables, move.value) !== null) continue;
+      if (findObstacle(cache.tables, move.value) !== null) continue;
       const { source, target } = moveEndpoints(move.value);
-      if (!this.#targetIsNewer(source, target)) shardController.renewTerm(target);
+      if (!this.#hasNewerTerm(source, target)) shardController.renewTerm(target);
       const owned = shardController.owned.get(source);
-      if (owned !== undefined && shardController.actsFor(owned)) {
+      if (owned !== undefined && shardController.mayActFor(owned)) {
         this.#advanceAsSource(move, owned, target);
       }
     }
@@ -106,7 +106,7 @@
     }
   }
 
-  #targetIsNewer(source: number, target: number): boolean {
+  #hasNewerTerm(source: number, target: number): boolean {
     const { shardController } = this.dependencies;
     return (shardController.termOf(target) ?? 0) > (shardController.termOf(source) ?? Infinity);
   }
@@ -116,21 +116,21 @@
     owned: OwnedShard,
     target: number,
   ): void {
-    if (this.#busy.has(stored.id)) return;
+    if (this.#writesInFlight.has(stored.id)) return;
     const { shard } = owned;
     const now = this.dependencies.now();
     const move = this.#withoutReturned(stored, shard.index);
     const candidates = [...shard.machines.values()].map((machine) =>
-      candidateOf(shard, machine, now),
+      toCandidate(shard, machine, now),
     );
     const { chosen, ready, waitsFor } = selectMachines(
       move,
       candidates,
       this.config.maxDrainingMachines,
     );
-    const newer = this.#targetIsNewer(shard.index, target);
+    const newer = this.#hasNewerTerm(shard.index, target);
     if (newer && ready.length > 0 && stored.state === 'moving') {
-      void this.#exclusively(stored.id, () =>
+      void this.#withWriteInFlight(stored.id, () =>
         this.#moveReady(move, revision, { owned, target, names: ready }),
       );
       return;
@@ -142,7 +142,7 @@
       waitsFor: newer ? waitsFor : `a newer term of part ${target}`,
     };
     if (this.#isWriteDue(stored, next, now)) {
-      void this.#exclusively(stored.id, () => this.#write(owned, next, revision));
+      void this.#withWriteInFlight(stored.id, () => this.#write(owned, next, revision));
     }
   }
 
@@ -162,19 +162,19 @@
       !sameNames(stored.moved, next.moved);
     if (changed) return true;
     if (stored.waitsFor === next.waitsFor) return false;
-    return now - (this.#writtenAt.get(next.id) ?? -Infinity) >= WAIT_REASON_WRITE_INTERVAL_MS;
+    return now - (this.#reasonWrittenAt.get(next.id) ?? -Infinity) >= WAIT_REASON_WRITE_INTERVAL_MS;
   }
 
   /** One write at a time for each move; while the store is unavailable, a later round tries again. */
-  async #exclusively(id: string, work: () => Promise<void>): Promise<void> {
-    this.#busy.add(id);
+  async #withWriteInFlight(id: string, work: () => Promise<void>): Promise<void> {
+    this.#writesInFlight.add(id);
     try {
       await work();
     } catch (error) {
       if (!(error instanceof StoreRequestError)) throw error;
       this.dependencies.log.debug({ move: id, error: error.message }, 'move not written');
     } finally {
-      this.#busy.delete(id);
+      this.#writesInFlight.delete(id);
     }
   }
 
@@ -192,7 +192,7 @@
     );
     if (!outcome.ok) return;
     cache.applyOwn(writes, outcome.epoch);
-    this.#writtenAt.set(move.id, now());
+    this.#reasonWrittenAt.set(move.id, now());
   }
 
   async #moveReady(
--- a/src/service/control-loops.ts
+++ b/src/service/control-loops.ts
@@ -1,5 +1,5 @@
 /** The control loops of a node, in their order, and when a round of them is due. */
-import { DEBOUNCE_MS, LOOP_MS } from '../constants.js';
+import { DEBOUNCE_MS, RECONCILE_INTERVAL_MS } from '../constants.js';
 import type { CloudClient } from '../cloud/cloud-client.js';
 import type { MachineTypes } from '../cloud/machine-types.js';
 import type { WorkloadStatistics } from '../core/capacity/workload-statistics.js';
@@ -44,7 +44,7 @@
   #timer: NodeJS.Timeout | null = null;
   #nextRoundAt = Infinity;
   /** the cache's version whose jobs the workload statistics have seen */
-  #observedVersion = -1;
+  #observedCacheVersion = -1;
   #closed = false;
 
   constructor(private readonly dependencies: ControlLoopsDependencies) {
@@ -70,7 +70,7 @@
 
   /** Begins the rounds. */
   start(): void {
-    this.#scheduleRound(LOOP_MS);
+    this.#scheduleRound(RECONCILE_INTERVAL_MS);
   }
 
   /** Runs a round soon, for this change together with those that come right after it. */
@@ -102,14 +102,14 @@
 
   #round(): void {
     if (this.#closed) return;
-    this.#scheduleRound(LOOP_MS);
+    this.#scheduleRound(RECONCILE_INTERVAL_MS);
     const { shardController, singletons, onRound } = this.dependencies;
     onRound();
     this.#observeWorkload();
     this.#scaleIn.markRecordedReturns();
     this.#shardMover?.tick();
     shardController.tick();
-    this.#collectEvents();
+    this.#drainTaskEvents();
     this.#scaleIn.markRecordedReturns();
     this.#orphanedInstances.tick();
     this.#scaleOut.tick();
@@ -120,8 +120,8 @@
   #observeWorkload(): void {
     const { context, store, peers, workload } = this.dependencies;
     const { version, tables } = store.cache;
-    if (this.#observedVersion === version) return;
-    this.#observedVersion = version;
+    if (this.#observedCacheVersion === version) return;
+    this.#observedCacheVersion = version;
     const nowS = context.timeOfDay() / 1000;
     for (const { value } of tables.activeJobs.values()) {
       workload.recordArrival(value.spec, Math.min(nowS, value.at / 1000));
@@ -134,7 +134,7 @@
   }
 
   /** Hands on what happened to tasks: run times to the statistics, events to the log. */
-  #collectEvents(): void {
+  #drainTaskEvents(): void {
     const { context, shardController, workload } = this.dependencies;
     for (const [index, { shard }] of shardController.owned) {
       for (const run of shard.finishedRuns.splice(0)) workload.recordRun(run.jobClass, run.runS);
--- a/src/service/http-server.ts
+++ b/src/service/http-server.ts
@@ -8,11 +8,11 @@
 /** How connections of workers and users are bounded. */
 export interface ConnectionLimits {
   /** connections at once */
-  readonly connections: number;
+  readonly maxConnections: number;
   /** ms after which an idle connection is closed */
-  readonly idleMs: number;
+  readonly idleTimeoutMs: number;
   /** told of each connection that was closed at once for want of room */
-  readonly dropped: () => void;
+  readonly onDropped: () => void;
 }
 
 /** The HTTP server that workers, users and health checks reach. */
@@ -32,13 +32,13 @@
     for (const route of routes) app.use(route);
     const handler = app.callback();
     const server = createServer((request, response) => {
-      connections.onResponse(response);
+      connections.beforeResponse(response);
       void handler(request, response);
     });
-    const connections = new InboundConnections(server, limits.connections);
-    server.keepAliveTimeout = limits.idleMs;
+    const connections = new InboundConnections(server, limits.maxConnections);
+    server.keepAliveTimeout = limits.idleTimeoutMs;
     server.requestTimeout = REQUEST_TIMEOUT_MS;
-    server.on('drop', limits.dropped);
+    server.on('drop', limits.onDropped);
     this.#server = server;
     const { host, port } = parseAddress(address);
     await new Promise<void>((resolve, reject) => {
--- a/src/service/node-context.ts
+++ b/src/service/node-context.ts
@@ -3,7 +3,7 @@
 import { steadyMs, timeOfDayMs } from '../clock.js';
 import type { OperatorConfig } from '../config/operator.js';
 import type { PlatformConfig } from '../config/platform.js';
-import { randomFrom } from '../random.js';
+import { seededRandomInt } from '../random.js';
 
 /** Random part of an incarnation's name: it tells lives apart that began within the same millisecond. */
 const INCARNATION_RANDOM_LIMIT = 2 ** 30;
@@ -30,7 +30,7 @@
   log: Logger,
 ): NodeContext => {
   const seed = (timeOfDayMs() * 1000 + Math.floor(steadyMs() * 1000) + process.pid) | 0;
-  const random = randomFrom(seed);
+  const random = seededRandomInt(seed);
   const startedAt = timeOfDayMs().toString(36);
   const incarnation = `${startedAt}${random(INCARNATION_RANDOM_LIMIT).toString(36)}`;
   return { config, operator, incarnation, random, now: steadyMs, timeOfDay: timeOfDayMs, log };
--- a/src/service/peer-exchange.ts
+++ b/src/service/peer-exchange.ts
@@ -9,7 +9,7 @@
 import type { PeerView } from '../shards/peer-view.js';
 import type { ShardController } from '../shards/shard-controller.js';
 import type { NodeContext } from './node-context.js';
-import { describeShards } from './shard-status.js';
+import { describeOwnShards } from './shard-status.js';
 import type { StoreAccess } from './store-access.js';
 
 /** What the exchange tells of, and takes in. */
@@ -53,7 +53,7 @@
   }
 
   /** Whether there are peers, and none of them is reachable. */
-  get isolated(): boolean {
+  get isIsolated(): boolean {
     return (
       this.dependencies.context.config.peers.length > 0 && this.gossip.reachable().length === 0
     );
@@ -65,10 +65,10 @@
     return {
       reachablePeerWithStore: () => this.reachablePeerWithStore(),
       incarnationWithStore: (node) => this.#incarnationWithStore(node),
-      capacityElsewhere: (spec, excluded) => this.directory.capacityElsewhere(spec, excluded),
-      lessAllocated: (spec, shard) => this.directory.lessAllocated(spec, shard),
+      shardWithFreeCapacity: (spec, excluded) => this.directory.capacityElsewhere(spec, excluded),
+      lessAllocatedShard: (spec, shard) => this.directory.lessAllocated(spec, shard),
       imagesOf: (machine) => this.directory.imagesOf(machine),
-      peerReceivingHeartbeats: (shard) => this.directory.nodeReachingMostWorkers(shard),
+      peerReceivingHeartbeats: (shard) => this.directory.peerReceivingHeartbeats(shard),
       cancellationsKnownUntil: () => this.#coverage.knownUntil(cache.currentAt),
     };
   }
@@ -80,7 +80,7 @@
 
   /** Broadcasts at once if peers may not know the job's cancellation: its owner should stop the tasks now. */
   flushCancellation(uid: string): void {
-    if (this.#broadcast.isPending(uid)) this.gossip.flush();
+    if (this.#broadcast.isPending(uid)) this.gossip.broadcastSoon();
   }
 
   #incarnationWithStore(node: string): string | null {
@@ -93,8 +93,8 @@
     return {
       cancellations: this.#broadcast.nextMessage(sentAt),
       cancellationsComplete: this.#broadcast.isComplete(sentAt),
-      hasStore: store.answeredLately,
-      ...describeShards(shardController(), this.directory, detailed, context.now()),
+      hasStore: store.isReachable,
+      ...describeOwnShards(shardController(), this.directory, detailed, context.now()),
       classes: workload.measuredRunTimes(),
     };
   }
--- a/src/service/readiness.ts
+++ b/src/service/readiness.ts
@@ -1,4 +1,4 @@
-import { ISOLATED_GRACE_MS, READY_GRACE_MS } from './constants.js';
+import { ISOLATED_GRACE_MS, STORE_LOST_GRACE_MS } from './constants.js';
 
 /** What readiness depends on, as of one look. */
 export interface ReadinessInputs {
@@ -15,21 +15,25 @@
  * has any: in an outage all stay, rather than leave the load balancer with nobody.
  */
 export class Readiness {
+  #storeLostSince: number | null = null;
   #isolatedSince: number | null = null;
-  #cutOffSince: number | null = null;
 
   /** Notes since when this node alone has been without state, or without state and anybody else. */
-  observe({ storeAvailable, peerHasStore, noPeerReachable }: ReadinessInputs, now: number): void {
+  observe(
+    { storeAvailable: storeAvailable, peerHasStore, noPeerReachable }: ReadinessInputs,
+    now: number,
+  ): void {
     const alone = !storeAvailable && peerHasStore;
-    this.#isolatedSince = alone ? (this.#isolatedSince ?? now) : null;
+    this.#storeLostSince = alone ? (this.#storeLostSince ?? now) : null;
     const cutOff = !storeAvailable && noPeerReachable;
-    this.#cutOffSince = cutOff ? (this.#cutOffSince ?? now) : null;
+    this.#isolatedSince = cutOff ? (this.#isolatedSince ?? now) : null;
   }
 
   /** True unless one of the two has lasted too long. */
-  ready(now: number): boolean {
-    if (this.#cutOffSince !== null && now - this.#cutOffSince >= ISOLATED_GRACE_MS) return false;
-    const since = this.#isolatedSince;
-    return since === null || now - since < READY_GRACE_MS;
+  isReady(now: number): boolean {
+    if (this.#isolatedSince !== null && now - this.#isolatedSince >= ISOLATED_GRACE_MS)
+      return false;
+    const since = this.#storeLostSince;
+    return since === null || now - since < STORE_LOST_GRACE_MS;
   }
 }
--- a/src/service/service.ts
+++ b/src/service/service.ts
@@ -8,13 +8,13 @@
 import { MachineTypes } from '../cloud/machine-types.js';
 import type { OperatorConfig } from '../config/operator.js';
 import type { PlatformConfig } from '../config/platform.js';
-import { SUMMARY_MS } from '../constants.js';
+import { SUMMARY_INTERVAL_MS } from '../constants.js';
 import type { Cancellation } from '../core/cancellation/cancellation.js';
 import { WorkloadStatistics } from '../core/capacity/workload-statistics.js';
 import { ShardController } from '../shards/shard-controller.js';
 import { SingletonControllers } from '../singletons/singleton-controllers.js';
 import { heartbeatRoutes } from '../workers/heartbeat-routes.js';
-import { IDLE_LEASES } from './constants.js';
+import { IDLE_TIMEOUT_LEASES } from './constants.js';
 import { ControlLoops } from './control-loops.js';
 import { HttpServer } from './http-server.js';
 import { createNodeContext, type NodeContext } from './node-context.js';
@@ -97,7 +97,7 @@
     this.#supervise('watch', this.#store.runWatch(signal));
     this.#supervise('machine types', this.#machineTypes.run(signal));
     this.#loops.start();
-    this.#summaryTimer = setInterval(() => this.#summarize(), SUMMARY_MS);
+    this.#summaryTimer = setInterval(() => this.#summarize(), SUMMARY_INTERVAL_MS);
     log.info({ listen: config.listen, incarnation }, 'started');
   }
 
@@ -115,7 +115,7 @@
   }
 
   #createShardController(): ShardController {
-    const { client, cache, lease, linearizable } = this.#store;
+    const { client, cache, lease, linearizableReads: linearizable } = this.#store;
     return new ShardController({
       ...this.#context,
       client,
@@ -132,13 +132,13 @@
   #createSingletons({ duties, shares }: OptionalFeatures): SingletonControllers | null {
     if (duties === null) return null;
     const { config, incarnation, now, timeOfDay, log } = this.#context;
-    const { client, cache, linearizable } = this.#store;
+    const { client, cache, linearizableReads: linearizable } = this.#store;
     return new SingletonControllers(config, duties, shares, incarnation, {
       client,
       cloud: this.#cloud,
       cache,
-      authority: () => this.#shardController.authority(now()),
-      current: () => linearizable.waitUntilCurrent(),
+      hasAuthority: () => this.#shardController.hasAuthority(now()),
+      waitUntilCurrent: () => linearizable.waitUntilCurrent(),
       fencingRejections: this.#fencingRejections,
       now,
       timeOfDay,
@@ -193,22 +193,22 @@
       () => this.#store.cache.ready,
     );
     return this.#server.listen([workers, this.#users.routes()], config.listen, {
-      connections: socketBudget(config.sockets, config.peers.length).inbound,
-      idleMs: config.workers.leaseS * 1000 * IDLE_LEASES,
-      dropped: () => this.#summary.connectionDropped(),
+      maxConnections: socketBudget(config.sockets, config.peers.length).inboundConnections,
+      idleTimeoutMs: config.workers.leaseS * 1000 * IDLE_TIMEOUT_LEASES,
+      onDropped: () => this.#summary.recordDroppedConnection(),
     });
   }
 
   #isReady(): boolean {
     if (!this.#store.cache.ready || this.#machineTypes.current === null) return false;
-    return this.#readiness.ready(this.#context.now());
+    return this.#readiness.isReady(this.#context.now());
   }
 
   #observeReadiness(): void {
     const inputs = {
       storeAvailable: this.#store.client.available,
       peerHasStore: this.#peers.reachablePeerWithStore() !== null,
-      noPeerReachable: this.#peers.isolated,
+      noPeerReachable: this.#peers.isIsolated,
     };
     this.#readiness.observe(inputs, this.#context.now());
   }
@@ -217,7 +217,7 @@
   #shareRateLimits(): void {
     const { ready } = this.#store.cache;
     const { nodes } = this.#context.config;
-    this.#rateLimits.update(ready ? this.#shardController.aliveNodes() : nodes);
+    this.#rateLimits.update(ready ? this.#shardController.liveNodeCount() : nodes);
   }
 
   #startObjectives(jobClass: string): number[] {
@@ -227,7 +227,7 @@
 
   /** The fencing token of a role's present leader, by a current read; null if it has none. */
   async #currentToken(role: string): Promise<number | null> {
-    await this.#store.linearizable.waitUntilCurrent();
+    await this.#store.linearizableReads.waitUntilCurrent();
     const shard = SHARD_ROLE.exec(role)?.[1];
     if (shard !== undefined) return this.#shardController.termOf(Number(shard));
     return this.#singletons?.fencingTokenOf(role) ?? null;
--- a/src/service/shard-status.ts
+++ b/src/service/shard-status.ts
@@ -1,13 +1,13 @@
-import { OBSERVED_WORKER_MS } from './constants.js';
+import { OBSERVED_WORKER_TTL_MS } from './constants.js';
 import type { ShardController } from '../shards/shard-controller.js';
 import type { OwnStatus } from '../peers/gossip.js';
-import { progressIn, type ShardDirectory } from '../peers/shard-directory.js';
+import { jobProgressInShard, type ShardDirectory } from '../peers/shard-directory.js';
 
 /**
  * What this node tells the others of its shards, of the jobs in them, and of workers of other shards that came here
  * lately. Progress of jobs only in a detailed status.
  */
-export const describeShards = (
+export const describeOwnShards = (
   shardController: Pick<ShardController, 'owned' | 'observedElsewhere'>,
   directory: Pick<ShardDirectory, 'describeShard'>,
   detailed: boolean,
@@ -15,7 +15,7 @@
 ): Pick<OwnStatus, 'shards' | 'jobs' | 'observedWorkers'> => {
   const sightings = new Map<number, number>();
   for (const [machine, { shard, at }] of shardController.observedElsewhere) {
-    if (now - at > OBSERVED_WORKER_MS) shardController.observedElsewhere.delete(machine);
+    if (now - at > OBSERVED_WORKER_TTL_MS) shardController.observedElsewhere.delete(machine);
     else sightings.set(shard, (sightings.get(shard) ?? 0) + 1);
   }
   const jobs: OwnStatus['jobs'] = [];
@@ -23,7 +23,7 @@
   for (const [index, { shard }] of shardController.owned) {
     shards.push(directory.describeShard(index, shard, detailed));
     for (const uid of detailed ? shard.jobs.keys() : []) {
-      const { done, running } = progressIn(shard, uid);
+      const { done, running } = jobProgressInShard(shard, uid);
       if (done + running > 0) jobs.push({ uid, running, done, shard: index });
     }
   }
--- a/src/service/store-access.ts
+++ b/src/service/store-access.ts
@@ -5,7 +5,7 @@
 import { StoreClient } from '../store/store-client.js';
 import { watch, type WatchBatch } from '../store/watch.js';
 import { WatchCache } from '../store/watch-cache.js';
-import { STORE_FRESH_MS, WATCH_PAUSE_MS, WATCH_REQUEST_SHARE } from './constants.js';
+import { STORE_REACHABLE_MS, MIN_WATCH_PAUSE_MS, WATCH_REQUEST_SHARE } from './constants.js';
 import type { NodeContext } from './node-context.js';
 import type { OptionalFeatures } from './optional-features.js';
 import { storeLimitsPerNode } from './rate-limit-sharing.js';
@@ -14,7 +14,7 @@
 export class StoreAccess {
   readonly client: StoreClient;
   readonly cache = new WatchCache();
-  readonly linearizable: LinearizableReads;
+  readonly linearizableReads: LinearizableReads;
   readonly lease: SessionLease;
 
   constructor(
@@ -24,7 +24,7 @@
     const { config, operator, incarnation, now, log } = context;
     const limits = storeLimitsPerNode(config, operator, config.nodes);
     this.client = new StoreClient(config.store, limits, config.storeLimits, now, log);
-    this.linearizable = new LinearizableReads(this.client, this.cache, now);
+    this.linearizableReads = new LinearizableReads(this.client, this.cache, now);
     const life = {
       node: config.node,
       incarnation,
@@ -35,9 +35,9 @@
   }
 
   /** Whether the store answered this node just now. */
-  get answeredLately(): boolean {
+  get isReachable(): boolean {
     const { available, lastSuccessAt } = this.client;
-    return available && this.context.now() - lastSuccessAt < STORE_FRESH_MS;
+    return available && this.context.now() - lastSuccessAt < STORE_REACHABLE_MS;
   }
 
   /** Keeps the cache current until the signal is given. */
@@ -45,9 +45,9 @@
     const { config, operator, now } = this.context;
     const requestsPerS = (config.storeLimits.rps * operator.storeRequestShare) / config.nodes;
     const batches = watch(this.client, signal, {
-      pauseMs: Math.max(WATCH_PAUSE_MS, 1000 / (requestsPerS * WATCH_REQUEST_SHARE)),
+      pauseMs: Math.max(MIN_WATCH_PAUSE_MS, 1000 / (requestsPerS * WATCH_REQUEST_SHARE)),
       now,
-      onReadState: (startedAt) => this.linearizable.onReadState(startedAt),
+      onReadState: (startedAt) => this.linearizableReads.onReadState(startedAt),
     });
     for await (const batch of batches) this.cache.apply(batch as WatchBatch);
   }
@@ -59,7 +59,7 @@
 
   /** Ends reads and connections. */
   close(): void {
-    this.linearizable.close();
+    this.linearizableReads.close();
     this.client.close();
   }
 }
--- a/src/service/summary.ts
+++ b/src/service/summary.ts
@@ -6,10 +6,10 @@
 
 const MEBIBYTE = 2 ** 20;
 /** ms; acceptances that take longer count as this long */
-const LONGEST_MS = 60_000;
+const INITIAL_ACCEPT_RANGE_MS = 60_000;
 
 /** The figures of one shard in the summary line. */
-const summaryOf = (index: number, shard: Shard) => {
+const summarizeShard = (index: number, shard: Shard) => {
   let waiting = 0;
   let placed = 0;
   for (const job of shard.jobs.values()) {
@@ -42,19 +42,19 @@
 export class PeriodicSummary {
   readonly #acceptMs = hdr.build({
     lowestDiscernibleValue: 1,
-    highestTrackableValue: LONGEST_MS,
+    highestTrackableValue: INITIAL_ACCEPT_RANGE_MS,
   });
   #connectionsDropped = 0;
 
   constructor(private readonly log: Logger) {}
 
   /** A submission was accepted after so long. */
-  accepted(ms: number): void {
+  recordAcceptance(ms: number): void {
     this.#acceptMs.recordValue(Math.max(1, Math.round(ms)));
   }
 
   /** A connection was closed at once for want of sockets. */
-  connectionDropped(): void {
+  recordDroppedConnection(): void {
     this.#connectionsDropped += 1;
   }
 
@@ -64,7 +64,7 @@
     const count = this.#acceptMs.totalCount;
     this.log.info(
       {
-        shards: [...shards].map(([index, { shard }]) => summaryOf(index, shard)),
+        shards: [...shards].map(([index, { shard }]) => summarizeShard(index, shard)),
         activeJobs,
         storeAvailable,
         acceptMs: { p50: percentile(50), p99: percentile(99), count },
--- a/src/service/user-interface.ts
+++ b/src/service/user-interface.ts
@@ -33,7 +33,7 @@
   constructor(private readonly dependencies: UserInterfaceDependencies) {
     const { context, store, peers, machineTypes, shardController, singletons } = dependencies;
     const { config, operator, random, now } = context;
-    const { client, cache, linearizable } = store;
+    const { client, cache, linearizableReads: linearizable } = store;
     this.#reader = new JobReader(client, cache, linearizable);
     this.jobs = new JobService(
       {
@@ -51,8 +51,8 @@
       },
       {
         teams: config.teams,
-        shards: config.nodes,
-        valueBytes: config.storeLimits.valueBytes,
+        shardCount: config.nodes,
+        maxValueBytes: config.storeLimits.valueBytes,
         loadThreshold: operator.loadThreshold,
       },
     );
@@ -74,7 +74,7 @@
       random: context.random,
       onMalformed: (reason) => log.info({ reason }, 'malformed submission rejected'),
       onAccepted: ({ uid, jobClass, tasks }, ms) => {
-        summary.accepted(ms);
+        summary.recordAcceptance(ms);
         log.debug({ job: uid, class: jobClass, tasks }, 'job accepted');
       },
     });
--- a/src/shards/completions/completion-collector.ts
+++ b/src/shards/completions/completion-collector.ts
@@ -84,7 +84,7 @@
     slots.get(slot).set(name, bitmap);
     batch.savedTasks.push({ uid, indexes: unsavedIn(job, range) });
   }
-  for (const slot of changed) slots.write(batch, slot);
+  for (const slot of changed) slots.addWrite(batch, slot);
 };
 
 /** Adds the job's end to the batch, or returns its ranges with unsaved completions. */
@@ -127,10 +127,10 @@
     if (active === undefined) continue;
     progress.push(...collectJob(context, batch, index, job, active));
   }
-  const isDue = owned.progressDue(now) || progress.some(({ isUrgent }) => isUrgent);
+  const isDue = owned.isProgressSaveDue(now) || progress.some(({ isUrgent }) => isUrgent);
   if (isDue && progress.length > 0) {
     addProgress(context, batch, index, progress);
-    owned.noteProgress(now);
+    owned.recordProgressSave(now);
   }
   return batch;
 };
--- a/src/shards/completions/completion-saver.ts
+++ b/src/shards/completions/completion-saver.ts
@@ -39,7 +39,7 @@
 
   /** Saves one batch of the shard if that is due; one that fails is collected anew in a later round. */
   async save(owned: OwnedShard, now: number): Promise<void> {
-    if (!owned.saveDue(now)) return;
+    if (!owned.isSaveDue(now)) return;
     const { shard } = owned;
     const batch =
       splitLongRange(this.#context, shard) ??
--- a/src/shards/completions/completion-slots.ts
+++ b/src/shards/completions/completion-slots.ts
@@ -2,7 +2,7 @@
  * Packing of completion bitmaps into slots. A slot is one stored value with the bitmaps of many ranges of a
  * shard, so that a shard costs about one write in a while, however many arrays it runs.
  */
-import { SLOT_FILL } from '../../core/jobs/constants.js';
+import { SLOT_FILL_RATIO } from '../../core/jobs/constants.js';
 import { encodeCompletions, type CompletionBitmaps } from '../../store/codecs/completions.js';
 import { storeKey } from '../../store/keys.js';
 import type { WatchCache } from '../../store/watch-cache.js';
@@ -90,16 +90,16 @@
   }
 
   /** The slot that holds the range, if any does. */
-  find(range: string): number | null {
+  findSlot(range: string): number | null {
     for (const [slot, bitmaps] of this.slots) if (bitmaps.has(range)) return slot;
     return null;
   }
 
   /** The slot that holds the range already, else the first one with room, else a new one. */
   slotFor(range: string, bitmap: string): number {
-    const present = this.find(range);
+    const present = this.findSlot(range);
     if (present !== null) return present;
-    const maxBytes = this.valueBytes * SLOT_FILL - bitmap.length;
+    const maxBytes = this.valueBytes * SLOT_FILL_RATIO - bitmap.length;
     let slot = 0;
     for (; this.slots.has(slot) || slot === this.excluded; slot++) {
       if (slot !== this.excluded && slotBytes(this.get(slot)) <= maxBytes) return slot;
@@ -116,7 +116,7 @@
   }
 
   /** The bitmap that the store is known to hold in this slot. */
-  stored(slot: number, range: string): string | undefined {
+  storedBitmap(slot: number, range: string): string | undefined {
     return this.cache.tables.completions.get(`${this.shard}/${slot}`)?.value.get(range);
   }
 
@@ -124,7 +124,11 @@
    * Adds the write of a slot to the batch. A write without an answer may be carried out after newer ones and
    * would undo what those saved, so it depends on the slot's revision.
    */
-  write(batch: CompletionBatch, slot: number, bitmaps: CompletionBitmaps = this.get(slot)): void {
+  addWrite(
+    batch: CompletionBatch,
+    slot: number,
+    bitmaps: CompletionBitmaps = this.get(slot),
+  ): void {
     const revision = this.cache.tables.completions.get(`${this.shard}/${slot}`)?.revision ?? 0;
     const value = encodeCompletions(bitmaps);
     batch.add({ put: storeKey.completions(this.shard, slot), value }, revision);
--- a/src/shards/completions/range-splitting.ts
+++ b/src/shards/completions/range-splitting.ts
@@ -13,10 +13,14 @@
 import { bitmapLength, CompletionSlots, rangeName } from './completion-slots.js';
 
 /** Where a range is cut: its end becomes as long as a range may be, on a full character of the bitmap. */
-const cutPoint = ({ from, to }: TaskRange, maxTasks: number): number =>
+const splitIndex = ({ from, to }: TaskRange, maxTasks: number): number =>
   from + Math.ceil((to - from - maxTasks) / 4) * 4;
 
-const cutRange = (ranges: readonly TaskRange[], long: TaskRange, cut: number): TaskRange[] =>
+const rangesAfterSplit = (
+  ranges: readonly TaskRange[],
+  long: TaskRange,
+  cut: number,
+): TaskRange[] =>
   ranges.flatMap((range) =>
     range === long
       ? [
@@ -35,8 +39,8 @@
 ): CompletionBatch | null => {
   const { valueBytes, transactionOps } = storeLimits;
   const { uid } = job.value.spec;
-  const cut = cutPoint(long, maxRangeTasks(valueBytes));
-  const value = encodeJob({ ...job.value, ranges: cutRange(job.value.ranges, long, cut) });
+  const cut = splitIndex(long, maxRangeTasks(valueBytes));
+  const value = encodeJob({ ...job.value, ranges: rangesAfterSplit(job.value.ranges, long, cut) });
   if (JSON.stringify(value).length > valueBytes) return null;
   const batch = new CompletionBatch(transactionOps);
   batch.add({ put: storeKey.activeJob(uid), value }, job.revision);
@@ -46,7 +50,7 @@
     ?.slice(bitmapLength(cut - long.from), bitmapLength(long.to - long.from));
   if (bitmap !== undefined && bitmap.length > 0) {
     const slots = CompletionSlots.load(cache, shard, valueBytes);
-    slots.write(batch, slots.place(rangeName(uid, cut), bitmap));
+    slots.addWrite(batch, slots.place(rangeName(uid, cut), bitmap));
   }
   return batch;
 };
--- a/src/shards/completions/slot-splitting.ts
+++ b/src/shards/completions/slot-splitting.ts
@@ -2,7 +2,7 @@
  * Splitting of slots that were written when values of the store could be larger: they can't be rewritten as
  * they are.
  */
-import { SLOT_FILL } from '../../core/jobs/constants.js';
+import { SLOT_FILL_RATIO } from '../../core/jobs/constants.js';
 import type { CompletionBitmaps } from '../../store/codecs/completions.js';
 import { CompletionBatch } from './completion-batch.js';
 import { CompletionSlots, slotBytes, storedSlots } from './completion-slots.js';
@@ -27,10 +27,10 @@
   const others = slots.without(large);
   const changed = new Set<number>();
   for (const [range, bitmap] of bitmaps) {
-    const copy = others.find(range);
+    const copy = others.findSlot(range);
     if (copy !== null) {
       // An old owner may have gone on with either copy: the other one has to have it all first.
-      if (others.stored(copy, range) !== bitmap) changed.add(copy);
+      if (others.storedBitmap(copy, range) !== bitmap) changed.add(copy);
     } else if (slotBytes(kept) + bitmap.length + range.length < maxBytes) {
       kept.set(range, bitmap);
     } else {
@@ -43,7 +43,7 @@
 /** Finds slots that are too large, and splits them step by step. */
 export class SlotSplitter {
   /** by slot value: looked at several times a second, so the size is taken once */
-  readonly #bytes = new WeakMap<CompletionBitmaps, number>();
+  readonly #encodedBytes = new WeakMap<CompletionBitmaps, number>();
 
   constructor(private readonly context: CompletionContext) {}
 
@@ -52,10 +52,10 @@
    * if that takes more than one transaction, and leaves it with the last of them. Null if there is no such slot.
    */
   nextStep(shard: number): CompletionBatch | null {
-    if (!this.#anyTooLarge(shard)) return null;
+    if (!this.#hasOversizedSlot(shard)) return null;
     const { cache, storeLimits } = this.context;
     const { valueBytes, transactionOps } = storeLimits;
-    const maxBytes = valueBytes * SLOT_FILL;
+    const maxBytes = valueBytes * SLOT_FILL_RATIO;
     const slots = CompletionSlots.load(cache, shard, valueBytes);
     for (const [slot, bitmaps] of slots.entries()) {
       // What a range that can't be cut leaves too large stays as it is, readable.
@@ -63,19 +63,19 @@
       if (slotBytes(bitmaps) <= valueBytes || longest > maxBytes) continue;
       const { kept, others, changed } = planSplit(slots, slot, bitmaps, maxBytes);
       const batch = new CompletionBatch(transactionOps);
-      for (const target of [...changed].slice(0, transactionOps)) others.write(batch, target);
+      for (const target of [...changed].slice(0, transactionOps)) others.addWrite(batch, target);
       const isLastStep = changed.size < transactionOps;
-      if (isLastStep) slots.write(batch, slot, kept);
+      if (isLastStep) slots.addWrite(batch, slot, kept);
       return batch;
     }
     return null;
   }
 
-  #anyTooLarge(shard: number): boolean {
+  #hasOversizedSlot(shard: number): boolean {
     const { cache, storeLimits } = this.context;
     for (const [, value] of storedSlots(cache, shard)) {
-      const bytes = this.#bytes.get(value) ?? slotBytes(value);
-      this.#bytes.set(value, bytes);
+      const bytes = this.#encodedBytes.get(value) ?? slotBytes(value);
+      this.#encodedBytes.set(value, bytes);
       if (bytes > storeLimits.valueBytes) return true;
     }
     return false;
--- a/src/shards/constants.ts
+++ b/src/shards/constants.ts
@@ -4,10 +4,10 @@
 export const TRANSFER_SETTLE_MS = 2500;
 
 /** ms; an owner that receives no heartbeat of its shard for this long transfers it to a peer that does. */
-export const NO_HEARTBEATS_MS = 7000;
+export const HEARTBEAT_LOSS_MS = 7000;
 
 /** heartbeat intervals; the same limit where it is the shorter one, so that no machine counts as lost before. */
-export const NO_HEARTBEATS_INTERVALS = 2.5;
+export const HEARTBEAT_LOSS_INTERVALS = 2.5;
 
 /** ms; pause between two probes that tell a worker of the shard's term. */
 export const PROBE_PAUSE_MS = 2000;
@@ -16,7 +16,7 @@
 export const MAX_RANGES_PER_JOB = 64;
 
 /** share of a value's limit that a job's record may fill when its tasks migrate: that adds ranges. */
-export const RECORD_FILL_LIMIT = 0.95;
+export const MAX_RECORD_FILL = 0.95;
 
 /** ms; tasks that fit nowhere in their shard may migrate after this. */
 export const MIGRATION_DELAY_MS = 1500;
--- a/src/shards/direct-commands.ts
+++ b/src/shards/direct-commands.ts
@@ -37,27 +37,27 @@
 
   /** Sends stops alone: under the shard's own term they are safe whatever else is known, so need no authority. */
   sendStops(owned: OwnedShard, now: number): void {
-    for (const message of owned.shard.directCommands(now, this.#free, false)) {
+    for (const message of owned.shard.directCommands(now, this.#freeSockets, false)) {
       void this.#send(owned, message);
     }
   }
 
   /** Sends starts and stops, and probes workers that may not know the term; to be called with authority only. */
   sendAll(owned: OwnedShard, now: number): void {
-    for (const message of owned.shard.directCommands(now, this.#free, true)) {
+    for (const message of owned.shard.directCommands(now, this.#freeSockets, true)) {
       void this.#send(owned, message);
     }
     this.#probe(owned);
   }
 
-  get #free(): number {
+  get #freeSockets(): number {
     return this.dependencies.maxInFlight - this.#inFlight;
   }
 
   #probe(owned: OwnedShard): void {
     for (const machine of owned.shard.machinesToProbe()) {
       const { name } = machine.record;
-      if (this.#free <= 0) return;
+      if (this.#freeSockets <= 0) return;
       if (machine.address === null || !owned.beginProbe(name)) continue;
       void this.#send(owned, { machine, commands: [], starts: [] }).finally(() => {
         setTimeout(() => {
@@ -71,7 +71,7 @@
     for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       const agentEpoch = Math.max(1, message.machine.agentEpoch);
       const result = await this.#sendOnce(owned.shard, message, agentEpoch);
-      const retry = this.#settle(owned, message, agentEpoch, result);
+      const retry = this.#handleResult(owned, message, agentEpoch, result);
       if (!retry) return;
     }
   }
@@ -85,7 +85,7 @@
   }
 
   /** Takes in the outcome; true if the worker refused an agent epoch that is known to be outdated now. */
-  #settle(
+  #handleResult(
     { shard, authorization }: OwnedShard,
     { machine, starts }: Message,
     agentEpoch: number,
--- a/src/shards/heartbeat-router.ts
+++ b/src/shards/heartbeat-router.ts
@@ -19,7 +19,7 @@
   readonly cache: WatchCache;
   readonly owned: ReadonlyMap<number, OwnedShard>;
   readonly authority: Authority;
-  readonly leases: LeaseWithholding;
+  readonly leaseWithholding: LeaseWithholding;
   readonly peers: Pick<PeerView, 'reachablePeerWithStore'>;
   /** brings the owned shards up to date with the cache */
   readonly refresh: (now: number) => void;
@@ -71,7 +71,7 @@
     authorized: boolean,
     now: number,
   ): HeartbeatResponse {
-    const { leases, peers, refresh, log } = this.dependencies;
+    const { leaseWithholding: leases, peers, refresh, log } = this.dependencies;
     const { shard } = owned;
     if (!shard.machines.has(heartbeat.machine)) refresh(now);
     const mayRenew = authorized || leases.mayRenew(now);
--- a/src/shards/lease-withholding.ts
+++ b/src/shards/lease-withholding.ts
@@ -4,12 +4,12 @@
  * as even the lease renewed last ends in time for whatever may be unknown here.
  */
 import type { Logger } from 'pino';
-import { renewableMs } from '../core/cancellation/lease-renewal.js';
+import { renewalWindowMs } from '../core/cancellation/lease-renewal.js';
 import type { PeerView } from './peer-view.js';
 
 /** Decides whether a worker's lease may be renewed without authority. */
 export class LeaseWithholding {
-  readonly #renewableMs: number;
+  readonly #renewalWindowMs: number;
   #withholding = false;
 
   constructor(
@@ -17,13 +17,13 @@
     private readonly peers: Pick<PeerView, 'cancellationsKnownUntil'>,
     private readonly log: Logger,
   ) {
-    this.#renewableMs = renewableMs(cancelS * 1000, leaseS * 1000);
+    this.#renewalWindowMs = renewalWindowMs(cancelS * 1000, leaseS * 1000);
   }
 
   /** Whether an answer may renew a worker's lease; logs when this changes. */
   mayRenew(now: number): boolean {
     const unknownMs = now - this.peers.cancellationsKnownUntil();
-    const may = unknownMs <= this.#renewableMs;
+    const may = unknownMs <= this.#renewalWindowMs;
     if (may !== this.#withholding) return may;
     this.#withholding = !may;
     if (may) this.log.info('worker lease renewal resumed');
--- a/src/shards/orphaned-instances.ts
+++ b/src/shards/orphaned-instances.ts
@@ -45,7 +45,7 @@
   tick(): void {
     const { shardController, cloud } = this.dependencies;
     const now = this.dependencies.now();
-    if (!shardController.authority(now)) return;
+    if (!shardController.hasAuthority(now)) return;
     for (const { shard, isActive } of shardController.owned.values()) {
       if (!isActive) continue;
       for (const machine of shard.machines.values()) {
--- a/src/shards/owned-shard.ts
+++ b/src/shards/owned-shard.ts
@@ -17,8 +17,8 @@
   #state: OwnedShardState = 'active';
   #saving = false;
   #lastSaveAt: number;
-  #lastProgressAt: number;
-  #needsFullSync = true;
+  #lastProgressSaveAt: number;
+  #fullSyncRequested = true;
   readonly #probing = new Set<string>();
 
   constructor(
@@ -29,7 +29,7 @@
     createdAt: number,
   ) {
     this.#lastSaveAt = createdAt;
-    this.#lastProgressAt = createdAt;
+    this.#lastProgressSaveAt = createdAt;
   }
 
   get state(): OwnedShardState {
@@ -52,19 +52,19 @@
   }
 
   /** Changes of the cache pass by while the shard is not synchronized: the next time it takes in everything. */
-  requireFullSync(): void {
-    this.#needsFullSync = true;
+  requestFullSync(): void {
+    this.#fullSyncRequested = true;
   }
 
   /** Whether the shard has to take in everything, which the caller then does. */
-  takeFullSync(): boolean {
-    const needed = this.#needsFullSync;
-    this.#needsFullSync = false;
+  consumeFullSyncRequest(): boolean {
+    const needed = this.#fullSyncRequested;
+    this.#fullSyncRequested = false;
     return needed;
   }
 
   /** Whether completions may be saved now: one write at a time, at least `COMPLETION_SAVE_INTERVAL_MS` after the last one. */
-  saveDue(now: number): boolean {
+  isSaveDue(now: number): boolean {
     return !this.#saving && now - this.#lastSaveAt >= COMPLETION_SAVE_INTERVAL_MS;
   }
 
@@ -79,13 +79,13 @@
   }
 
   /** Whether completions that end neither a job nor a range are due. */
-  progressDue(now: number): boolean {
-    return now - this.#lastProgressAt >= PROGRESS_SAVE_INTERVAL_MS;
+  isProgressSaveDue(now: number): boolean {
+    return now - this.#lastProgressSaveAt >= PROGRESS_SAVE_INTERVAL_MS;
   }
 
   /** Progress is part of a save that is about to be sent. */
-  noteProgress(now: number): void {
-    this.#lastProgressAt = now;
+  recordProgressSave(now: number): void {
+    this.#lastProgressSaveAt = now;
   }
 
   /** Claims the probe of a worker; false if one is under way, or has ended just now. */
--- a/src/shards/owned-shards.ts
+++ b/src/shards/owned-shards.ts
@@ -43,7 +43,7 @@
   }
 
   /** Whether this node acts for the shard now, under the term that `owned` stands for. */
-  actsFor(owned: OwnedShard): boolean {
+  mayActFor(owned: OwnedShard): boolean {
     const { authority, now } = this.dependencies;
     return this.isCurrent(owned) && owned.isActive && authority.holds(now());
   }
@@ -134,7 +134,7 @@
   #authorization(shard: Shard, revision: number): Authorization {
     const isCurrent = () => {
       const owned = this.#byIndex.get(shard.index);
-      return owned?.shard === shard && this.actsFor(owned);
+      return owned?.shard === shard && this.mayActFor(owned);
     };
     const role = storeKey.shard(shard.index);
     const guard = { key: role, revision };
@@ -144,10 +144,10 @@
 
   #sync(index: number, owned: OwnedShard, changes: CacheChanges, now: number): void {
     if (!owned.isActive) {
-      owned.requireFullSync();
+      owned.requestFullSync();
       return;
     }
-    const full = owned.takeFullSync() || changes.allTables;
+    const full = owned.consumeFullSyncRequest() || changes.allTables;
     const changed = changes.machines || changes.jobs.size > 0 || owned.shard.hasDeferredJobs;
     if (!full && !changed) return;
     const { cache, timeOfDay } = this.dependencies;
--- a/src/shards/ownership-reconciler.ts
+++ b/src/shards/ownership-reconciler.ts
@@ -7,7 +7,7 @@
 import { encodeShard } from '../store/codecs/shard.js';
 import type { Logger } from 'pino';
 import type { PlatformConfig } from '../config/platform.js';
-import { FAILBACK_MS } from '../core/ownership/constants.js';
+import { FAILBACK_DELAY_MS } from '../core/ownership/constants.js';
 import {
   OwnershipPolicy,
   type OwnershipStep,
@@ -20,7 +20,7 @@
 import { type ShardRecord } from '../store/codecs/shard.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { Guard, Write } from '@sumacstep/leader-election';
-import { NO_HEARTBEATS_INTERVALS, NO_HEARTBEATS_MS, TRANSFER_SETTLE_MS } from './constants.js';
+import { HEARTBEAT_LOSS_INTERVALS, HEARTBEAT_LOSS_MS, TRANSFER_SETTLE_MS } from './constants.js';
 import { liveIncarnations } from './live-nodes.js';
 import type { OwnedShard } from './owned-shard.js';
 import type { PeerView } from './peer-view.js';
@@ -61,7 +61,7 @@
   readonly #policy = new OwnershipPolicy();
   readonly #pendingTransfers = new Map<number, PendingTransfer>();
   /** shards with a transaction under way */
-  readonly #busy = new Set<number>();
+  readonly #inFlight = new Set<number>();
   /** steady ms; until then no other node's shard is acquired */
   #acquisitionsSuspendedUntil = -Infinity;
 
@@ -73,7 +73,7 @@
     const view = this.#observe();
     const { peers, owned } = this.dependencies;
     const steps = this.#policy.decide(view, now, (node) => peers.incarnationWithStore(node));
-    for (const step of steps) this.#carryOut(step, view, now);
+    for (const step of steps) this.#execute(step, view, now);
     this.#settleTransfers(now);
     for (const [index, shard] of owned) {
       if (shard.isActive) this.#transferIfWorkersUnreachable(index, shard, now);
@@ -113,7 +113,7 @@
         owned.resume();
         return;
       }
-      this.#policy.failedBack(index);
+      this.#policy.recordFailback(index);
       cache.applyOwn(writes, result.epoch);
       log.info({ shard: index, to: node }, 'shard transferred');
     });
@@ -139,7 +139,7 @@
     };
   }
 
-  #carryOut(step: OwnershipStep, { owners }: OwnershipView, now: number): void {
+  #execute(step: OwnershipStep, { owners }: OwnershipView, now: number): void {
     if (step.kind === 'transfer') {
       if (this.#pendingTransfers.has(step.shard)) return;
       void this.#transfer(step.shard, { node: step.to, incarnation: step.incarnation });
@@ -162,19 +162,19 @@
   #transferIfWorkersUnreachable(index: number, { shard }: OwnedShard, now: number): void {
     const { config, peers, log } = this.dependencies;
     const heartbeatIntervalMs = config.workers.heartbeatIntervalS * 1000;
-    const silentMs = Math.min(NO_HEARTBEATS_MS, heartbeatIntervalMs * NO_HEARTBEATS_INTERVALS);
+    const silentMs = Math.min(HEARTBEAT_LOSS_MS, heartbeatIntervalMs * HEARTBEAT_LOSS_INTERVALS);
     if (!shard.allHeartbeatsLost(now, silentMs)) return;
     const to = peers.peerReceivingHeartbeats(index);
     const incarnation = to === null ? null : peers.incarnationWithStore(to);
     if (to === null || to === config.node || incarnation === null) return;
-    this.#acquisitionsSuspendedUntil = now + FAILBACK_MS * 2;
+    this.#acquisitionsSuspendedUntil = now + FAILBACK_DELAY_MS * 2;
     log.info({ shard: index, to, reason: 'workers report to peer' }, 'shard transfer started');
     void this.#transfer(index, { node: to, incarnation });
   }
 
   async #exclusively(index: number, work: () => Promise<void>): Promise<void> {
-    if (this.#busy.has(index)) return;
-    this.#busy.add(index);
+    if (this.#inFlight.has(index)) return;
+    this.#inFlight.add(index);
     try {
       await work();
     } catch (error) {
@@ -182,7 +182,7 @@
       const { log } = this.dependencies;
       log.debug({ shard: index, error: error.message }, 'shard record not written');
     } finally {
-      this.#busy.delete(index);
+      this.#inFlight.delete(index);
     }
   }
 
--- a/src/shards/peer-view.ts
+++ b/src/shards/peer-view.ts
@@ -10,9 +10,9 @@
 /** What is known of the capacity of the other shards. */
 export interface OtherShards {
   /** a shard other than `excluded` with free capacity for tasks of the job, and for how many; null if none */
-  capacityElsewhere(spec: JobSpec, excluded: number): MigrationDestination | null;
+  shardWithFreeCapacity(spec: JobSpec, excluded: number): MigrationDestination | null;
   /** a shard that is allocated much less than `shard` for the job; null if none */
-  lessAllocated(spec: JobSpec, shard: number): number | null;
+  lessAllocatedShard(spec: JobSpec, shard: number): number | null;
 }
 
 /** The other controllers, as this node heard of them lately. */
--- a/src/shards/scale-in.ts
+++ b/src/shards/scale-in.ts
@@ -1,7 +1,7 @@
 /** Returns machines of the shards that this node owns to the cloud. */
 import type { Logger } from 'pino';
 import type { CloudClient } from '../cloud/cloud-client.js';
-import { MAX_RETURN_BATCH } from '../constants.js';
+import { MAX_MACHINES_PER_RETURN } from '../constants.js';
 import type { ReturnIntents } from '../singletons/return-intents.js';
 import type { OwnedShard } from './owned-shard.js';
 import { attempt } from './retryable-errors.js';
@@ -72,8 +72,8 @@
     try {
       await attempt(this.dependencies.log, 'machine return failed', async () => {
         const recorded = await this.#record(owned, names);
-        for (let from = 0; from < recorded.length; from += MAX_RETURN_BATCH) {
-          await this.#returnBatch(owned, recorded.slice(from, from + MAX_RETURN_BATCH));
+        for (let from = 0; from < recorded.length; from += MAX_MACHINES_PER_RETURN) {
+          await this.#returnBatch(owned, recorded.slice(from, from + MAX_MACHINES_PER_RETURN));
         }
       });
     } finally {
--- a/src/shards/scale-out/rental-requests.ts
+++ b/src/shards/scale-out/rental-requests.ts
@@ -102,7 +102,7 @@
       if (rental.shard !== index || this.#retryAt.has(rental.name)) continue;
       this.#retryAt.set(rental.name, Infinity);
       const stored = { key: storeKey.rental(index, rental.name), revision };
-      const intent = RecordedIntent.found(owned.authorization, stored);
+      const intent = RecordedIntent.fromStored(owned.authorization, stored);
       void attempt(log, 'rental request failed', () => this.#rent(owned, rental, intent)).finally(
         () => this.#retryAt.set(rental.name, now() + RENTAL_RETRY_MS),
       );
--- a/src/shards/scale-out/scale-out.ts
+++ b/src/shards/scale-out/scale-out.ts
@@ -6,7 +6,7 @@
 import type { CloudClient } from '../../cloud/cloud-client.js';
 import type { OperatorConfig } from '../../config/operator.js';
 import type { PlatformConfig } from '../../config/platform.js';
-import { SUMMARY_MS } from '../../constants.js';
+import { SUMMARY_INTERVAL_MS } from '../../constants.js';
 import {
   planCapacity,
   type CapacityInput,
@@ -68,7 +68,7 @@
     const { shardController, machineTypes } = this.dependencies;
     const now = this.dependencies.now();
     const types = machineTypes();
-    if (types === null || !shardController.authority(now)) return;
+    if (types === null || !shardController.hasAuthority(now)) return;
     for (const owned of shardController.owned.values()) {
       if (owned.isActive) this.#rentals.requestRecorded(owned);
     }
@@ -125,7 +125,7 @@
     if (rentals.length > 0 || returns.length > 0) {
       log.debug({ shard, wanted, rentals, returns }, 'capacity planned');
     }
-    if (cappedCount > 0 && now - this.#lastLimitLogAt > SUMMARY_MS) {
+    if (cappedCount > 0 && now - this.#lastLimitLogAt > SUMMARY_INTERVAL_MS) {
       this.#lastLimitLogAt = now;
       log.info(
         { shard, limit: operator.maxMachines, missing: cappedCount },
--- a/src/shards/shard-controller.ts
+++ b/src/shards/shard-controller.ts
@@ -7,7 +7,7 @@
 import type { Logger } from 'pino';
 import type { PlatformConfig } from '../config/platform.js';
 import type { OperatorConfig } from '../config/operator.js';
-import { LOOP_MS } from '../constants.js';
+import { RECONCILE_INTERVAL_MS } from '../constants.js';
 import type { Heartbeat, MachineType } from '../core/model.js';
 import type { ShardSettings } from '../core/shard/shard.js';
 import { socketBudget } from '../service/socket-budget.js';
@@ -59,7 +59,7 @@
   readonly #shards: OwnedShards;
   readonly #ownership: OwnershipReconciler;
   readonly #heartbeats: HeartbeatRouter;
-  readonly #direct: DirectCommands;
+  readonly #directCommands: DirectCommands;
   readonly #completions: CompletionSaver;
   readonly #migration: TaskMigration;
   #reconciledAt = -Infinity;
@@ -84,13 +84,13 @@
       ...dependencies,
       owned,
       authority: this.#authority,
-      leases: new LeaseWithholding(config.workers, peers, log),
+      leaseWithholding: new LeaseWithholding(config.workers, peers, log),
       refresh: (at) => {
         this.#refresh(at);
       },
     });
-    this.#direct = new DirectCommands({
-      maxInFlight: socketBudget(config.sockets, config.peers.length).direct,
+    this.#directCommands = new DirectCommands({
+      maxInFlight: socketBudget(config.sockets, config.peers.length).directCommands,
       isOwned: (shard) => this.#shards.isCurrentState(shard),
       now,
     });
@@ -114,13 +114,13 @@
   }
 
   /** Whether this node provably owns what the cache shows as its own. */
-  authority(now: number): boolean {
+  hasAuthority(now: number): boolean {
     return this.#authority.holds(now);
   }
 
   /** Whether this node acts for the shard now, under the term that `owned` stands for. */
-  actsFor(owned: OwnedShard): boolean {
-    return this.#shards.actsFor(owned);
+  mayActFor(owned: OwnedShard): boolean {
+    return this.#shards.mayActFor(owned);
   }
 
   /** Acts for no shard any more; what is repeated until its outcome is known ends, too. */
@@ -131,7 +131,7 @@
   /** Acquires an own shard under a higher term, so that workers take its commands after those of another shard. */
   renewTerm(index: number): void {
     const owned = this.owned.get(index);
-    if (owned !== undefined && this.actsFor(owned)) void this.#ownership.acquire(index);
+    if (owned !== undefined && this.mayActFor(owned)) void this.#ownership.acquire(index);
   }
 
   /** The shard's present term by what the cache shows; null if it never had an owner. */
@@ -140,7 +140,7 @@
   }
 
   /** How many nodes have a valid lease. */
-  aliveNodes(): number {
+  liveNodeCount(): number {
     return liveIncarnations(this.#cache).size;
   }
 
@@ -150,7 +150,7 @@
     if (!this.#cache.ready) return;
     this.#refresh(now);
     const authorized = this.#authority.holds(now);
-    if (authorized && now - this.#reconciledAt >= LOOP_MS) {
+    if (authorized && now - this.#reconciledAt >= RECONCILE_INTERVAL_MS) {
       this.#reconciledAt = now;
       this.#ownership.reconcile(now);
     }
@@ -158,7 +158,7 @@
       if (!owned.isActive) continue;
       owned.shard.expireLeases(now);
       if (authorized) this.#runLoops(index, owned, now);
-      else this.#direct.sendStops(owned, now);
+      else this.#directCommands.sendStops(owned, now);
     }
   }
 
@@ -169,7 +169,7 @@
 
   #runLoops(index: number, owned: OwnedShard, now: number): void {
     owned.shard.placeAll(now);
-    this.#direct.sendAll(owned, now);
+    this.#directCommands.sendAll(owned, now);
     void this.machines.reconcile(owned, now);
     this.#migration.migrateUnschedulable(index, owned, now);
     void this.#completions.save(owned, now);
--- a/src/shards/task-migration.ts
+++ b/src/shards/task-migration.ts
@@ -25,7 +25,7 @@
   MAX_RANGES_PER_JOB,
   MIGRATION_DELAY_MS,
   MIGRATION_INTERVAL_MS,
-  RECORD_FILL_LIMIT,
+  MAX_RECORD_FILL,
 } from './constants.js';
 import type { OwnedShard } from './owned-shard.js';
 import type { MigrationDestination, OtherShards } from './peer-view.js';
@@ -51,7 +51,7 @@
   readonly from: number;
   readonly target: { readonly shard: number; readonly term: number };
   /** the target has no free capacity either, but is allocated less */
-  readonly balancing: boolean;
+  readonly isBalancing: boolean;
 }
 
 /** The record's ranges once the tasks have moved. */
@@ -65,7 +65,7 @@
 /** Moves tasks that fit nowhere in their shard to other shards. */
 export class TaskMigration {
   /** when each shard last looked for tasks to move, steady ms */
-  readonly #lastTriedAt = new Map<number, number>();
+  readonly #lastSearchedAt = new Map<number, number>();
   /** when each shard last moved tasks to one without free capacity, steady ms */
   readonly #lastBalancedAt = new Map<number, number>();
 
@@ -73,8 +73,8 @@
 
   /** Begins at most one migration, of the job that waits longest among those that can move. */
   migrateUnschedulable(index: number, owned: OwnedShard, now: number): void {
-    if (now - (this.#lastTriedAt.get(index) ?? -Infinity) < MIGRATION_INTERVAL_MS) return;
-    this.#lastTriedAt.set(index, now);
+    if (now - (this.#lastSearchedAt.get(index) ?? -Infinity) < MIGRATION_INTERVAL_MS) return;
+    this.#lastSearchedAt.set(index, now);
     let candidates = 0;
     for (const job of owned.shard.jobs.values()) {
       const record = this.#candidateRecord(job, now);
@@ -83,7 +83,7 @@
       if (candidates > MAX_MIGRATION_CANDIDATES) return;
       const migration = this.#plan(owned, job, record, now);
       if (migration === null) continue;
-      if (migration.balancing) this.#lastBalancedAt.set(index, now);
+      if (migration.isBalancing) this.#lastBalancedAt.set(index, now);
       void this.#migrate(owned, migration);
       // The free capacity that another node told of is there once.
       return;
@@ -112,8 +112,8 @@
     const { otherShards, cache } = this.dependencies;
     const { spec } = job;
     const destination =
-      otherShards.capacityElsewhere(spec, shard.index) ??
-      this.#lessAllocated(job, shard.index, now);
+      otherShards.shardWithFreeCapacity(spec, shard.index) ??
+      this.#balancingDestination(job, shard.index, now);
     if (destination === null) return null;
     const migratable = shard.migratableTasks(job, record.value);
     const term = cache.tables.shards.get(String(destination.shard))?.value.term;
@@ -124,14 +124,14 @@
     if (indivisible && count < range.to - range.from) return null;
     const from = range.to - count;
     const target = { shard: destination.shard, term };
-    return { job, record, range, from, target, balancing: destination.tasks === Infinity };
+    return { job, record, range, from, target, isBalancing: destination.tasks === Infinity };
   }
 
-  #lessAllocated(job: JobState, index: number, now: number): MigrationDestination | null {
+  #balancingDestination(job: JobState, index: number, now: number): MigrationDestination | null {
     const since = job.unschedulableSince;
     if (since === null || now - since < BALANCING_DELAY_MS) return null;
     if (now - (this.#lastBalancedAt.get(index) ?? -Infinity) < BALANCING_INTERVAL_MS) return null;
-    const shard = this.dependencies.otherShards.lessAllocated(job.spec, index);
+    const shard = this.dependencies.otherShards.lessAllocatedShard(job.spec, index);
     return shard === null ? null : { shard, tasks: Infinity };
   }
 
@@ -140,7 +140,7 @@
     const { config, now } = this.dependencies;
     const { job, record, range, from } = migration;
     const value = encodeJob({ ...record.value, ranges: rangesAfter(migration) });
-    const maxBytes = config.storeLimits.valueBytes * RECORD_FILL_LIMIT;
+    const maxBytes = config.storeLimits.valueBytes * MAX_RECORD_FILL;
     if (JSON.stringify(value).length > maxBytes) return;
     const writes: Write[] = [{ put: storeKey.activeJob(job.spec.uid), value }];
     owned.shard.beginMigration(job, from, range.to);
--- a/src/singletons/garbage-collector.ts
+++ b/src/singletons/garbage-collector.ts
@@ -54,10 +54,10 @@
  */
 export class GarbageCollector {
   readonly #retentionClock: RetentionClock;
-  #busy = false;
+  #roundInProgress = false;
   #lastRoundAt = -Infinity;
   /** the leadership that has collected final states up to a revision */
-  #swept: { readonly fencingToken: number; readonly revision: number } | null = null;
+  #lastSweep: { readonly fencingToken: number; readonly revision: number } | null = null;
 
   constructor(
     private readonly config: Pick<
@@ -73,7 +73,11 @@
   tick(): void {
     const now = this.dependencies.now();
     const authorization = this.dependencies.election.authorize(GARBAGE_COLLECTOR_ROLE);
-    if (authorization === null || this.#busy || now - this.#lastRoundAt < this.#intervalMs()) {
+    if (
+      authorization === null ||
+      this.#roundInProgress ||
+      now - this.#lastRoundAt < this.#intervalMs()
+    ) {
       return;
     }
     this.#lastRoundAt = now;
@@ -90,27 +94,27 @@
   }
 
   async #runRound(authorization: Authorization): Promise<void> {
-    this.#busy = true;
+    this.#roundInProgress = true;
     try {
-      await this.round(authorization);
+      await this.collect(authorization);
     } catch (error) {
       if (!(error instanceof StoreRequestError)) throw error;
       this.dependencies.log.debug({ error: error.message }, 'garbage not collected');
     } finally {
-      this.#busy = false;
+      this.#roundInProgress = false;
     }
   }
 
   /** Advances the retention clock, and deletes what has expired. Rejects with `StoreRequestError`. */
-  async round(authorization: Authorization): Promise<void> {
+  async collect(authorization: Authorization): Promise<void> {
     const retention = await this.#retentionClock.advance(authorization);
     if (retention === null) return;
     const expired = expiredRevision(retention, this.config.finalStateRetentionMs);
-    if (expired !== null && expired > this.#sweptRevision(authorization)) {
+    if (expired !== null && expired > this.#lastSweptRevision(authorization)) {
       const finalStates = await this.#collectFinalStates(authorization, expired);
       if (!authorization.isValid()) return;
       await this.#collectMoves(authorization, expired);
-      this.#swept = { fencingToken: authorization.fencingToken, revision: expired };
+      this.#lastSweep = { fencingToken: authorization.fencingToken, revision: expired };
       if (finalStates > 0) {
         const fields = { finalStates, expiredRevision: expired };
         this.dependencies.log.info(fields, 'final states deleted');
@@ -120,8 +124,8 @@
     await this.#collectNodes(authorization);
   }
 
-  #sweptRevision({ fencingToken }: Authorization): number {
-    return this.#swept?.fencingToken === fencingToken ? this.#swept.revision : -1;
+  #lastSweptRevision({ fencingToken }: Authorization): number {
+    return this.#lastSweep?.fencingToken === fencingToken ? this.#lastSweep.revision : -1;
   }
 
   /** Resolves with the number of final states that were deleted. */
