--- a/src/singletons/orphan-collector.ts
+++ b/src/singletons/orphan-collector.ts
@@ -2,7 +2,7 @@
 import type { Authorization } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
 import type { CloudClient } from '../cloud/cloud-client.js';
-import { MAX_RETURN_BATCH } from '../constants.js';
+import { MAX_MACHINES_PER_RETURN } from '../constants.js';
 import { MAX_GUARDS_PER_WRITE } from '../store/constants.js';
 import { storeKey } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
@@ -27,13 +27,13 @@
   readonly cloud: Pick<CloudClient, 'returnMachines'>;
   readonly cache: WatchCache;
   /** resolves once the cache shows everything that was committed before the call */
-  readonly current: () => Promise<unknown>;
+  readonly waitUntilCurrent: () => Promise<unknown>;
   readonly log: Logger;
 }
 
 /** The singleton controller that returns orphaned machines. */
 export class OrphanCollector {
-  #busy = false;
+  #collecting = false;
 
   constructor(
     /** puts and deletes of a transaction */
@@ -58,12 +58,12 @@
    */
   async collect(listed: readonly ListedMachine[]): Promise<readonly string[]> {
     const authorization = this.dependencies.election.authorize(ORPHAN_COLLECTOR_ROLE);
-    if (authorization === null || this.#busy) return [];
-    this.#busy = true;
+    if (authorization === null || this.#collecting) return [];
+    this.#collecting = true;
     try {
       return await this.#collect(authorization, listed);
     } finally {
-      this.#busy = false;
+      this.#collecting = false;
     }
   }
 
@@ -71,12 +71,12 @@
     authorization: Authorization,
     listed: readonly ListedMachine[],
   ): Promise<readonly string[]> {
-    const { intents, cloud, current, log } = this.dependencies;
+    const { intents, cloud, waitUntilCurrent: current, log } = this.dependencies;
     // Every rental is recorded before its call. So once a current cache shows neither a rental of the machine's
     // kind nor the machine, none can record it any more.
     await current();
     const limit = Math.min(
-      MAX_RETURN_BATCH,
+      MAX_MACHINES_PER_RETURN,
       this.transactionOps * MAX_GUARDS_PER_WRITE - OTHER_GUARDS,
     );
     const names = listed
--- a/src/singletons/retention-clock.ts
+++ b/src/singletons/retention-clock.ts
@@ -6,7 +6,7 @@
   type Authorization,
   type RetentionRecord,
 } from '@sumacstep/leader-election';
-import { CLOCK_DRIFT } from '../constants.js';
+import { MAX_RELATIVE_CLOCK_DRIFT } from '../constants.js';
 import { electionEntryKey } from '../store/keys.js';
 import { CALL_PRIORITY } from '../store/call-priority.js';
 import { type StoreClient } from '../store/store-client.js';
@@ -50,7 +50,7 @@
     const stored = cache.tables.elections.get('retention');
     const previous = stored?.value.kind === 'retention' ? stored.value.retention : EMPTY_RETENTION;
     if (stored !== undefined && passedMs < this.#writeIntervalMs()) return null;
-    const options = { keepMs: this.keepMs, clockDrift: CLOCK_DRIFT };
+    const options = { keepMs: this.keepMs, clockDrift: MAX_RELATIVE_CLOCK_DRIFT };
     const record = observeElapsed(previous, passedMs, cache.revision, options);
     if (!(await this.#write(authorization, record, stored?.revision ?? 0))) return null;
     this.#observation = { fencingToken, until: now };
--- a/src/singletons/return-intents.ts
+++ b/src/singletons/return-intents.ts
@@ -64,7 +64,7 @@
     const known = this.recorded(list);
     if (names.every((name) => known.has(name))) return names;
     const kept = [...known].filter(isNeeded);
-    const machines = this.#thatFit([...new Set([...kept, ...names])]);
+    const machines = this.#selectFitting([...new Set([...kept, ...names])]);
     const put: Write = {
       put: electionEntryKey.returns(list),
       value: encodeReturnIntents(machines),
@@ -86,7 +86,7 @@
     return this.cache.tables.elections.get(electionEntryKey.returns(list).slice('duties/'.length));
   }
 
-  #thatFit(names: readonly string[]): string[] {
+  #selectFitting(names: readonly string[]): string[] {
     let bytes = LIST_OVERHEAD_BYTES;
     return names.filter((name) => {
       const size = name.length + NAME_OVERHEAD_BYTES;
--- a/src/singletons/singleton-controllers.ts
+++ b/src/singletons/singleton-controllers.ts
@@ -23,9 +23,9 @@
   readonly cloud: CloudClient;
   readonly cache: WatchCache;
   /** whether this node provably owns what the cache shows as its own */
-  readonly authority: () => boolean;
+  readonly hasAuthority: () => boolean;
   /** resolves once the cache shows everything that was committed before the call */
-  readonly current: () => Promise<unknown>;
+  readonly waitUntilCurrent: () => Promise<unknown>;
   readonly fencingRejections: FencingRejections;
   /** the steady clock, ms */
   readonly now: () => number;
@@ -60,7 +60,7 @@
     const self = { node: platform.node, incarnation };
     const election = new SingletonElection(
       self,
-      { ...config, move: shares !== null },
+      { ...config, coordinateMoves: shares !== null },
       dependencies,
     );
     this.#election = election;
--- a/src/singletons/singleton-election.ts
+++ b/src/singletons/singleton-election.ts
@@ -10,7 +10,7 @@
   type LeadershipTransferRequest,
   type LiveMember,
   type Member,
-  type Urgency,
+  type TransactionPriority,
   type Versioned,
 } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
@@ -28,7 +28,7 @@
   SINGLETON_ROLES,
 } from './roles.js';
 
-const CALL_PRIORITY_OF: Readonly<Record<Urgency, CallPriority>> = {
+const CALL_PRIORITY_OF: Readonly<Record<TransactionPriority, CallPriority>> = {
   lease: CALL_PRIORITY.renew,
   normal: CALL_PRIORITY.completion,
   background: CALL_PRIORITY.background,
@@ -54,7 +54,7 @@
 
 /** Which singleton controllers this node is a candidate for. */
 export type EnabledControllers = Pick<SingletonsConfig, 'collectOrphans' | 'collectGarbage'> & {
-  readonly move: boolean;
+  readonly coordinateMoves: boolean;
 };
 
 /** What the election needs of the process. */
@@ -62,7 +62,7 @@
   readonly client: Pick<StoreClient, 'compareAndSwap'>;
   readonly cache: WatchCache;
   /** whether this node provably owns what the cache shows as its own */
-  readonly authority: () => boolean;
+  readonly hasAuthority: () => boolean;
   readonly fencingRejections: FencingRejections;
   /** the steady clock, ms */
   readonly now: () => number;
@@ -75,7 +75,7 @@
   const byRole = {
     [ORPHAN_COLLECTOR_ROLE]: enabled.collectOrphans,
     [GARBAGE_COLLECTOR_ROLE]: enabled.collectGarbage,
-    [MOVE_COORDINATOR_ROLE]: enabled.move,
+    [MOVE_COORDINATOR_ROLE]: enabled.coordinateMoves,
   };
   return SINGLETON_ROLES.filter((role) => byRole[role]);
 };
@@ -92,7 +92,15 @@
     enabled: EnabledControllers,
     dependencies: SingletonElectionDependencies,
   ) {
-    const { client, cache, authority, fencingRejections, now, timeOfDay, log } = dependencies;
+    const {
+      client,
+      cache,
+      hasAuthority: authority,
+      fencingRejections,
+      now,
+      timeOfDay,
+      log,
+    } = dependencies;
     this.#cache = cache;
     const store: CompareAndSwapStore = {
       compareAndSwap: (urgency, guards, writes) =>
--- a/src/store/node-session.ts
+++ b/src/store/node-session.ts
@@ -1,7 +1,7 @@
 /** Creates the node's session: its lease in the store, and the registration key that is attached to the lease. */
 import { SessionLease } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
-import { CLOCK_DRIFT } from '../constants.js';
+import { MAX_RELATIVE_CLOCK_DRIFT } from '../constants.js';
 import { encodeNode, type NodeRecord } from './codecs/node.js';
 import { LEASE_MARGIN_MS, LEASE_RENEW_MS, LEASE_RETRY_MS, LEASE_TTL_MS } from './constants.js';
 import { storeKey } from './keys.js';
@@ -11,7 +11,7 @@
   ttlMs: LEASE_TTL_MS,
   renewMs: LEASE_RENEW_MS,
   retryMs: LEASE_RETRY_MS,
-  clockDrift: CLOCK_DRIFT,
+  clockDrift: MAX_RELATIVE_CLOCK_DRIFT,
   marginMs: LEASE_MARGIN_MS,
 };
 
--- a/src/store/request-scheduler.ts
+++ b/src/store/request-scheduler.ts
@@ -129,8 +129,8 @@
           this.#scheduleAfter(waitMs);
           break;
         }
-        this.#requests.take(1, now);
-        if (writes > 0) this.#writes.take(writes, now);
+        this.#requests.tryTake(1, now);
+        if (writes > 0) this.#writes.tryTake(writes, now);
         queue.shift();
         this.#queuedCalls -= 1;
         send();
--- a/src/store/store-client.ts
+++ b/src/store/store-client.ts
@@ -4,7 +4,7 @@
  */
 import type { CompareAndSwapResult, Guard, Write } from '@sumacstep/leader-election';
 import type { Logger } from 'pino';
-import { CborClient, type Response } from '../transport/http.js';
+import { CborClient, type CborResponse } from '../transport/http.js';
 import {
   conflictSchema,
   entrySchema,
@@ -186,10 +186,10 @@
     this.#watchHttp.close();
   }
 
-  async #call(call: Call, http = this.#http): Promise<Response> {
+  async #call(call: Call, http = this.#http): Promise<CborResponse> {
     const { priority, method, path, body, writes = 0, timeoutMs = STORE_CALL_TIMEOUT_MS } = call;
     await this.#scheduler.acquire(priority, writes);
-    let response: Response;
+    let response: CborResponse;
     try {
       response = await http.call(method, path, body, timeoutMs);
     } catch (error) {
--- a/src/store/watch-cache.ts
+++ b/src/store/watch-cache.ts
@@ -5,7 +5,7 @@
 import type { WatchBatch } from './watch.js';
 import type { Write } from '@sumacstep/leader-election';
 import type { Cancellation } from '../core/cancellation/cancellation.js';
-import { eitherDone } from '../core/jobs/jobs.js';
+import { mergeDone } from '../core/jobs/jobs.js';
 import type { MachineRecord } from '../core/model.js';
 import {
   FINAL_STATE_PREFIX,
@@ -209,7 +209,7 @@
       if (!id.startsWith(`${shard}/`)) continue;
       const bits = value.get(rangeKey);
       if (bits === undefined) continue;
-      completed = completed === undefined ? bits : eitherDone(completed, bits);
+      completed = completed === undefined ? bits : mergeDone(completed, bits);
     }
     return completed;
   }
--- a/src/transport/http.ts
+++ b/src/transport/http.ts
@@ -3,7 +3,7 @@
 import type { Readable } from 'node:stream';
 import type Koa from 'koa';
 import { MAX_BODY_BYTES } from './constants.js';
-import { fromBytes, toBytes } from '../wire/cbor.js';
+import { decodeCbor, encodeCbor } from '../wire/cbor.js';
 
 /**
  * A request got no answer in time, or none that could be read. It may have been carried out, or may yet
@@ -21,7 +21,7 @@
 }
 
 /** An answer of any status. */
-export interface Response {
+export interface CborResponse {
   readonly status: number;
   /** null if the answer has no body */
   readonly body: unknown;
@@ -53,11 +53,11 @@
     });
   });
 
-const readResponse = async (response: IncomingMessage): Promise<Response> => {
+const readResponse = async (response: IncomingMessage): Promise<CborResponse> => {
   const bytes = await readStream(response, Infinity);
   const status = response.statusCode ?? 0;
   const empty = bytes === null || bytes.length === 0 || STATUSES_WITHOUT_BODY.has(status);
-  return { status, body: empty ? null : fromBytes(bytes) };
+  return { status, body: empty ? null : decodeCbor(bytes) };
 };
 
 /** Requests with CBOR bodies to one server, over connections that stay open. */
@@ -74,9 +74,9 @@
   }
 
   /** Sends one request; rejects with `NoResponseError` without an answer within `timeoutMs`. */
-  call(method: string, path: string, body: unknown, timeoutMs: number): Promise<Response> {
+  call(method: string, path: string, body: unknown, timeoutMs: number): Promise<CborResponse> {
     return new Promise((resolve, reject) => {
-      const bytes = body === undefined ? null : toBytes(body);
+      const bytes = body === undefined ? null : encodeCbor(body);
       const clientRequest = request({
         host: this.#host,
         port: this.#port,
@@ -130,7 +130,7 @@
 
 /** Answers with a CBOR body. Koa's own way of sending would dominate the cost of a heartbeat. */
 export const sendCbor = (ctx: Koa.Context, status: number, body: unknown): void => {
-  const bytes = toBytes(body);
+  const bytes = encodeCbor(body);
   ctx.respond = false;
   ctx.res.statusCode = status;
   ctx.res.setHeader('Content-Type', 'application/cbor');
--- a/src/transport/token-bucket.ts
+++ b/src/transport/token-bucket.ts
@@ -23,7 +23,7 @@
   }
 
   /** Takes `cost` tokens if they are there; returns whether it has. */
-  take(cost: number, now: number): boolean {
+  tryTake(cost: number, now: number): boolean {
     this.#refill(now);
     if (now < this.#blockedUntil) return false;
     const needed = Math.min(cost, this.capacity);
--- a/src/users/job-reader.ts
+++ b/src/users/job-reader.ts
@@ -31,18 +31,18 @@
  * that began after the request's arrival.
  */
 export class JobReader {
-  readonly #finals: SharedReads;
+  readonly #finalStateReads: SharedReads;
 
   constructor(
     client: Pick<StoreClient, 'get'>,
     private readonly cache: WatchCache,
     private readonly linearizable: Pick<LinearizableReads, 'waitUntilCurrent'>,
   ) {
-    this.#finals = new SharedReads(client);
+    this.#finalStateReads = new SharedReads(client);
   }
 
   /** The job's final state if it is known here: that needs no read, not even in an outage. */
-  knownFinal(uid: string): FinalState | undefined {
+  knownFinalState(uid: string): FinalState | undefined {
     return this.cache.finalStates.get(uid);
   }
 
@@ -51,7 +51,7 @@
    * ended or never was, since the move from active to final is one transaction.
    */
   async read(uid: string): Promise<JobReading> {
-    const before = this.knownFinal(uid);
+    const before = this.knownFinalState(uid);
     if (before !== undefined) return finalReading(before);
     const currentSince = await this.linearizable.waitUntilCurrent();
     const active = this.cache.tables.activeJobs.get(uid);
@@ -59,9 +59,9 @@
       const { value: job, revision } = active;
       return { answer: { kind: 'active', job, revision }, currentSince };
     }
-    const shown = this.knownFinal(uid);
+    const shown = this.knownFinalState(uid);
     if (shown !== undefined) return finalReading(shown);
-    const found = await this.#finals.read(storeKey.finalState(uid));
+    const found = await this.#finalStateReads.read(storeKey.finalState(uid));
     if ('missing' in found) return { answer: { kind: 'missing' }, currentSince };
     return finalReading(this.cache.recordFinalState(uid, found.value, found.revision));
   }
@@ -71,8 +71,8 @@
    * now, else the reading. Null if the reading is older than the request: another node may have told
    * the user something newer in between.
    */
-  answerSince(uid: string, reading: JobReading, arrivedAt: number): JobAnswer | null {
-    const final = this.knownFinal(uid);
+  answerIfCurrent(uid: string, reading: JobReading, arrivedAt: number): JobAnswer | null {
+    const final = this.knownFinalState(uid);
     if (final !== undefined) return { kind: 'final', final };
     return reading.currentSince >= arrivedAt ? reading.answer : null;
   }
--- a/src/users/job-service.ts
+++ b/src/users/job-service.ts
@@ -1,20 +1,20 @@
 /** Accepts and cancels jobs: both are idempotent, and each is one compare-and-swap. */
 import {
-  ACCEPTANCE_ATTEMPTS,
-  CANCELLATION_ATTEMPTS,
+  MAX_ACCEPTANCE_ATTEMPTS,
+  MAX_CANCELLATION_ATTEMPTS,
   LOAD_PER_RANGE,
-  DEFERRED_SUBMISSION_MS,
+  DEFERRED_SUBMISSION_TTL_MS,
   MAX_SUBMISSION_WAIT_MS,
-  TYPE_LIST_LIMIT_BYTES,
+  MAX_TYPE_LIST_BYTES,
 } from './constants.js';
 import { MAX_NAME_LENGTH } from '../wire/constants.js';
 import { admit } from '../core/jobs/admission.js';
 import {
   chooseShard,
-  cutRanges,
+  splitIntoRanges,
   shardOfTeam,
   maxRangeTasks,
-  staysWhole,
+  requiresSingleShard,
   hasLimit,
   hasGuarantee,
   type ShardLoad,
@@ -52,9 +52,9 @@
 export interface JobServiceSettings {
   readonly teams: ReadonlyMap<string, Team>;
   /** number of shards */
-  readonly shards: number;
+  readonly shardCount: number;
   /** limit of a stored value */
-  readonly valueBytes: number;
+  readonly maxValueBytes: number;
   /** allocation ratio below which a shard may be chosen at random */
   readonly loadThreshold: number;
 }
@@ -75,7 +75,7 @@
 export class JobService {
   readonly #deferred = new Map<string, { spec: JobSpec; at: number }>();
   /** acceptances under way, by job: a repeat waits for the first one instead of costing a write */
-  readonly #accepting = new Map<string, Promise<SubmissionResult>>();
+  readonly #acceptancesInFlight = new Map<string, Promise<SubmissionResult>>();
 
   constructor(
     private readonly dependencies: JobServiceDependencies,
@@ -87,7 +87,7 @@
    * already; older ones have been accepted by another node since.
    */
   deferredJobs(): JobSpec[] {
-    const since = this.dependencies.now() - DEFERRED_SUBMISSION_MS;
+    const since = this.dependencies.now() - DEFERRED_SUBMISSION_TTL_MS;
     const out: JobSpec[] = [];
     for (const [uid, { spec, at }] of this.#deferred) {
       if (at < since || this.dependencies.cache.tables.activeJobs.has(uid))
@@ -99,7 +99,7 @@
 
   /** Accepts a job, or finds that it was accepted before. `acceptedAt` is the time of day, ms. */
   async submit(spec: JobSpec, acceptedAt: number): Promise<SubmissionResult> {
-    const final = this.dependencies.reader.knownFinal(spec.uid);
+    const final = this.dependencies.reader.knownFinalState(spec.uid);
     if (final !== undefined) return { kind: 'duplicate', reading: finalReading(final) };
     const types = this.dependencies.routing.types();
     if (types === null) return { kind: 'unavailable', reason: 'machine types are not known yet' };
@@ -111,12 +111,12 @@
     if (this.dependencies.cache.tables.activeJobs.has(spec.uid)) {
       return { kind: 'duplicate', reading: await this.dependencies.reader.read(spec.uid) };
     }
-    const earlier = this.#accepting.get(spec.uid);
-    if (earlier !== undefined) return this.#afterEarlierAttempt(spec.uid, earlier);
+    const earlier = this.#acceptancesInFlight.get(spec.uid);
+    if (earlier !== undefined) return this.#resolveRepeat(spec.uid, earlier);
     const accepting = this.#accept(spec, acceptedAt, types).finally(() => {
-      this.#accepting.delete(spec.uid);
+      this.#acceptancesInFlight.delete(spec.uid);
     });
-    this.#accepting.set(spec.uid, accepting);
+    this.#acceptancesInFlight.set(spec.uid, accepting);
     return accepting;
   }
 
@@ -124,10 +124,7 @@
    * The write of an earlier try serves a repeat, too, but not its answer: the job may have been accepted,
    * cancelled or done through another node since, and the user told so, before the repeat came in.
    */
-  async #afterEarlierAttempt(
-    uid: string,
-    earlier: Promise<SubmissionResult>,
-  ): Promise<SubmissionResult> {
+  async #resolveRepeat(uid: string, earlier: Promise<SubmissionResult>): Promise<SubmissionResult> {
     await Promise.allSettled([earlier]);
     return this.#duplicateOr(uid, { kind: 'unavailable', reason: 'an earlier try has no outcome' });
   }
@@ -151,12 +148,12 @@
     this.#deferred.delete(spec.uid);
     const ranges = this.#route(spec);
     if (ranges === null) return { kind: 'unavailable', reason: 'parts have no owner yet' };
-    const job: JobRecord = { spec: this.#withoutUnknownTypes(spec, types), at: acceptedAt, ranges };
+    const job: JobRecord = { spec: this.#dropUnknownTypes(spec, types), at: acceptedAt, ranges };
     const value = encodeJob(job);
-    if (JSON.stringify(value).length > this.settings.valueBytes) {
+    if (JSON.stringify(value).length > this.settings.maxValueBytes) {
       return this.#duplicateOr(spec.uid, { kind: 'rejected', reason: 'record_too_large' });
     }
-    return this.#writeAcceptance(job, value, ACCEPTANCE_ATTEMPTS);
+    return this.#writeAcceptance(job, value, MAX_ACCEPTANCE_ATTEMPTS);
   }
 
   async #writeAcceptance(
@@ -192,24 +189,29 @@
   }
 
   /** Long lists of machine types are cut to those that exist, to fit a value's size. */
-  #withoutUnknownTypes(spec: JobSpec, types: ReadonlyMap<string, MachineType>): JobSpec {
-    const limitBytes = Math.min(TYPE_LIST_LIMIT_BYTES, this.settings.valueBytes / 4);
+  #dropUnknownTypes(spec: JobSpec, types: ReadonlyMap<string, MachineType>): JobSpec {
+    const limitBytes = Math.min(MAX_TYPE_LIST_BYTES, this.settings.maxValueBytes / 4);
     if (spec.types === null || spec.types.length * MAX_NAME_LENGTH < limitBytes) return spec;
     return { ...spec, types: [...new Set(spec.types)].filter((name) => types.has(name)) };
   }
 
   /** Cuts the job into ranges and chooses a shard for each; null while a shard has no owner. */
   #route(spec: JobSpec): TaskRange[] | null {
-    const { teams, shards, valueBytes, loadThreshold } = this.settings;
+    const { teams, shardCount: shards, maxValueBytes: valueBytes, loadThreshold } = this.settings;
     const team = teams.get(spec.team);
-    const whole = staysWhole(spec, team);
+    const whole = requiresSingleShard(spec, team);
     const hasQuota = hasLimit(team) || hasGuarantee(team);
     const loads = [...this.dependencies.routing.loads(spec)];
     const choose = () =>
       chooseShard(loads, loadThreshold, (below) => this.dependencies.routing.random(below));
     const home = hasQuota ? shardOfTeam(spec.team, shards) : choose();
     const out: TaskRange[] = [];
-    for (const [from, to] of cutRanges(spec.tasks, shards, whole, maxRangeTasks(valueBytes))) {
+    for (const [from, to] of splitIntoRanges(
+      spec.tasks,
+      shards,
+      whole,
+      maxRangeTasks(valueBytes),
+    )) {
       const shard = whole ? home : choose();
       const term = this.dependencies.routing.termOf(shard);
       if (term === null) return null;
@@ -226,7 +228,7 @@
 
   /** Cancels a job unless it has ended; the reading is final, or the job is missing. */
   async cancel(uid: string): Promise<JobReading> {
-    for (let attempt = 0; attempt < CANCELLATION_ATTEMPTS; attempt++) {
+    for (let attempt = 0; attempt < MAX_CANCELLATION_ATTEMPTS; attempt++) {
       const reading = await this.dependencies.reader.read(uid);
       const { answer } = reading;
       if (answer.kind !== 'active') return reading;
--- a/src/users/user-routes.ts
+++ b/src/users/user-routes.ts
@@ -1,11 +1,11 @@
 /** The HTTP routes for users: submissions, queries, cancellations, and readiness. */
 import type Koa from 'koa';
 import { USER_REQUEST_TIMEOUT_MS } from '../constants.js';
-import { RETRY_AFTER_S, IN_FLIGHT_REQUESTS_LIMIT } from './constants.js';
+import { RETRY_AFTER_S, MAX_IN_FLIGHT_REQUESTS } from './constants.js';
 import type { JobSpec } from '../core/model.js';
 import { readBody, sendCbor } from '../transport/http.js';
 import { StoreRequestError } from '../store/errors.js';
-import { fromBytes, WireError } from '../wire/cbor.js';
+import { decodeCbor, WireError } from '../wire/cbor.js';
 import { statusBody, submissionSchema, JOB_UID_PATTERN, type JobStatus } from '../wire/users.js';
 import type { JobReader, JobReading } from './job-reader.js';
 import type { JobService } from './job-service.js';
@@ -56,7 +56,7 @@
 }
 
 /** The job that a malformed submission names, if it names one. */
-const claimedUid = z.object({ Uid: z.string().regex(JOB_UID_PATTERN) });
+const submissionUidSchema = z.object({ Uid: z.string().regex(JOB_UID_PATTERN) });
 
 class UserRoutes {
   /** requests being served */
@@ -66,15 +66,15 @@
 
   async handle(ctx: Koa.Context, next: Koa.Next): Promise<void> {
     if (ctx.path === '/ready' && ctx.method === 'GET') {
-      this.#ready(ctx);
+      this.#reportReadiness(ctx);
       return;
     }
     if (ctx.path !== '/submissions' && !ctx.path.startsWith('/submissions/')) {
       await next();
       return;
     }
-    if (this.#inFlight >= IN_FLIGHT_REQUESTS_LIMIT) {
-      this.#retryLater(ctx, 'too many requests wait');
+    if (this.#inFlight >= MAX_IN_FLIGHT_REQUESTS) {
+      this.#respondRetryLater(ctx, 'too many requests wait');
       return;
     }
     this.#inFlight += 1;
@@ -83,16 +83,16 @@
     } catch (error) {
       if (error instanceof WireError) sendCbor(ctx, 400, { error: error.message });
       else if (error instanceof StoreRequestError || error instanceof RequestTimeoutError)
-        this.#retryLater(ctx, error.message);
+        this.#respondRetryLater(ctx, error.message);
       else throw error;
     } finally {
       this.#inFlight -= 1;
     }
   }
 
-  #ready(ctx: Koa.Context): void {
+  #reportReadiness(ctx: Koa.Context): void {
     if (this.dependencies.isReady()) sendCbor(ctx, 200, { ready: true });
-    else this.#retryLater(ctx, 'not ready');
+    else this.#respondRetryLater(ctx, 'not ready');
   }
 
   async #dispatch(ctx: Koa.Context): Promise<void> {
@@ -118,12 +118,12 @@
       sendCbor(ctx, 400, { error: 'body over the limit' });
       return;
     }
-    const body = fromBytes(bytes);
+    const body = decodeCbor(bytes);
     const parsed = submissionSchema.safeParse(body);
     if (!parsed.success) return this.#rejectMalformed(ctx, body, parsed.error, arrivedAt);
     const { uid } = parsed.data;
     if (!this.#canAnswer(uid)) {
-      this.#storeUnavailable(ctx);
+      this.#respondStoreUnavailable(ctx);
       return;
     }
     const result = await withTimeout(
@@ -146,7 +146,7 @@
         return;
       }
       case 'unavailable': {
-        this.#retryLater(ctx, result.reason, result.waitMs);
+        this.#respondRetryLater(ctx, result.reason, result.waitMs);
         return;
       }
     }
@@ -159,10 +159,10 @@
     error: z.ZodError,
     arrivedAt: number,
   ): Promise<void> {
-    const uid = claimedUid.safeParse(body).data?.Uid;
+    const uid = submissionUidSchema.safeParse(body).data?.Uid;
     if (uid !== undefined) {
       if (!this.#canAnswer(uid)) {
-        this.#storeUnavailable(ctx);
+        this.#respondStoreUnavailable(ctx);
         return;
       }
       const reading = await withTimeout(this.dependencies.reader.read(uid));
@@ -179,7 +179,7 @@
 
   async #query(request: JobRequest): Promise<void> {
     if (!this.#canAnswer(request.uid)) {
-      this.#storeUnavailable(request.ctx);
+      this.#respondStoreUnavailable(request.ctx);
       return;
     }
     this.#respond(request, await withTimeout(this.dependencies.reader.read(request.uid)));
@@ -187,7 +187,7 @@
 
   async #cancel(request: JobRequest): Promise<void> {
     if (!this.#canAnswer(request.uid)) {
-      this.#storeUnavailable(request.ctx);
+      this.#respondStoreUnavailable(request.ctx);
       return;
     }
     this.#respond(request, await withTimeout(this.dependencies.jobs.cancel(request.uid)));
@@ -196,8 +196,9 @@
   /** The one place where a user is told a job's state. `accepted`: this very request was accepted. */
   #respond({ ctx, uid, arrivedAt }: JobRequest, reading: JobReading, accepted = false): void {
     const { dependencies } = this;
-    const answer = dependencies.reader.answerSince(uid, reading, arrivedAt);
-    if (answer === null) this.#retryLater(ctx, 'the state was read before the request came in');
+    const answer = dependencies.reader.answerIfCurrent(uid, reading, arrivedAt);
+    if (answer === null)
+      this.#respondRetryLater(ctx, 'the state was read before the request came in');
     else if (answer.kind === 'missing') sendCbor(ctx, 404, { error: 'no such job' });
     else if (answer.kind === 'final') {
       const { status, done } = answer.final;
@@ -214,15 +215,16 @@
   /** Without the store only final states in memory can be told: they never change. */
   #canAnswer(uid: string): boolean {
     return (
-      this.dependencies.storeAvailable() || this.dependencies.reader.knownFinal(uid) !== undefined
+      this.dependencies.storeAvailable() ||
+      this.dependencies.reader.knownFinalState(uid) !== undefined
     );
   }
 
-  #storeUnavailable(ctx: Koa.Context): void {
-    this.#retryLater(ctx, 'the state service does not answer');
+  #respondStoreUnavailable(ctx: Koa.Context): void {
+    this.#respondRetryLater(ctx, 'the state service does not answer');
   }
 
-  #retryLater(ctx: Koa.Context, reason: string, waitMs = 0): void {
+  #respondRetryLater(ctx: Koa.Context, reason: string, waitMs = 0): void {
     const minimumS = Math.min(RETRY_AFTER_S.max, Math.max(RETRY_AFTER_S.min, waitMs / 1000));
     const seconds = Math.ceil(minimumS) + this.dependencies.random(RETRY_AFTER_S.spread + 1);
     ctx.set('Retry-After', String(seconds));
--- a/src/wire/cbor.ts
+++ b/src/wire/cbor.ts
@@ -5,10 +5,10 @@
 export class WireError extends Error {}
 
 /** Encodes a message. */
-export const toBytes = (value: unknown): Uint8Array => encode(value);
+export const encodeCbor = (value: unknown): Uint8Array => encode(value);
 
 /** Decodes a message. Strict: trailing bytes, duplicate keys, keys that are not text, NaN and infinity are errors. */
-export const fromBytes = (bytes: Uint8Array): unknown => {
+export const decodeCbor = (bytes: Uint8Array): unknown => {
   try {
     return decode(bytes, {
       rejectDuplicateMapKeys: true,
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -13,19 +13,19 @@
  */
 import * as z from 'zod';
 import type { MachineType } from '../core/model.js';
-import { amount, name } from './fields.js';
+import { amountSchema, nameSchema } from './fields.js';
 
 const machineTypeSchema = z
   .object({
-    Label: name,
-    Vcpus: amount,
-    Cards: amount,
-    MemGb: amount,
-    CacheGb: amount.nullish(),
-    FetchGbPerS: amount.nullish(),
-    Price: amount,
-    LowPrice: amount.nullish(),
-    BootS: amount,
+    Label: nameSchema,
+    Vcpus: amountSchema,
+    Cards: amountSchema,
+    MemGb: amountSchema,
+    CacheGb: amountSchema.nullish(),
+    FetchGbPerS: amountSchema.nullish(),
+    Price: amountSchema,
+    LowPrice: amountSchema.nullish(),
+    BootS: amountSchema,
     Sites: z.array(z.string()),
   })
   .transform((type): MachineType => ({
@@ -47,7 +47,7 @@
   .transform((body) => body.Hosttypes);
 
 /** Machines to be rented; a request that is repeated under the same name rents nothing more. */
-export interface RentRequest {
+export interface CloudRentalRequest {
   readonly request: string;
   readonly type: string;
   readonly zone: string;
@@ -56,7 +56,7 @@
 }
 
 /** A rental request. */
-export const rentBody = (rental: RentRequest): unknown => ({
+export const rentalRequestBody = (rental: CloudRentalRequest): unknown => ({
   Hire: rental.request,
   Hosttype: rental.type,
   Site: rental.zone,
@@ -65,7 +65,9 @@
 });
 
 /** The names of the machines that a request has rented. */
-export const rentedSchema = z.object({ Hosts: z.array(name) }).transform((body) => body.Hosts);
+export const rentedMachinesSchema = z
+  .object({ Hosts: z.array(nameSchema) })
+  .transform((body) => body.Hosts);
 
 /** Machines to be returned, by name. */
 export const returnBody = (machines: readonly string[]): unknown => ({ Hosts: machines });
@@ -85,10 +87,10 @@
 
 const listedMachineSchema = z
   .object({
-    Uid: name,
+    Uid: nameSchema,
     Address: z.string().nullish(),
-    Hosttype: name,
-    Site: name,
+    Hosttype: nameSchema,
+    Site: nameSchema,
     Reclaimable: z.boolean(),
     Status: z.string(),
     HeldS: z.number().nullish(),
--- a/src/wire/store.ts
+++ b/src/wire/store.ts
@@ -14,17 +14,17 @@
 import * as z from 'zod';
 import type { Changes, Entry, Page } from '../store/types.js';
 
-const revision = z.number().int().nonnegative();
+const revisionSchema = z.number().int().nonnegative();
 
-const entryFields = z.object({
+const entryFieldsSchema = z.object({
   K: z.string(),
   Value: z.unknown().optional(),
-  Stamp: revision,
+  Stamp: revisionSchema,
   Permit: z.number().nullish(),
 });
 
 /** One key and its value. */
-export const entrySchema = entryFields.transform((entry): Entry => ({
+export const entrySchema = entryFieldsSchema.transform((entry): Entry => ({
   key: entry.K,
   value: entry.Value,
   revision: entry.Stamp,
@@ -32,14 +32,16 @@
 }));
 
 /** The store's revision, which is all that the answers for a missing key and for a commit hold. */
-export const storeRevisionSchema = z.object({ Epoch: revision }).transform((body) => body.Epoch);
+export const storeRevisionSchema = z
+  .object({ Epoch: revisionSchema })
+  .transform((body) => body.Epoch);
 
 /** One page of a listing. */
 export const listingSchema = z
   .object({
-    Entries: z.array(entryFields),
+    Entries: z.array(entryFieldsSchema),
     Truncated: z.boolean().nullish(),
-    Epoch: revision,
+    Epoch: revisionSchema,
   })
   .transform((body): Page => ({
     entries: body.Entries.map((entry) => ({
@@ -53,7 +55,7 @@
 
 /** The keys whose guards have failed. */
 export const conflictSchema = z
-  .object({ failed: z.array(z.string()).nullish(), Epoch: revision.nullish() })
+  .object({ failed: z.array(z.string()).nullish(), Epoch: revisionSchema.nullish() })
   .transform((body) => body.failed ?? []);
 
 /** The id of a new lease. */
@@ -62,13 +64,13 @@
 /** Changes since the revision that was asked for; a removal carries no value. */
 export const watchSchema = z
   .object({
-    Epoch: revision,
+    Epoch: revisionSchema,
     News: z.array(
       z.object({
         Put: z.string().nullish(),
         Drop: z.string().nullish(),
         Value: z.unknown().optional(),
-        Stamp: revision,
+        Stamp: revisionSchema,
       }),
     ),
   })
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -17,45 +17,50 @@
 import * as z from 'zod';
 import type { JobSpec, Priority } from '../core/model.js';
 import { MAX_TASKS_PER_JOB } from './constants.js';
-import { amount, name, wordsOf } from './fields.js';
+import { amountSchema, nameSchema, enumValues } from './fields.js';
 
 /** `job-000412` */
 export const JOB_UID_PATTERN = /^job-[0-9]{1,20}$/;
 
-const PRIORITIES = { prod: 'production', urgent: 'high', normal: 'normal', idle: 'low' } as const;
+const PRIORITY_BY_RANK = {
+  prod: 'production',
+  urgent: 'high',
+  normal: 'normal',
+  idle: 'low',
+} as const;
 /** `service` is not in the protocol's page; see docs/questions.md. */
-const KINDS = { batch: 'array', ensemble: 'gang', service: 'service' } as const;
+const KIND_BY_SHAPE = { batch: 'array', ensemble: 'gang', service: 'service' } as const;
 
 /** A job as a user submits it. */
 export const submissionSchema = z
   .object({
     Uid: z.string().regex(JOB_UID_PATTERN),
-    Jobclass: name,
-    Owner: name,
-    Shape: z.enum(wordsOf(KINDS)),
-    Rank: z.enum(wordsOf(PRIORITIES)),
+    Jobclass: nameSchema,
+    Owner: nameSchema,
+    Shape: z.enum(enumValues(KIND_BY_SHAPE)),
+    Rank: z.enum(enumValues(PRIORITY_BY_RANK)),
     Pieces: z.number().int().min(1).max(MAX_TASKS_PER_JOB),
-    Vcpus: amount,
-    Cards: amount,
-    MemGb: amount,
-    Bundle: name,
-    ImageGb: amount,
-    Hosttypes: z.array(name).max(1000).nullish(),
-    Site: name.nullish(),
+    Vcpus: amountSchema,
+    Cards: amountSchema,
+    MemGb: amountSchema,
+    Bundle: nameSchema,
+    ImageGb: amountSchema,
+    Hosttypes: z.array(nameSchema).max(1000).nullish(),
+    Site: nameSchema.nullish(),
     OneZone: z.boolean(),
     Spread: z.boolean(),
     Reclaimable: z.boolean(),
-    GuessS: amount,
-    SnapshotEveryS: amount,
-    SnapshotS: amount,
-    DueS: amount.nullish(),
+    GuessS: amountSchema,
+    SnapshotEveryS: amountSchema,
+    SnapshotS: amountSchema,
+    DueS: amountSchema.nullish(),
   })
   .transform((submission): JobSpec => ({
     uid: submission.Uid,
     jobClass: submission.Jobclass,
     team: submission.Owner,
-    kind: KINDS[submission.Shape],
-    priority: PRIORITIES[submission.Rank] satisfies Priority,
+    kind: KIND_BY_SHAPE[submission.Shape],
+    priority: PRIORITY_BY_RANK[submission.Rank] satisfies Priority,
     tasks: submission.Pieces,
     demand: { cpus: submission.Vcpus, gpus: submission.Cards, memoryGb: submission.MemGb },
     image: submission.Bundle,
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -15,16 +15,16 @@
  */
 import * as z from 'zod';
 import type { Command, ExitReason, Heartbeat, ReportedTask, TaskState } from '../core/model.js';
-import { count, name, wordsOf } from './fields.js';
+import { countSchema, nameSchema, enumValues } from './fields.js';
 
-const STATES = {
+const STATE_BY_STATUS = {
   fetching: 'fetching',
   gathering: 'waiting',
   running: 'running',
   flushing: 'saving',
   ended: 'exited',
 } as const satisfies Record<string, TaskState>;
-const REASONS = {
+const EXIT_REASON_BY_CAUSE = {
   done: 'done',
   stopped: 'stopped',
   peers: 'peers',
@@ -39,8 +39,8 @@
 const TASK_PATTERN = /^[^/]+\/[0-9]{1,15}$/;
 const reportedTaskSchema = z.object({
   Piece: z.string().regex(TASK_PATTERN),
-  Try: count,
-  Status: z.enum(wordsOf(STATES)),
+  Try: countSchema,
+  Status: z.enum(enumValues(STATE_BY_STATUS)),
   Cause: z.string().nullish(),
   Saved: z.boolean().nullish(),
 });
@@ -52,9 +52,12 @@
     uid: task.Piece.slice(0, slash),
     index: Number(task.Piece.slice(slash + 1)),
     attempt: task.Try,
-    state: STATES[task.Status],
+    state: STATE_BY_STATUS[task.Status],
     // A reason that only newer workers know counts as an error of the task.
-    why: reason === null ? null : ((REASONS as Record<string, ExitReason>)[reason] ?? 'error'),
+    why:
+      reason === null
+        ? null
+        : ((EXIT_REASON_BY_CAUSE as Record<string, ExitReason>)[reason] ?? 'error'),
     saved: task.Saved ?? false,
   };
 };
@@ -62,14 +65,14 @@
 /** A heartbeat. One conversion for the whole message: one for each task would dominate its cost. */
 export const heartbeatSchema = z
   .object({
-    Host: name,
-    Address: name,
-    Hosttype: name,
-    Site: name,
+    Host: nameSchema,
+    Address: nameSchema,
+    Hosttype: nameSchema,
+    Site: nameSchema,
     Reclaimable: z.boolean(),
-    Tenure: count,
-    Counter: count,
-    Mandate: count,
+    Tenure: countSchema,
+    Counter: countSchema,
+    Mandate: countSchema,
     WarningS: z.number().nullish(),
     Pieces: z.array(reportedTaskSchema).nullish(),
   })
--- a/src/workers/heartbeat-routes.ts
+++ b/src/workers/heartbeat-routes.ts
@@ -2,7 +2,7 @@
 import type Koa from 'koa';
 import type { Command, Heartbeat } from '../core/model.js';
 import { readBody, sendCbor } from '../transport/http.js';
-import { fromBytes, WireError } from '../wire/cbor.js';
+import { decodeCbor, WireError } from '../wire/cbor.js';
 import { heartbeatResponseBody, heartbeatSchema, redirectBody } from '../wire/workers.js';
 
 /** What a worker is told: its commands, the node to turn to, or to try again. */
@@ -38,7 +38,7 @@
     const bytes = await readBody(ctx.req);
     let parsed;
     try {
-      parsed = bytes === null ? null : heartbeatSchema.safeParse(fromBytes(bytes));
+      parsed = bytes === null ? null : heartbeatSchema.safeParse(decodeCbor(bytes));
     } catch (error) {
       if (!(error instanceof WireError)) throw error;
       parsed = null;
--- a/test/answer-history.test.ts
+++ b/test/answer-history.test.ts
@@ -228,9 +228,13 @@
     const history = new AnswerHistory(violations);
     const requests = new Map<number, SentRequest>();
     for (const [request, callOrStatus, state] of events) {
-      if (typeof callOrStatus === 'string') requests.set(request, history.sent(callOrStatus, UID));
+      if (typeof callOrStatus === 'string')
+        requests.set(request, history.recordRequest(callOrStatus, UID));
       else
-        history.received(requests.get(request)!, { status: callOrStatus, body: { Status: state } });
+        history.recordAnswer(requests.get(request)!, {
+          status: callOrStatus,
+          body: { Status: state },
+        });
     }
     const brokenRules = [...new Set(violations.map((text) => text.split(' ')[0]))];
     assert.deepEqual(
--- a/test/answer-soak.test.ts
+++ b/test/answer-soak.test.ts
@@ -26,7 +26,7 @@
   `users at all nodes get consistent answers during combined faults, seed ${SEED}`,
   { timeout: TIMEOUT_MS },
   async (context) => {
-    const { broken, ...figures } = await new AnswerSoak(OPTIONS).run();
+    const { violations: broken, ...figures } = await new AnswerSoak(OPTIONS).run();
     context.diagnostic(JSON.stringify(figures));
     assert.deepEqual(broken, []);
     assert.ok(figures.answers > OPTIONS.jobs * 3, 'users got answers');
--- a/test/budget.test.ts
+++ b/test/budget.test.ts
@@ -62,7 +62,7 @@
   for (const name of names) {
     const worker = new FakeWorker(name, new World(), 1000, 18_000, 0);
     shard.handleHeartbeat(worker.heartbeat(), 0, true);
-    worker.direct(1, 1, []);
+    worker.executeDirect(1, 1, []);
     shard.handleCommandStatus(worker.heartbeat(), 1);
   }
   let now = 1000;
--- a/test/cancellation-outage.test.ts
+++ b/test/cancellation-outage.test.ts
@@ -50,7 +50,7 @@
   {
     name: 'connections between the controllers are refused',
     refused: ['n0', 'n2'],
-    then: (c) => c.cutPeers('n1', true),
+    then: (c) => c.partitionFromPeers('n1', true),
     survives: false,
   },
 ];
@@ -63,30 +63,38 @@
         await c.open();
         const doomed = await c.submit('n0', JOB);
         const kept = await c.submit('n1', JOB);
-        await c.until(
+        await c.waitUntil(
           'all of it runs',
           30,
-          () => c.running(doomed) + c.running(kept) === 2 * TASKS,
+          () => c.runningTasks(doomed) + c.runningTasks(kept) === 2 * TASKS,
         );
         // Every shard has tasks of both jobs, so that whoever is refused has some.
-        for (const n of row.refused) c.doors.get(n)!.refusing = true;
+        for (const n of row.refused) c.storeProxies.get(n)!.unavailable = true;
         await sleep(300);
         await c.cancel('n1', doomed);
-        c.state.unavailable = true;
+        c.store.unavailable = true;
         await row.then(c);
-        await c.pass(OPTIONS.cancelS + 2);
-        assert.equal(c.running(doomed), 0, 'cancelled tasks are gone in time');
-        assert.deepEqual(c.world.broken, []);
-        assert.equal(c.running(kept) === TASKS, row.survives, `${c.running(kept)} others run`);
+        await c.runFor(OPTIONS.cancelS + 2);
+        assert.equal(c.runningTasks(doomed), 0, 'cancelled tasks are gone in time');
+        assert.deepEqual(c.world.violations, []);
+        assert.equal(
+          c.runningTasks(kept) === TASKS,
+          row.survives,
+          `${c.runningTasks(kept)} others run`,
+        );
         const status = await c.statusOf('n0', doomed);
         assert.ok(['cancelled', '503'].includes(status), `no older answer: ${status}`);
-        c.cutPeers('n1', false);
-        for (const n of row.refused) c.doors.get(n)!.refusing = false;
-        c.state.recover();
-        await c.until('n0 knows', 20, async () => (await c.statusOf('n0', doomed)) === 'cancelled');
-        await c.until('the rest runs again', 40, () => c.running(kept) === TASKS);
-        assert.equal(c.running(doomed), 0);
-        assert.deepEqual(c.world.broken, []);
+        c.partitionFromPeers('n1', false);
+        for (const n of row.refused) c.storeProxies.get(n)!.unavailable = false;
+        c.store.recover();
+        await c.waitUntil(
+          'n0 knows',
+          20,
+          async () => (await c.statusOf('n0', doomed)) === 'cancelled',
+        );
+        await c.waitUntil('the rest runs again', 40, () => c.runningTasks(kept) === TASKS);
+        assert.equal(c.runningTasks(doomed), 0);
+        assert.deepEqual(c.world.violations, []);
       } finally {
         c.close();
       }
@@ -98,15 +106,15 @@
     try {
       await c.open();
       const uid = await c.submit('n0', JOB);
-      await c.until('all of it runs', 30, () => c.running(uid) === TASKS);
-      const { started } = c.world;
-      c.state.unavailable = true;
-      await c.pass(OPTIONS.cancelS + 2);
-      assert.equal(c.running(uid), TASKS);
-      c.state.recover();
-      await c.pass(3);
-      assert.equal(c.world.started, started, 'nothing had to start again');
-      assert.deepEqual(c.world.broken, []);
+      await c.waitUntil('all of it runs', 30, () => c.runningTasks(uid) === TASKS);
+      const { starts: started } = c.world;
+      c.store.unavailable = true;
+      await c.runFor(OPTIONS.cancelS + 2);
+      assert.equal(c.runningTasks(uid), TASKS);
+      c.store.recover();
+      await c.runFor(3);
+      assert.equal(c.world.starts, started, 'nothing had to start again');
+      assert.deepEqual(c.world.violations, []);
     } finally {
       c.close();
     }
--- a/test/cancellations.test.ts
+++ b/test/cancellations.test.ts
@@ -7,7 +7,7 @@
   type ReceivedBroadcast,
 } from '../src/core/cancellation/cancellation-coverage.js';
 import { GOSSIPED_CANCELLATIONS_LIMIT } from '../src/core/cancellation/constants.js';
-import { renewableMs } from '../src/core/cancellation/lease-renewal.js';
+import { renewalWindowMs } from '../src/core/cancellation/lease-renewal.js';
 
 const CANCEL_MS = 38_000;
 
@@ -164,7 +164,7 @@
     [59, 29],
     [10, 4],
   ] as const) {
-    const ms = renewableMs(cancelS * 1000, leaseS * 1000);
+    const ms = renewalWindowMs(cancelS * 1000, leaseS * 1000);
     assert.ok(ms > 0 && ms + leaseS * 1000 < cancelS * 1000 - 1000);
   }
 });
--- a/test/candidates.test.ts
+++ b/test/candidates.test.ts
@@ -3,9 +3,9 @@
 import { loadIndex } from '../src/core/capacity/allocation-ratio.js';
 import { isFeasible } from '../src/core/placement/constraints.js';
 import { fits, PRIORITY_RANK } from '../src/core/model.js';
-import { mostMatched } from '../src/core/placement/unused-volume.js';
+import { bestFit } from '../src/core/placement/unused-volume.js';
 import { Candidates } from '../src/core/placement/candidates.js';
-import { randomFrom } from '../src/random.js';
+import { seededRandomInt } from '../src/random.js';
 import { job, LEASE_MS, machine, shardWith, Store } from './helpers.js';
 import { FakeWorker, World } from './standins/worker.js';
 
@@ -27,7 +27,7 @@
   for (const n of names) {
     const w = new FakeWorker(n, new World(), 1e6, LEASE_MS, 0);
     shard.handleHeartbeat(w.heartbeat(), 0, false);
-    w.direct(1, 1, []);
+    w.executeDirect(1, 1, []);
     shard.handleCommandStatus(w.heartbeat(), 1);
     for (const image of ['i', 'k']) {
       if (random(3) === 0) shard.machines.get(n)!.images.set(image, 1);
@@ -41,7 +41,7 @@
   let found = 0;
   let none = 0;
   for (let seed = 1; seed <= 200; seed++) {
-    const random = randomFrom(seed);
+    const random = seededRandomInt(seed);
     const { store, shard } = crowd(random);
     const { state } = shard;
     const demand = { cpus: 1 + random(6), gpus: random(2), memoryGb: 1 + random(30) };
@@ -59,16 +59,19 @@
       .filter((m) => fits(demand, m.free) && isFeasible(state, m, guest, 3))
       .map((m) => ({ name: m.record.name, free: m.free, hasImage: m.images.has(more.image) }));
     const held = candidates.filter((c) => c.hasImage);
-    const plain =
-      mostMatched(held.length > 0 ? held : candidates, state.largestCapacity)?.name ?? null;
+    const plain = bestFit(held.length > 0 ? held : candidates, state.largestCapacity)?.name ?? null;
     const rooms = new Candidates(state, demand, 3);
-    const chosen = rooms.best(guest, demand)?.record.name ?? null;
+    const chosen = rooms.bestMachine(guest, demand)?.record.name ?? null;
     assert.equal(chosen, plain, `seed ${seed}`);
     if (chosen === null) none += 1;
     else found += 1;
     // What one job could not get, a larger one of its kind is not offered, and rightly so.
-    if (chosen === null) rooms.noRoom(guest, 1);
-    assert.equal(rooms.hopeless(guest, 1), chosen === null || rooms.empty, `seed ${seed}`);
+    if (chosen === null) rooms.recordUnschedulable(guest, 1);
+    assert.equal(
+      rooms.isKnownUnschedulable(guest, 1),
+      chosen === null || rooms.isEmpty,
+      `seed ${seed}`,
+    );
   }
   assert.ok(found > 50 && none > 20, `${found} found, ${none} not: the cases test nothing`);
 });
@@ -86,7 +89,7 @@
     for (const n of ['a', 'b']) {
       const w = new FakeWorker(n, new World(), 1e6, LEASE_MS, 0);
       shard.handleHeartbeat(w.heartbeat(), 0, false);
-      w.direct(1, 1, []);
+      w.executeDirect(1, 1, []);
       shard.handleCommandStatus(w.heartbeat(), 1);
     }
     shard.placeAll(2);
--- a/test/capacity.test.ts
+++ b/test/capacity.test.ts
@@ -121,7 +121,7 @@
   for (const name of ['idle', 'lost']) {
     const worker = new FakeWorker(name, new World(), 1000, 18_000, 0);
     input.shard.handleHeartbeat(worker.heartbeat(), 0, true);
-    worker.token = 1;
+    worker.fencingToken = 1;
     input.shard.handleHeartbeat(worker.heartbeat(), 500, true);
     for (let now = 3000; name === 'idle' && now <= 120_000; now += 3000)
       input.shard.handleHeartbeat(worker.heartbeat(), now, true);
@@ -166,7 +166,7 @@
   for (const name of names.slice(0, 10)) {
     const worker = new FakeWorker(name, new World(), 1e6, LEASE_MS, lateMs);
     shard.handleHeartbeat(worker.heartbeat(), lateMs, false);
-    worker.direct(1, 1, []);
+    worker.executeDirect(1, 1, []);
     shard.handleCommandStatus(worker.heartbeat(), lateMs);
   }
   const timedOutMs = (BOOT_TIMEOUT_FACTOR + 0.01) * bootMs;
--- a/test/combined-faults.test.ts
+++ b/test/combined-faults.test.ts
@@ -31,12 +31,12 @@
 
 /** Leaves every second transaction of all nodes unanswered and applies it `ms` later; null ends that. */
 const delayTransactions = (cluster: Cluster, ms: number | null) => {
-  for (const door of cluster.doors.values()) door.lateMs = ms;
+  for (const door of cluster.storeProxies.values()) door.lateTransactionMs = ms;
 };
 /** Kills a node and starts it again `downMs` later. */
 const crashAndRestart = async (cluster: Cluster, node: string, downMs: number) => {
   cluster.kill(node);
-  await cluster.pass(downMs / 1000);
+  await cluster.runFor(downMs / 1000);
   await cluster.start(node);
 };
 
@@ -47,10 +47,11 @@
     jobs: [LARGE_JOB, { ...LARGE_JOB, Pieces: 40 }, { ...SMALL_JOB, Shape: 'ensemble', Pieces: 2 }],
     injectFaults: async (cluster, [, second]) => {
       delayTransactions(cluster, 2500);
-      const executed = () => [...cluster.doors.values()].reduce((sum, door) => sum + door.late, 0);
-      await cluster.pass(6);
+      const executed = () =>
+        [...cluster.storeProxies.values()].reduce((sum, door) => sum + door.lateTransactions, 0);
+      await cluster.runFor(6);
       const cancelling = cluster.cancel('n1', second!);
-      await cluster.pass(2);
+      await cluster.runFor(2);
       // The number of transactions depends on how writes are batched: more jobs cause more of them.
       for (let i = 0; i < 10 && executed() < 3; i++)
         await cluster.submit('n2', { ...SMALL_JOB, Pieces: 2 });
@@ -65,17 +66,17 @@
     name: 'commands are delayed by seconds while machines hang and resume: no task runs twice',
     jobs: [LARGE_JOB, { ...SMALL_JOB, Pieces: 3 }],
     injectFaults: async (cluster, [first]) => {
-      for (const host of cluster.hosts()) host.heldMs = 2500;
+      for (const host of cluster.workerHosts()) host.commandDelayMs = 2500;
       const more = await cluster.submit('n2', LARGE_JOB);
-      await cluster.pass(2);
-      for (const host of cluster.hosts().slice(0, 2)) host.worker.hung = true;
+      await cluster.runFor(2);
+      for (const host of cluster.workerHosts().slice(0, 2)) host.worker.hung = true;
       await cluster.cancel('n0', first!);
-      await cluster.pass(3);
-      for (const host of cluster.hosts()) {
-        host.heldMs = 0;
+      await cluster.runFor(3);
+      for (const host of cluster.workerHosts()) {
+        host.commandDelayMs = 0;
         host.worker.hung = false;
       }
-      await cluster.until(
+      await cluster.waitUntil(
         `${more} done`,
         60,
         async () => (await cluster.statusOf('n0', more)) === 'done',
@@ -92,13 +93,13 @@
       { ...SMALL_JOB, Rank: 'prod', Shape: 'ensemble', Vcpus: 8, Pieces: 2 },
     ],
     injectFaults: async (cluster) => {
-      cluster.cloud.most = 4;
-      for (const door of cluster.doors.values()) door.slowMs = 150;
-      for (const host of cluster.hosts()) host.heldMs = 300;
+      cluster.cloud.maxMachines = 4;
+      for (const door of cluster.storeProxies.values()) door.delayMs = 150;
+      for (const host of cluster.workerHosts()) host.commandDelayMs = 300;
       await cluster.submit('n1', { ...SMALL_JOB, Rank: 'urgent', Vcpus: 8, Pieces: 4 });
-      await cluster.pass(10);
-      for (const door of cluster.doors.values()) door.slowMs = 0;
-      for (const host of cluster.hosts()) host.heldMs = 0;
+      await cluster.runFor(10);
+      for (const door of cluster.storeProxies.values()) door.delayMs = 0;
+      for (const host of cluster.workerHosts()) host.commandDelayMs = 0;
     },
   },
   {
@@ -106,16 +107,16 @@
     name: 'the state service answers slowly, then not at all, while users cancel and query: no stale answer',
     jobs: [LARGE_JOB, LARGE_JOB, LARGE_JOB],
     injectFaults: async (cluster, uids) => {
-      for (const door of cluster.doors.values()) door.slowMs = 500;
+      for (const door of cluster.storeProxies.values()) door.delayMs = 500;
       await Promise.all(uids.slice(0, 2).map((uid, i) => cluster.cancel(`n${i}`, uid)));
-      for (const node of cluster.names) for (const uid of uids) await cluster.statusOf(node, uid);
-      cluster.state.unavailable = true;
+      for (const node of cluster.nodes) for (const uid of uids) await cluster.statusOf(node, uid);
+      cluster.store.unavailable = true;
       for (let i = 0; i < 12; i++) {
-        await cluster.pass(1);
-        for (const uid of uids) await cluster.statusOf(cluster.names[i % 3]!, uid);
+        await cluster.runFor(1);
+        for (const uid of uids) await cluster.statusOf(cluster.nodes[i % 3]!, uid);
       }
-      for (const door of cluster.doors.values()) door.slowMs = 0;
-      cluster.state.recover();
+      for (const door of cluster.storeProxies.values()) door.delayMs = 0;
+      cluster.store.recover();
     },
   },
   {
@@ -124,9 +125,9 @@
     jobs: [LARGE_JOB, { ...SMALL_JOB, Pieces: 3 }, { ...SMALL_JOB, Shape: 'ensemble', Pieces: 3 }],
     injectFaults: async (cluster, [first]) => {
       await cluster.cancel('n0', first!);
-      for (const node of cluster.names) cluster.kill(node);
-      await cluster.pass(LEASE_S + 2);
-      await Promise.all(cluster.names.map((node) => cluster.start(node)));
+      for (const node of cluster.nodes) cluster.kill(node);
+      await cluster.runFor(LEASE_S + 2);
+      await Promise.all(cluster.nodes.map((node) => cluster.start(node)));
     },
   },
   {
@@ -134,14 +135,14 @@
     name: 'delayed copies of reports reach a new leader after it has acted: nothing is started again',
     jobs: [LARGE_JOB, LARGE_JOB],
     injectFaults: async (cluster) => {
-      for (const host of cluster.hosts()) host.copyMs = 3500;
-      await cluster.pass(1.5);
+      for (const host of cluster.workerHosts()) host.duplicateAfterMs = 3500;
+      await cluster.runFor(1.5);
       await crashAndRestart(cluster, 'n1', 1000);
-      await cluster.pass(3);
+      await cluster.runFor(3);
       await crashAndRestart(cluster, 'n0', 3000);
-      await cluster.pass(4);
-      assert.ok(cluster.hosts().some((host) => host.copies > 3));
-      for (const host of cluster.hosts()) host.copyMs = null;
+      await cluster.runFor(4);
+      assert.ok(cluster.workerHosts().some((host) => host.duplicatesSent > 3));
+      for (const host of cluster.workerHosts()) host.duplicateAfterMs = null;
     },
   },
   {
@@ -151,15 +152,15 @@
     options: { zones: ['z', 'y'] },
     jobs: [LARGE_JOB, { ...LARGE_JOB, Spread: true }, { ...SMALL_JOB, OneZone: true, Pieces: 6 }],
     injectFaults: async (cluster, [first]) => {
-      cluster.doors.get('n0')!.refusing = true;
-      cluster.cutPeers('n0', true);
-      for (const host of cluster.hosts()) if (host.worker.zone === 'y') host.only = 'n0';
-      await cluster.pass(2);
+      cluster.storeProxies.get('n0')!.unavailable = true;
+      cluster.partitionFromPeers('n0', true);
+      for (const host of cluster.workerHosts()) if (host.worker.zone === 'y') host.onlyNode = 'n0';
+      await cluster.runFor(2);
       await cluster.cancel('n1', first!);
-      await cluster.pass(LEASE_S + 6);
-      for (const host of cluster.hosts()) host.only = null;
-      cluster.cutPeers('n0', false);
-      cluster.doors.get('n0')!.refusing = false;
+      await cluster.runFor(LEASE_S + 6);
+      for (const host of cluster.workerHosts()) host.onlyNode = null;
+      cluster.partitionFromPeers('n0', false);
+      cluster.storeProxies.get('n0')!.unavailable = false;
     },
   },
   {
@@ -169,11 +170,11 @@
     jobs: [LARGE_JOB, LARGE_JOB, { ...SMALL_JOB, Shape: 'ensemble', Pieces: 3 }],
     injectFaults: async (cluster, [first]) => {
       for (let i = 0; i < 10; i++) {
-        if (i === 5) cluster.state.unavailable = true;
-        if (i === 8) cluster.state.recover();
+        if (i === 5) cluster.store.unavailable = true;
+        if (i === 8) cluster.store.recover();
         if (i === 3) await cluster.cancel('n2', first!);
-        await crashAndRestart(cluster, cluster.names[i % 3]!, i % 2 === 0 ? 300 : 900);
-        await cluster.pass(0.5);
+        await crashAndRestart(cluster, cluster.nodes[i % 3]!, i % 2 === 0 ? 300 : 900);
+        await cluster.runFor(0.5);
       }
     },
   },
@@ -183,11 +184,11 @@
     name: 'heartbeats of all workers are lost while direct commands arrive: all jobs get done later',
     jobs: [LARGE_JOB, { ...SMALL_JOB, Pieces: 3 }],
     injectFaults: async (cluster, [first]) => {
-      const hosts = cluster.hosts();
+      const hosts = cluster.workerHosts();
       for (const host of hosts) host.losesHeartbeats = true;
       await cluster.cancel('n0', first!);
       await cluster.submit('n1', LARGE_JOB);
-      await cluster.pass(LEASE_S + 4);
+      await cluster.runFor(LEASE_S + 4);
       for (const host of hosts) host.losesHeartbeats = false;
     },
   },
@@ -196,15 +197,15 @@
     name: 'old reports arrive after newer ones, also from earlier sessions and attempts: they are ignored',
     jobs: [LARGE_JOB, LARGE_JOB],
     injectFaults: async (cluster) => {
-      for (const host of cluster.hosts()) host.copyMs = (LEASE_S + 2) * 1000;
-      await cluster.pass(1);
-      for (const host of cluster.hosts().slice(0, 1)) host.losesHeartbeats = true;
-      await cluster.pass(LEASE_S + 1);
-      for (const host of cluster.hosts()) host.losesHeartbeats = false;
+      for (const host of cluster.workerHosts()) host.duplicateAfterMs = (LEASE_S + 2) * 1000;
+      await cluster.runFor(1);
+      for (const host of cluster.workerHosts().slice(0, 1)) host.losesHeartbeats = true;
+      await cluster.runFor(LEASE_S + 1);
+      for (const host of cluster.workerHosts()) host.losesHeartbeats = false;
       await cluster.submit('n2', LARGE_JOB);
-      await cluster.pass(5);
-      assert.ok(cluster.hosts().some((host) => host.copies > 3));
-      for (const host of cluster.hosts()) host.copyMs = null;
+      await cluster.runFor(5);
+      assert.ok(cluster.workerHosts().some((host) => host.duplicatesSent > 3));
+      for (const host of cluster.workerHosts()) host.duplicateAfterMs = null;
     },
   },
   {
@@ -217,9 +218,9 @@
       { ...SMALL_JOB, Pieces: 3, GuessS: 10 * factor },
     ]),
     injectFaults: async (cluster) => {
-      await cluster.pass(1.8);
+      await cluster.runFor(1.8);
       await crashAndRestart(cluster, 'n0', 500);
-      await cluster.pass(1);
+      await cluster.runFor(1);
       await crashAndRestart(cluster, 'n1', 3000);
       await crashAndRestart(cluster, 'n2', 200);
     },
@@ -230,16 +231,16 @@
     options: { ...LONG_LEASE, teams: [LIMITED_TEAM] },
     jobs: [1, 2, 3].map(() => ({ ...SMALL_JOB, Owner: 'limited', Vcpus: 2, Pieces: 4 })),
     injectFaults: async (cluster, [first]) => {
-      const owner = cluster.ownerOf('limited');
-      const other = cluster.names.find((node) => node !== owner)!;
-      const busy = cluster.hosts().filter((host) => host.worker.tasks.size > 0);
+      const owner = cluster.preferredNodeOf('limited');
+      const other = cluster.nodes.find((node) => node !== owner)!;
+      const busy = cluster.workerHosts().filter((host) => host.worker.tasks.size > 0);
       for (const host of busy) host.worker.hung = true;
-      await cluster.pass(0.3);
+      await cluster.runFor(0.3);
       cluster.kill(owner);
       const cancelling = cluster.cancel(other, first!);
-      await cluster.pass(9);
+      await cluster.runFor(9);
       await cancelling;
-      for (const host of cluster.hosts()) host.worker.hung = false;
+      for (const host of cluster.workerHosts()) host.worker.hung = false;
       await cluster.start(owner);
     },
   },
@@ -248,17 +249,17 @@
     name: 'a leader is cut off from state service and controllers, but not from workers and users: cancelled jobs stop in time',
     jobs: [LARGE_JOB, LARGE_JOB, LARGE_JOB],
     injectFaults: async (cluster, uids) => {
-      cluster.doors.get('n0')!.refusing = true;
-      cluster.cutPeers('n0', true);
-      await cluster.pass(1);
+      cluster.storeProxies.get('n0')!.unavailable = true;
+      cluster.partitionFromPeers('n0', true);
+      await cluster.runFor(1);
       await cluster.cancel('n1', uids[0]!);
       await cluster.cancel('n2', uids[1]!);
       for (let i = 0; i < CANCEL_S + 2; i++) {
-        await cluster.pass(1);
-        for (const node of cluster.names) for (const uid of uids) await cluster.statusOf(node, uid);
+        await cluster.runFor(1);
+        for (const node of cluster.nodes) for (const uid of uids) await cluster.statusOf(node, uid);
       }
-      cluster.cutPeers('n0', false);
-      cluster.doors.get('n0')!.refusing = false;
+      cluster.partitionFromPeers('n0', false);
+      cluster.storeProxies.get('n0')!.unavailable = false;
     },
   },
   {
@@ -277,8 +278,8 @@
       if (two !== undefined) cluster.cloud.machines.get(two)!.worker.hung = true;
       await crashAndRestart(cluster, 'n1', 500);
       if (three !== undefined) cluster.cloud.kill(three);
-      await cluster.pass(2);
-      for (const host of cluster.hosts()) host.worker.hung = false;
+      await cluster.runFor(2);
+      for (const host of cluster.workerHosts()) host.worker.hung = false;
     },
   },
   {
@@ -290,31 +291,31 @@
     injectFaults: async (cluster) => {
       const ends: string[] = [];
       for (let i = 0; i < 8; i++) {
-        const uid = await cluster.submit(cluster.names[i % 3]!, { ...SMALL_JOB, Pieces: 2 });
-        await cluster.until('all of it runs', 20, () => cluster.running(uid) === 2);
+        const uid = await cluster.submit(cluster.nodes[i % 3]!, { ...SMALL_JOB, Pieces: 2 });
+        await cluster.waitUntil('all of it runs', 20, () => cluster.runningTasks(uid) === 2);
         // The cancellation starts at moments from well before to just after the final state is saved. Its read is stale
         // when its transaction arrives, and users of other nodes have been told the final state by then.
-        const slowDoor = cluster.doors.get(cluster.names[(i + 1) % 3]!)!;
-        slowDoor.slowWritesMs = 700;
+        const slowDoor = cluster.storeProxies.get(cluster.nodes[(i + 1) % 3]!)!;
+        slowDoor.transactionDelayMs = 700;
         await sleep(500 + i * 120);
         const asking = async () => {
           for (let asked = 0; asked < 24; asked++) {
-            await cluster.statusOf(cluster.names[i % 3]!, uid);
+            await cluster.statusOf(cluster.nodes[i % 3]!, uid);
             await sleep(50);
           }
         };
         const [end] = await Promise.all([
-          cluster.cancel(cluster.names[(i + 1) % 3]!, uid),
+          cluster.cancel(cluster.nodes[(i + 1) % 3]!, uid),
           asking(),
-          cluster.ask(
-            cluster.names[i % 3]!,
+          cluster.sendUserRequest(
+            cluster.nodes[i % 3]!,
             'submit',
             uid,
             cluster.submission({ ...SMALL_JOB, Uid: uid }),
           ),
         ]);
-        slowDoor.slowWritesMs = 0;
-        for (const node of cluster.names) assert.equal(await cluster.statusOf(node, uid), end);
+        slowDoor.transactionDelayMs = 0;
+        for (const node of cluster.nodes) assert.equal(await cluster.statusOf(node, uid), end);
         ends.push(end);
       }
       assert.ok(ends.includes('done'), ends.join(' '));
@@ -326,12 +327,12 @@
     jobs: [LARGE_JOB, LARGE_JOB, { ...SMALL_JOB, Pieces: 3 }],
     injectFaults: async (cluster) => {
       await crashAndRestart(cluster, 'n1', 4000);
-      await cluster.pass(2);
+      await cluster.runFor(2);
       await crashAndRestart(cluster, 'n1', 200);
-      for (const node of cluster.names) cluster.kill(node);
-      await cluster.pass(0.5);
+      for (const node of cluster.nodes) cluster.kill(node);
+      await cluster.runFor(0.5);
       await cluster.start('n2');
-      await cluster.pass(6);
+      await cluster.runFor(6);
       await cluster.start('n0');
       await cluster.start('n1');
     },
@@ -342,15 +343,15 @@
     options: LONG_LEASE,
     jobs: [LARGE_JOB, LARGE_JOB],
     injectFaults: async (cluster, [first]) => {
-      cluster.hosts().forEach((host, index) => {
+      cluster.workerHosts().forEach((host, index) => {
         if (index % 3 === 0) host.losesCommands = true;
         if (index % 3 === 1) host.worker.hung = true;
       });
       cluster.kill('n0');
-      await cluster.pass(1);
+      await cluster.runFor(1);
       await cluster.cancel('n1', first!);
-      await cluster.pass(12);
-      for (const host of cluster.hosts()) {
+      await cluster.runFor(12);
+      for (const host of cluster.workerHosts()) {
         host.losesCommands = false;
         host.worker.hung = false;
       }
@@ -364,15 +365,15 @@
     options: LONG_LEASE,
     jobs: [LARGE_JOB, LARGE_JOB, LARGE_JOB],
     injectFaults: async (cluster) => {
-      await cluster.until(
+      await cluster.waitUntil(
         'machines of every shard have work',
         10,
-        () => cluster.world.started >= 12,
+        () => cluster.world.starts >= 12,
       );
-      const busy = cluster.hosts().filter((host) => host.worker.tasks.size > 0);
+      const busy = cluster.workerHosts().filter((host) => host.worker.tasks.size > 0);
       const sessions = busy.map((host) => host.worker.agentEpoch);
-      for (const host of cluster.hosts()) host.cutFrom = 'n0';
-      await cluster.pass(10);
+      for (const host of cluster.workerHosts()) host.unreachableNode = 'n0';
+      await cluster.runFor(10);
       for (const host of busy) {
         assert.ok(
           [...cluster.cloud.machines.values()].includes(host),
@@ -381,7 +382,7 @@
       }
       const after = busy.map((host) => host.worker.agentEpoch);
       assert.deepEqual(after, sessions, 'no lease expired');
-      for (const host of cluster.hosts()) host.cutFrom = null;
+      for (const host of cluster.workerHosts()) host.unreachableNode = null;
     },
   },
   {
@@ -393,16 +394,16 @@
       { ...SMALL_JOB, Owner: 'limited too', Vcpus: 3, Pieces: 2 },
     ]),
     injectFaults: async (cluster, uids) => {
-      const busy = cluster.hosts().filter((host) => host.worker.tasks.size > 0);
+      const busy = cluster.workerHosts().filter((host) => host.worker.tasks.size > 0);
       busy.forEach((host, index) => {
         if (index % 2 === 0) host.worker.hung = true;
         else host.losesCommands = host.losesHeartbeats = true;
       });
       const cancelling = [cluster.cancel('n0', uids[0]!), cluster.cancel('n1', uids[1]!)];
-      for (const node of cluster.names) await crashAndRestart(cluster, node, 300);
-      await cluster.pass(8);
+      for (const node of cluster.nodes) await crashAndRestart(cluster, node, 300);
+      await cluster.runFor(8);
       await Promise.all(cancelling);
-      for (const host of cluster.hosts())
+      for (const host of cluster.workerHosts())
         host.worker.hung = host.losesCommands = host.losesHeartbeats = false;
     },
   },
@@ -414,11 +415,11 @@
     injectFaults: async (cluster) => {
       const follow = async (index: number) => {
         const body = cluster.submission({ ...SMALL_JOB, Pieces: 2 });
-        const uid = await cluster.submitBody(cluster.names[index % 3]!, body);
-        await cluster.look(body);
-        if (index % 3 === 0) await cluster.cancel(cluster.names[(index + 1) % 3]!, uid);
+        const uid = await cluster.submitBody(cluster.nodes[index % 3]!, body);
+        await cluster.queryAndResubmitAtAllNodes(body);
+        if (index % 3 === 0) await cluster.cancel(cluster.nodes[(index + 1) % 3]!, uid);
         for (let looks = 0; looks < 25; looks++) {
-          await cluster.look(body);
+          await cluster.queryAndResubmitAtAllNodes(body);
           await sleep(looks < 5 ? 2 : 60);
         }
       };
@@ -434,14 +435,14 @@
     jobs: [LARGE_JOB, { ...SMALL_JOB, Pieces: 3 }],
     injectFaults: async (cluster) => {
       for (let i = 0; i < 3; i++) {
-        for (const host of cluster.hosts()) host.heldMs = 3000;
-        await cluster.submit(cluster.names[(i + 1) % 3]!, LARGE_JOB);
-        await cluster.pass(0.6);
-        cluster.kill(cluster.names[i]!);
-        for (const host of cluster.hosts()) host.heldMs = 0;
-        await cluster.pass(i === 0 ? 0.2 : 8);
-        await cluster.start(cluster.names[i]!);
-        await cluster.pass(2);
+        for (const host of cluster.workerHosts()) host.commandDelayMs = 3000;
+        await cluster.submit(cluster.nodes[(i + 1) % 3]!, LARGE_JOB);
+        await cluster.runFor(0.6);
+        cluster.kill(cluster.nodes[i]!);
+        for (const host of cluster.workerHosts()) host.commandDelayMs = 0;
+        await cluster.runFor(i === 0 ? 0.2 : 8);
+        await cluster.start(cluster.nodes[i]!);
+        await cluster.runFor(2);
       }
     },
   },
@@ -455,17 +456,17 @@
       const cancelOver = async (seconds: number) => {
         for (let round = 0; round < seconds * 2 && uncancelled.length > 4; round++) {
           await Promise.all([
-            cluster.cancel(cluster.names[1 + (round % 2)]!, uncancelled.pop()!),
-            cluster.pass(0.5),
+            cluster.cancel(cluster.nodes[1 + (round % 2)]!, uncancelled.pop()!),
+            cluster.runFor(0.5),
           ]);
         }
       };
       cluster.kill('n0');
       await cancelOver(3);
       // The lease of n0's old incarnation expires, another node takes the shard, and later gives it back.
-      await cluster.pass(4);
+      await cluster.runFor(4);
       await cluster.start('n0');
-      await cluster.pass(4);
+      await cluster.runFor(4);
       await cancelOver(6);
     },
   },
@@ -475,19 +476,22 @@
     jobs: [LARGE_JOB, { ...LARGE_JOB, Pieces: 40 }, { ...SMALL_JOB, Shape: 'ensemble', Pieces: 2 }],
     injectFaults: async (cluster, [, second]) => {
       const losing = (on: boolean) => {
-        for (const door of cluster.doors.values()) door.losingAnswers = on;
+        for (const door of cluster.storeProxies.values()) door.losesResponses = on;
       };
       losing(true);
       const more = cluster.submission(LARGE_JOB);
       const submitting = cluster.submitBody('n1', more);
       const cancelling = cluster.cancel('n2', second!);
-      await cluster.pass(5);
+      await cluster.runFor(5);
       await crashAndRestart(cluster, 'n0', 300);
-      await cluster.pass(4);
+      await cluster.runFor(4);
       losing(false);
       await Promise.all([submitting, cancelling]);
-      await cluster.look(more);
-      const lost = [...cluster.doors.values()].reduce((sum, door) => sum + door.lost, 0);
+      await cluster.queryAndResubmitAtAllNodes(more);
+      const lost = [...cluster.storeProxies.values()].reduce(
+        (sum, door) => sum + door.lostResponses,
+        0,
+      );
       assert.ok(lost >= 3, `${lost} answers were lost`);
     },
   },
@@ -499,16 +503,16 @@
     injectFaults: async (cluster) => {
       const work: Promise<unknown>[] = [];
       for (let i = 0; i < 60; i++) {
-        const node = cluster.names[i % 3]!;
+        const node = cluster.nodes[i % 3]!;
         const one = async () => {
           const uid = await cluster.submit(node, { ...SMALL_JOB, Pieces: 1 });
           if (i % 4 !== 0) return;
           await sleep((i * 37) % 1600);
-          await cluster.cancel(cluster.names[(i + 1) % 3]!, uid);
+          await cluster.cancel(cluster.nodes[(i + 1) % 3]!, uid);
         };
         work.push(one());
         if (i === 30) work.push(crashAndRestart(cluster, 'n1', 300));
-        await cluster.pass(0.25);
+        await cluster.runFor(0.25);
       }
       await Promise.all(work);
     },
@@ -520,29 +524,29 @@
     options: { runMs: 5000, leaseS: 20, cancelS: 42 },
     jobs: [LARGE_JOB],
     injectFaults: async (cluster) => {
-      for (const [index, node] of cluster.names.entries()) {
-        for (const door of cluster.doors.values()) door.slowWritesMs = 900;
+      for (const [index, node] of cluster.nodes.entries()) {
+        for (const door of cluster.storeProxies.values()) door.transactionDelayMs = 900;
         const before = new Set(cluster.cloud.machines.keys());
-        const fresh = () => cluster.hosts().filter((host) => !before.has(host.worker.name));
+        const fresh = () => cluster.workerHosts().filter((host) => !before.has(host.worker.name));
         // Each task takes a whole machine, and there are more tasks than machines.
         await cluster.submit(node, { ...SMALL_JOB, Vcpus: 8, Pieces: before.size + 6 });
-        await cluster.until('new machines', 30, () => fresh().length > 0);
+        await cluster.waitUntil('new machines', 30, () => fresh().length > 0);
         // One slow write records the rental, a second one that the machine is up.
-        await cluster.pass(1.9 + index * 0.25);
+        await cluster.runFor(1.9 + index * 0.25);
         // The last writes never arrive, among them the records of machines that are up, and those machines do not
         // answer the next owner at first.
-        for (const other of cluster.names) cluster.kill(other);
-        for (const door of cluster.doors.values()) door.dropsWrites = true;
+        for (const other of cluster.nodes) cluster.kill(other);
+        for (const door of cluster.storeProxies.values()) door.dropsTransactions = true;
         for (const host of fresh()) host.worker.hung = true;
-        await cluster.pass(1.2);
-        for (const door of cluster.doors.values()) {
-          door.dropsWrites = false;
-          door.slowWritesMs = 0;
+        await cluster.runFor(1.2);
+        for (const door of cluster.storeProxies.values()) {
+          door.dropsTransactions = false;
+          door.transactionDelayMs = 0;
         }
-        await Promise.all(cluster.names.map((other) => cluster.start(other)));
-        await cluster.until(`${node} is ready`, 30, () => cluster.ready(node));
-        await cluster.pass(7);
-        for (const host of cluster.hosts()) host.worker.hung = false;
+        await Promise.all(cluster.nodes.map((other) => cluster.start(other)));
+        await cluster.waitUntil(`${node} is ready`, 30, () => cluster.isReady(node));
+        await cluster.runFor(7);
+        for (const host of cluster.workerHosts()) host.worker.hung = false;
       }
     },
   },
@@ -553,17 +557,17 @@
     options: LONG_LEASE,
     jobs: [{ ...SMALL_JOB, Pieces: 6 }],
     injectFaults: async (cluster) => {
-      for (const host of cluster.hosts()) host.keepReport();
+      for (const host of cluster.workerHosts()) host.keepHeartbeat();
       await cluster.submit('n1', LARGE_JOB);
       await cluster.submit('n2', LARGE_JOB);
-      await cluster.pass(2);
-      for (const [index, node] of cluster.names.entries()) {
+      await cluster.runFor(2);
+      for (const [index, node] of cluster.nodes.entries()) {
         cluster.kill(node);
-        await cluster.pass(index === 0 ? 7 : 0.3);
+        await cluster.runFor(index === 0 ? 7 : 0.3);
         const starting = cluster.start(node);
         for (let round = 0; round < 25; round++) {
-          for (const host of cluster.hosts()) host.deliverKept();
-          await cluster.pass(0.1);
+          for (const host of cluster.workerHosts()) host.deliverKeptHeartbeat();
+          await cluster.runFor(0.1);
         }
         await starting;
       }
@@ -586,14 +590,18 @@
         const uids: string[] = [];
         for (const [index, body] of faultCase.jobs.entries())
           uids.push(await cluster.submit(`n${index % 3}`, body));
-        await cluster.until('tasks run', 20, () => uids.length === 0 || cluster.world.started > 3);
+        await cluster.waitUntil(
+          'tasks run',
+          20,
+          () => uids.length === 0 || cluster.world.starts > 3,
+        );
         await faultCase.injectFaults(cluster, uids);
-        for (const node of cluster.names)
-          await cluster.until(`${node} is back`, 40, () => cluster.ready(node));
+        for (const node of cluster.nodes)
+          await cluster.waitUntil(`${node} is back`, 40, () => cluster.isReady(node));
         for (const uid of cluster.world.jobs.keys()) {
           const end = cluster.world.cancelledAt.has(uid) ? 'cancelled' : 'done';
-          for (const node of cluster.names) {
-            await cluster.until(
+          for (const node of cluster.nodes) {
+            await cluster.waitUntil(
               `${uid} ${end}`,
               60,
               async () => (await cluster.statusOf(node, uid)) === end,
@@ -601,11 +609,11 @@
           }
         }
         const cancelled = [...cluster.world.cancelledAt.keys()];
-        await cluster.until('cancelled tasks are gone', CANCEL_S + 2, () =>
-          cancelled.every((uid) => cluster.running(uid) === 0),
+        await cluster.waitUntil('cancelled tasks are gone', CANCEL_S + 2, () =>
+          cancelled.every((uid) => cluster.runningTasks(uid) === 0),
         );
-        assert.deepEqual(cluster.world.broken, []);
-        assert.ok(cluster.world.started > 3, 'tasks were started');
+        assert.deepEqual(cluster.world.violations, []);
+        assert.ok(cluster.world.starts > 3, 'tasks were started');
       } finally {
         cluster.close();
       }
--- a/test/controller-scene.ts
+++ b/test/controller-scene.ts
@@ -1,7 +1,7 @@
 import pino from 'pino';
 import { parseOperatorConfig } from '../src/config/operator.js';
 import type { PlatformConfig } from '../src/config/platform.js';
-import { FAILBACK_MS } from '../src/core/ownership/constants.js';
+import { FAILBACK_DELAY_MS } from '../src/core/ownership/constants.js';
 import type { Heartbeat, JobRecord, TaskRange } from '../src/core/model.js';
 import type { OwnedShard } from '../src/shards/owned-shard.js';
 import { ShardController } from '../src/shards/shard-controller.js';
@@ -33,21 +33,21 @@
 type Outcome = CompareAndSwapResult | StoreRequestError;
 
 /** A change of the watch: a value, or none for a removal. */
-export const changed = (key: string, value: unknown, revision: number) => ({
+export const watchChange = (key: string, value: unknown, revision: number) => ({
   key,
   value,
   revision,
   removed: value === undefined,
 });
 
-export const jobChanged = (record: JobRecord, revision: number) =>
-  changed(`active/${record.spec.uid}`, encodeJob(record), revision);
+export const jobChange = (record: JobRecord, revision: number) =>
+  watchChange(`active/${record.spec.uid}`, encodeJob(record), revision);
 
 /** A call without an answer. */
 export const noAnswer = () => new StoreRequestError('no_response', 'lost');
 
 /** Lets calls to the store return. */
-export const settle = () => new Promise((resolve) => setImmediate(resolve));
+export const flushStoreCalls = () => new Promise((resolve) => setImmediate(resolve));
 
 /**
  * A controller that owns shard 1, whose preferred node n1 is back, with machine x and a job of one task. Calls to the
@@ -59,8 +59,8 @@
   cancellationsKnownUntil = Infinity;
   /** what a linearizable read of the job finds; null: what the cache shows */
   stored: { key: string; value: unknown; revision: number } | null = null;
-  capacityElsewhere: { shard: number; tasks: number } | null = null;
-  lessAllocated: number | null = null;
+  shardWithFreeCapacity: { shard: number; tasks: number } | null = null;
+  lessAllocatedShard: number | null = null;
   outcome: (writes: readonly Write[]) => Outcome = () => ({ ok: true, epoch: 50 });
   readonly written: Write[][] = [];
   readonly cache = new WatchCache();
@@ -83,8 +83,8 @@
         reachablePeerWithStore: () => null,
         incarnationWithStore: (node) => (node === 'n1' ? 'b' : null),
         peerReceivingHeartbeats: () => null,
-        capacityElsewhere: () => this.capacityElsewhere,
-        lessAllocated: () => this.lessAllocated,
+        shardWithFreeCapacity: () => this.shardWithFreeCapacity,
+        lessAllocatedShard: () => this.lessAllocatedShard,
         imagesOf: () => new Map(),
         cancellationsKnownUntil: () => this.cancellationsKnownUntil,
       },
@@ -101,13 +101,13 @@
       revision: 20,
       consistentFrom: 20,
       changes: [
-        changed('term', TERM, 10),
-        changed('parts/0', { owner: 'n0', incarnation: 'a', term: 4 }, 9),
-        changed('parts/1', SHARD_1, 10),
-        changed('nodes/n0/a', { incarnation: 'a' }, 2),
-        changed('nodes/n1/b', { incarnation: 'b' }, 11),
-        changed('machines/g', encodeMachineGroup(group), 12),
-        jobChanged(job({}, TERM, 1), 13),
+        watchChange('term', TERM, 10),
+        watchChange('parts/0', { owner: 'n0', incarnation: 'a', term: 4 }, 9),
+        watchChange('parts/1', SHARD_1, 10),
+        watchChange('nodes/n0/a', { incarnation: 'a' }, 2),
+        watchChange('nodes/n1/b', { incarnation: 'b' }, 11),
+        watchChange('machines/g', encodeMachineGroup(group), 12),
+        jobChange(job({}, TERM, 1), 13),
       ],
     });
     this.tick();
@@ -134,17 +134,17 @@
   async tickAt(now: number): Promise<void> {
     this.now = now;
     this.tick();
-    await settle();
+    await flushStoreCalls();
   }
 
   /** The watch shows nothing new up to a revision, or some changes. */
-  watched(revision: number, changes: readonly ReturnType<typeof changed>[] = []): void {
+  showChanges(revision: number, changes: readonly ReturnType<typeof watchChange>[] = []): void {
     this.cache.apply({ isListing: false, revision, changes: [...changes] });
   }
 
   /** The round in which shard 1 fails back to its preferred node. */
   failback(): Promise<void> {
-    return this.tickAt(FAILBACK_MS);
+    return this.tickAt(FAILBACK_DELAY_MS);
   }
 
   owned(index: number): OwnedShard | undefined {
--- a/test/design.test.ts
+++ b/test/design.test.ts
@@ -1,11 +1,15 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { admit } from '../src/core/jobs/admission.js';
-import { chooseShard, cutRanges, decodeDone, encodeDone } from '../src/core/jobs/jobs.js';
+import { chooseShard, splitIntoRanges, decodeDone, encodeDone } from '../src/core/jobs/jobs.js';
 import { shareOf, type Resources } from '../src/core/model.js';
-import { complement, deviation, dominant } from '../src/core/placement/pairing.js';
-import { mostMatched, unusedVolume } from '../src/core/placement/unused-volume.js';
-import { randomFrom } from '../src/random.js';
+import {
+  findComplement,
+  demandDeviation,
+  dominantResource,
+} from '../src/core/placement/pairing.js';
+import { bestFit, unusedVolume } from '../src/core/placement/unused-volume.js';
+import { seededRandomInt } from '../src/random.js';
 import { machineType, settings, spec } from './helpers.js';
 
 const r = (cpus: number, gpus: number, memoryGb: number): Resources => ({ cpus, gpus, memoryGb });
@@ -18,8 +22,8 @@
   assert.deepEqual(volumes, [0.867, 1.233, 2.8, 1.183]);
   const vms = free.map((f, i) => ({ name: `vm${i + 1}`, free: f }));
   // Entity (3, 4) fits VM2 and VM3, entity (5, 6) fits VM2, VM3 and VM4.
-  assert.equal(mostMatched([vms[1]!, vms[2]!], largest)?.name, 'vm2');
-  assert.equal(mostMatched([vms[1]!, vms[2]!, vms[3]!], largest)?.name, 'vm4');
+  assert.equal(bestFit([vms[1]!, vms[2]!], largest)?.name, 'vm2');
+  assert.equal(bestFit([vms[1]!, vms[2]!, vms[3]!], largest)?.name, 'vm4');
 });
 
 test('most matched machine: ties', () => {
@@ -32,15 +36,15 @@
     ['equal: the name', [m('b', r(4, 1, 32)), m('a', r(4, 1, 32))], 'a'],
   ];
   for (const [name, candidates, want] of cases) {
-    assert.equal(mostMatched(candidates, largest)?.name ?? null, want, name);
+    assert.equal(bestFit(candidates, largest)?.name ?? null, want, name);
   }
 });
 
 test('deviation and complement: table', () => {
   // Equation (1): two gaps from the mean for each resource.
-  assert.equal(deviation(r(6, 0, 0), r(2, 0, 0)), 8);
-  assert.equal(deviation(r(1, 2, 3), r(1, 2, 3)), 0);
-  assert.equal(dominant(r(0.2, 0.5, 0.1)), 'gpus');
+  assert.equal(demandDeviation(r(6, 0, 0), r(2, 0, 0)), 8);
+  assert.equal(demandDeviation(r(1, 2, 3), r(1, 2, 3)), 0);
+  assert.equal(dominantResource(r(0.2, 0.5, 0.1)), 'gpus');
   const g = (item: string, share: Resources, count = 1) => ({ item, share, count });
   const cpu = r(0.9, 0.1, 0.1);
   const cases: [string, ReturnType<typeof g>[], string | null][] = [
@@ -51,12 +55,12 @@
     ['the earliest of equals', [g('a', r(0, 1, 0)), g('b', r(0, 1, 0))], 'a'],
   ];
   for (const [name, groups, want] of cases) {
-    assert.equal(complement(cpu, groups)?.item ?? null, want, name);
+    assert.equal(findComplement(cpu, groups)?.item ?? null, want, name);
   }
 });
 
 test('comparing groups gives what comparing each with each gives', () => {
-  const random = randomFrom(7);
+  const random = seededRandomInt(7);
   const largest = r(8, 2, 64);
   for (let round = 0; round < 200; round++) {
     const groups = Array.from({ length: 1 + random(6) }, (_, item) => ({
@@ -68,7 +72,7 @@
       Array.from({ length: x.count }, () => ({ ...x, count: 1 })),
     );
     const share = shareOf(r(random(9), random(3), random(65)), largest);
-    assert.equal(complement(share, groups)?.item, complement(share, single)?.item);
+    assert.equal(findComplement(share, groups)?.item, findComplement(share, single)?.item);
   }
 });
 
@@ -101,7 +105,7 @@
     [100_000, 3, false, 13],
   ];
   for (const [tasks, shards, whole, count] of cases) {
-    const ranges = cutRanges(tasks, shards, whole);
+    const ranges = splitIntoRanges(tasks, shards, whole);
     assert.equal(ranges.length, count, `${tasks} tasks`);
     let at = 0;
     for (const [from, to] of ranges) {
--- a/test/known-red.test.ts
+++ b/test/known-red.test.ts
@@ -1,7 +1,7 @@
 /** Checks that a test run passes only if exactly the tests listed in KNOWN-RED.txt fail. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { judge } from './runner/known-red.js';
+import { evaluateOutcomes } from './runner/known-red.js';
 
 const entryFor = (name: string) => `${name} | npm test, seed 1 | what was seen | issue 1`;
 
@@ -71,7 +71,10 @@
 
 test('only the tests listed in KNOWN-RED.txt may fail, and all of them must (table)', () => {
   for (const { name, text = '', passed = [], failed = [], problem } of CASES) {
-    const { ok, lines } = judge(text, { passed: new Set(passed), failed: new Set(failed) });
+    const { ok, lines } = evaluateOutcomes(text, {
+      passed: new Set(passed),
+      failed: new Set(failed),
+    });
     assert.equal(ok, problem === null, `${name}: ${lines.join('; ')}`);
     if (problem !== null)
       assert.ok(
--- a/test/leadership-commands.test.ts
+++ b/test/leadership-commands.test.ts
@@ -7,13 +7,13 @@
 import { ConfigError } from '../src/config/platform.js';
 import { ORPHAN_COLLECTOR_ROLE } from '../src/singletons/roles.js';
 import { Cluster } from './standins/cluster.js';
-import { withCommands, type Run } from './standins/commands.js';
+import { withCommands, type CommandResult } from './standins/commands.js';
 
-type Command = (...args: string[]) => Promise<Run>;
+type Command = (...args: string[]) => Promise<CommandResult>;
 const ROLE = ORPHAN_COLLECTOR_ROLE;
 
 const statusOf = async (run: Command): Promise<LeadershipOutput['duties'][number]> => {
-  const shown = JSON.parse((await run('--json')).out) as LeadershipOutput;
+  const shown = JSON.parse((await run('--json')).stdout) as LeadershipOutput;
   return shown.duties.find(({ duty }) => duty === ROLE)!;
 };
 
@@ -23,7 +23,7 @@
   run: Command,
   first: LeaderRecord,
 ): Promise<void> => {
-  const shown = JSON.parse((await run('--json')).out) as LeadershipOutput;
+  const shown = JSON.parse((await run('--json')).stdout) as LeadershipOutput;
   const reclaim = shown.duties.find(({ duty }) => duty === ROLE)!;
   assert.equal(reclaim.holder, first.holder!.node);
   assert.equal(reclaim.token, first.token);
@@ -32,7 +32,7 @@
 
   cluster.kill(first.holder!.node);
   const seen = new Set<string>();
-  await cluster.until('another leader is shown', 20, async () => {
+  await cluster.waitUntil('another leader is shown', 20, async () => {
     const status = await statusOf(run);
     seen.add(`${status.until.kind} ${status.token}`);
     return status.token === first.token + 1 && status.until.kind === 'lease_renewed';
@@ -42,13 +42,13 @@
 
 /** The node that ended: the request waits, visibly, until it is withdrawn. */
 const waitsForEndedNode = async (cluster: Cluster, run: Command, ended: string): Promise<void> => {
-  assert.equal((await run('hand-over', ROLE, '--to', ended, '--id', 'a')).code, 0);
+  assert.equal((await run('hand-over', ROLE, '--to', ended, '--id', 'a')).exitCode, 0);
   const other = await run('hand-over', ROLE, '--to', ended, '--id', 'b');
-  assert.equal(other.code, 3);
-  assert.match(other.err, /another request waits \(a\)/);
-  const { out } = await run();
+  assert.equal(other.exitCode, 3);
+  assert.match(other.stderr, /another request waits \(a\)/);
+  const { stdout: out } = await run();
   assert.match(out, new RegExp(`to ${ended} \\(a\\), waits for ${ended} to live`));
-  assert.equal((await run('withdraw', ROLE)).code, 0);
+  assert.equal((await run('withdraw', ROLE)).exitCode, 0);
   assert.equal(cluster.stored(transferRequestKey(ROLE)), undefined);
 };
 
@@ -59,14 +59,14 @@
     const record = () => cluster.stored(leaderKey(ROLE)) as LeaderRecord | undefined;
     try {
       await cluster.open();
-      await cluster.until('held', 20, () => record() !== undefined);
+      await cluster.waitUntil('held', 20, () => record() !== undefined);
       const shardsOwned = () =>
         ['0', '1', '2'].every((i) => cluster.stored(`parts/${i}`) !== undefined);
-      await cluster.until('all shards are owned', 20, shardsOwned);
-      await withCommands(cluster.state.address, 'duties', async (run) => {
+      await cluster.waitUntil('all shards are owned', 20, shardsOwned);
+      await withCommands(cluster.store.address, 'duties', async (run) => {
         const first = record()!;
         await showsFailover(cluster, run, first);
-        const to = cluster.names.find(
+        const to = cluster.nodes.find(
           (n) => n !== first.holder!.node && n !== record()!.holder!.node,
         )!;
         const asked = await Promise.all([
@@ -74,12 +74,12 @@
           run('hand-over', ROLE, '--to', to, '--id', 'same'),
         ]);
         assert.deepEqual(
-          asked.map((r) => r.code),
+          asked.map((r) => r.exitCode),
           [0, 0],
           'the same id is one request',
         );
-        await cluster.until(`${to} holds it`, 20, () => record()?.holder?.node === to);
-        const text = (await run('show')).out;
+        await cluster.waitUntil(`${to} holds it`, 20, () => record()?.holder?.node === to);
+        const text = (await run('show')).stdout;
         assert.match(text, /^DUTY +HOLDER +TOKEN +SINCE +UNTIL +HAND-OVER\n/);
         assert.match(text, new RegExp(`^reclaim +${to} +${record()!.token} `, 'm'));
 
@@ -100,12 +100,12 @@
         [['withdraw', 'rent'], /no such duty: rent/],
       ];
       for (const [args, says] of bad) {
-        const { code, err } = await run(...args);
+        const { exitCode: code, stderr: err } = await run(...args);
         assert.equal(code, 2, args.join(' '));
         assert.match(err, says);
       }
       for (const args of [[], ['--json'], ['hand-over', ROLE], ['withdraw', ROLE]]) {
-        const { code, out, err } = await run(...args);
+        const { exitCode: code, stdout: out, stderr: err } = await run(...args);
         assert.equal(code, 1, args.join(' '));
         assert.equal(out, '');
         assert.match(err, /^sumacstep: the state service: /);
--- a/test/machine-faults.test.ts
+++ b/test/machine-faults.test.ts
@@ -45,10 +45,11 @@
   const heartbeat = worker.heartbeat();
   const result = shard.handleHeartbeat(heartbeat, now, true);
   if (result.kind !== 'answer') return [];
-  if (answerArrives) worker.answered(shard.term, result.commands, now, heartbeat.agentEpoch);
+  if (answerArrives)
+    worker.onHeartbeatAnswer(shard.term, result.commands, now, heartbeat.agentEpoch);
   return result.commands;
 };
-const runsOn = (world: World, task: string): string[] => [...(world.on.get(task) ?? [])];
+const runsOn = (world: World, task: string): string[] => [...(world.runningOn.get(task) ?? [])];
 
 test('heartbeats arrive but commands are lost: tasks start elsewhere, and the machine is returned', () => {
   const cases: { name: string; direct: boolean }[] = [
@@ -71,7 +72,7 @@
     for (; now < 2 * LEASE_MS && runsOn(world, 'job-000001/0').length === 0; now += HEARTBEAT_MS) {
       exchangeHeartbeat(shard, workerA, now, false);
       if (returns(shard, now).includes('a')) {
-        workerA.vanish();
+        workerA.terminate();
         shard.removeMachine('a', now);
       }
       exchangeHeartbeat(shard, workerB, now + 1);
@@ -87,7 +88,7 @@
       !shard.machines.has('a') || shard.machines.get('a')!.commandsLostSince !== null,
       name,
     );
-    assert.deepEqual(world.broken, [], name);
+    assert.deepEqual(world.violations, [], name);
   }
 });
 
@@ -190,7 +191,7 @@
       'after the machine was returned',
       (cluster) => cluster.shard,
       (cluster) => {
-        cluster.worker.vanish();
+        cluster.worker.terminate();
         cluster.shard.removeMachine('a', 2000);
       },
     ],
@@ -206,7 +207,7 @@
     for (const copy of copies)
       assert.notEqual(shard.handleHeartbeat(copy, at, true).kind, 'answer', name);
     assert.deepEqual(snapshot(shard), before, name);
-    assert.deepEqual(cluster.world.broken, [], name);
+    assert.deepEqual(cluster.world.violations, [], name);
   }
 });
 
@@ -231,7 +232,7 @@
   exchangeHeartbeat(shard, workerA, 2900);
   assert.equal(shard.recovered, true);
   assert.equal(shard.jobs.get('job-000001')?.placements.get(0)?.machine.record.name, 'a');
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
 });
 
 test('no starvation: large jobs start despite a steady stream of newer small jobs', () => {
@@ -276,13 +277,13 @@
           store.jobs.delete(jobState.spec.uid);
       }
       shard.sync(store, now);
-      for (const [task, on] of world.on) {
+      for (const [task, on] of world.runningOn) {
         if (task.startsWith('job-000099/') && on.size > 0) started.add(task);
       }
       if (started.size === (large?.tasks ?? 0)) break;
     }
     assert.equal(started.size, large?.tasks, `${name}: started by ${now} ms`);
-    assert.deepEqual(world.broken, [], name);
+    assert.deepEqual(world.violations, [], name);
   }
 });
 
@@ -295,7 +296,7 @@
   const shard = shardWith(store);
   const workers = ['a', 'b'].map((n) => new FakeWorker(n, new World(), RUN_MS, LEASE_MS, 0));
   for (const worker of workers) shard.handleHeartbeat(worker.heartbeat(), 0, true);
-  for (const worker of workers) worker.direct(shard.term, 1, []);
+  for (const worker of workers) worker.executeDirect(shard.term, 1, []);
   for (const worker of workers) shard.handleCommandStatus(worker.heartbeat(), 100);
   shard.placeAll(200);
   const [first] = [...shard.jobs.get('job-000001')!.placements.values()];
@@ -333,7 +334,7 @@
   for (const now of [0, 600, 1200])
     for (const worker of [workerA, workerB]) exchangeHeartbeat(shard, worker, now);
   assert.equal(shard.jobs.get('job-000001')?.placements.size, 4);
-  workerA.noticeS = 10;
+  workerA.preemptionNoticeS = 10;
   shard.handleHeartbeat(workerA.heartbeat(), 2000, true);
   const commands = shard.directCommands(2000).flatMap((batch) => batch.commands);
   assert.equal(
@@ -379,7 +380,7 @@
     for (let now = from; now < from + 2 * LEASE_MS; now += HEARTBEAT_MS / 2) {
       workerA.advance(now);
       exchangeHeartbeat(shard, workerB, now);
-      assert.deepEqual(world.broken, []);
+      assert.deepEqual(world.violations, []);
     }
     assert.deepEqual(runsOn(world, 'job-000001/0'), ['b'], 'the task runs again in the end');
     assert.equal(shard.machines.has('a'), false);
--- a/test/machine-moves.test.ts
+++ b/test/machine-moves.test.ts
@@ -15,8 +15,8 @@
 
 for (const { name, seed, faults } of RUNS) {
   test(`machines move while jobs run: ${name}, seed ${seed}`, async (t) => {
-    const run = new MachineMovesRun({ seed, seconds: 25, everyS: 2, faults });
-    const { broken, unfinished, counts } = await run.run();
+    const run = new MachineMovesRun({ seed, durationS: 25, moveIntervalS: 2, faults });
+    const { violations: broken, unfinished, counts } = await run.run();
     t.diagnostic(JSON.stringify(counts));
     assert.deepEqual(broken, []);
     assert.deepEqual(unfinished, []);
--- a/test/measurements/duty-takeover.ts
+++ b/test/measurements/duty-takeover.ts
@@ -26,19 +26,19 @@
 };
 
 /** ms from the end of a key's holder until the store names another one. */
-const takeover = async (cluster: Cluster, key: string, version: Version): Promise<number> => {
+const takeoverMs = async (cluster: Cluster, key: string, version: Version): Promise<number> => {
   const holder = ownerOf(cluster, key)!;
   cluster.kill(holder);
   const ended = performance.now();
   while (ownerOf(cluster, key) === holder) await sleep(POLL_MS);
   const passed = performance.now() - ended;
   await cluster.start(holder, version);
-  await cluster.until(`${holder} is ready`, 40, () => cluster.ready(holder));
+  await cluster.waitUntil(`${holder} is ready`, 40, () => cluster.isReady(holder));
   await sleep(SETTLE_MS);
   return passed;
 };
 
-interface Measured {
+interface Measurement {
   readonly shards: Series;
   readonly duty: Series | null;
   readonly requestsPerS: number;
@@ -48,7 +48,7 @@
   name: string,
   version: Version,
   duties: SingletonsConfig | undefined,
-): Promise<Measured> => {
+): Promise<Measurement> => {
   const versions = { n0: version, n1: version, n2: version };
   const options = { runMs: 1000, leaseS: 18, cancelS: 38, versions };
   const cluster = new Cluster(
@@ -58,21 +58,21 @@
   const duty = duties === undefined ? null : new Series(`holder of a duty, ${name}`);
   try {
     await cluster.open();
-    await cluster.until('parts are owned', 30, () => ownerOf(cluster, 'parts/0') !== null);
+    await cluster.waitUntil('parts are owned', 30, () => ownerOf(cluster, 'parts/0') !== null);
     if (duty !== null)
-      await cluster.until(
+      await cluster.waitUntil(
         'held',
         30,
         () => ownerOf(cluster, leaderKey(ORPHAN_COLLECTOR_ROLE)) !== null,
       );
     await sleep(SETTLE_MS);
-    const before = cluster.state.requests;
+    const before = cluster.store.requestCount;
     await sleep(IDLE_MS);
-    const requestsPerS = ((cluster.state.requests - before) * 1000) / IDLE_MS;
+    const requestsPerS = ((cluster.store.requestCount - before) * 1000) / IDLE_MS;
     for (let round = 0; round < rounds; round++) {
-      shards.add(await takeover(cluster, 'parts/0', version));
+      shards.add(await takeoverMs(cluster, 'parts/0', version));
       if (duty !== null)
-        duty.add(await takeover(cluster, leaderKey(ORPHAN_COLLECTOR_ROLE), version));
+        duty.add(await takeoverMs(cluster, leaderKey(ORPHAN_COLLECTOR_ROLE), version));
     }
     return { shards, duty, requestsPerS };
   } finally {
@@ -80,18 +80,23 @@
   }
 };
 
-const old = await measure('version before', 'production', undefined);
-const off = await measure('duties off', 'current', undefined);
-const on = await measure(
+const production = await measure('version before', 'production', undefined);
+const dutiesOff = await measure('duties off', 'current', undefined);
+const dutiesOn = await measure(
   'duties on',
   'current',
   parseSingletonsConfig('', '[clear]\nenabled = true'),
 );
-const series = [old.shards, off.shards, on.shards, ...(on.duty === null ? [] : [on.duty])];
+const series = [
+  production.shards,
+  dutiesOff.shards,
+  dutiesOn.shards,
+  ...(dutiesOn.duty === null ? [] : [dutiesOn.duty]),
+];
 const counts = {
-  'state requests a second, version before': old.requestsPerS,
-  'duties off': off.requestsPerS,
-  'duties on': on.requestsPerS,
+  'state requests a second, version before': production.requestsPerS,
+  'duties off': dutiesOff.requestsPerS,
+  'duties on': dutiesOn.requestsPerS,
 };
 const settings = { controllers: 3, 'takeovers of each series': rounds, 'node lease': '6 s' };
 const plot = { title: 'From the end of a holder to the next one', unit: 'ms', series };
--- a/test/measurements/report.ts
+++ b/test/measurements/report.ts
@@ -37,7 +37,7 @@
   readonly series: readonly Series[];
 }
 
-const svg = async ({ title, unit, series }: Plot): Promise<string> => {
+const renderPlot = async ({ title, unit, series }: Plot): Promise<string> => {
   const values = series.flatMap(({ name, values: all }) =>
     [...all]
       .sort((a, b) => a - b)
@@ -58,12 +58,12 @@
   return new vega.View(vega.parse(spec), { renderer: 'none' }).toSVG();
 };
 
-const escape = (text: string): string => text.replace(/&/g, '&amp;').replace(/</g, '&lt;');
+const escapeHtml = (text: string): string => text.replace(/&/g, '&amp;').replace(/</g, '&lt;');
 
-const rows = (cells: readonly Record<string, unknown>[]): string => {
+const htmlTable = (cells: readonly Record<string, unknown>[]): string => {
   const titles = Object.keys(cells[0] ?? {});
   const line = (tag: string, values: readonly unknown[]) =>
-    `<tr>${values.map((value) => `<${tag}>${escape(String(value))}</${tag}>`).join('')}</tr>`;
+    `<tr>${values.map((value) => `<${tag}>${escapeHtml(String(value))}</${tag}>`).join('')}</tr>`;
   const body = cells.map((row) =>
     line(
       'td',
@@ -86,14 +86,14 @@
 ): Promise<string> => {
   const sections = [
     '<!doctype html><meta charset="utf-8">',
-    `<title>${escape(title)}</title>`,
+    `<title>${escapeHtml(title)}</title>`,
     '<style>body{font:15px sans-serif;margin:2em}td,th{padding:2px 10px;text-align:right}</style>',
-    `<h1>${escape(title)}</h1>`,
-    rows([{ machine: machineText(), ...settings }]),
-    Object.keys(counts).length > 0 ? rows([counts]) : '',
+    `<h1>${escapeHtml(title)}</h1>`,
+    htmlTable([{ machine: machineText(), ...settings }]),
+    Object.keys(counts).length > 0 ? htmlTable([counts]) : '',
   ];
   for (const plot of plots) {
-    sections.push(rows(plot.series.map((series) => series.summary())), await svg(plot));
+    sections.push(htmlTable(plot.series.map((series) => series.summary())), await renderPlot(plot));
   }
   return `${sections.join('\n')}\n`;
 };
--- a/test/mixed-versions.test.ts
+++ b/test/mixed-versions.test.ts
@@ -66,12 +66,12 @@
 const SEEDED_TWICE = seededArrays([0, 1]);
 
 const slotKeysOf = (cluster: Cluster, shard: number): string[] =>
-  [...cluster.state.items.keys()].filter((k) => k.startsWith(`done/${shard}/`));
+  [...cluster.store.items.keys()].filter((k) => k.startsWith(`done/${shard}/`));
 
 /** Returns the shard of each task range of all unfinished jobs, by job and first task. */
 const shardsOfRanges = (cluster: Cluster): Map<string, number> => {
   const out = new Map<string, number>();
-  for (const [key, { value }] of cluster.state.items) {
+  for (const [key, { value }] of cluster.store.items) {
     if (!key.startsWith('active/')) continue;
     const { ranges } = value as { ranges: [number, number, number, number][] };
     for (const [from, , shard] of ranges) out.set(`${key}/${from}`, shard);
@@ -105,22 +105,22 @@
       versions: ALL_PRODUCTION,
       runMs: (index) => 4000 + (index % SEEDED_LEFT) * 8000,
       storeLimits: SMALL_LIMITS,
-      seed: SEEDED.values,
+      initialValues: SEEDED.values,
     },
     completed: SEEDED.completed,
     jobs: [],
     scenario: async (cluster) => {
-      const door = cluster.doors.get('n0')!;
-      await cluster.until('tasks run', 20, () => cluster.world.started > 8);
+      const door = cluster.storeProxies.get('n0')!;
+      await cluster.waitUntil('tasks run', 20, () => cluster.world.starts > 8);
       cluster.kill('n0');
-      door.slowWritesMs = 700;
+      door.transactionDelayMs = 700;
       await cluster.start('n0', 'current');
-      await cluster.until('the split has begun', 30, () => slotKeysOf(cluster, 0).length > 1);
+      await cluster.waitUntil('the split has begun', 30, () => slotKeysOf(cluster, 0).length > 1);
       cluster.kill('n0');
-      door.slowWritesMs = 0;
+      door.transactionDelayMs = 0;
       await cluster.start('n0', 'production');
-      await cluster.until('the old version owns it', 40, () => cluster.ready('n0'));
-      await cluster.pass(6);
+      await cluster.waitUntil('the old version owns it', 40, () => cluster.isReady('n0'));
+      await cluster.runFor(6);
       await cluster.replace('n0', 'current');
     },
   },
@@ -135,21 +135,21 @@
         ['production', 'current'],
         ['current', 'production'],
       ] as const) {
-        for (const node of cluster.names) if (from === 'current') await cluster.replace(node, from);
-        cluster.cloud.slowRentalMs = 2500;
+        for (const node of cluster.nodes) if (from === 'current') await cluster.replace(node, from);
+        cluster.cloud.rentalDelayMs = 2500;
         await cluster.submit('n1', { ...SMALL_JOB, Vcpus: 6, Pieces: 40 });
         const rentalKeys = () =>
-          [...cluster.state.items.keys()].filter((k) => k.startsWith('hires/'));
-        await cluster.until(
+          [...cluster.store.items.keys()].filter((k) => k.startsWith('hires/'));
+        await cluster.waitUntil(
           `a rental request of the ${from} version is in flight`,
           30,
           () => rentalKeys().length > 0,
         );
-        for (const node of cluster.names) cluster.kill(node);
-        cluster.cloud.slowRentalMs = 0;
-        await Promise.all(cluster.names.map((node) => cluster.start(node, to)));
+        for (const node of cluster.nodes) cluster.kill(node);
+        cluster.cloud.rentalDelayMs = 0;
+        await Promise.all(cluster.nodes.map((node) => cluster.start(node, to)));
       }
-      const recorded = [...cluster.state.items]
+      const recorded = [...cluster.store.items]
         .filter(([key]) => key.startsWith('machines/'))
         .flatMap(([, { value }]) => Object.keys((value as { hosts: object }).hosts));
       assert.equal(new Set(recorded).size, recorded.length, 'no machine has two records');
@@ -168,13 +168,13 @@
         [first!, 'n1', 'n0'],
         [second!, 'n0', 'n2'],
       ] as const) {
-        cluster.doors.get(node)!.slowWritesMs = 1500;
-        const unanswered = cluster.ask(node, 'withdraw', uid);
-        await cluster.pass(0.5);
+        cluster.storeProxies.get(node)!.transactionDelayMs = 1500;
+        const unanswered = cluster.sendUserRequest(node, 'withdraw', uid);
+        await cluster.runFor(0.5);
         cluster.kill(node);
         await unanswered;
         await cluster.cancel(nextNode, uid);
-        cluster.doors.get(node)!.slowWritesMs = 0;
+        cluster.storeProxies.get(node)!.transactionDelayMs = 0;
         await cluster.start(node, node === 'n0' ? 'production' : 'current');
       }
     },
@@ -185,20 +185,20 @@
     options: { versions: { n1: 'production', n2: 'production' }, runMs: 6000 },
     jobs: [1, 2, 3].map(() => ({ ...SMALL_JOB, Vcpus: 2, Pieces: 18 })),
     scenario: async (cluster) => {
-      cluster.cloud.most = Math.max(2, cluster.cloud.machines.size - 2);
+      cluster.cloud.maxMachines = Math.max(2, cluster.cloud.machines.size - 2);
       const before = shardsOfRanges(cluster);
       const hasMigrated = () =>
         [...shardsOfRanges(cluster)].some(([range, shard]) => before.get(range) !== shard);
-      for (const door of cluster.doors.values()) door.slowWritesMs = 300;
+      for (const door of cluster.storeProxies.values()) door.transactionDelayMs = 300;
       for (let i = 0; i < 4; i++)
-        await cluster.submit(cluster.names[i % 3]!, { ...SMALL_JOB, Pieces: 18 });
-      const lostHosts = cluster.hosts().slice(0, 1);
+        await cluster.submit(cluster.nodes[i % 3]!, { ...SMALL_JOB, Pieces: 18 });
+      const lostHosts = cluster.workerHosts().slice(0, 1);
       for (const host of lostHosts) cluster.cloud.kill(host.worker.name);
-      await cluster.until('tasks migrate', 60, hasMigrated);
+      await cluster.waitUntil('tasks migrate', 60, hasMigrated);
       await cluster.replace('n0', 'production');
       await cluster.replace('n1', 'current');
-      for (const door of cluster.doors.values()) door.slowWritesMs = 0;
-      cluster.cloud.most = Infinity;
+      for (const door of cluster.storeProxies.values()) door.transactionDelayMs = 0;
+      cluster.cloud.maxMachines = Infinity;
     },
   },
   {
@@ -209,7 +209,7 @@
       versions: { n1: 'production', n2: 'production' },
       runMs: (index) => 3000 + (index % 16) * 1500,
       storeLimits: SMALL_LIMITS,
-      seed: SEEDED_TWICE.values,
+      initialValues: SEEDED_TWICE.values,
     },
     completed: SEEDED_TWICE.completed,
     jobs: [
@@ -218,27 +218,27 @@
     ],
     scenario: async (cluster, [first]) => {
       const hasLargeSlot = () =>
-        [...cluster.state.items].some(
+        [...cluster.store.items].some(
           ([key, { value }]) => key.startsWith('done/0/') && JSON.stringify(value).length > 700,
         );
-      await cluster.until('the present version has split the slot', 30, () => !hasLargeSlot());
-      cluster.state.limits = { valueBytes: 700, transactionOps: 3, writeRps: 150 };
+      await cluster.waitUntil('the present version has split the slot', 30, () => !hasLargeSlot());
+      cluster.store.limits = { valueBytes: 700, transactionOps: 3, writeRps: 150 };
       for (let i = 0; i < 3; i++) await cluster.submit('n1', { ...SMALL_JOB, Pieces: 16 });
       cluster.kill('n0');
-      await cluster.pass(9);
+      await cluster.runFor(9);
       await cluster.start('n0', 'current');
       await cluster.cancel('n0', first!);
-      await cluster.until(
+      await cluster.waitUntil(
         'the old version gets a refusal and exits',
         60,
         () => cluster.crashes > 0,
       );
       await cluster.replace('n1', 'current');
       await cluster.replace('n2', 'current');
-      const refusedBefore = cluster.state.refused.size;
-      await cluster.pass(3);
+      const refusedBefore = cluster.store.rejectedTransactions.size;
+      await cluster.runFor(3);
       assert.equal(
-        cluster.state.refused.size,
+        cluster.store.rejectedTransactions.size,
         refusedBefore,
         'the present version sends nothing too large',
       );
@@ -266,23 +266,23 @@
       });
       for (const [uid, done] of versionCase.completed ?? [])
         cluster.world.completed.set(uid, new Set(done));
-      const { seed = {} } = versionCase.options ?? {};
+      const { initialValues: seed = {} } = versionCase.options ?? {};
       try {
         await cluster.open();
         const uids: string[] = [];
         for (const [index, body] of versionCase.jobs.entries())
           uids.push(await cluster.submit(`n${index % 3}`, body));
-        await cluster.until('tasks run', 30, () => cluster.world.started > 3);
+        await cluster.waitUntil('tasks run', 30, () => cluster.world.starts > 3);
         await versionCase.scenario(cluster, uids);
-        for (const node of cluster.names)
-          await cluster.until(`${node} is back`, 40, () => cluster.ready(node));
+        for (const node of cluster.nodes)
+          await cluster.waitUntil(`${node} is back`, 40, () => cluster.isReady(node));
         const seeded = Object.keys(seed).flatMap((key) =>
           key.startsWith('active/') ? [key.slice('active/'.length)] : [],
         );
         for (const uid of [...cluster.world.jobs.keys(), ...seeded]) {
           const end = cluster.world.cancelledAt.has(uid) ? 'cancelled' : 'done';
-          for (const node of cluster.names) {
-            await cluster.until(
+          for (const node of cluster.nodes) {
+            await cluster.waitUntil(
               `${uid} ${end}`,
               90,
               async () => (await cluster.statusOf(node, uid)) === end,
@@ -290,11 +290,11 @@
           }
         }
         const cancelled = [...cluster.world.cancelledAt.keys()];
-        await cluster.until('cancelled tasks are gone', CANCEL_S + 2, () =>
-          cancelled.every((uid) => cluster.running(uid) === 0),
+        await cluster.waitUntil('cancelled tasks are gone', CANCEL_S + 2, () =>
+          cancelled.every((uid) => cluster.runningTasks(uid) === 0),
         );
-        assert.deepEqual(cluster.world.broken, []);
-        assert.equal(cluster.world.startedCompleted, 0, 'no completed task was started again');
+        assert.deepEqual(cluster.world.violations, []);
+        assert.equal(cluster.world.startsAfterCompletion, 0, 'no completed task was started again');
       } finally {
         cluster.close();
       }
--- a/test/move-candidates.test.ts
+++ b/test/move-candidates.test.ts
@@ -6,7 +6,7 @@
 import { test } from 'node:test';
 import pino from 'pino';
 import { MachineRecords } from '../src/shards/machine-records/machine-records.js';
-import { candidateOf } from '../src/rebalancing/move-candidates.js';
+import { toCandidate } from '../src/rebalancing/move-candidates.js';
 import type { MachineState } from '../src/core/shard/shard.js';
 import { encodeMachineGroup } from '../src/store/codecs/machine-group.js';
 import { WatchCache } from '../src/store/watch-cache.js';
@@ -28,7 +28,7 @@
   return { shard, m };
 };
 
-const rows: [string, (m: MachineState) => void, boolean][] = [
+const CONDITIONS: [string, (m: MachineState) => void, boolean][] = [
   ['nothing is there', () => undefined, true],
   ['it is not cordoned', (m) => (m.cordoned = false), false],
   [
@@ -49,11 +49,11 @@
   ['its record does not say that it is up', (m) => (m.record = { ...m.record, up: false }), false],
 ];
 
-for (const [name, spoil, ready] of rows) {
+for (const [name, change, ready] of CONDITIONS) {
   test(`may a machine move: ${name}`, () => {
     const { shard, m } = readyMachine();
-    spoil(m);
-    assert.equal(candidateOf(shard, m, NOW).readyToMove, ready);
+    change(m);
+    assert.equal(toCandidate(shard, m, NOW).readyToMove, ready);
   });
 }
 
--- a/test/owned-shard.test.ts
+++ b/test/owned-shard.test.ts
@@ -19,30 +19,30 @@
 
 test('a new shard takes in everything once, and again when changes passed it by', () => {
   const shard = owned();
-  assert.equal(shard.takeFullSync(), true);
-  assert.equal(shard.takeFullSync(), false);
-  shard.requireFullSync();
-  assert.equal(shard.takeFullSync(), true);
-  assert.equal(shard.takeFullSync(), false);
+  assert.equal(shard.consumeFullSyncRequest(), true);
+  assert.equal(shard.consumeFullSyncRequest(), false);
+  shard.requestFullSync();
+  assert.equal(shard.consumeFullSyncRequest(), true);
+  assert.equal(shard.consumeFullSyncRequest(), false);
 });
 
 test('completions are saved one write at a time, with a pause that counts from its end', () => {
   const shard = owned();
-  assert.equal(shard.saveDue(COMPLETION_SAVE_INTERVAL_MS - 1), false);
-  assert.equal(shard.saveDue(COMPLETION_SAVE_INTERVAL_MS), true);
+  assert.equal(shard.isSaveDue(COMPLETION_SAVE_INTERVAL_MS - 1), false);
+  assert.equal(shard.isSaveDue(COMPLETION_SAVE_INTERVAL_MS), true);
   shard.beginSave();
-  assert.equal(shard.saveDue(10 * COMPLETION_SAVE_INTERVAL_MS), false, 'one is under way');
+  assert.equal(shard.isSaveDue(10 * COMPLETION_SAVE_INTERVAL_MS), false, 'one is under way');
   shard.endSave(10 * COMPLETION_SAVE_INTERVAL_MS);
-  assert.equal(shard.saveDue(11 * COMPLETION_SAVE_INTERVAL_MS - 1), false);
-  assert.equal(shard.saveDue(11 * COMPLETION_SAVE_INTERVAL_MS), true);
+  assert.equal(shard.isSaveDue(11 * COMPLETION_SAVE_INTERVAL_MS - 1), false);
+  assert.equal(shard.isSaveDue(11 * COMPLETION_SAVE_INTERVAL_MS), true);
 });
 
 test('progress is due a while after the last one', () => {
   const shard = owned();
-  assert.equal(shard.progressDue(PROGRESS_SAVE_INTERVAL_MS - 1), false);
-  assert.equal(shard.progressDue(PROGRESS_SAVE_INTERVAL_MS), true);
-  shard.noteProgress(PROGRESS_SAVE_INTERVAL_MS);
-  assert.equal(shard.progressDue(2 * PROGRESS_SAVE_INTERVAL_MS - 1), false);
+  assert.equal(shard.isProgressSaveDue(PROGRESS_SAVE_INTERVAL_MS - 1), false);
+  assert.equal(shard.isProgressSaveDue(PROGRESS_SAVE_INTERVAL_MS), true);
+  shard.recordProgressSave(PROGRESS_SAVE_INTERVAL_MS);
+  assert.equal(shard.isProgressSaveDue(2 * PROGRESS_SAVE_INTERVAL_MS - 1), false);
 });
 
 test('a worker is probed once at a time', () => {
--- a/test/ownership.test.ts
+++ b/test/ownership.test.ts
@@ -2,8 +2,8 @@
 import { test } from 'node:test';
 import {
   FAILBACK_HOLD_MS,
-  MAX_FAILBACK_MS,
-  FAILBACK_MS,
+  MAX_FAILBACK_DELAY_MS,
+  FAILBACK_DELAY_MS,
   FAILOVER_GRACE_MS,
 } from '../src/core/ownership/constants.js';
 import {
@@ -16,7 +16,7 @@
 type Owners = Readonly<Record<number, Owner>>;
 type LiveIncarnations = Readonly<Record<string, readonly string[]>>;
 
-const by = (owner: string, incarnation: string): Owner => ({ owner, incarnation });
+const ownedBy = (owner: string, incarnation: string): Owner => ({ owner, incarnation });
 
 const view = (
   node: string,
@@ -34,12 +34,12 @@
 
 const ALL_LIVE: LiveIncarnations = { n0: ['a'], n1: ['b'], n2: ['c'] };
 const N1_DEAD: LiveIncarnations = { n0: ['a'], n2: ['c'] };
-const PREFERRED: Owners = { 0: by('n0', 'a'), 1: by('n1', 'b'), 2: by('n2', 'c') };
-const N0_HOLDS_1: Owners = { ...PREFERRED, 1: by('n0', 'a') };
+const PREFERRED: Owners = { 0: ownedBy('n0', 'a'), 1: ownedBy('n1', 'b'), 2: ownedBy('n2', 'c') };
+const N0_OWNS_1: Owners = { ...PREFERRED, 1: ownedBy('n0', 'a') };
 
-const allFit = (node: string) => ({ n0: 'a', n1: 'b', n2: 'c' })[node] ?? null;
+const allEligible = (node: string) => ({ n0: 'a', n1: 'b', n2: 'c' })[node] ?? null;
 const steps = (policy: OwnershipPolicy, seen: OwnershipView, now: number) =>
-  policy.decide(seen, now, allFit).map((step) => `${step.kind} ${step.shard}`);
+  policy.decide(seen, now, allEligible).map((step) => `${step.kind} ${step.shard}`);
 
 test('failover: table', () => {
   const cases: { name: string; view: OwnershipView; now: number; steps: string[] }[] = [
@@ -88,7 +88,7 @@
   ];
   for (const expected of cases) {
     const policy = new OwnershipPolicy();
-    policy.decide(expected.view, 0, allFit);
+    policy.decide(expected.view, 0, allEligible);
     assert.deepEqual(steps(policy, expected.view, expected.now), expected.steps, expected.name);
   }
 });
@@ -98,9 +98,14 @@
   // (docs/incidents/2026-12-02-handed-back.md).
   const policy = new OwnershipPolicy();
   const before = view('n0', 'a', ALL_LIVE, PREFERRED);
-  const transferred = view('n0', 'a', ALL_LIVE, N0_HOLDS_1);
-  let now = 100 * FAILBACK_MS;
-  for (const hold of [FAILBACK_HOLD_MS, 2 * FAILBACK_HOLD_MS, MAX_FAILBACK_MS, MAX_FAILBACK_MS]) {
+  const transferred = view('n0', 'a', ALL_LIVE, N0_OWNS_1);
+  let now = 100 * FAILBACK_DELAY_MS;
+  for (const hold of [
+    FAILBACK_HOLD_MS,
+    2 * FAILBACK_HOLD_MS,
+    MAX_FAILBACK_DELAY_MS,
+    MAX_FAILBACK_DELAY_MS,
+  ]) {
     assert.deepEqual(steps(policy, before, now), []);
     assert.deepEqual(steps(policy, transferred, now + 1), []);
     assert.deepEqual(steps(policy, transferred, now + hold), [], `held for ${hold} ms`);
@@ -113,27 +118,27 @@
   const policy = new OwnershipPolicy();
   steps(policy, view('n0', 'a', ALL_LIVE, PREFERRED), 0);
   steps(policy, view('n0', 'a', N1_DEAD, PREFERRED), 1000);
-  steps(policy, view('n0', 'a', N1_DEAD, N0_HOLDS_1), 2000);
-  const returned = view('n0', 'a', ALL_LIVE, N0_HOLDS_1);
+  steps(policy, view('n0', 'a', N1_DEAD, N0_OWNS_1), 2000);
+  const returned = view('n0', 'a', ALL_LIVE, N0_OWNS_1);
   assert.deepEqual(steps(policy, returned, 3000), []);
-  assert.deepEqual(steps(policy, returned, 3000 + FAILBACK_MS), ['transfer 1']);
+  assert.deepEqual(steps(policy, returned, 3000 + FAILBACK_DELAY_MS), ['transfer 1']);
 });
 
 test('a shard fails back to a returned node after a delay that doubles', () => {
   const policy = new OwnershipPolicy();
-  const held = view('n0', 'a', ALL_LIVE, N0_HOLDS_1);
+  const held = view('n0', 'a', ALL_LIVE, N0_OWNS_1);
   assert.deepEqual(steps(policy, held, 0), []);
-  assert.deepEqual(steps(policy, held, FAILBACK_MS - 1), []);
-  assert.deepEqual(steps(policy, held, FAILBACK_MS), ['transfer 1']);
-  policy.failedBack(1);
-  assert.deepEqual(steps(policy, held, FAILBACK_MS), [], 'no flapping');
-  assert.deepEqual(steps(policy, held, FAILBACK_MS * 2), ['transfer 1']);
+  assert.deepEqual(steps(policy, held, FAILBACK_DELAY_MS - 1), []);
+  assert.deepEqual(steps(policy, held, FAILBACK_DELAY_MS), ['transfer 1']);
+  policy.recordFailback(1);
+  assert.deepEqual(steps(policy, held, FAILBACK_DELAY_MS), [], 'no flapping');
+  assert.deepEqual(steps(policy, held, FAILBACK_DELAY_MS * 2), ['transfer 1']);
 });
 
 test('a shard does not fail back to a node without contact to the store', () => {
   const policy = new OwnershipPolicy();
-  const held = view('n0', 'a', ALL_LIVE, N0_HOLDS_1);
-  for (const now of [0, FAILBACK_MS * 3]) {
+  const held = view('n0', 'a', ALL_LIVE, N0_OWNS_1);
+  for (const now of [0, FAILBACK_DELAY_MS * 3]) {
     assert.deepEqual(
       policy.decide(held, now, () => null),
       [],
--- a/test/quotas.test.ts
+++ b/test/quotas.test.ts
@@ -3,12 +3,12 @@
 import pino from 'pino';
 import { CompletionSaver } from '../src/shards/completions/completion-saver.js';
 import { ConfigError, parsePlatformConfig } from '../src/config/platform.js';
-import { SLOT_FILL } from '../src/core/jobs/constants.js';
+import { SLOT_FILL_RATIO } from '../src/core/jobs/constants.js';
 import {
   PROGRESS_SAVE_INTERVAL_MS,
   COMPLETION_SAVE_INTERVAL_MS,
 } from '../src/shards/completions/constants.js';
-import { cutRanges, decodeDone, encodeDone, maxRangeTasks } from '../src/core/jobs/jobs.js';
+import { splitIntoRanges, decodeDone, encodeDone, maxRangeTasks } from '../src/core/jobs/jobs.js';
 import type { JobRecord } from '../src/core/model.js';
 import type { Shard } from '../src/core/shard/shard.js';
 import { CALL_PRIORITY } from '../src/store/call-priority.js';
@@ -62,10 +62,13 @@
   for (const valueBytes of [8192, 2048, 1024, 512]) {
     for (const tasks of [1, 17, 4096, 100_000]) {
       const most = maxRangeTasks(valueBytes);
-      for (const [from, to] of cutRanges(tasks, 3, false, most)) {
+      for (const [from, to] of splitIntoRanges(tasks, 3, false, most)) {
         const bits = encodeDone({ from, to }, new Set());
         const slot = { [`job-${'9'.repeat(20)}/${from}`]: bits };
-        assert.ok(JSON.stringify(slot).length <= valueBytes * SLOT_FILL, `${valueBytes} ${tasks}`);
+        assert.ok(
+          JSON.stringify(slot).length <= valueBytes * SLOT_FILL_RATIO,
+          `${valueBytes} ${tasks}`,
+        );
       }
     }
   }
@@ -291,7 +294,7 @@
       );
       assert.equal(await sent, fits, name);
     }
-    assert.equal(state.refused.size, 0, 'what is too large is not even sent');
+    assert.equal(state.rejectedTransactions.size, 0, 'what is too large is not even sent');
     // Lower than announced: refused once, logged once, and not sent again.
     state.limits = { ...state.limits, valueBytes: 50 };
     const logged = errors.length;
@@ -300,7 +303,7 @@
         kind: 'invalid',
       });
     }
-    assert.equal(state.refused.size, 1);
+    assert.equal(state.rejectedTransactions.size, 1);
     assert.equal(errors.length, logged + 1);
     state.limits = { ...state.limits, writeRps: 20 };
     let refused = 0;
@@ -310,8 +313,11 @@
         .compareAndSwap(CALL_PRIORITY.background, [], [put(`w${i}`, 9)])
         .catch(() => (refused += 1));
     }
-    assert.ok(state.refused.rate >= 1, 'the fall was noticed');
-    assert.ok(state.refused.rate <= 12, `${state.refused.rate} refusals: the rate is not lowered`);
+    assert.ok(state.rejectedTransactions.rate >= 1, 'the fall was noticed');
+    assert.ok(
+      state.rejectedTransactions.rate <= 12,
+      `${state.rejectedTransactions.rate} refusals: the rate is not lowered`,
+    );
   } finally {
     client.close();
     state.close();
@@ -332,16 +338,16 @@
     await c.open();
     const uids = [];
     for (let i = 0; i < 6; i++)
-      uids.push(await c.submit(c.names[i % 3]!, { ...small, Pieces: 60 }));
-    await c.until('some of it runs', 20, () => c.world.started > 20);
-    c.state.limits = { valueBytes: 1024, transactionOps: 3, writeRps: 60 };
+      uids.push(await c.submit(c.nodes[i % 3]!, { ...small, Pieces: 60 }));
+    await c.waitUntil('some of it runs', 20, () => c.world.starts > 20);
+    c.store.limits = { valueBytes: 1024, transactionOps: 3, writeRps: 60 };
     for (let i = 0; i < 3; i++)
-      uids.push(await c.submit(c.names[i % 3]!, { ...small, Pieces: 60 }));
+      uids.push(await c.submit(c.nodes[i % 3]!, { ...small, Pieces: 60 }));
     for (const uid of uids) {
-      await c.until(`${uid} done`, 60, async () => (await c.statusOf('n0', uid)) === 'done');
+      await c.waitUntil(`${uid} done`, 60, async () => (await c.statusOf('n0', uid)) === 'done');
     }
-    assert.equal(c.state.refused.size, 0);
-    assert.deepEqual(c.world.broken, []);
+    assert.equal(c.store.rejectedTransactions.size, 0);
+    assert.deepEqual(c.world.violations, []);
   } finally {
     c.close();
   }
--- a/test/random.test.ts
+++ b/test/random.test.ts
@@ -14,11 +14,11 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { renewableMs } from '../src/core/cancellation/lease-renewal.js';
+import { renewalWindowMs } from '../src/core/cancellation/lease-renewal.js';
 import { decodeDone, encodeDone } from '../src/core/jobs/jobs.js';
 import type { Command, Heartbeat } from '../src/core/model.js';
 import type { Shard } from '../src/core/shard/shard.js';
-import { randomFrom } from '../src/random.js';
+import { seededRandomInt } from '../src/random.js';
 import { job, LEASE_MS, machine, shardWith, Store } from './helpers.js';
 import { CANCEL_MS, FakeWorker, World } from './standins/worker.js';
 
@@ -42,7 +42,7 @@
 const MAX_DUPLICATE_DELAY_MS = 3 * LEASE_MS;
 
 const simulate = (seed: number) => {
-  const random = randomFrom(seed);
+  const random = seededRandomInt(seed);
   const chance = (percent: number) => random(1000) < percent * 10;
   const world = new World();
   const store = new Store();
@@ -81,7 +81,7 @@
       const { uid, tasks, kind } = jobState.spec;
       if (kind === 'service') {
         if (jobState.savedCompletions.size + jobState.unsavedCompletions.size > 0)
-          world.broken.push(`service done ${uid}`);
+          world.violations.push(`service done ${uid}`);
         continue;
       }
       const saving = [...jobState.unsavedCompletions];
@@ -124,7 +124,7 @@
         const done = world.completed.get(uid)?.size ?? 0;
         // The tasks of a gang complete together: one completed task stands for all.
         const needed = jobState.spec.kind === 'gang' ? 1 : tasks;
-        if (done < needed) world.broken.push(`not_done ${uid}`);
+        if (done < needed) world.violations.push(`not_done ${uid}`);
         store.jobs.delete(uid);
       }
     }
@@ -135,7 +135,7 @@
       machines += 1;
       const name = `m${machines}`;
       const worker = new FakeWorker(name, world, 4000 + random(20_000), LEASE_MS, now);
-      worker.faulty = chance(5);
+      worker.failsTasks = chance(5);
       workers.set(name, worker);
       store.add(machine(name, { term }));
     }
@@ -154,7 +154,7 @@
         world.cancelledAt.set(uid, now);
         // The machines of the cancelled job hang at that moment.
         if (chance(40)) {
-          for (const [task, on] of world.on) {
+          for (const [task, on] of world.runningOn) {
             if (!task.startsWith(`${uid}/`)) continue;
             for (const name of on) hungUntil.set(name, now + random(30_000));
           }
@@ -201,14 +201,14 @@
         shard.settleDirectStarts(starts, false);
         continue;
       }
-      const executed = worker.direct(term, agentEpoch, commands);
+      const executed = worker.executeDirect(term, agentEpoch, commands);
       shard.handleCommandStatus(worker.heartbeat(), now);
       shard.settleDirectStarts(starts, executed);
     }
     for (const delayed of delayedCommands.filter((message) => message.at <= now)) {
       delayedCommands.splice(delayedCommands.indexOf(delayed), 1);
       if (workers.has(delayed.worker.name))
-        delayed.worker.direct(delayed.term, delayed.agentEpoch, delayed.commands);
+        delayed.worker.executeDirect(delayed.term, delayed.agentEpoch, delayed.commands);
     }
 
     for (const [name, worker] of [...workers]) {
@@ -234,7 +234,7 @@
       }
       if (chance(5)) reportsForNextOwner.push(report);
       const owner = formerOwner !== null && chance(20) ? formerOwner : shard;
-      const mayRenew = now - formerOwnerSinceMs <= renewableMs(CANCEL_MS, LEASE_MS);
+      const mayRenew = now - formerOwnerSinceMs <= renewalWindowMs(CANCEL_MS, LEASE_MS);
       const result = owner.handleHeartbeat(
         report,
         now,
@@ -244,7 +244,8 @@
       if (result.kind !== 'answer') continue;
       // Some answers get lost, and all answers to machines that lose commands.
       if ((commandsLostUntil.get(name) ?? 0) > now) continue;
-      if (!chance(15)) worker.answered(owner.term, result.commands, now, report.agentEpoch);
+      if (!chance(15))
+        worker.onHeartbeatAnswer(owner.term, result.commands, now, report.agentEpoch);
     }
     for (const machineState of [...shard.machines.values()]) {
       if (
@@ -255,7 +256,7 @@
         continue;
       machineState.terminating = true;
       if (chance(50)) continue;
-      workers.get(machineState.record.name)?.vanish();
+      workers.get(machineState.record.name)?.terminate();
       workers.delete(machineState.record.name);
       shard.removeMachine(machineState.record.name, now);
       store.machines.delete(machineState.record.name);
@@ -265,12 +266,12 @@
       delayedSaves.splice(delayedSaves.indexOf(delayed), 1);
       delayed.save();
     }
-    world.check(now);
-    if (world.broken.length > 0) break;
+    world.checkCancellations(now);
+    if (world.violations.length > 0) break;
   }
   // No job that was accepted and not cancelled is forgotten.
   for (const uid of store.jobs.keys()) {
-    if (!shard.jobs.has(uid)) world.broken.push(`forgotten ${uid}`);
+    if (!shard.jobs.has(uid)) world.violations.push(`forgotten ${uid}`);
   }
   return {
     world,
@@ -294,14 +295,14 @@
   let saveAnswersLost = 0;
   for (let seed = 1; seed <= 60; seed++) {
     const { world, ...counts } = simulate(seed);
-    assert.deepEqual(world.broken, [], `seed ${seed}`);
+    assert.deepEqual(world.violations, [], `seed ${seed}`);
     duplicatesDelivered += counts.duplicatesDelivered;
     commandLossFaults += counts.commandLossFaults;
     cancelledAtEnd += counts.cancelledAtEnd;
     servicesStarted += counts.servicesStarted;
     delayedReportsDelivered += counts.delayedReportsDelivered;
     saveAnswersLost += counts.saveAnswersLost;
-    started += world.started;
+    started += world.starts;
     for (const done of world.completed.values()) completed += done.size;
   }
   assert.ok(started > 2000, `only ${started} starts: too few to test anything`);
--- a/test/rebalancing-commands.test.ts
+++ b/test/rebalancing-commands.test.ts
@@ -6,11 +6,11 @@
 import { parseSingletonsConfig } from '../src/config/singletons.js';
 import { parseRebalancingConfig } from '../src/config/rebalancing.js';
 import { Cluster, type ClusterOptions } from './standins/cluster.js';
-import { withCommands, type Run } from './standins/commands.js';
+import { withCommands, type CommandResult } from './standins/commands.js';
 
 const FEATURES = { duties: parseSingletonsConfig('', ''), shares: parseRebalancingConfig('', '') };
 const LEASE_S = 10;
-type Command = (...args: string[]) => Promise<Run>;
+type Command = (...args: string[]) => Promise<CommandResult>;
 
 const scenario = (
   name: string,
@@ -27,11 +27,11 @@
     });
     try {
       await cluster.open();
-      await cluster.until('all shards are owned', 20, () =>
+      await cluster.waitUntil('all shards are owned', 20, () =>
         ['0', '1', '2'].every((i) => cluster.stored(`parts/${i}`) !== undefined),
       );
-      await withCommands(cluster.state.address, 'shares', (run) => steps(cluster, run));
-      assert.deepEqual(cluster.world.broken, []);
+      await withCommands(cluster.store.address, 'shares', (run) => steps(cluster, run));
+      assert.deepEqual(cluster.world.violations, []);
     } finally {
       cluster.close();
     }
@@ -41,7 +41,7 @@
 const moveOf = (cluster: Cluster, id: string): Move => decodeMove(cluster.stored(moveKey(id)))!;
 
 const machinesOf = (cluster: Cluster, shard: number): string[] =>
-  [...cluster.state.items].flatMap(([key, { value }]) => {
+  [...cluster.store.items].flatMap(([key, { value }]) => {
     if (!key.startsWith('machines/')) return [];
     // The stored form of a machine group.
     const { part, hosts } = value as { part: number; hosts: Record<string, number> };
@@ -51,18 +51,22 @@
 /** Submits until some shard has machines; returns that shard. */
 const shardWithMachines = async (cluster: Cluster): Promise<number> => {
   let shard = -1;
-  await cluster.until('a shard has machines that are up', 40, () => {
+  await cluster.waitUntil('a shard has machines that are up', 40, () => {
     shard = [0, 1, 2].find((i) => machinesOf(cluster, i).length > 0) ?? -1;
-    return shard >= 0 && cluster.world.on.size > 0;
+    return shard >= 0 && cluster.world.runningOn.size > 0;
   });
   return shard;
 };
 
 const untilState = (cluster: Cluster, id: string, wanted: Move['state'], seconds = 40) =>
-  cluster.until(`${id} is ${wanted}`, seconds, () => moveOf(cluster, id).state === wanted);
+  cluster.waitUntil(`${id} is ${wanted}`, seconds, () => moveOf(cluster, id).state === wanted);
 
-const done = (cluster: Cluster, uid: string) =>
-  cluster.until(`${uid} is done`, 60, async () => (await cluster.statusOf('n0', uid)) === 'done');
+const untilDone = (cluster: Cluster, uid: string) =>
+  cluster.waitUntil(
+    `${uid} is done`,
+    60,
+    async () => (await cluster.statusOf('n0', uid)) === 'done',
+  );
 
 const ownerOf = (cluster: Cluster, shard: number) =>
   (cluster.stored(`parts/${shard}`) as { owner: string }).owner;
@@ -76,31 +80,31 @@
       const from = await shardWithMachines(cluster);
       const to = (from + 1) % 3;
       const ends = ['--from', String(from), '--to', String(to), '--count', '1'];
-      const before = cluster.state.revision;
+      const before = cluster.store.revision;
       const planned = await run('plan', ...ends, '--json');
-      const [plan] = JSON.parse(planned.out) as PlanOutput[];
+      const [plan] = JSON.parse(planned.stdout) as PlanOutput[];
       assert.deepEqual([plan!.heldBy, plan!.obstacle, plan!.lacking], [null, null, 0]);
       assert.ok(plan!.matching.length > 0);
       assert.ok(
-        ![...cluster.state.items.keys()].some((key) => key.startsWith('shares/')),
+        ![...cluster.store.items.keys()].some((key) => key.startsWith('shares/')),
         `${before}`,
       );
 
       const asked = await Promise.all([1, 2].map(() => run('move', ...ends, '--id', 'first')));
       assert.deepEqual(
-        asked.map((r) => r.code),
+        asked.map((r) => r.exitCode),
         [0, 0],
       );
       const other = await run('move', ...ends, '--id', 'second');
       if (cluster.stored(shardLockKey(from)) !== undefined) {
-        assert.equal(other.code, 3, other.err);
-        assert.match(other.err, /another move holds it \(first\)/);
+        assert.equal(other.exitCode, 3, other.stderr);
+        assert.match(other.stderr, /another move holds it \(first\)/);
       }
       await untilState(cluster, 'first', 'finished');
-      const shown = JSON.parse((await run('--json')).out) as ShardsOutput;
+      const shown = JSON.parse((await run('--json')).stdout) as ShardsOutput;
       assert.equal(shown.moves.find((m) => m.id === 'first')?.moved.length, 1);
       assert.equal(cluster.stored(shardLockKey(from)), undefined, 'the shards are free again');
-      await done(cluster, uid);
+      await untilDone(cluster, uid);
     },
   );
 });
@@ -118,15 +122,15 @@
           ? coordinator.holder.node
           : ownerOf(cluster, who === 'source' ? from : to);
       cluster.kill(node);
-      await cluster.pass(1);
+      await cluster.runFor(1);
       await cluster.start(node);
-      await cluster.until(`${node} ready`, 30, () => cluster.ready(node));
-      await cluster.until('over', 60, () =>
+      await cluster.waitUntil(`${node} ready`, 30, () => cluster.isReady(node));
+      await cluster.waitUntil('over', 60, () =>
         ['finished', 'aborted'].includes(moveOf(cluster, 'm').state),
       );
       const more = await cluster.submit(node, { Pieces: 6 });
-      await done(cluster, uid);
-      await done(cluster, more);
+      await untilDone(cluster, uid);
+      await untilDone(cluster, more);
     });
   }
 });
@@ -138,17 +142,17 @@
     async (cluster, run) => {
       const service = { Shape: 'service', Rank: 'prod', Pieces: 2, Reclaimable: false, GuessS: 0 };
       const uid = await cluster.submit('n0', { ...service, Vcpus: 4, Cards: 0 });
-      await cluster.until('it runs', 40, () => cluster.running(uid) === 2);
+      await cluster.waitUntil('it runs', 40, () => cluster.runningTasks(uid) === 2);
       const from = await shardWithMachines(cluster);
       const before = machinesOf(cluster, from).sort();
       const ends = ['--from', `${from}`, '--to', `${(from + 1) % 3}`, '--count', '50'];
       await run('move', ...ends, '--id', 'm', '--within-s', '12');
-      await cluster.until(
+      await cluster.waitUntil(
         'it says what it waits for',
         12,
         () => moveOf(cluster, 'm').waitsFor !== null,
       );
-      assert.match((await run()).out, /a standing service runs there|more machines of the kind/);
+      assert.match((await run()).stdout, /a standing service runs there|more machines of the kind/);
       await untilState(cluster, 'm', 'aborted');
       const kept = machinesOf(cluster, from).sort();
       const serving = before.filter((name) => cluster.cloud.machines.has(name));
@@ -156,7 +160,7 @@
         serving.filter((name) => !kept.includes(name)),
         [],
       );
-      assert.equal(cluster.running(uid), 2, 'no replica was stopped');
+      assert.equal(cluster.runningTasks(uid), 2, 'no replica was stopped');
     },
   );
 });
@@ -170,20 +174,22 @@
     const ends = ['--from', `${from}`, '--to', `${to}`, '--count', '1', '--id', 'm'];
     const returnAt = new Date(Date.now() + 16_000).toISOString();
     const asked = await run('move', ...ends, '--within-s', '14', '--return-at', returnAt);
-    assert.equal(asked.code, 0, asked.err);
-    await cluster.until('lent', 20, () => ['lent', 'aborted'].includes(moveOf(cluster, 'm').state));
+    assert.equal(asked.exitCode, 0, asked.stderr);
+    await cluster.waitUntil('lent', 20, () =>
+      ['lent', 'aborted'].includes(moveOf(cluster, 'm').state),
+    );
     const [lent] = moveOf(cluster, 'm').moved;
     if (lent !== undefined && moveOf(cluster, 'm').state === 'lent') {
       assert.ok(machinesOf(cluster, to).includes(lent));
     }
-    await cluster.until('over', 60, () =>
+    await cluster.waitUntil('over', 60, () =>
       ['finished', 'aborted'].includes(moveOf(cluster, 'm').state),
     );
     assert.ok(
       lent === undefined || !machinesOf(cluster, to).includes(lent),
       'it is not there any more',
     );
-    for (const uid of uids) await done(cluster, uid);
+    for (const uid of uids) await untilDone(cluster, uid);
   });
 
   scenario(
@@ -191,11 +197,11 @@
     { versions: { n2: 'production' } },
     async (cluster, run) => {
       await run('move', '--from', '0', '--to', '1', '--count', '1', '--id', 'm');
-      await cluster.pass(3);
+      await cluster.runFor(3);
       assert.equal(moveOf(cluster, 'm').state, 'requested');
       const plan = await run('plan', '--from', '0', '--to', '1', '--count', '1');
-      assert.match(plan.out, /waits for a node that does not know moves/);
-      assert.equal((await run('abort', 'm')).code, 0);
+      assert.match(plan.stdout, /waits for a node that does not know moves/);
+      assert.equal((await run('abort', 'm')).exitCode, 0);
       await cluster.replace('n2', 'current');
       await untilState(cluster, 'm', 'aborted');
     },
@@ -216,12 +222,12 @@
         [['move', '--plan', '/nonexistent'], /\/nonexistent: /],
       ];
       for (const [args, says] of bad) {
-        const { code, err } = await run(...args);
+        const { exitCode: code, stderr: err } = await run(...args);
         assert.equal(code, 2, `${args.join(' ')}: ${err}`);
         assert.match(err, says);
       }
       for (const args of [[], ['move', ...ends, '--count', '1'], ['abort', 'm']]) {
-        const { code, out, err } = await run(...args);
+        const { exitCode: code, stdout: out, stderr: err } = await run(...args);
         assert.equal(code, 1, args.join(' '));
         assert.equal(out, '');
         assert.match(err, /^sumacstep: the state service: /);
--- a/test/runner/known-red.ts
+++ b/test/runner/known-red.ts
@@ -13,7 +13,7 @@
   /** the command that shows the failure, with its seed */
   readonly command: string;
   /** what was seen, in a few words */
-  readonly seen: string;
+  readonly observed: string;
   readonly issue: string;
 }
 
@@ -47,7 +47,7 @@
       continue;
     }
     const [test = '', command = '', seen = '', issue = ''] = fields;
-    known.push({ test, command, seen, issue });
+    known.push({ test, command, observed: seen, issue });
   }
   if (known.length > MAX_KNOWN_RED) {
     problems.push(`KNOWN-RED.txt: ${known.length} tests, at most ${MAX_KNOWN_RED} are allowed`);
@@ -56,10 +56,11 @@
 };
 
 /** The known failures pass, and nothing else: neither another failure nor a listed test that passes. */
-export const judge = (text: string, { passed, failed }: Outcomes): Verdict => {
+export const evaluateOutcomes = (text: string, { passed, failed }: Outcomes): Verdict => {
   const { known, problems } = parseKnownRed(text);
   const lines = known.map(
-    ({ test, command, seen, issue }) => `known red: ${test} (${command}: ${seen}; ${issue})`,
+    ({ test, command, observed: seen, issue }) =>
+      `known red: ${test} (${command}: ${seen}; ${issue})`,
   );
   const listed = new Set(known.map(({ test }) => test));
   for (const test of listed) {
--- a/test/runner/run-tests.ts
+++ b/test/runner/run-tests.ts
@@ -2,7 +2,7 @@
 import { join } from 'node:path';
 import { run } from 'node:test';
 import { spec } from 'node:test/reporters';
-import { judge } from './known-red.js';
+import { evaluateOutcomes } from './known-red.js';
 
 /**
  * Runs all tests of the folders that are given, prints them as the runner's `spec` reporter does, and judges
@@ -21,28 +21,28 @@
 const passed = new Set<string>();
 const failed = new Set<string>();
 /** names of the groups round the present test, by nesting, for each file */
-const groups = new Map<string, string[]>();
+const groupNames = new Map<string, string[]>();
 
 const stream = run({ files, concurrency: true });
 stream.on('test:start', ({ name, nesting, file }) => {
-  const path = groups.get(file ?? '') ?? [];
+  const path = groupNames.get(file ?? '') ?? [];
   path.length = nesting;
   path[nesting] = name;
-  groups.set(file ?? '', path);
+  groupNames.set(file ?? '', path);
 });
-const nameOf = ({ name, nesting, file }: { name: string; nesting: number; file?: string }) =>
-  [...(groups.get(file ?? '') ?? []).slice(0, nesting), name].join(' > ');
-stream.on('test:pass', (event) => passed.add(nameOf(event)));
+const fullName = ({ name, nesting, file }: { name: string; nesting: number; file?: string }) =>
+  [...(groupNames.get(file ?? '') ?? []).slice(0, nesting), name].join(' > ');
+stream.on('test:pass', (event) => passed.add(fullName(event)));
 stream.on('test:fail', (event) => {
   // A group fails with each of its tests: those count.
   const { failureType } = event.details.error as { failureType?: string };
-  if (failureType !== 'subtestsFailed') failed.add(nameOf(event));
+  if (failureType !== 'subtestsFailed') failed.add(fullName(event));
 });
 // Stays red if the run ends before its end is told.
 process.exitCode = 1;
 stream.on('end', () => {
   const text = existsSync(KNOWN_RED) ? readFileSync(KNOWN_RED, 'utf8') : '';
-  const { ok, lines } = judge(text, { passed, failed });
+  const { ok, lines } = evaluateOutcomes(text, { passed, failed });
   for (const line of lines) process.stderr.write(`${line}\n`);
   process.exitCode = ok && passed.size > 0 ? 0 : 1;
 });
--- a/test/service-faults.test.ts
+++ b/test/service-faults.test.ts
@@ -41,12 +41,12 @@
 /** Returns the number of replicas that run on reachable machines. */
 const servedReplicas = (cluster: Cluster, uid: string): number =>
   cluster
-    .hosts()
+    .workerHosts()
     .filter(reachable)
     .reduce((sum, host) => sum + replicasOn(host, uid), 0);
 
 const hostsWithReplicas = (cluster: Cluster, uid: string): WorkerHost[] =>
-  cluster.hosts().filter((host) => replicasOn(host, uid) > 0);
+  cluster.workerHosts().filter((host) => replicasOn(host, uid) > 0);
 
 /** Applies the fault to one machine with replicas and checks that its replicas no longer count as reachable. */
 const breakOneMachine =
@@ -97,8 +97,8 @@
     service: { ...REPLICA, Reclaimable: true, Pieces: 4 },
     injectFault: async (cluster, uid) => {
       const host = hostsWithReplicas(cluster, uid)[0]!;
-      host.worker.noticeS = 4;
-      await cluster.pass(4);
+      host.worker.preemptionNoticeS = 4;
+      await cluster.runFor(4);
       assert.equal(replicasOn(host, uid), 0, 'its replicas left before the preemption');
       cluster.cloud.kill(host.worker.name);
     },
@@ -118,10 +118,10 @@
     options: { zones: ['z', 'y'] },
     service: { ...REPLICA, Spread: true, Pieces: 6 },
     injectFault: async (cluster, uid) => {
-      const cutHosts = cluster.hosts().filter((host) => host.worker.zone === 'y');
+      const cutHosts = cluster.workerHosts().filter((host) => host.worker.zone === 'y');
       for (const host of cutHosts) host.losesHeartbeats = host.losesCommands = true;
       for (let round = 0; round < 4; round++) {
-        await cluster.pass(1);
+        await cluster.runFor(1);
         assert.ok(servedReplicas(cluster, uid) >= 3, 'the other zone serves its half');
       }
       for (const host of cutHosts) host.losesHeartbeats = host.losesCommands = false;
@@ -132,10 +132,10 @@
     name: 'all controllers are down for longer than a worker lease: all replicas run again',
     service: { ...REPLICA, Pieces: 4 },
     injectFault: async (cluster, uid) => {
-      for (const node of cluster.names) cluster.kill(node);
-      await cluster.pass(LEASE_S + 3);
-      assert.equal(cluster.running(uid), 0, 'the leases have expired');
-      await Promise.all(cluster.names.map((n) => cluster.start(n)));
+      for (const node of cluster.nodes) cluster.kill(node);
+      await cluster.runFor(LEASE_S + 3);
+      assert.equal(cluster.runningTasks(uid), 0, 'the leases have expired');
+      await Promise.all(cluster.nodes.map((n) => cluster.start(n)));
     },
     recoveryWithinS: 3 * LEASE_S,
   },
@@ -144,12 +144,12 @@
     name: 'all controllers restart one after the other: no replica stops or is started again',
     service: { ...REPLICA, Pieces: 4 },
     injectFault: async (cluster, uid) => {
-      const { started } = cluster.world;
-      for (const node of cluster.names) {
+      const { starts: started } = cluster.world;
+      for (const node of cluster.nodes) {
         await cluster.replace(node, 'current');
-        assert.equal(cluster.running(uid), 4);
+        assert.equal(cluster.runningTasks(uid), 4);
       }
-      assert.equal(cluster.world.started, started);
+      assert.equal(cluster.world.starts, started);
     },
     recoveryWithinS: 1,
   },
@@ -157,10 +157,10 @@
     name: 'the state service is unavailable for longer than a worker lease: all replicas go on',
     service: { ...REPLICA, Pieces: 4 },
     injectFault: async (cluster, uid) => {
-      cluster.state.unavailable = true;
-      await cluster.pass(LEASE_S + 2);
+      cluster.store.unavailable = true;
+      await cluster.runFor(LEASE_S + 2);
       assert.equal(servedReplicas(cluster, uid), 4, 'replicas go on');
-      cluster.state.recover();
+      cluster.store.recover();
     },
     recoveryWithinS: 1,
   },
@@ -170,17 +170,17 @@
     service: { ...REPLICA, Pieces: 2 },
     injectFault: async (cluster, uid) => {
       const makeAllFaulty = () => {
-        for (const host of cluster.hosts()) host.worker.faulty = true;
+        for (const host of cluster.workerHosts()) host.worker.failsTasks = true;
       };
       makeAllFaulty();
       for (const host of hostsWithReplicas(cluster, uid)) cluster.cloud.kill(host.worker.name);
-      const { started } = cluster.world;
+      const { starts: started } = cluster.world;
       for (let round = 0; round < 24; round++) {
-        await cluster.pass(0.5);
+        await cluster.runFor(0.5);
         makeAllFaulty();
       }
-      assert.ok(cluster.world.started - started < 40, 'the backoff grows');
-      for (const host of cluster.hosts()) host.worker.faulty = false;
+      assert.ok(cluster.world.starts - started < 40, 'the backoff grows');
+      for (const host of cluster.workerHosts()) host.worker.failsTasks = false;
     },
     recoveryWithinS: 6 * LEASE_S,
   },
@@ -199,7 +199,7 @@
   try {
     await cluster.open();
     await work(cluster);
-    assert.deepEqual(cluster.world.broken, []);
+    assert.deepEqual(cluster.world.violations, []);
   } finally {
     cluster.close();
   }
@@ -207,8 +207,8 @@
 
 const cancelAll = async (cluster: Cluster, uids: readonly string[]) => {
   for (const uid of uids) assert.equal(await cluster.cancel('n1', uid), 'cancelled');
-  await cluster.until('the replicas are gone', CANCEL_S, () =>
-    uids.every((u) => cluster.running(u) === 0),
+  await cluster.waitUntil('the replicas are gone', CANCEL_S, () =>
+    uids.every((u) => cluster.runningTasks(u) === 0),
   );
 };
 
@@ -218,16 +218,20 @@
       await withCluster(faultCase.options ?? {}, async (cluster) => {
         const uid = await cluster.submit('n0', faultCase.service);
         const total = faultCase.service.Pieces;
-        await cluster.until('all replicas run', 40, () => servedReplicas(cluster, uid) === total);
+        await cluster.waitUntil(
+          'all replicas run',
+          40,
+          () => servedReplicas(cluster, uid) === total,
+        );
         await faultCase.injectFault(cluster, uid);
-        await cluster.until(
+        await cluster.waitUntil(
           `${total} replicas run again`,
           faultCase.recoveryWithinS,
           () => servedReplicas(cluster, uid) === total,
         );
-        assert.equal(cluster.running(uid), total, 'none runs twice');
-        for (const node of cluster.names) {
-          await cluster.until(
+        assert.equal(cluster.runningTasks(uid), total, 'none runs twice');
+        for (const node of cluster.nodes) {
+          await cluster.waitUntil(
             `${node} reports it running`,
             20,
             async () => (await cluster.statusOf(node, uid)) === 'running',
@@ -241,8 +245,8 @@
   test('replicas that exit again and again are started again, and the service is never done', async () => {
     await withCluster({ runMs: 700 }, async (cluster) => {
       const uid = await cluster.submit('n0', { ...REPLICA, Pieces: 2 });
-      await cluster.until('replicas were started again', 40, () => cluster.world.started >= 6);
-      for (const node of cluster.names) {
+      await cluster.waitUntil('replicas were started again', 40, () => cluster.world.starts >= 6);
+      for (const node of cluster.nodes) {
         assert.ok(['queued', 'running'].includes(await cluster.statusOf(node, uid)));
       }
       await cancelAll(cluster, [uid]);
@@ -252,20 +256,20 @@
   test("a service above its team's limit is refused; one that fits waits while other services use the limit", async () => {
     await withCluster({ teams: [LIMITED_TEAM] }, async (cluster) => {
       const limited = { ...REPLICA, Owner: 'limited', Vcpus: 2 };
-      for (const node of cluster.names) {
+      for (const node of cluster.nodes) {
         const body = cluster.submission({ ...limited, Pieces: 5 });
         const answer = await cluster.call(node, 'POST', '/submissions', body);
         assert.equal(answer.status, 422, 'five replicas of two CPUs are over eight');
         assert.equal((await cluster.call(node, 'GET', `/submissions/${body.Uid}`)).status, 404);
       }
       const first = await cluster.submit('n0', { ...limited, Pieces: 3 });
-      await cluster.until('the first runs', 40, () => servedReplicas(cluster, first) === 3);
+      await cluster.waitUntil('the first runs', 40, () => servedReplicas(cluster, first) === 3);
       const second = await cluster.submit('n1', { ...limited, Pieces: 4 });
-      await cluster.pass(4);
+      await cluster.runFor(4);
       assert.equal(servedReplicas(cluster, first), 3);
       assert.ok(servedReplicas(cluster, second) <= 1, 'the limit leaves two CPUs to it');
       await cancelAll(cluster, [first]);
-      await cluster.until(
+      await cluster.waitUntil(
         'the second runs',
         2 * LEASE_S,
         () => servedReplicas(cluster, second) === 4,
--- a/test/service.test.ts
+++ b/test/service.test.ts
@@ -7,11 +7,11 @@
 const LEASE_S = 4;
 
 const c = new Cluster({ runMs: 1500, leaseS: LEASE_S, cancelS: 8 });
-const { names: NAMES, world, state } = c;
-const until = c.until.bind(c);
+const { nodes: NAMES, world, store: state } = c;
+const until = c.waitUntil.bind(c);
 const call = c.call.bind(c);
 const statusOf = c.statusOf.bind(c);
-const ready = (node: string) => () => c.ready(node);
+const ready = (node: string) => () => c.isReady(node);
 const submit = (node: string, over: Record<string, unknown> = {}) => c.submit(node, over);
 const done = (node: string, uid: string, seconds = 25) =>
   until(`${uid} done`, seconds, async () => (await statusOf(node, uid)) === 'done');
@@ -27,7 +27,7 @@
     assert.equal(await statusOf(n, body.Uid), 'done');
     // Whatever the rest of its body says, also if that could never run.
     for (const over of [{}, { Vcpus: 1000 }, { Pieces: 'x' }]) {
-      const a = await c.ask(n, 'submit', body.Uid, { ...body, ...over });
+      const a = await c.sendUserRequest(n, 'submit', body.Uid, { ...body, ...over });
       assert.equal(a?.status, 200);
       assert.equal((a.body as { Status: string }).Status, 'done');
     }
@@ -51,11 +51,13 @@
 
 test('a cancelled job is cancelled at every node, and its tasks are gone soon', async () => {
   const uid = await submit('n0', { Pieces: 40 });
-  await until('some of it runs', 20, () => [...world.on.keys()].some((k) => k.startsWith(uid)));
-  const a = await c.ask('n2', 'withdraw', uid);
+  await until('some of it runs', 20, () =>
+    [...world.runningOn.keys()].some((k) => k.startsWith(uid)),
+  );
+  const a = await c.sendUserRequest('n2', 'withdraw', uid);
   assert.deepEqual([a?.status, (a?.body as { Status: string }).Status], [200, 'cancelled']);
   for (const n of NAMES) assert.equal(await statusOf(n, uid), 'cancelled');
-  const running = () => [...world.on].some(([k, m]) => k.startsWith(uid) && m.size > 0);
+  const running = () => [...world.runningOn].some(([k, m]) => k.startsWith(uid) && m.size > 0);
   await until('its tasks are gone', 5, () => !running());
   await sleep(1000);
   assert.equal(running(), false);
@@ -102,20 +104,20 @@
 
 test('a node loses state service and other nodes, but not its workers', async () => {
   const uids = await Promise.all(NAMES.map((n) => submit(n, { Pieces: 10 })));
-  c.cutState('n2', true);
-  c.cutPeers('n2', true);
+  c.partitionFromStore('n2', true);
+  c.partitionFromPeers('n2', true);
   const began = Date.now();
   // The others take its shard and do all of the work, what was on its machines included.
   for (const uid of uids) await done('n0', uid, 40);
   await until('its users are sent elsewhere', 20, async () => !(await ready('n2')()));
   assert.equal((await call('n2', 'POST', '/submissions', c.submission())).status, 503);
   await until('longer than any lease', 30, () => Date.now() - began > 12_000);
-  c.cutState('n2', false);
-  c.cutPeers('n2', false);
+  c.partitionFromStore('n2', false);
+  c.partitionFromPeers('n2', false);
   await until('n2 ready', 20, ready('n2'));
   await done('n2', await submit('n2'));
   for (const uid of uids) assert.equal(await statusOf('n2', uid), 'done');
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
 });
 
 test('a node is back within a fraction of a second, also in the middle of a takeover', async () => {
@@ -134,11 +136,11 @@
   for (const uid of uids) await done('n2', uid, 40);
   await until('n1 ready', 10, ready('n1'));
   await done('n1', await submit('n1'));
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
 });
 
 test('machines die, and an answer of the cloud gets lost', async () => {
-  c.cloud.loseAnswer = true;
+  c.cloud.losesNextRentalResponse = true;
   const uids = await Promise.all(NAMES.map((n) => submit(n, { Pieces: 10 })));
   await until('machines are there', 20, () => c.cloud.machines.size > 0);
   await sleep(1000);
@@ -149,6 +151,6 @@
 test('no rule was broken, and machines with nothing to do go back', async () => {
   // Rates of arrival, and with them the reserve, fade over minutes; on a busy machine all of it takes longer.
   await until('all returned', 120, () => c.cloud.machines.size === 0);
-  assert.deepEqual(world.broken, []);
-  assert.ok(world.started > 60);
+  assert.deepEqual(world.violations, []);
+  assert.ok(world.starts > 60);
 });
--- a/test/services.test.ts
+++ b/test/services.test.ts
@@ -46,7 +46,7 @@
   const heartbeat = worker.heartbeat();
   const result = shard.handleHeartbeat(heartbeat, now, true);
   if (result.kind !== 'answer') return;
-  worker.answered(shard.term, result.commands, now, heartbeat.agentEpoch);
+  worker.onHeartbeatAnswer(shard.term, result.commands, now, heartbeat.agentEpoch);
 };
 
 const startCluster = (
@@ -74,7 +74,7 @@
   run(-2 * HEARTBEAT_MS, -1);
   store.add(service(overrides));
   shard.sync(store, 0);
-  const tasksOn = (name: string) => [...world.on].filter(([, m]) => m.has(name)).length;
+  const tasksOn = (name: string) => [...world.runningOn].filter(([, m]) => m.has(name)).length;
   return { world, store, shard, workers, exchangeHeartbeats, run, tasksOn };
 };
 
@@ -94,7 +94,7 @@
         cluster.tasksOn(name) <= maxPerMachine,
         `${tasks} on ${names.length}: ${cluster.tasksOn(name)}`,
       );
-    assert.deepEqual(cluster.world.broken, []);
+    assert.deepEqual(cluster.world.violations, []);
   }
 });
 
@@ -104,12 +104,9 @@
   const state = cluster.shard.jobs.get(UID)!;
   assert.equal(state.savedCompletions.size + state.unsavedCompletions.size, 0);
   assert.equal(state.ended, false);
-  assert.ok(cluster.world.started > 4, `${cluster.world.started} starts`);
-  assert.ok(
-    cluster.world.started < 60,
-    `${cluster.world.started} starts: the backoff does not grow`,
-  );
-  assert.deepEqual(cluster.world.broken, []);
+  assert.ok(cluster.world.starts > 4, `${cluster.world.starts} starts`);
+  assert.ok(cluster.world.starts < 60, `${cluster.world.starts} starts: the backoff does not grow`);
+  assert.deepEqual(cluster.world.violations, []);
   // A replica whose previous failure is longer ago than this is started again without backoff.
   const now = 60 * HEARTBEAT_MS + 2 * REPLICA_STABLE_MS;
   assert.ok(now - state.lastFailureAt > REPLICA_STABLE_MS);
@@ -124,11 +121,11 @@
 
 test('failing replicas are started on other machines with growing backoff, and never given up', () => {
   const cluster = startCluster(['a', 'b', 'c'], { tasks: 1 });
-  for (const worker of cluster.workers.values()) worker.faulty = true;
+  for (const worker of cluster.workers.values()) worker.failsTasks = true;
   cluster.run(0, 40 * HEARTBEAT_MS);
-  const before = cluster.world.started;
+  const before = cluster.world.starts;
   assert.ok(before >= 3 && before < 30, `${before} starts`);
-  for (const worker of cluster.workers.values()) worker.faulty = false;
+  for (const worker of cluster.workers.values()) worker.failsTasks = false;
   for (const machineState of cluster.shard.machines.values()) {
     if (machineState.faultStatus === 'quarantined') machineState.faultStatus = 'probation';
   }
@@ -138,7 +135,7 @@
     1,
     'it runs within 90 s once a machine is healthy',
   );
-  assert.deepEqual(cluster.world.broken, []);
+  assert.deepEqual(cluster.world.violations, []);
 });
 
 test('a machine with replicas is returned sooner when its heartbeats are lost, and only then they run elsewhere', () => {
@@ -154,20 +151,20 @@
   cluster.exchangeHeartbeats(now, [other]);
   assert.equal(plan(cluster.shard, now).returns[0]?.reason, 'heartbeats lost');
   assert.equal(cluster.tasksOn(lost), 1, 'the replica may still run there');
-  cluster.workers.get(lost)!.vanish();
+  cluster.workers.get(lost)!.terminate();
   cluster.shard.removeMachine(lost, now);
   cluster.run(now + 1, now + 3 * HEARTBEAT_MS, [other]);
   assert.equal(cluster.tasksOn(other), 2);
-  assert.deepEqual(cluster.world.broken, []);
+  assert.deepEqual(cluster.world.violations, []);
 });
 
 test('after a preemption notice the replicas leave the machine at once and run elsewhere', () => {
   const cluster = startCluster(['a', 'b'], { tasks: 2 });
   cluster.run(0, 3 * HEARTBEAT_MS);
-  cluster.workers.get('a')!.noticeS = 8;
+  cluster.workers.get('a')!.preemptionNoticeS = 8;
   cluster.run(3 * HEARTBEAT_MS + 1, 5 * HEARTBEAT_MS);
   assert.deepEqual([cluster.tasksOn('a'), cluster.tasksOn('b')], [0, 2]);
-  assert.deepEqual(cluster.world.broken, []);
+  assert.deepEqual(cluster.world.violations, []);
 });
 
 test('a machine with a replica is not returned as idle; a quarantined one is drained before its return', () => {
@@ -191,15 +188,15 @@
 test('a new owner takes running replicas into its state and stops none', () => {
   const cluster = startCluster(['a', 'b'], { tasks: 3 });
   cluster.run(0, 3 * HEARTBEAT_MS);
-  const { started } = cluster.world;
+  const { starts: started } = cluster.world;
   const shard = shardWith(cluster.store, 2, {}, 4 * HEARTBEAT_MS);
   for (let now = 4 * HEARTBEAT_MS; now < 8 * HEARTBEAT_MS; now += HEARTBEAT_MS / 2) {
     shard.placeAll(now);
     for (const worker of cluster.workers.values()) exchangeHeartbeat(shard, worker, now);
   }
   assert.equal(shard.jobs.get(UID)?.placements.size, 3);
-  assert.equal(cluster.world.started, started);
-  assert.deepEqual(cluster.world.broken, []);
+  assert.equal(cluster.world.starts, started);
+  assert.deepEqual(cluster.world.violations, []);
 });
 
 test('cancelled replicas are stopped, and nothing starts again', () => {
@@ -210,7 +207,7 @@
   cluster.world.cancelledAt.set(UID, 3 * HEARTBEAT_MS);
   cluster.run(3 * HEARTBEAT_MS + 1, 8 * HEARTBEAT_MS);
   assert.equal(cluster.tasksOn('a') + cluster.tasksOn('b'), 0);
-  assert.equal(cluster.world.startedCancelled, 0);
+  assert.equal(cluster.world.startsAfterCancellation, 0);
   assert.equal(cluster.shard.jobs.has(UID), false);
 });
 
@@ -233,7 +230,7 @@
       shard.placeAll(now);
       exchangeHeartbeat(shard, worker, now);
     }
-    assert.equal(world.on.get(`${UID}/0`)?.size ?? 0, expectStart ? 1 : 0, priority);
+    assert.equal(world.runningOn.get(`${UID}/0`)?.size ?? 0, expectStart ? 1 : 0, priority);
   }
 });
 
@@ -284,7 +281,7 @@
     if (zones.length === 0) assert.deepEqual(rented, [], name);
     else
       assert.ok(rented.length > 0 && rented.every((z) => zones.includes(z)), `${name}: ${rented}`);
-    assert.deepEqual(world.broken, [], name);
+    assert.deepEqual(world.violations, [], name);
   }
 });
 
@@ -318,7 +315,7 @@
       );
       const first = worker.heartbeat();
       shard.handleHeartbeat(first, now, true);
-      worker.answered(shard.term, [], now, first.agentEpoch);
+      worker.onHeartbeatAnswer(shard.term, [], now, first.agentEpoch);
       shard.handleHeartbeat(worker.heartbeat(), now + 1, true);
     }
     const classStats = new Map([['c', { tasksPerS: 0, runS: null, sample: record.spec }]]);
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { parseOperatorConfig } from '../src/config/operator.js';
 import { ConfigError, parsePlatformConfig } from '../src/config/platform.js';
-import { openLog } from '../src/log.js';
+import { createLogger } from '../src/log.js';
 import { readFileSync } from 'node:fs';
 import { TokenBucket } from '../src/transport/token-bucket.js';
 import { PLATFORM } from './helpers.js';
@@ -49,20 +49,20 @@
 });
 
 test('a wrong LOG_LEVEL is an error', () => {
-  assert.throws(() => openLog('loud', 'n'), ConfigError);
-  assert.equal(openLog('debug', 'n').level, 'debug');
-  assert.equal(openLog(undefined, 'n').level, 'info');
+  assert.throws(() => createLogger('loud', 'n'), ConfigError);
+  assert.equal(createLogger('debug', 'n').level, 'debug');
+  assert.equal(createLogger(undefined, 'n').level, 'info');
 });
 
 test('tokens: rate, burst, large costs and blocks', () => {
   const bucket = new TokenBucket(10, 5, 0);
-  assert.equal(bucket.take(5, 0), true, 'the burst');
-  assert.equal(bucket.take(1, 0), false, 'empty');
+  assert.equal(bucket.tryTake(5, 0), true, 'the burst');
+  assert.equal(bucket.tryTake(1, 0), false, 'empty');
   assert.equal(bucket.waitMs(1, 0), 100);
-  assert.equal(bucket.take(1, 100), true);
-  assert.equal(bucket.take(8, 600), true, 'more than the bucket needs a full one');
-  assert.equal(bucket.take(1, 700), false, 'and leaves a debt');
+  assert.equal(bucket.tryTake(1, 100), true);
+  assert.equal(bucket.tryTake(8, 600), true, 'more than the bucket needs a full one');
+  assert.equal(bucket.tryTake(1, 700), false, 'and leaves a debt');
   bucket.block(1000, 2000);
-  assert.equal(bucket.take(1, 2500), false, 'blocked');
-  assert.equal(bucket.take(1, 3000), true);
+  assert.equal(bucket.tryTake(1, 2500), false, 'blocked');
+  assert.equal(bucket.tryTake(1, 3000), true);
 });
--- a/test/shard-controller.test.ts
+++ b/test/shard-controller.test.ts
@@ -1,17 +1,17 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { renewableMs } from '../src/core/cancellation/lease-renewal.js';
+import { renewalWindowMs } from '../src/core/cancellation/lease-renewal.js';
 import { ATTEMPTS_PER_TERM } from '../src/core/shard/constants.js';
 import { TRANSFER_SETTLE_MS } from '../src/shards/constants.js';
 import { encodeJob } from '../src/store/codecs/job.js';
 import {
-  changed,
+  watchChange,
   CONFIG,
   ControllerScene,
   JOB,
-  jobChanged,
+  jobChange,
   noAnswer,
-  settle,
+  flushStoreCalls,
   SHARD_1,
   TERM,
 } from './controller-scene.js';
@@ -25,7 +25,7 @@
   scene.tick();
   assert.ok(scene.written.length > 0, 'it was tried');
   assert.equal(scene.owned(1)?.shard, before, 'the same object, never a second one');
-  assert.equal(scene.controller.actsFor(scene.owned(1)!), true, 'and the node acts for it again');
+  assert.equal(scene.controller.mayActFor(scene.owned(1)!), true, 'and the node acts for it again');
 });
 
 test('after a transfer without an answer the node acts again only under a new term', async () => {
@@ -35,12 +35,12 @@
   scene.tick();
   const transferring = scene.owned(1)!;
   assert.equal(transferring.state, 'transferring');
-  assert.equal(scene.controller.actsFor(transferring), false, 'the peer may own it by now');
+  assert.equal(scene.controller.mayActFor(transferring), false, 'the peer may own it by now');
   assert.equal(transferring.authorization.isValid(), false, 'no write or cloud call may leave');
   scene.outcome = () => ({ ok: true, epoch: 60 });
   await scene.tickAt(scene.now + TRANSFER_SETTLE_MS + 1);
   assert.equal(scene.termOf(1), TERM + 1);
-  scene.watched(60);
+  scene.showChanges(60);
   scene.tick();
   const { shard } = scene.owned(1)!;
   assert.equal(shard.term, TERM + 1);
@@ -52,10 +52,10 @@
   scene.cache.tables.shards.delete('1');
   scene.tick();
   assert.equal(scene.owned(1), undefined);
-  scene.watched(21, [changed('parts/1', SHARD_1, 10)]);
+  scene.showChanges(21, [watchChange('parts/1', SHARD_1, 10)]);
   scene.tick();
   assert.equal(scene.owned(1), undefined);
-  await settle();
+  await flushStoreCalls();
   assert.equal(scene.termOf(1), TERM + 1, 'acquired under a new term instead');
 });
 
@@ -85,7 +85,7 @@
   assert.equal(scene.heartbeat({ tasks }).kind, 'answer');
   scene.leaseValid = false;
   scene.cancellationsKnownUntil = 0;
-  scene.now = renewableMs(cancelS * 1000, leaseS * 1000);
+  scene.now = renewalWindowMs(cancelS * 1000, leaseS * 1000);
   assert.equal(scene.heartbeat({ tasks }).kind, 'answer');
   scene.now += 1;
   assert.equal(scene.heartbeat({ tasks }).kind, 'unavailable');
@@ -99,7 +99,7 @@
     { op: 'stop', ...attempt, graceS: 0 },
   ]);
   // A listing or a change from before the cancellation does not bring the job back.
-  const changes = [jobChanged(job({}, TERM, 1), 13)];
+  const changes = [jobChange(job({}, TERM, 1), 13)];
   scene.cache.apply({ isListing: true, revision: 30, consistentFrom: 30, changes });
   assert.equal(scene.cache.tables.activeJobs.has(JOB), false);
   assert.equal(scene.cache.finalStates.get(JOB)?.status, 'cancelled');
@@ -111,10 +111,10 @@
   const scene = new ControllerScene();
   const uid = 'job-000002';
   const record = job({ uid }, TERM, 1);
-  scene.watched(22, [
-    jobChanged(record, 21),
-    changed(`active/${uid}`, undefined, 22),
-    changed(`final/${uid}`, { status: 'cancelled', tasks: 1, done: 0 }, 22),
+  scene.showChanges(22, [
+    jobChange(record, 21),
+    watchChange(`active/${uid}`, undefined, 22),
+    watchChange(`final/${uid}`, { status: 'cancelled', tasks: 1, done: 0 }, 22),
   ]);
   scene.cache.applyOwn([{ put: `active/${uid}`, value: encodeJob(record) }], 21);
   scene.tick();
--- a/test/shard.test.ts
+++ b/test/shard.test.ts
@@ -24,7 +24,7 @@
   if (mayStart) shard.placeAll(now);
   const result = shard.handleHeartbeat(heartbeat, now, mayStart);
   if (result.kind !== 'answer') return [];
-  worker.answered(shard.term, result.commands, now, heartbeat.agentEpoch);
+  worker.onHeartbeatAnswer(shard.term, result.commands, now, heartbeat.agentEpoch);
   return result.commands;
 };
 const starts = (commands: readonly Command[]) =>
@@ -129,7 +129,7 @@
   exchangeHeartbeat(shard, workerA!, 600);
   for (let now = 3000; now <= RUN_MS + 3000; now += 3000) exchangeHeartbeat(shard, workerA!, now);
   assert.equal([...workerA!.tasks.values()][0]?.why, 'done');
-  workerA!.faulty = true;
+  workerA!.failsTasks = true;
   const at = RUN_MS + 6000;
   ['job-000002', 'job-000003'].forEach((uid, i) => {
     const from = at + i * 5000;
@@ -163,7 +163,7 @@
   workerA!.advance(late);
   shard.expireLeases(late);
   assert.deepEqual(starts(exchangeHeartbeat(shard, workerB!, late)), ['job-000001/0']);
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
 });
 
 test('a new owner starts no inherited task before every machine has answered or was returned', () => {
@@ -185,10 +185,10 @@
   const returned = shardWith(store, 3, {}, 9000);
   exchangeHeartbeat(returned, workerB!, 9000);
   assert.deepEqual(starts(exchangeHeartbeat(returned, workerB!, 9600)), []);
-  workerA!.vanish();
+  workerA!.terminate();
   returned.removeMachine('a', 9700);
   assert.deepEqual(starts(exchangeHeartbeat(returned, workerB!, 10_200)), ['job-000001/0']);
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
 });
 
 test('a new owner adopts running tasks instead of starting them again', () => {
@@ -246,13 +246,13 @@
   shard.requestStop(placement, 0, 2000);
   for (let now = 3000; now < 12_000; now += 3000) exchangeHeartbeat(shard, target, now);
   assert.equal(target.tasks.size, 1, 'the ended attempt stays listed');
-  target.direct(shard.term, target.agentEpoch, direct!.commands);
+  target.executeDirect(shard.term, target.agentEpoch, direct!.commands);
   assert.deepEqual(
     running(target),
     [],
     'the late command finds the ended attempt and starts nothing',
   );
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
 });
 
 test('a placement whose direct start was never sent is released', () => {
@@ -354,7 +354,7 @@
   for (const worker of [workerA!, workerB!]) exchangeHeartbeat(shard, worker, 1200);
   assert.equal(running(workerA!).length + running(workerB!).length, 4);
   exchangeHeartbeat(shard, workerC!, 1200);
-  workerB!.vanish();
+  workerB!.terminate();
   shard.removeMachine('b', 2000);
   assert.deepEqual(
     starts(exchangeHeartbeat(shard, workerC!, 2500)),
@@ -365,7 +365,7 @@
   exchangeHeartbeat(shard, workerA!, 3600);
   const again = [...starts(exchangeHeartbeat(shard, workerC!, 4200)), ...running(workerA!)];
   assert.ok(again.length >= 2);
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
 });
 
 test('preemption stops tasks of a lower rank or beyond a guarantee, but no equal ones', () => {
@@ -415,14 +415,14 @@
   );
   const shard = shardWith(store);
   const [workerA] = createWorkers(['a']);
-  workerA!.faulty = true;
+  workerA!.failsTasks = true;
   exchangeHeartbeat(shard, workerA!, 0);
   for (let now = 600; now < 6000; now += 600) exchangeHeartbeat(shard, workerA!, now);
   assert.equal(shard.machines.get('a')?.faultStatus, 'quarantined');
   const otherShard = shardWith(new Store().add(machine('a'), machine('b'), machine('c'), job()));
   const all = createWorkers(['a', 'b', 'c']);
   let startCount = 0;
-  for (const worker of all) worker.faulty = true;
+  for (const worker of all) worker.failsTasks = true;
   for (let now = 0; now < 30_000; now += 600)
     for (const worker of all)
       startCount += starts(exchangeHeartbeat(otherShard, worker, now)).length;
@@ -445,7 +445,7 @@
   exchangeHeartbeat(shard, workerA!, 600);
   exchangeHeartbeat(shard, workerA!, 1200);
   assert.equal(running(workerA!).length, 2);
-  workerA!.noticeS = 8;
+  workerA!.preemptionNoticeS = 8;
   store.add(job({ uid: 'job-000003' }));
   shard.sync(store, 2000);
   const commands = exchangeHeartbeat(shard, workerA!, 2000);
--- a/test/singleton-controllers.test.ts
+++ b/test/singleton-controllers.test.ts
@@ -21,7 +21,7 @@
   finalStateRetentionMs: 86_400_000,
   garbageCollectionWritesPerS: 100,
 };
-const IDLE_KEPT_S = 20;
+const IDLE_KEEP_S = 20;
 
 const leaderOf = (cluster: Cluster, role: string): LeaderRecord | null => {
   const record = cluster.stored(leaderKey(role)) as LeaderRecord | undefined;
@@ -29,7 +29,7 @@
 };
 
 const untilLed = (cluster: Cluster, role: string, by?: string) =>
-  cluster.until(`${role} is led by ${by ?? 'any node'}`, 20, () => {
+  cluster.waitUntil(`${role} is led by ${by ?? 'any node'}`, 20, () => {
     const node = leaderOf(cluster, role)?.holder?.node;
     return node !== undefined && (by === undefined || node === by);
   });
@@ -50,15 +50,19 @@
     try {
       await cluster.open();
       await run(cluster);
-      assert.deepEqual(cluster.world.broken, []);
+      assert.deepEqual(cluster.world.violations, []);
     } finally {
       cluster.close();
     }
   });
 };
 
-const done = (cluster: Cluster, node: string, uid: string) =>
-  cluster.until(`${uid} is done`, 40, async () => (await cluster.statusOf(node, uid)) === 'done');
+const untilDone = (cluster: Cluster, node: string, uid: string) =>
+  cluster.waitUntil(
+    `${uid} is done`,
+    40,
+    async () => (await cluster.statusOf(node, uid)) === 'done',
+  );
 
 const PROCESSES: Record<string, Version> = {
   n0: 'current-process',
@@ -74,25 +78,25 @@
       await untilLed(cluster, ORPHAN_COLLECTOR_ROLE);
       const { holder, token } = leaderOf(cluster, ORPHAN_COLLECTOR_ROLE)!;
       const frozen = holder!.node;
-      const other = cluster.names.find((n) => n !== frozen)!;
+      const other = cluster.nodes.find((n) => n !== frozen)!;
       const before = await cluster.submit(other, { Pieces: 12 });
       // What it sends now arrives after its successor has begun.
-      cluster.doors.get(frozen)!.slowWritesMs = 14_000;
-      await cluster.pass(1);
+      cluster.storeProxies.get(frozen)!.transactionDelayMs = 14_000;
+      await cluster.runFor(1);
       cluster.processOf(frozen).freeze(true);
-      await cluster.until('another node leads its role', 20, () => {
+      await cluster.waitUntil('another node leads its role', 20, () => {
         const record = leaderOf(cluster, ORPHAN_COLLECTOR_ROLE);
         return record !== null && record.holder!.node !== frozen;
       });
       const promoted = leaderOf(cluster, ORPHAN_COLLECTOR_ROLE)!;
       assert.ok(promoted.token > token);
       const during = await cluster.submit(other, { Pieces: 12 });
-      await cluster.pass(8);
-      cluster.doors.get(frozen)!.slowWritesMs = 0;
+      await cluster.runFor(8);
+      cluster.storeProxies.get(frozen)!.transactionDelayMs = 0;
       cluster.processOf(frozen).freeze(false);
-      await done(cluster, other, before);
-      await done(cluster, other, during);
-      await cluster.pass(4);
+      await untilDone(cluster, other, before);
+      await untilDone(cluster, other, during);
+      await cluster.runFor(4);
       assert.deepEqual(
         leaderOf(cluster, ORPHAN_COLLECTOR_ROLE),
         promoted,
@@ -106,10 +110,10 @@
     {},
     async (cluster) => {
       await untilLed(cluster, ORPHAN_COLLECTOR_ROLE);
-      const name = await cluster.cloud.bootUnknown();
-      await cluster.until('it is gone', 40, () => !cluster.cloud.machines.has(name));
+      const name = await cluster.cloud.bootUnknownMachine();
+      await cluster.waitUntil('it is gone', 40, () => !cluster.cloud.machines.has(name));
       assert.deepEqual(
-        cluster.cloud.returned.filter((n) => n === name),
+        cluster.cloud.returnedMachines.filter((n) => n === name),
         [name],
       );
       const list = cluster.stored(electionEntryKey.returns('unrecorded')) as { machines: string[] };
@@ -124,19 +128,19 @@
     {},
     async (cluster) => {
       const first = await cluster.submit('n0', { Pieces: 8 });
-      await done(cluster, 'n0', first);
+      await untilDone(cluster, 'n0', first);
       cluster.cloud.holdsReturns = true;
-      await cluster.until('idle machines are being returned', IDLE_KEPT_S + 20, () => {
+      await cluster.waitUntil('idle machines are being returned', IDLE_KEEP_S + 20, () => {
         return cluster.cloud.heldReturns.length > 0;
       });
       // Whoever sent the returns ends; the next owners get work that would fit these machines.
       const doomed = cluster.cloud.heldReturns;
-      for (const node of cluster.names) cluster.kill(node);
-      await Promise.all(cluster.names.map((node) => cluster.start(node)));
-      for (const node of cluster.names)
-        await cluster.until(`${node} ready`, 20, () => cluster.ready(node));
+      for (const node of cluster.nodes) cluster.kill(node);
+      await Promise.all(cluster.nodes.map((node) => cluster.start(node)));
+      for (const node of cluster.nodes)
+        await cluster.waitUntil(`${node} ready`, 20, () => cluster.isReady(node));
       const second = await cluster.submit('n1', { Pieces: 8, GuessS: 5 });
-      await cluster.until('it runs', 40, () => cluster.running(second) > 0);
+      await cluster.waitUntil('it runs', 40, () => cluster.runningTasks(second) > 0);
       const carries = (name: string) =>
         [...(cluster.cloud.machines.get(name)?.worker.tasks.values() ?? [])].some(
           (t) => t.uid === second,
@@ -144,7 +148,7 @@
       const used = doomed.filter(carries);
       assert.deepEqual(used, [], 'nothing was started on them');
       cluster.cloud.holdsReturns = false;
-      await done(cluster, 'n1', second);
+      await untilDone(cluster, 'n1', second);
     },
   );
 });
@@ -156,24 +160,24 @@
     async (cluster) => {
       await untilLed(cluster, GARBAGE_COLLECTOR_ROLE);
       const accepted: Request[] = [];
-      for (const door of cluster.doors.values()) {
-        door.seen = (request) => {
+      for (const door of cluster.storeProxies.values()) {
+        door.onTransaction = (request) => {
           const { Writes: writes } = request.body as { Writes: { Put?: string }[] };
           if (writes.some((w) => w.Put?.startsWith('active/'))) accepted.push(request);
         };
       }
       const uid = await cluster.submit('n0', { Pieces: 1 });
-      await done(cluster, 'n0', uid);
+      await untilDone(cluster, 'n0', uid);
       const final = `final/${uid}`;
       assert.ok(cluster.stored(final) !== undefined);
       const endedAt = Date.now();
-      await cluster.until('it is deleted', 30, () => cluster.stored(final) === undefined);
+      await cluster.waitUntil('it is deleted', 30, () => cluster.stored(final) === undefined);
       assert.ok(Date.now() - endedAt >= 3500, 'not before its time');
       assert.equal(accepted.length, 1);
-      const late = await cluster.state.handle(accepted[0]!);
+      const late = await cluster.store.handle(accepted[0]!);
       assert.ok(late !== 'hang' && late.status === 409, 'refused by the store');
       const next = await cluster.submit('n1', { Pieces: 1 });
-      await done(cluster, 'n1', next);
+      await untilDone(cluster, 'n1', next);
     },
   );
 });
@@ -182,8 +186,8 @@
   scenario('a role is transferred to the node that an operator asks for', {}, async (cluster) => {
     await untilLed(cluster, ORPHAN_COLLECTOR_ROLE);
     const { holder, token } = leaderOf(cluster, ORPHAN_COLLECTOR_ROLE)!;
-    const to = cluster.names.find((n) => n !== holder!.node)!;
-    cluster.state.seed({ [transferRequestKey(ORPHAN_COLLECTOR_ROLE)]: { to, id: 'r1' } });
+    const to = cluster.nodes.find((n) => n !== holder!.node)!;
+    cluster.store.putValues({ [transferRequestKey(ORPHAN_COLLECTOR_ROLE)]: { to, id: 'r1' } });
     await untilLed(cluster, ORPHAN_COLLECTOR_ROLE, to);
     assert.equal(leaderOf(cluster, ORPHAN_COLLECTOR_ROLE)!.token, token + 1);
     assert.equal(
@@ -192,7 +196,7 @@
       'the request is gone',
     );
     cluster.kill(to);
-    await cluster.until(
+    await cluster.waitUntil(
       'another one takes it over',
       20,
       () => leaderOf(cluster, ORPHAN_COLLECTOR_ROLE)?.token === token + 2,
@@ -204,24 +208,26 @@
     { versions: { n2: 'production' } },
     async (cluster) => {
       const adopted = async () => {
-        const name = await cluster.cloud.bootUnknown();
+        const name = await cluster.cloud.bootUnknownMachine();
         const found = `machines/found-${name}`;
-        await cluster.until(
+        await cluster.waitUntil(
           'a shard has adopted it',
           40,
           () => cluster.stored(found) !== undefined,
         );
-        assert.ok(!cluster.cloud.returned.includes(name), 'and nobody has returned it');
+        assert.ok(!cluster.cloud.returnedMachines.includes(name), 'and nobody has returned it');
       };
       await adopted();
       await cluster.replace('n2', 'current');
       await untilLed(cluster, ORPHAN_COLLECTOR_ROLE);
-      const orphaned = await cluster.cloud.bootUnknown();
-      await cluster.until('it is returned', 40, () => cluster.cloud.returned.includes(orphaned));
+      const orphaned = await cluster.cloud.bootUnknownMachine();
+      await cluster.waitUntil('it is returned', 40, () =>
+        cluster.cloud.returnedMachines.includes(orphaned),
+      );
       await cluster.replace('n2', 'production');
       await adopted();
       const uid = await cluster.submit('n0');
-      await done(cluster, 'n0', uid);
+      await untilDone(cluster, 'n0', uid);
     },
   );
 });
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -9,7 +9,7 @@
 import type { JobSpec } from '../src/core/model.js';
 import { unusedVolume } from '../src/core/placement/unused-volume.js';
 import { UnusedVolumeIndex } from '../src/core/placement/unused-volume-index.js';
-import { randomFrom } from '../src/random.js';
+import { seededRandomInt } from '../src/random.js';
 import { MIN_ARRIVAL_WINDOW_S, COUNTED_JOBS_LIMIT } from '../src/core/capacity/constants.js';
 import { countDone, decodeDone, encodeDone } from '../src/core/jobs/jobs.js';
 import { WorkloadStatistics } from '../src/core/capacity/workload-statistics.js';
@@ -56,7 +56,7 @@
 
 /** Submits arrays, and gangs of one or two tasks, with several demands: more than the machines can run. */
 const crowdedWork = (store: Store, machines: number): void => {
-  const random = randomFrom(7);
+  const random = seededRandomInt(7);
   for (let i = 0; i < machines / 4; i++) {
     const image = `image-${random(12)}`;
     const gpuHeavy = { cpus: 1 + random(2), gpus: 1, memoryGb: 4 + random(8) };
@@ -177,7 +177,7 @@
 });
 
 test('a TaskSet behaves like a Set that iterates in ascending order', () => {
-  const random = randomFrom(5);
+  const random = seededRandomInt(5);
   const tasks = new TaskSet();
   const reference = new Set<number>();
   for (let step = 0; step < 5000; step++) {
@@ -197,7 +197,7 @@
 });
 
 test('counting the completed tasks of a bitmap gives the size of the decoded set', () => {
-  const random = randomFrom(3);
+  const random = seededRandomInt(3);
   for (let i = 0; i < 300; i++) {
     const from = random(50);
     const range = { from, to: from + 1 + random(40) };
@@ -223,7 +223,7 @@
 
 test('the unused-volume index finds the machine that a full scan finds, while machines change', () => {
   for (let seed = 1; seed <= 40; seed++) {
-    const random = randomFrom(seed);
+    const random = seededRandomInt(seed);
     const store = new Store();
     const shard = shardOf(store, 60);
     const { largestCapacity: largest } = shard.state;
--- a/test/socket-budget.test.ts
+++ b/test/socket-budget.test.ts
@@ -6,7 +6,7 @@
 import { CloudClient } from '../src/cloud/cloud-client.js';
 import { CborClient } from '../src/transport/http.js';
 import { InboundConnections, socketBudget } from '../src/service/socket-budget.js';
-import { toBytes } from '../src/wire/cbor.js';
+import { encodeCbor } from '../src/wire/cbor.js';
 import { authorization, job, LEASE_MS, machine, shardWith, Store } from './helpers.js';
 import { StandInServer } from './standins/server.js';
 import { FakeWorker, World } from './standins/worker.js';
@@ -20,7 +20,10 @@
 ];
 for (const { maxConnections, peers, workers } of QUOTAS) {
   test(`${maxConnections} sockets and ${peers} other nodes: all workers, direct commands, the rest`, () => {
-    const { direct, inbound } = socketBudget(maxConnections, peers);
+    const { directCommands: direct, inboundConnections: inbound } = socketBudget(
+      maxConnections,
+      peers,
+    );
     assert.ok(direct >= 1 && inbound >= 1);
     assert.ok(
       direct + inbound < maxConnections,
@@ -35,9 +38,9 @@
   const callers = 40;
   let connections: InboundConnections | null = null;
   const server = createServer((request, response) => {
-    connections?.onResponse(response);
+    connections?.beforeResponse(response);
     request.resume();
-    request.on('end', () => response.end(toBytes({ ok: true })));
+    request.on('end', () => response.end(encodeCbor({ ok: true })));
   });
   connections = new InboundConnections(server, maxConnections);
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
@@ -68,7 +71,7 @@
   const world = new World();
   for (const n of names) {
     const w = new FakeWorker(n, world, 1000, LEASE_MS, 0, 'z', 'm', `${n}:1`);
-    w.token = 1;
+    w.fencingToken = 1;
     shard.handleHeartbeat(w.heartbeat(), 0, true);
   }
   store.add(job({ tasks: 60 }));
@@ -97,7 +100,7 @@
     let may = true;
     const rental = { request: 'r', type: 'm', zone: 'z', spot: false, count: 1 };
     const held = authorization('parts/0', 1, 1, () => may);
-    const intent = RecordedIntent.found(held, { key: 'hires/0/r', revision: 2 });
+    const intent = RecordedIntent.fromStored(held, { key: 'hires/0/r', revision: 2 });
     const call = () =>
       what === 'rent' ? cloud.rent(rental, intent) : cloud.returnMachines(['a'], held);
     try {
--- a/test/standins/answer-history.ts
+++ b/test/standins/answer-history.ts
@@ -1,10 +1,10 @@
-import type { Response } from '../../src/transport/http.js';
+import type { CborResponse } from '../../src/transport/http.js';
 
 /** What a user can ask of a job. */
 export type UserCall = 'submit' | 'query' | 'withdraw';
 
 /** Strongest answers that users have had of one job. */
-interface Told {
+interface ReportedState {
   accepted: boolean;
   final: string | null;
 }
@@ -13,81 +13,82 @@
 export interface SentRequest {
   readonly call: UserCall;
   readonly uid: string;
-  readonly toldBefore: Readonly<Told>;
+  readonly reportedBefore: Readonly<ReportedState>;
 }
 
-const FINAL = new Set(['done', 'cancelled']);
-const KNOWN = new Set(['queued', 'running', 'done', 'cancelled']);
+const FINAL_STATES = new Set(['done', 'cancelled']);
+const KNOWN_STATES = new Set(['queued', 'running', 'done', 'cancelled']);
 
 /**
  * Judges every answer to a user by what users had been told, at any node, when its request was sent. An
  * answer to a request that was under way at the same time may be older: the two overlap.
  */
 export class AnswerHistory {
-  readonly #told = new Map<string, Told>();
+  readonly #reported = new Map<string, ReportedState>();
   readonly #submitted = new Set<string>();
   readonly #cancelRequested = new Set<string>();
 
-  constructor(private readonly broken: string[]) {}
+  constructor(private readonly violations: string[]) {}
 
   /** The final state that users have been told, or null. */
-  finalOf(uid: string): string | null {
-    return this.#told.get(uid)?.final ?? null;
+  reportedFinalState(uid: string): string | null {
+    return this.#reported.get(uid)?.final ?? null;
   }
 
   /** A job that was submitted before the test began. */
-  submittedBefore(uid: string): void {
+  addEarlierSubmission(uid: string): void {
     this.#submitted.add(uid);
   }
 
   /** To be called when a request leaves its user. */
-  sent(call: UserCall, uid: string): SentRequest {
+  recordRequest(call: UserCall, uid: string): SentRequest {
     if (call === 'submit') this.#submitted.add(uid);
     if (call === 'withdraw') this.#cancelRequested.add(uid);
-    return { call, uid, toldBefore: { ...this.#toldOf(uid) } };
+    return { call, uid, reportedBefore: { ...this.#reportedOf(uid) } };
   }
 
   /** An answer has reached its user; null if none came. */
-  received(request: SentRequest, answer: Response | null, at = ''): void {
+  recordAnswer(request: SentRequest, answer: CborResponse | null, at = ''): void {
     if (answer === null) return;
-    const { call, uid, toldBefore } = request;
+    const { call, uid, reportedBefore: toldBefore } = request;
     const where = at === '' ? call : `${call} at ${at}`;
     if (answer.status === 404 && toldBefore.accepted) {
-      this.broken.push(`forgotten ${uid}: 404 to ${where}`);
+      this.violations.push(`forgotten ${uid}: 404 to ${where}`);
     }
     const refused = answer.status === 400 || answer.status === 422;
     if (refused && call === 'submit' && toldBefore.accepted) {
-      this.broken.push(`forgotten ${uid}: ${answer.status} to ${where}`);
+      this.violations.push(`forgotten ${uid}: ${answer.status} to ${where}`);
     }
     if (answer.status !== 200 && answer.status !== 201) return;
     const { Status: status } = answer.body as { Status: string };
-    this.#judge(request, answer.status, status, where);
-    const told = this.#toldOf(uid);
+    this.#checkStatus(request, answer.status, status, where);
+    const told = this.#reportedOf(uid);
     told.accepted = true;
-    if (FINAL.has(status)) told.final ??= status;
+    if (FINAL_STATES.has(status)) told.final ??= status;
   }
 
-  #judge(request: SentRequest, code: number, status: string, where: string): void {
-    const { call, uid, toldBefore } = request;
-    const went = (text: string) => this.broken.push(`went_back ${uid}: ${text}, to ${where}`);
-    if (!this.#submitted.has(uid)) this.broken.push(`invented ${uid}: ${status} to ${where}`);
-    if (!KNOWN.has(status)) went(`unknown status ${status}`);
+  #checkStatus(request: SentRequest, code: number, status: string, where: string): void {
+    const { call, uid, reportedBefore: toldBefore } = request;
+    const went = (text: string) => this.violations.push(`went_back ${uid}: ${text}, to ${where}`);
+    if (!this.#submitted.has(uid)) this.violations.push(`invented ${uid}: ${status} to ${where}`);
+    if (!KNOWN_STATES.has(status)) went(`unknown status ${status}`);
     if (code === 201 && toldBefore.accepted) went('accepted again with 201');
     if (toldBefore.final !== null && status !== toldBefore.final) {
       went(`${toldBefore.final}, then ${status}`);
       return;
     }
-    const other = this.finalOf(uid);
-    if (FINAL.has(status) && other !== null && other !== status) went(`${other}, then ${status}`);
+    const other = this.reportedFinalState(uid);
+    if (FINAL_STATES.has(status) && other !== null && other !== status)
+      went(`${other}, then ${status}`);
     if (status === 'cancelled' && !this.#cancelRequested.has(uid)) went('cancelled by no user');
-    if (call === 'withdraw' && !FINAL.has(status)) went(`a cancellation answered ${status}`);
+    if (call === 'withdraw' && !FINAL_STATES.has(status)) went(`a cancellation answered ${status}`);
   }
 
-  #toldOf(uid: string): Told {
-    let told = this.#told.get(uid);
+  #reportedOf(uid: string): ReportedState {
+    let told = this.#reported.get(uid);
     if (told === undefined) {
       told = { accepted: false, final: null };
-      this.#told.set(uid, told);
+      this.#reported.set(uid, told);
     }
     return told;
   }
