--- a/test/standins/cloud.ts
+++ b/test/standins/cloud.ts
@@ -4,9 +4,9 @@
 import { StandInServer, type Reply, type Request } from './server.js';
 import { FakeWorker, type World } from './worker.js';
 
-const STATES = { running: 'running', exited: 'ended' } as const;
+const WIRE_STATUS = { running: 'running', exited: 'ended' } as const;
 
-const toWire = (r: Heartbeat): unknown => ({
+const heartbeatBody = (r: Heartbeat): unknown => ({
   Host: r.machine,
   Address: r.address,
   Hosttype: r.type,
@@ -19,7 +19,7 @@
   Pieces: r.tasks.map((t) => ({
     Piece: `${t.uid}/${t.index}`,
     Try: t.attempt,
-    Status: STATES[t.state as keyof typeof STATES],
+    Status: WIRE_STATUS[t.state as keyof typeof WIRE_STATUS],
     ...(t.why === null ? {} : { Cause: t.why, Saved: t.saved }),
   })),
 });
@@ -30,7 +30,7 @@
   Try: number;
   WindupS?: number;
 }
-const fromWire = (o: WireOrder) => {
+const parseOrder = (o: WireOrder) => {
   const [uid, index] = o.Piece.split('/') as [string, string];
   const task = { uid, index: Number(index), attempt: o.Try };
   if (o.Verb === 'stop') return { op: 'stop' as const, ...task, graceS: o.WindupS ?? 0 };
@@ -40,65 +40,71 @@
 /** A worker on loopback: reports to one node at a time and takes direct commands. */
 export class WorkerHost extends StandInServer {
   worker!: FakeWorker;
-  at = 0;
+  nodeIndex = 0;
   /** its reports reach no node, direct commands reach it */
   losesHeartbeats = false;
   /** its reports arrive, nothing that it is told does */
   losesCommands = false;
   /** ms that direct commands are held up before they are carried out */
-  heldMs = 0;
+  commandDelayMs = 0;
   /** the only node that it reaches, and that reaches it; null: all */
-  only: string | null = null;
+  onlyNode: string | null = null;
   /** a node that its reports do not reach; nothing that is sent to it directly arrives meanwhile */
-  cutFrom: string | null = null;
+  unreachableNode: string | null = null;
   /** ms after which copies of its reports arrive once more, at any node; null: never */
-  copyMs: number | null = null;
-  copies = 0;
+  duplicateAfterMs: number | null = null;
+  duplicatesSent = 0;
   #nodes: readonly [string, string][] = [];
   #stopped = false;
-  #busy = false;
-  #last = 0;
+  #heartbeatInFlight = false;
+  #lastHeartbeatMs = 0;
   #timer: NodeJS.Timeout | null = null;
 
   async start(make: (address: string) => FakeWorker, nodes: readonly [string, string][]) {
-    await this.listen((r) => this.#command(r));
+    await this.listen((r) => this.#handleCommands(r));
     this.worker = make(this.address);
     this.#nodes = nodes;
-    this.#timer = setInterval(() => void this.#beat(nodes), 50);
+    this.#timer = setInterval(() => void this.#sendHeartbeat(nodes), 50);
   }
 
-  async #command(r: Request): Promise<Reply> {
-    const cut = this.only !== null || this.cutFrom !== null;
+  async #handleCommands(r: Request): Promise<Reply> {
+    const cut = this.onlyNode !== null || this.unreachableNode !== null;
     if (this.losesCommands || this.worker.hung || cut) return 'hang';
-    if (this.heldMs > 0) await sleep(this.heldMs);
+    if (this.commandDelayMs > 0) await sleep(this.commandDelayMs);
     const body = r.body as { Mandate: number; Tenure: number; Orders: WireOrder[] };
     this.worker.advance(Date.now());
-    const executed = this.worker.direct(body.Mandate, body.Tenure, body.Orders.map(fromWire));
-    this.#last = 0;
-    return { status: executed ? 200 : 409, body: toWire(this.worker.heartbeat()) };
+    const executed = this.worker.executeDirect(
+      body.Mandate,
+      body.Tenure,
+      body.Orders.map(parseOrder),
+    );
+    this.#lastHeartbeatMs = 0;
+    return { status: executed ? 200 : 409, body: heartbeatBody(this.worker.heartbeat()) };
   }
 
-  async #beat(nodes: readonly [string, string][]): Promise<void> {
+  async #sendHeartbeat(nodes: readonly [string, string][]): Promise<void> {
     if (this.losesHeartbeats || this.worker.hung) {
       this.worker.advance(Date.now());
       return;
     }
-    if (this.#busy || Date.now() - this.#last < 300) return;
-    this.#busy = true;
-    if (this.only !== null) this.at = nodes.findIndex(([name]) => name === this.only);
-    this.#last = Date.now();
+    if (this.#heartbeatInFlight || Date.now() - this.#lastHeartbeatMs < 300) return;
+    this.#heartbeatInFlight = true;
+    if (this.onlyNode !== null)
+      this.nodeIndex = nodes.findIndex(([name]) => name === this.onlyNode);
+    this.#lastHeartbeatMs = Date.now();
     this.worker.advance(Date.now());
-    if (nodes[this.at]![0] === this.cutFrom) {
-      this.at = (this.at + 1) % nodes.length;
-      this.#busy = false;
+    if (nodes[this.nodeIndex]![0] === this.unreachableNode) {
+      this.nodeIndex = (this.nodeIndex + 1) % nodes.length;
+      this.#heartbeatInFlight = false;
       return;
     }
     const report = this.worker.heartbeat();
     const sentAt = Date.now();
-    const client = new CborClient(nodes[this.at]![1], 1);
-    if (this.copyMs !== null) this.#copyLater(nodes, report, this.copyMs);
+    const client = new CborClient(nodes[this.nodeIndex]![1], 1);
+    if (this.duplicateAfterMs !== null)
+      this.#scheduleDuplicate(nodes, report, this.duplicateAfterMs);
     try {
-      const answer = await client.call('POST', '/agent/beat', toWire(report), 1000);
+      const answer = await client.call('POST', '/agent/beat', heartbeatBody(report), 1000);
       const body = answer.body as {
         Mandate?: number;
         Orders?: WireOrder[];
@@ -106,49 +112,50 @@
       };
       if (this.#stopped || this.losesCommands || this.worker.hung) return;
       if (answer.status === 200) {
-        const orders = (body.Orders ?? []).map(fromWire);
+        const orders = (body.Orders ?? []).map(parseOrder);
         this.worker.advance(Date.now());
-        this.worker.answered(body.Mandate ?? 0, orders, sentAt, report.agentEpoch);
+        this.worker.onHeartbeatAnswer(body.Mandate ?? 0, orders, sentAt, report.agentEpoch);
       } else {
         const to = nodes.findIndex(([name]) => name === body.ReportsTo);
-        this.at = to >= 0 && to !== this.at ? to : (this.at + 1) % nodes.length;
+        this.nodeIndex =
+          to >= 0 && to !== this.nodeIndex ? to : (this.nodeIndex + 1) % nodes.length;
       }
     } catch {
-      this.at = (this.at + 1) % nodes.length;
+      this.nodeIndex = (this.nodeIndex + 1) % nodes.length;
     } finally {
       client.close();
-      this.#busy = false;
+      this.#heartbeatInFlight = false;
     }
   }
 
-  #copyLater(nodes: readonly [string, string][], report: Heartbeat, ms: number): void {
+  #scheduleDuplicate(nodes: readonly [string, string][], report: Heartbeat, ms: number): void {
     const timer = setTimeout(() => {
       if (this.#stopped) return;
-      this.copies += 1;
-      this.#deliver(nodes[this.copies % nodes.length]![1], report);
+      this.duplicatesSent += 1;
+      this.#sendWithoutAnswer(nodes[this.duplicatesSent % nodes.length]![1], report);
     }, ms);
     timer.unref();
   }
 
   /** Nobody waits for the answer to a copy. */
-  #deliver(address: string, report: Heartbeat): void {
+  #sendWithoutAnswer(address: string, report: Heartbeat): void {
     const client = new CborClient(address, 1);
     void client
-      .call('POST', '/agent/beat', toWire(report), 1000)
+      .call('POST', '/agent/beat', heartbeatBody(report), 1000)
       .catch(() => null)
       .finally(() => client.close());
   }
 
-  #kept: Heartbeat | null = null;
+  #keptHeartbeat: Heartbeat | null = null;
   /** Keeps a report as the worker would send it now. */
-  keepReport(): void {
-    this.#kept = this.worker.heartbeat();
+  keepHeartbeat(): void {
+    this.#keptHeartbeat = this.worker.heartbeat();
   }
 
   /** The kept report arrives at every node. */
-  deliverKept(): void {
-    if (this.#kept === null || this.#stopped) return;
-    for (const [, address] of this.#nodes) this.#deliver(address, this.#kept);
+  deliverKeptHeartbeat(): void {
+    if (this.#keptHeartbeat === null || this.#stopped) return;
+    for (const [, address] of this.#nodes) this.#sendWithoutAnswer(address, this.#keptHeartbeat);
   }
 
   override close(): void {
@@ -161,19 +168,19 @@
 /** Stand-in for the cloud; its machines are up at once and report on loopback. */
 export class FakeCloud extends StandInServer {
   readonly machines = new Map<string, WorkerHost>();
-  readonly #answers = new Map<string, string[]>();
-  #count = 0;
+  readonly #machinesByRental = new Map<string, string[]>();
+  #bootedMachines = 0;
   /** the next rental is carried out, but its answer gets lost */
-  loseAnswer = false;
+  losesNextRentalResponse = false;
   /** ms that the answer to a rental takes; the machines are there at once */
-  slowRentalMs = 0;
+  rentalDelayMs = 0;
   /** names in the calls that returned machines, in order */
-  readonly returned: string[] = [];
+  readonly returnedMachines: string[] = [];
   /** returns are on their way until this is set to false: then they are carried out */
   #holdsReturns = false;
   readonly #heldReturns: (readonly string[])[] = [];
   /** machines at once; more are refused */
-  most = Infinity;
+  maxMachines = Infinity;
 
   constructor(
     private readonly world: World,
@@ -209,17 +216,17 @@
     }
     if (r.path === '/rentals') {
       const body = r.body as { Hire: string; Number: number; Reclaimable: boolean; Site: string };
-      let names = this.#answers.get(body.Hire);
+      let names = this.#machinesByRental.get(body.Hire);
       if (names === undefined) {
         names = [];
-        const room = Math.min(body.Number, this.most - this.machines.size);
+        const room = Math.min(body.Number, this.maxMachines - this.machines.size);
         if (room <= 0) return { status: 503, body: { error: 'no capacity' } };
         for (let i = 0; i < room; i++) names.push(await this.#boot(body.Reclaimable, body.Site));
       }
-      this.#answers.set(body.Hire, names);
-      if (this.slowRentalMs > 0) await sleep(this.slowRentalMs);
-      if (this.loseAnswer) {
-        this.loseAnswer = false;
+      this.#machinesByRental.set(body.Hire, names);
+      if (this.rentalDelayMs > 0) await sleep(this.rentalDelayMs);
+      if (this.losesNextRentalResponse) {
+        this.losesNextRentalResponse = false;
         return 'hang';
       }
       return { status: 200, body: { Hosts: names } };
@@ -229,13 +236,13 @@
       this.#heldReturns.push(names);
       return 'hang';
     }
-    this.#giveBack(names);
+    this.#carryOutReturn(names);
     return { status: 200, body: {} };
   }
 
   set holdsReturns(holds: boolean) {
     this.#holdsReturns = holds;
-    if (!holds) for (const names of this.#heldReturns.splice(0)) this.#giveBack(names);
+    if (!holds) for (const names of this.#heldReturns.splice(0)) this.#carryOutReturn(names);
   }
 
   /** machines in returns that are on their way */
@@ -243,19 +250,19 @@
     return this.#heldReturns.flat();
   }
 
-  #giveBack(names: readonly string[]): void {
-    this.returned.push(...names);
+  #carryOutReturn(names: readonly string[]): void {
+    this.returnedMachines.push(...names);
     for (const name of names) this.kill(name);
   }
 
   /** A rental that no controller knows of. */
-  bootUnknown(): Promise<string> {
+  bootUnknownMachine(): Promise<string> {
     return this.#boot(false, this.zones[0]!);
   }
 
   async #boot(spot: boolean, zone: string): Promise<string> {
-    this.#count += 1;
-    const name = `vm-${String(this.#count).padStart(6, '0')}`;
+    this.#bootedMachines += 1;
+    const name = `vm-${String(this.#bootedMachines).padStart(6, '0')}`;
     const host = new WorkerHost();
     host.host = this.host;
     await host.start((address) => {
@@ -263,7 +270,7 @@
       const { world, runMs, leaseMs } = this;
       return new FakeWorker(name, world, runMs, leaseMs, now, zone, 'm', address, spot);
     }, this.nodes);
-    host.at = this.#count % this.nodes.length;
+    host.nodeIndex = this.#bootedMachines % this.nodes.length;
     this.world.zoneOf.set(name, zone);
     this.machines.set(name, host);
     return name;
@@ -272,7 +279,7 @@
   /** The machine and everything on it are gone. */
   kill(name: string): void {
     const host = this.machines.get(name);
-    host?.worker.vanish();
+    host?.worker.terminate();
     host?.close();
     this.machines.delete(name);
   }
--- a/test/standins/cluster.ts
+++ b/test/standins/cluster.ts
@@ -3,7 +3,7 @@
 import type { PlatformConfig } from '../../src/config/platform.js';
 import { shardOfTeam } from '../../src/core/jobs/jobs.js';
 import type { Team } from '../../src/core/model.js';
-import { CborClient, type Response } from '../../src/transport/http.js';
+import { CborClient, type CborResponse } from '../../src/transport/http.js';
 import { AnswerHistory, type UserCall } from './answer-history.js';
 import { FakeCloud, type WorkerHost } from './cloud.js';
 import type { OptionalFeatures } from '../../src/service/service.js';
@@ -15,7 +15,7 @@
 } from './controllers.js';
 import { Link } from './link.js';
 import { nextLoopbackAddress } from './loopback.js';
-import { FakeStore, StateDoor } from './store.js';
+import { FakeStore, StoreProxy } from './store.js';
 import { World } from './worker.js';
 
 /** Below the ports that the system hands out, so that nobody is given one between two lives of a node. */
@@ -31,7 +31,7 @@
   readonly zones?: readonly string[];
   readonly storeLimits?: PlatformConfig['storeLimits'];
   /** values that stand in the state service before the first controller starts */
-  readonly seed?: Readonly<Record<string, unknown>>;
+  readonly initialValues?: Readonly<Record<string, unknown>>;
   /** version of each node at the start, by name; the present one if not given */
   readonly versions?: Readonly<Record<string, Version>>;
   /** what is switched on; nothing if not given */
@@ -53,31 +53,31 @@
 
 /** Whole controllers on loopback, each way between them and to the state service open to trouble. */
 export class Cluster {
-  readonly names: readonly string[];
-  readonly state = new FakeStore();
-  readonly doors = new Map<string, StateDoor>();
+  readonly nodes: readonly string[];
+  readonly store = new FakeStore();
+  readonly storeProxies = new Map<string, StoreProxy>();
   readonly world: World;
   readonly history: AnswerHistory;
   cloud!: FakeCloud;
   readonly #controllers = new Map<string, Controller>();
   /** by node, its last life on its way out */
-  readonly #ending = new Map<string, Promise<void>>();
+  readonly #stopping = new Map<string, Promise<void>>();
   /** controllers that ended by themselves */
   crashes = 0;
   readonly #clients = new Map<string, CborClient>();
   readonly #configs = new Map<string, PlatformConfig>();
   /** ways between nodes, by `from to` */
   readonly #links = new Map<string, Link>();
-  readonly #stateLinks = new Map<string, Link>();
-  #count = 0;
+  readonly #storeLinks = new Map<string, Link>();
+  #submissions = 0;
   readonly #host = nextLoopbackAddress();
   #port = FIRST_PORT;
 
   constructor(readonly options: ClusterOptions) {
     const { controllers = 3 } = options;
-    this.names = Array.from({ length: controllers }, (_, index) => `n${index}`);
+    this.nodes = Array.from({ length: controllers }, (_, index) => `n${index}`);
     this.world = new World(options.cancelS * 1000);
-    this.history = new AnswerHistory(this.world.broken);
+    this.history = new AnswerHistory(this.world.violations);
   }
 
   #nextAddress(): string {
@@ -86,34 +86,35 @@
   }
 
   async open(): Promise<void> {
-    this.state.host = this.#host;
-    await this.state.start();
-    const { seed = {} } = this.options;
-    this.state.seed(seed);
+    this.store.host = this.#host;
+    await this.store.start();
+    const { initialValues: seed = {} } = this.options;
+    this.store.putValues(seed);
     for (const name of Object.keys(seed)) {
-      if (name.startsWith('active/')) this.history.submittedBefore(name.slice('active/'.length));
+      if (name.startsWith('active/'))
+        this.history.addEarlierSubmission(name.slice('active/'.length));
     }
     const listen = new Map<string, string>();
     const peerListen = new Map<string, string>();
-    for (const n of this.names) {
+    for (const n of this.nodes) {
       listen.set(n, this.#nextAddress());
       peerListen.set(n, this.#nextAddress());
-      const door = new StateDoor(this.state);
+      const door = new StoreProxy(this.store);
       door.host = this.#host;
       await door.start();
-      this.doors.set(n, door);
+      this.storeProxies.set(n, door);
     }
     const { runMs, leaseS, cancelS, teams = [], zones = ['z'], storeLimits } = this.options;
-    for (const t of teams) if (t.cpusMax > 0) this.world.limits.set(t.name, t.cpusMax);
+    for (const t of teams) if (t.cpusMax > 0) this.world.quotas.set(t.name, t.cpusMax);
     this.cloud = new FakeCloud(this.world, [...listen], runMs, leaseS * 1000, zones);
     this.cloud.host = this.#host;
     await this.cloud.start();
-    for (const node of this.names) {
+    for (const node of this.nodes) {
       const toState = new Link();
-      await toState.open(this.doors.get(node)!.address, this.#host);
-      this.#stateLinks.set(node, toState);
+      await toState.open(this.storeProxies.get(node)!.address, this.#host);
+      this.#storeLinks.set(node, toState);
       const peers = [];
-      for (const other of this.names.filter((n) => n !== node)) {
+      for (const other of this.nodes.filter((n) => n !== node)) {
         const link = new Link();
         await link.open(peerListen.get(other)!, this.#host);
         this.#links.set(`${node} ${other}`, link);
@@ -127,7 +128,7 @@
         peers,
         cloud: this.cloud.address,
         store: toState.address,
-        nodes: this.names.length,
+        nodes: this.nodes.length,
         zones,
         teams: new Map([TEAM, ...teams].map((t) => [t.name, t])),
         objectives: [],
@@ -139,12 +140,12 @@
       this.#clients.set(node, new CborClient(listen.get(node)!, 4));
     }
     const { versions = {} } = this.options;
-    await Promise.all(this.names.map((n) => this.start(n, versions[n])));
-    for (const n of this.names) await this.until(`${n} ready`, 15, () => this.ready(n));
+    await Promise.all(this.nodes.map((n) => this.start(n, versions[n])));
+    for (const n of this.nodes) await this.waitUntil(`${n} ready`, 15, () => this.isReady(n));
   }
 
   async start(node: string, version: Version = 'current'): Promise<void> {
-    await this.#ending.get(node);
+    await this.#stopping.get(node);
     const config = this.#configs.get(node)!;
     const old = version === 'production';
     const settings = old ? { ...config, storeLimits: PRODUCTION_LIMITS } : config;
@@ -163,7 +164,7 @@
     const controller = this.#controllers.get(node);
     if (controller === undefined) return;
     this.#controllers.delete(node);
-    this.#ending.set(node, controller.kill());
+    this.#stopping.set(node, controller.kill());
   }
 
   /** Settings of a node, as the platform would hand them over. */
@@ -180,78 +181,83 @@
 
   /** What the state service holds under a key. */
   stored(key: string): unknown {
-    return this.state.items.get(key)?.value;
+    return this.store.items.get(key)?.value;
   }
 
   /** Ends a node and starts it again with the given version. */
   async replace(node: string, version: Version, awayMs = 300): Promise<void> {
     this.kill(node);
-    await this.pass(awayMs / 1000);
+    await this.runFor(awayMs / 1000);
     await this.start(node, version);
-    await this.until(`${node} is ready`, 40, () => this.ready(node));
+    await this.waitUntil(`${node} is ready`, 40, () => this.isReady(node));
   }
 
   /** Cuts a node from the state service, or lets it back; unlike a refusal it gets no answer. */
-  cutState(node: string, cut: boolean): void {
-    this.#stateLinks.get(node)!.cut = cut;
+  partitionFromStore(node: string, cut: boolean): void {
+    this.#storeLinks.get(node)!.cut = cut;
   }
 
   /** Cuts a node from all other nodes, or lets it back. */
-  cutPeers(node: string, cut: boolean): void {
+  partitionFromPeers(node: string, cut: boolean): void {
     for (const [way, link] of this.#links) if (way.split(' ').includes(node)) link.cut = cut;
   }
 
-  call(node: string, method: string, path: string, body?: unknown): Promise<Response> {
+  call(node: string, method: string, path: string, body?: unknown): Promise<CborResponse> {
     return this.#clients.get(node)!.call(method, path, body, 3000);
   }
 
-  async until(what: string, seconds: number, check: () => Promise<boolean> | boolean) {
+  async waitUntil(what: string, seconds: number, check: () => Promise<boolean> | boolean) {
     const end = Date.now() + seconds * 1000;
     while (!(await check())) {
       assert.ok(Date.now() < end, `not within ${seconds} s: ${what}`);
-      this.world.check(Date.now());
+      this.world.checkCancellations(Date.now());
       await sleep(100);
     }
   }
 
   /** Time passes while the rules are watched. */
-  async pass(seconds: number): Promise<void> {
+  async runFor(seconds: number): Promise<void> {
     const end = Date.now() + seconds * 1000;
     while (Date.now() < end) {
       await sleep(100);
-      this.world.check(Date.now());
+      this.world.checkCancellations(Date.now());
     }
   }
 
-  async ready(node: string): Promise<boolean> {
+  async isReady(node: string): Promise<boolean> {
     return (await this.call(node, 'GET', '/ready').catch(() => null))?.status === 200;
   }
 
   /** A call of a user. Every answer is judged by what users had been told when the call was sent. */
-  async ask(node: string, call: UserCall, uid: string, body?: unknown): Promise<Response | null> {
-    const sent = this.history.sent(call, uid);
+  async sendUserRequest(
+    node: string,
+    call: UserCall,
+    uid: string,
+    body?: unknown,
+  ): Promise<CborResponse | null> {
+    const sent = this.history.recordRequest(call, uid);
     const method = call === 'query' ? 'GET' : 'POST';
     const path = call === 'submit' ? '/submissions' : `/submissions/${uid}`;
     const whole = call === 'withdraw' ? `${path}/withdraw` : path;
     const answer = await this.call(node, method, whole, body).catch(() => null);
-    this.history.received(sent, answer, node);
+    this.history.recordAnswer(sent, answer, node);
     return answer;
   }
 
   /** What a node says of a job. */
   async statusOf(node: string, uid: string): Promise<string> {
-    const a = await this.ask(node, 'query', uid);
+    const a = await this.sendUserRequest(node, 'query', uid);
     const status = a?.status === 200 ? (a.body as { Status: string }).Status : String(a?.status);
     const tasks = this.world.jobs.get(uid)?.tasks ?? 0;
     if (status === 'done' && (this.world.completed.get(uid)?.size ?? 0) < tasks) {
-      this.world.broken.push(`not_done ${uid}`);
+      this.world.violations.push(`not_done ${uid}`);
     }
     return status;
   }
 
   submission(over: Record<string, unknown> = {}) {
     return {
-      Uid: `job-${String(++this.#count).padStart(6, '0')}`,
+      Uid: `job-${String(++this.#submissions).padStart(6, '0')}`,
       Jobclass: 'c',
       Owner: 't',
       Shape: 'batch',
@@ -282,8 +288,8 @@
     const { Owner: team, Pieces: tasks, Vcpus: cpus, Site: zone } = body;
     const rules = { team, tasks, cpus, zone, gang };
     this.world.jobs.set(body.Uid, { ...rules, oneZone: body.OneZone, spread: body.Spread });
-    await this.until(`${body.Uid} accepted`, 20, async () => {
-      const a = await this.ask(node, 'submit', body.Uid, body);
+    await this.waitUntil(`${body.Uid} accepted`, 20, async () => {
+      const a = await this.sendUserRequest(node, 'submit', body.Uid, body);
       return a?.status === 201 || a?.status === 200;
     });
     return body.Uid;
@@ -293,53 +299,56 @@
    * Asks every node at the same moment, and repeats the submission at each. Nobody may say less than was
    * known to the user when the questions left.
    */
-  async look(body: ReturnType<Cluster['submission']>): Promise<void> {
+  async queryAndResubmitAtAllNodes(body: ReturnType<Cluster['submission']>): Promise<void> {
     const uid = body.Uid;
     const answers = await Promise.all(
-      this.names.flatMap((n) => [this.ask(n, 'query', uid), this.ask(n, 'submit', uid, body)]),
+      this.nodes.flatMap((n) => [
+        this.sendUserRequest(n, 'query', uid),
+        this.sendUserRequest(n, 'submit', uid, body),
+      ]),
     );
     for (const a of answers) {
       if (a === null) continue;
       if (a.status === 404 || a.status === 400 || a.status === 422 || a.status === 201) {
-        this.world.broken.push(`forgotten ${uid}: ${a.status}`);
+        this.world.violations.push(`forgotten ${uid}: ${a.status}`);
       }
     }
   }
 
   /** The user is told that the job is cancelled: from now on the rule's time runs. */
   async cancel(node: string, uid: string): Promise<string> {
-    await this.until(`${uid} cancelled`, 20, async () => {
-      const a = await this.ask(node, 'withdraw', uid);
+    await this.waitUntil(`${uid} cancelled`, 20, async () => {
+      const a = await this.sendUserRequest(node, 'withdraw', uid);
       if (a?.status !== 200) return false;
       const { Status } = a.body as { Status: string };
       if (Status === 'cancelled') this.world.cancelledAt.set(uid, Date.now());
       return true;
     });
-    return this.history.finalOf(uid)!;
+    return this.history.reportedFinalState(uid)!;
   }
 
   /** The node that the shard of a team with a limit belongs to while all live. */
-  ownerOf(team: string): string {
-    return this.names[shardOfTeam(team, this.names.length)]!;
+  preferredNodeOf(team: string): string {
+    return this.nodes[shardOfTeam(team, this.nodes.length)]!;
   }
 
   /** Tasks of the job that are on machines. */
-  running(uid: string): number {
+  runningTasks(uid: string): number {
     let count = 0;
-    for (const [task, on] of this.world.on) if (task.startsWith(`${uid}/`)) count += on.size;
+    for (const [task, on] of this.world.runningOn) if (task.startsWith(`${uid}/`)) count += on.size;
     return count;
   }
 
-  hosts(): WorkerHost[] {
+  workerHosts(): WorkerHost[] {
     return [...this.cloud.machines.values()];
   }
 
   close(): void {
-    for (const n of this.names) this.kill(n);
+    for (const n of this.nodes) this.kill(n);
     for (const c of this.#clients.values()) c.close();
-    for (const l of [...this.#links.values(), ...this.#stateLinks.values()]) l.close();
-    for (const d of this.doors.values()) d.close();
+    for (const l of [...this.#links.values(), ...this.#storeLinks.values()]) l.close();
+    for (const d of this.storeProxies.values()) d.close();
     this.cloud.close();
-    this.state.close();
+    this.store.close();
   }
 }
--- a/test/standins/commands.ts
+++ b/test/standins/commands.ts
@@ -6,7 +6,7 @@
 import { stringify } from 'smol-toml';
 
 /** The program as an operator starts it. */
-const MAIN = join(import.meta.dirname, '../../../main.js');
+const PROGRAM = join(import.meta.dirname, '../../../main.js');
 
 const platformSettings = (state: string): unknown => ({
   node: 'n0',
@@ -26,26 +26,30 @@
 });
 
 /** What a run of the program printed, and its exit code. */
-export interface Run {
-  readonly code: number;
-  readonly out: string;
-  readonly err: string;
+export interface CommandResult {
+  readonly exitCode: number;
+  readonly stdout: string;
+  readonly stderr: string;
 }
 
 /** Runs the program with settings whose store is at the address. */
 export const withCommands = async (
   state: string,
   command: 'duties' | 'shares',
-  use: (run: (...args: string[]) => Promise<Run>) => Promise<void>,
+  use: (run: (...args: string[]) => Promise<CommandResult>) => Promise<void>,
 ): Promise<void> => {
   const folder = mkdtempSync(join(tmpdir(), 'duties-'));
   const config = join(folder, 'platform.toml');
   writeFileSync(config, stringify(platformSettings(state)));
-  const run = (...args: string[]): Promise<Run> =>
+  const run = (...args: string[]): Promise<CommandResult> =>
     new Promise((resolve) => {
-      const all = [MAIN, command, ...args, '--config', config];
+      const all = [PROGRAM, command, ...args, '--config', config];
       execFile(process.execPath, all, (error, out, err) => {
-        resolve({ code: typeof error?.code === 'number' ? error.code : 0, out, err });
+        resolve({
+          exitCode: typeof error?.code === 'number' ? error.code : 0,
+          stdout: out,
+          stderr: err,
+        });
       });
     });
   try {
--- a/test/standins/machine-moves.ts
+++ b/test/standins/machine-moves.ts
@@ -11,34 +11,34 @@
 } from '@sumacstep/shard-rebalancing';
 import { parseSingletonsConfig } from '../../src/config/singletons.js';
 import { parseRebalancingConfig } from '../../src/config/rebalancing.js';
-import { randomFrom } from '../../src/random.js';
+import { seededRandomInt } from '../../src/random.js';
 import { Cluster } from './cluster.js';
 import type { Request } from './server.js';
 
 /** Sizes of a run. */
 export interface MachineMovesOptions {
   readonly seed: number;
-  readonly seconds: number;
+  readonly durationS: number;
   /** s between two requests of moves */
-  readonly everyS: number;
+  readonly moveIntervalS: number;
   readonly faults: boolean;
 }
 
 /** What a run met and measured. */
 export interface MachineMovesResult {
-  readonly broken: readonly string[];
+  readonly violations: readonly string[];
   readonly unfinished: readonly string[];
   readonly counts: Record<string, number>;
   /** ms from request to end of moves that were carried out */
-  readonly moveMs: readonly number[];
+  readonly moveDurationsMs: readonly number[];
   /** ms from the transaction to the machine's first report to its new owner */
-  readonly pauseMs: readonly number[];
+  readonly pausesMs: readonly number[];
 }
 
-type Host = ReturnType<Cluster['hosts']>[number];
+type Host = ReturnType<Cluster['workerHosts']>[number];
 
 const FEATURES = { duties: parseSingletonsConfig('', ''), shares: parseRebalancingConfig('', '') };
-const LIMITED = { name: 'limited', cpus: 0, gpus: 0, cpusMax: 16, gpusMax: 0 };
+const LIMITED_TEAM = { name: 'limited', cpus: 0, gpus: 0, cpusMax: 16, gpusMax: 0 };
 const TASK_MS = 700;
 /** s after the last fault within which everything must be over */
 const SETTLE_S = 60;
@@ -50,9 +50,9 @@
     leaseS: 10,
     cancelS: 20,
     features: FEATURES,
-    teams: [LIMITED],
+    teams: [LIMITED_TEAM],
   });
-  readonly #below: (n: number) => number;
+  readonly #randomBelow: (n: number) => number;
   readonly #jobs: string[] = [];
   readonly #counts = {
     jobs: 0,
@@ -70,141 +70,141 @@
   };
   readonly #requestedAt = new Map<string, number>();
   readonly #cancelling = new Set<Promise<unknown>>();
-  readonly #moveMs: number[] = [];
-  readonly #pauseMs: number[] = [];
+  readonly #moveDurationsMs: number[] = [];
+  readonly #pausesMs: number[] = [];
 
   constructor(private readonly options: MachineMovesOptions) {
-    this.#below = randomFrom(options.seed);
+    this.#randomBelow = seededRandomInt(options.seed);
   }
 
   #moves(): Move[] {
-    return [...this.cluster.state.items]
+    return [...this.cluster.store.items]
       .filter(([key]) => key.startsWith(moveKey('')))
       .map(([, item]) => decodeMove(item.value)!);
   }
 
   /** Writes a request as the command does: the move and the locks of both shards, if nothing holds them. */
-  #request(): void {
-    const from = this.#below(3);
-    const to = (from + 1 + this.#below(2)) % 3;
+  #requestMove(): void {
+    const from = this.#randomBelow(3);
+    const to = (from + 1 + this.#randomBelow(2)) % 3;
     this.#counts.moves += 1;
     const id = `m${this.#counts.moves}`;
-    const { state } = this.cluster;
+    const { store: state } = this.cluster;
     const held = [from, to].some((shard) => state.items.has(shardLockKey(shard)));
     if (held) {
       this.#counts.refused += 1;
       return;
     }
-    const deadlineMs = Date.now() + 4000 + this.#below(10_000);
-    const returnAtMs = this.#below(3) === 0 ? deadlineMs + 3000 : null;
+    const deadlineMs = Date.now() + 4000 + this.#randomBelow(10_000);
+    const returnAtMs = this.#randomBelow(3) === 0 ? deadlineMs + 3000 : null;
     const filter = { type: null, zone: null, spot: null };
-    const count = 1 + this.#below(3);
+    const count = 1 + this.#randomBelow(3);
     const move = newMove({ id, from, to, count, filter, deadlineMs, returnAtMs });
     const lock = encodeShardLock(id);
-    state.seed({ [moveKey(id)]: move, [shardLockKey(from)]: lock, [shardLockKey(to)]: lock });
+    state.putValues({ [moveKey(id)]: move, [shardLockKey(from)]: lock, [shardLockKey(to)]: lock });
     this.#requestedAt.set(id, Date.now());
   }
 
   async #submit(): Promise<void> {
-    const node = this.cluster.names[this.#below(3)]!;
-    const gang = this.#below(4) === 0;
+    const node = this.cluster.nodes[this.#randomBelow(3)]!;
+    const gang = this.#randomBelow(4) === 0;
     const shape = gang ? { Shape: 'ensemble', Pieces: 2, SnapshotEveryS: 0 } : {};
-    const pieces = 1 + this.#below(6);
-    const owner = this.#below(4) === 0 ? { Owner: LIMITED.name } : {};
+    const pieces = 1 + this.#randomBelow(6);
+    const owner = this.#randomBelow(4) === 0 ? { Owner: LIMITED_TEAM.name } : {};
     const body = this.cluster.submission({ Pieces: pieces, GuessS: 1, ...owner, ...shape });
     this.#counts.jobs += 1;
     const uid = await this.cluster.submitBody(node, body);
     this.#jobs.push(uid);
-    if (this.options.faults && this.#below(8) === 0) void this.#cancelLater(node, uid);
+    if (this.options.faults && this.#randomBelow(8) === 0) void this.#cancelLater(node, uid);
   }
 
   async #cancelLater(node: string, uid: string): Promise<void> {
-    await sleep(this.#below(4000));
+    await sleep(this.#randomBelow(4000));
     this.#counts.cancelled += 1;
     this.#cancelling.add(this.cluster.cancel(node, uid));
   }
 
   /** One fault at random, which is repaired after a while. */
-  async #fault(): Promise<void> {
-    const node = this.cluster.names[this.#below(3)]!;
-    const hosts = this.cluster.hosts();
-    const host = hosts[this.#below(Math.max(1, hosts.length))];
-    const fault = this.#below(8);
+  async #injectFault(): Promise<void> {
+    const node = this.cluster.nodes[this.#randomBelow(3)]!;
+    const hosts = this.cluster.workerHosts();
+    const host = hosts[this.#randomBelow(Math.max(1, hosts.length))];
+    const fault = this.#randomBelow(8);
     if (fault === 0) await this.#restart(node);
-    else if (fault === 1) await this.#cutOff(node);
-    else if (fault === 4) await this.#delayWrites(node);
+    else if (fault === 1) await this.#makeStoreUnavailableTo(node);
+    else if (fault === 4) await this.#delayTransactions(node);
     else if (fault === 5) await this.#storeOutage();
-    else if (host !== undefined) await this.#hostFault(fault, host);
+    else if (host !== undefined) await this.#injectMachineFault(fault, host);
   }
 
   async #restart(node: string): Promise<void> {
     this.#counts.kills += 1;
     this.cluster.kill(node);
-    await sleep(this.#below(2) === 0 ? 100 : 3000);
+    await sleep(this.#randomBelow(2) === 0 ? 100 : 3000);
     await this.cluster.start(node);
   }
 
-  async #cutOff(node: string): Promise<void> {
+  async #makeStoreUnavailableTo(node: string): Promise<void> {
     this.#counts.cuts += 1;
-    this.cluster.doors.get(node)!.refusing = true;
-    await sleep(1000 + this.#below(8000));
-    this.cluster.doors.get(node)!.refusing = false;
+    this.cluster.storeProxies.get(node)!.unavailable = true;
+    await sleep(1000 + this.#randomBelow(8000));
+    this.cluster.storeProxies.get(node)!.unavailable = false;
   }
 
-  async #delayWrites(node: string): Promise<void> {
+  async #delayTransactions(node: string): Promise<void> {
     this.#counts.lateWrites += 1;
-    const door = this.cluster.doors.get(node)!;
-    door.lateMs = 3000;
+    const door = this.cluster.storeProxies.get(node)!;
+    door.lateTransactionMs = 3000;
     await sleep(4000);
-    door.lateMs = null;
+    door.lateTransactionMs = null;
   }
 
   async #storeOutage(): Promise<void> {
     this.#counts.outages += 1;
-    this.cluster.state.unavailable = true;
-    await sleep(1000 + this.#below(7000));
-    this.cluster.state.recover();
+    this.cluster.store.unavailable = true;
+    await sleep(1000 + this.#randomBelow(7000));
+    this.cluster.store.recover();
   }
 
-  async #hostFault(fault: number, host: Host): Promise<void> {
+  async #injectMachineFault(fault: number, host: Host): Promise<void> {
     if (fault === 2) {
       this.#counts.hangs += 1;
       host.worker.hung = true;
-      await sleep(1000 + this.#below(4000));
+      await sleep(1000 + this.#randomBelow(4000));
       host.worker.hung = false;
     } else if (fault === 3) {
       this.#counts.notices += 1;
-      host.worker.noticeS = 3;
+      host.worker.preemptionNoticeS = 3;
       await sleep(3000);
       this.cluster.cloud.kill(host.worker.name);
     } else {
       this.#counts.unheard += 1;
       const lost = fault === 6 ? 'losesCommands' : 'losesHeartbeats';
       host[lost] = true;
-      await sleep(1000 + this.#below(8000));
+      await sleep(1000 + this.#randomBelow(8000));
       host[lost] = false;
     }
   }
 
-  #watchMoves(): void {
+  #recordMoveDurations(): void {
     for (const move of this.#moves()) {
       const at = this.#requestedAt.get(move.id);
       if (at === undefined || !isTerminal(move)) continue;
       this.#requestedAt.delete(move.id);
-      if (move.state === 'finished') this.#moveMs.push(Date.now() - at);
+      if (move.state === 'finished') this.#moveDurationsMs.push(Date.now() - at);
     }
   }
 
   /** Puts and deletes of transactions that change a move. */
-  #countWrites({ body }: Request): void {
+  #countMoveWrites({ body }: Request): void {
     const { Writes: writes } = body as { Writes: readonly { readonly Put?: string }[] };
     const ofMove = writes.some(({ Put: put }) => put?.startsWith(moveKey('')) ?? false);
     if (ofMove) this.#counts.stateWrites += writes.length;
   }
 
   /** Notes how long machines were without an owner that may use them. */
-  #watchMachines(owners: Map<string, { group: string; token: number; at: number }>): void {
-    for (const [key, { value }] of this.cluster.state.items) {
+  #recordPauses(owners: Map<string, { group: string; token: number; at: number }>): void {
+    for (const [key, { value }] of this.cluster.store.items) {
       if (!key.startsWith('machines/moved-')) continue;
       // The stored form of a machine group.
       const { hosts, era: term } = value as { hosts: Record<string, number>; era: number };
@@ -215,8 +215,8 @@
     }
     for (const [name, { token, at }] of owners) {
       const worker = this.cluster.cloud.machines.get(name)?.worker;
-      if (at === Infinity || worker === undefined || worker.token < token) continue;
-      this.#pauseMs.push(Date.now() - at);
+      if (at === Infinity || worker === undefined || worker.fencingToken < token) continue;
+      this.#pausesMs.push(Date.now() - at);
       owners.set(name, { ...owners.get(name)!, at: Infinity });
     }
   }
@@ -224,31 +224,31 @@
   async run(): Promise<MachineMovesResult> {
     const { cluster, options } = this;
     await cluster.open();
-    for (const door of cluster.doors.values())
-      door.seen = (request) => {
-        this.#countWrites(request);
+    for (const door of cluster.storeProxies.values())
+      door.onTransaction = (request) => {
+        this.#countMoveWrites(request);
       };
-    const end = Date.now() + options.seconds * 1000;
+    const end = Date.now() + options.durationS * 1000;
     const owners = new Map<string, { group: string; token: number; at: number }>();
     let nextMove = Date.now() + 3000;
     let nextFault = Date.now() + 5000;
     let fault: Promise<void> = Promise.resolve();
     const watcher = setInterval(() => {
-      this.#watchMoves();
-      this.#watchMachines(owners);
+      this.#recordMoveDurations();
+      this.#recordPauses(owners);
     }, 20);
     while (Date.now() < end) {
       await this.#submit();
       if (Date.now() >= nextMove) {
-        this.#request();
-        nextMove = Date.now() + options.everyS * 1000;
+        this.#requestMove();
+        nextMove = Date.now() + options.moveIntervalS * 1000;
       }
       if (options.faults && Date.now() >= nextFault) {
         await fault;
-        fault = this.#fault();
+        fault = this.#injectFault();
         nextFault = Date.now() + 4000;
       }
-      await cluster.pass(0.2 + this.#below(3) / 10);
+      await cluster.runFor(0.2 + this.#randomBelow(3) / 10);
     }
     await fault;
     await Promise.all(this.#cancelling);
@@ -267,12 +267,12 @@
       open = checked
         .filter(([, status]) => status !== 'done' && status !== 'cancelled')
         .map(([uid]) => uid);
-      await this.cluster.pass(0.3);
+      await this.cluster.runFor(0.3);
     }
     // Lent machines go back at their time, which is soon.
     while (this.#moves().some((move) => !isTerminal(move))) {
       if (Date.now() >= end) break;
-      await this.cluster.pass(0.3);
+      await this.cluster.runFor(0.3);
     }
     const moves = this.#moves().filter((m) => !isTerminal(m));
     const unfinishedMoves = moves.map(
@@ -287,13 +287,19 @@
       ...this.#counts,
       finished: moves.filter((m) => m.state === 'finished').length,
       aborted: moves.filter((m) => m.state === 'aborted').length,
-      machinesMoved: this.#pauseMs.length,
+      machinesMoved: this.#pausesMs.length,
       tasks: [...this.cluster.world.completed.values()].reduce((sum, done) => sum + done.size, 0),
-      starts: this.cluster.world.started,
-      tasksStartedAfterCompletion: this.cluster.world.startedCompleted,
+      starts: this.cluster.world.starts,
+      tasksStartedAfterCompletion: this.cluster.world.startsAfterCompletion,
     };
-    const { broken } = this.cluster.world;
+    const { violations: broken } = this.cluster.world;
     this.cluster.close();
-    return { broken, unfinished, counts, moveMs: this.#moveMs, pauseMs: this.#pauseMs };
+    return {
+      violations: broken,
+      unfinished,
+      counts,
+      moveDurationsMs: this.#moveDurationsMs,
+      pausesMs: this.#pausesMs,
+    };
   }
 }
--- a/test/standins/server.ts
+++ b/test/standins/server.ts
@@ -1,7 +1,7 @@
 import { createServer, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { readStream } from '../../src/transport/http.js';
-import { fromBytes, toBytes } from '../../src/wire/cbor.js';
+import { decodeCbor, encodeCbor } from '../../src/wire/cbor.js';
 
 export interface Request {
   readonly method: string;
@@ -23,13 +23,13 @@
       void (async () => {
         const bytes = await readStream(req, Infinity);
         const url = new URL(req.url ?? '/', 'http://stand-in');
-        const body = bytes === null || bytes.length === 0 ? null : fromBytes(bytes);
+        const body = bytes === null || bytes.length === 0 ? null : decodeCbor(bytes);
         const path = decodeURIComponent(url.pathname);
         const method = req.method ?? 'GET';
         const reply = await handle({ method, path, query: url.searchParams, body });
         if (reply === 'hang') return;
         res.writeHead(reply.status, { 'content-type': 'application/cbor' });
-        res.end(Buffer.from(toBytes(reply.body)));
+        res.end(Buffer.from(encodeCbor(reply.body)));
       })();
     });
     this.#server = server;
--- a/test/standins/store.ts
+++ b/test/standins/store.ts
@@ -20,20 +20,20 @@
   readonly #leases = new Map<number, { ttl: number; until: number }>();
   #revision = 0;
   #nextLease = 0;
-  #waiting: (() => void)[] = [];
-  #timer: NodeJS.Timeout | null = null;
+  #pendingWatches: (() => void)[] = [];
+  #expiryTimer: NodeJS.Timeout | null = null;
   unavailable = false;
   /** requests that came in */
-  requests = 0;
+  requestCount = 0;
   /** what a value, a transaction and a second may hold; they may fall at any moment */
   limits = { valueBytes: 65_536, transactionOps: 1000, writeRps: Infinity };
   /** transactions refused for their size, and for their number */
-  readonly refused = { size: 0, rate: 0 };
-  #tokens = { left: Infinity, at: 0 };
+  readonly rejectedTransactions = { size: 0, rate: 0 };
+  #writeTokens = { left: Infinity, at: 0 };
 
   async start(): Promise<void> {
     await this.listen((r) => this.handle(r));
-    this.#timer = setInterval(() => this.#expire(), 50);
+    this.#expiryTimer = setInterval(() => this.#expireLeases(), 50);
   }
 
   /** Revision of the latest transaction. */
@@ -42,7 +42,7 @@
   }
 
   /** Values that were there before any controller of the test. */
-  seed(values: Readonly<Record<string, unknown>>): void {
+  putValues(values: Readonly<Record<string, unknown>>): void {
     this.#write(Object.entries(values).map(([key, value]) => ({ Put: key, Value: value })));
   }
 
@@ -52,7 +52,7 @@
     for (const l of this.#leases.values()) l.until = Date.now() + l.ttl;
   }
 
-  #expire(): void {
+  #expireLeases(): void {
     if (this.unavailable) return;
     for (const [id, l] of this.#leases) {
       if (l.until > Date.now()) continue;
@@ -81,14 +81,14 @@
         this.#changes.push({ key: w.Drop, revision: this.#revision, removed: true });
       }
     }
-    for (const wake of this.#waiting.splice(0)) wake();
+    for (const wake of this.#pendingWatches.splice(0)) wake();
     return this.#revision;
   }
 
   async handle(r: Request): Promise<Reply> {
-    this.requests += 1;
+    this.requestCount += 1;
     if (this.unavailable) return { status: 503, body: { error: 'trouble' } };
-    if (r.path === '/multi') return this.#multi(r.body as never);
+    if (r.path === '/multi') return this.#transaction(r.body as never);
     if (r.path === '/leases') {
       this.#nextLease += 1;
       const ttl = (r.body as { TtlMs: number }).TtlMs;
@@ -101,7 +101,7 @@
       l.until = Date.now() + l.ttl;
       return { status: 200, body: {} };
     }
-    if (r.path === '/follow') return this.#follow(r.query);
+    if (r.path === '/follow') return this.#watch(r.query);
     if (r.path === '/store') return this.#list(r.query);
     const key = r.path.slice('/store/'.length);
     const item = this.items.get(key);
@@ -110,27 +110,30 @@
   }
 
   /** Bursts of one second's worth. */
-  #rateRefuses(writes: number): boolean {
+  #exceedsWriteRate(writes: number): boolean {
     const now = Date.now();
     const { writeRps } = this.limits;
     if (writeRps === Infinity) return false;
-    const passed = (now - this.#tokens.at) / 1000;
-    this.#tokens = { left: Math.min(writeRps, this.#tokens.left + passed * writeRps), at: now };
-    if (this.#tokens.left < writes) return true;
-    this.#tokens.left -= writes;
+    const passed = (now - this.#writeTokens.at) / 1000;
+    this.#writeTokens = {
+      left: Math.min(writeRps, this.#writeTokens.left + passed * writeRps),
+      at: now,
+    };
+    if (this.#writeTokens.left < writes) return true;
+    this.#writeTokens.left -= writes;
     return false;
   }
 
-  #multi(body: { When: { K: string; Stamp: number }[]; Writes: never[] }): Reply {
+  #transaction(body: { When: { K: string; Stamp: number }[]; Writes: never[] }): Reply {
     const { valueBytes, transactionOps } = this.limits;
     const puts = body.Writes as { Value?: unknown }[];
     const large = puts.some((w) => JSON.stringify(w.Value ?? null).length > valueBytes);
     if (large || puts.length > transactionOps || body.When.length > 4 * transactionOps) {
-      this.refused.size += 1;
+      this.rejectedTransactions.size += 1;
       return { status: 400, body: { error: 'over the limits' } };
     }
-    if (this.#rateRefuses(Math.max(1, puts.length))) {
-      this.refused.rate += 1;
+    if (this.#exceedsWriteRate(Math.max(1, puts.length))) {
+      this.rejectedTransactions.rate += 1;
       return { status: 429, body: { error: 'too many' } };
     }
     const failed = body.When.filter((c) => (this.items.get(c.K)?.revision ?? 0) !== c.Stamp);
@@ -157,14 +160,14 @@
     return { status: 200, body };
   }
 
-  async #follow(query: URLSearchParams): Promise<Reply> {
+  async #watch(query: URLSearchParams): Promise<Reply> {
     const since = Number(query.get('Since'));
     const until = Date.now() + Math.min(500, Number(query.get('BlockMs')));
     const found = () => this.#changes.filter((c) => c.revision > since);
     while (found().length === 0 && Date.now() < until) {
       await new Promise<void>((resolve) => {
         const timer = setTimeout(resolve, until - Date.now());
-        this.#waiting.push(() => {
+        this.#pendingWatches.push(() => {
           clearTimeout(timer);
           resolve();
         });
@@ -179,63 +182,63 @@
   }
 
   override close(): void {
-    if (this.#timer !== null) clearInterval(this.#timer);
+    if (this.#expiryTimer !== null) clearInterval(this.#expiryTimer);
     super.close();
   }
 }
 
 /** One node's way to the state service, which can treat it otherwise than the others. */
-export class StateDoor extends StandInServer {
+export class StoreProxy extends StandInServer {
   /** told of every transaction that arrives here */
-  seen: ((request: Request) => void) | null = null;
+  onTransaction: ((request: Request) => void) | null = null;
   /** every call gets 503, and open watches wait, while other nodes are served */
-  refusing = false;
+  unavailable = false;
   /** ms that each answer takes longer */
-  slowMs = 0;
+  delayMs = 0;
   /** ms that each answer is held up on its way back: what it says is that old when it arrives */
-  slowAnswersMs = 0;
+  responseDelayMs = 0;
   /** ms that each transaction takes longer on its way */
-  slowWritesMs = 0;
+  transactionDelayMs = 0;
   /** transactions that are still on their way are lost */
-  dropsWrites = false;
+  dropsTransactions = false;
   /** every second transaction gets no answer and is carried out this much later, after newer ones */
-  lateMs: number | null = null;
+  lateTransactionMs: number | null = null;
   /** every second transaction is carried out at once, and only its answer is lost */
-  losingAnswers = false;
+  losesResponses = false;
   /** answers that were lost */
-  lost = 0;
+  lostResponses = 0;
   #transactions = 0;
   /** transactions that were carried out late */
-  late = 0;
+  lateTransactions = 0;
 
-  constructor(private readonly state: FakeStore) {
+  constructor(private readonly store: FakeStore) {
     super();
   }
 
   async start(): Promise<void> {
-    await this.listen((r) => this.#pass(r));
+    await this.listen((r) => this.#forward(r));
   }
 
-  async #pass(r: Request): Promise<Reply> {
-    if (r.path === '/multi') this.seen?.(r);
-    if (this.refusing) return { status: 503, body: { error: 'trouble' } };
-    if (this.slowMs > 0) await sleep(this.slowMs);
-    if (r.path === '/multi' && this.slowWritesMs > 0) await sleep(this.slowWritesMs);
-    if (r.path === '/multi' && this.dropsWrites) return 'hang';
+  async #forward(r: Request): Promise<Reply> {
+    if (r.path === '/multi') this.onTransaction?.(r);
+    if (this.unavailable) return { status: 503, body: { error: 'trouble' } };
+    if (this.delayMs > 0) await sleep(this.delayMs);
+    if (r.path === '/multi' && this.transactionDelayMs > 0) await sleep(this.transactionDelayMs);
+    if (r.path === '/multi' && this.dropsTransactions) return 'hang';
     if (r.path === '/multi') this.#transactions += 1;
-    if (r.path === '/multi' && this.lateMs !== null && this.#transactions % 2 === 0) {
-      void sleep(this.lateMs).then(() => {
-        this.late += 1;
-        return this.state.handle(r);
+    if (r.path === '/multi' && this.lateTransactionMs !== null && this.#transactions % 2 === 0) {
+      void sleep(this.lateTransactionMs).then(() => {
+        this.lateTransactions += 1;
+        return this.store.handle(r);
       });
       return 'hang';
     }
-    const reply = await this.state.handle(r);
-    if (this.slowAnswersMs > 0) await sleep(this.slowAnswersMs);
-    if (r.path === '/multi' && this.losingAnswers && this.#transactions % 2 === 0) {
-      this.lost += 1;
+    const reply = await this.store.handle(r);
+    if (this.responseDelayMs > 0) await sleep(this.responseDelayMs);
+    if (r.path === '/multi' && this.losesResponses && this.#transactions % 2 === 0) {
+      this.lostResponses += 1;
       return 'hang';
     }
-    return this.refusing ? 'hang' : reply;
+    return this.unavailable ? 'hang' : reply;
   }
 }
--- a/test/standins/user-node.ts
+++ b/test/standins/user-node.ts
@@ -1,7 +1,7 @@
 import { createServer, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import Koa from 'koa';
-import { CborClient, type Response } from '../../src/transport/http.js';
+import { CborClient, type CborResponse } from '../../src/transport/http.js';
 import type { ReadResult } from '../../src/store/types.js';
 import type { CompareAndSwapResult, Guard, Write } from '@sumacstep/leader-election';
 import { LinearizableReads } from '../../src/store/linearizable-reads.js';
@@ -16,12 +16,12 @@
 import type { FakeStore } from './store.js';
 
 /** ms; longer than a node takes to refuse a user. */
-const USER_PATIENCE_MS = 5000;
+const USER_TIMEOUT_MS = 5000;
 
 /** Holds whatever passes through until it is opened. */
 export class Gate {
   #closed = false;
-  #held: (() => void)[] = [];
+  #waiting: (() => void)[] = [];
 
   close(): void {
     this.#closed = true;
@@ -29,25 +29,25 @@
 
   open(): void {
     this.#closed = false;
-    for (const go of this.#held.splice(0)) go();
+    for (const go of this.#waiting.splice(0)) go();
   }
 
-  get held(): number {
-    return this.#held.length;
+  get heldCount(): number {
+    return this.#waiting.length;
   }
 
   async pass(): Promise<void> {
-    if (this.#closed) await new Promise<void>((resolve) => this.#held.push(resolve));
+    if (this.#closed) await new Promise<void>((resolve) => this.#waiting.push(resolve));
   }
 }
 
-interface FollowBody {
+interface WatchBody {
   readonly Epoch: number;
   readonly News: readonly { Put?: string; Drop?: string; Value?: unknown; Stamp: number }[];
 }
 
 /** Counts the submissions that have come in, so that a test knows when one waits behind a gate. */
-class ObservedJobs extends JobService {
+class CountingJobService extends JobService {
   calls = 0;
 
   override submit(...args: Parameters<JobService['submit']>): ReturnType<JobService['submit']> {
@@ -57,7 +57,7 @@
 }
 
 /** Counts the readings that were asked for. */
-class ObservedReader extends JobReader {
+class CountingJobReader extends JobReader {
   calls = 0;
 
   override read(uid: string): ReturnType<JobReader['read']> {
@@ -76,29 +76,29 @@
   readonly #reads: LinearizableReads;
   #server: Server | null = null;
   #client: CborClient | null = null;
-  #jobs: ObservedJobs | null = null;
-  #reader: ObservedReader | null = null;
+  #jobs: CountingJobService | null = null;
+  #reader: CountingJobReader | null = null;
   readonly writeRequest = new Gate();
-  readonly writeAnswer = new Gate();
+  readonly writeResponse = new Gate();
   readonly readRequest = new Gate();
-  readonly readAnswer = new Gate();
-  readonly feedRequest = new Gate();
-  readonly feedAnswer = new Gate();
-  #following = false;
-  #followAgain = false;
+  readonly readResponse = new Gate();
+  readonly watchRequest = new Gate();
+  readonly watchResponse = new Gate();
+  #polling = false;
+  #pollAgain = false;
   /** what a value of the state service may hold, as this node knows it; read at `open` */
   valueBytes = 8192;
 
   constructor(
     readonly name: string,
-    private readonly state: FakeStore,
+    private readonly store: FakeStore,
     private readonly history: AnswerHistory,
   ) {
     this.#reads = new LinearizableReads({ get: (key) => this.#get(key) }, this.cache, steadyMs);
   }
 
   async open(): Promise<void> {
-    await this.list();
+    await this.relist();
     const client = {
       compareAndSwap: (_class: unknown, guards: readonly Guard[], writes: readonly Write[]) =>
         this.#compareAndSwap(guards, writes),
@@ -107,12 +107,12 @@
     const linearizable = {
       waitUntilCurrent: () => {
         const shown = this.#reads.waitUntilCurrent();
-        this.#follow();
+        this.#pollForWaiters();
         return shown;
       },
     };
     const get = (name: string) => this.#get(name);
-    const reader = new ObservedReader({ get }, this.cache, linearizable);
+    const reader = new CountingJobReader({ get }, this.cache, linearizable);
     this.#reader = reader;
     const routing = {
       types: () => new Map([['m', machineType()]]),
@@ -120,9 +120,14 @@
       termOf: () => 1,
       random: () => 0,
     };
-    const jobs = new ObservedJobs(
+    const jobs = new CountingJobService(
       { client, cache: this.cache, reader, routing, acceptanceGuard: () => null, now: steadyMs },
-      { teams: settings().teams, shards: 1, valueBytes: this.valueBytes, loadThreshold: 0.85 },
+      {
+        teams: settings().teams,
+        shardCount: 1,
+        maxValueBytes: this.valueBytes,
+        loadThreshold: 0.85,
+      },
     );
     this.#jobs = jobs;
     const app = new Koa();
@@ -155,26 +160,29 @@
   }
 
   /** A call of a user; every answer is judged. */
-  async ask(call: UserCall, body: { readonly Uid: string }): Promise<Response | null> {
-    const sent = this.history.sent(call, body.Uid);
+  async sendUserRequest(
+    call: UserCall,
+    body: { readonly Uid: string },
+  ): Promise<CborResponse | null> {
+    const sent = this.history.recordRequest(call, body.Uid);
     const answer = await this.#send(call, body).catch(() => null);
-    this.history.received(sent, answer, this.name);
+    this.history.recordAnswer(sent, answer, this.name);
     return answer;
   }
 
-  #send(call: UserCall, body: { readonly Uid: string }): Promise<Response> {
+  #send(call: UserCall, body: { readonly Uid: string }): Promise<CborResponse> {
     const client = this.#client!;
     const path = `/submissions/${body.Uid}`;
-    if (call === 'submit') return client.call('POST', '/submissions', body, USER_PATIENCE_MS);
-    if (call === 'query') return client.call('GET', path, undefined, USER_PATIENCE_MS);
-    return client.call('POST', `${path}/withdraw`, undefined, USER_PATIENCE_MS);
+    if (call === 'submit') return client.call('POST', '/submissions', body, USER_TIMEOUT_MS);
+    if (call === 'query') return client.call('GET', path, undefined, USER_TIMEOUT_MS);
+    return client.call('POST', `${path}/withdraw`, undefined, USER_TIMEOUT_MS);
   }
 
   async #get(key: string): Promise<ReadResult> {
     await this.readRequest.pass();
-    const item = this.state.items.get(key);
-    const epoch = this.state.revision;
-    await this.readAnswer.pass();
+    const item = this.store.items.get(key);
+    const epoch = this.store.revision;
+    await this.readResponse.pass();
     if (item === undefined) return { missing: true, storeRevision: epoch };
     return { key, value: item.value, revision: item.revision };
   }
@@ -186,22 +194,22 @@
     await this.writeRequest.pass();
     const body = transactionBody(guards, writes);
     const query = new URLSearchParams();
-    const reply = await this.state.handle({ method: 'POST', path: '/multi', query, body });
+    const reply = await this.store.handle({ method: 'POST', path: '/multi', query, body });
     if (reply === 'hang') throw new Error('the stand-in answers every transaction');
-    await this.writeAnswer.pass();
+    await this.writeResponse.pass();
     const answer = reply.body as { Epoch: number; failed?: string[] };
     if (reply.status === 200) return { ok: true, epoch: answer.Epoch };
     return { ok: false, failed: answer.failed ?? [] };
   }
 
   /** A new listing, as after a restart of the watch. */
-  async list(): Promise<void> {
+  async relist(): Promise<void> {
     const began = steadyMs();
-    const { revision: epoch } = this.state;
-    const changes = [...this.state.items].map(([key, { value, revision }]) => {
+    const { revision: epoch } = this.store;
+    const changes = [...this.store.items].map(([key, { value, revision }]) => {
       return { key, value, revision, removed: false };
     });
-    await this.feedAnswer.pass();
+    await this.watchResponse.pass();
     const cached = changes.filter(({ key }) => !key.startsWith('final/'));
     this.cache.apply({
       isListing: true,
@@ -213,30 +221,30 @@
   }
 
   /** Reads the watch until everybody who waits has had a read that began after they came. */
-  #follow(): void {
-    this.#followAgain = true;
-    if (this.#following) return;
-    this.#following = true;
+  #pollForWaiters(): void {
+    this.#pollAgain = true;
+    if (this.#polling) return;
+    this.#polling = true;
     void (async () => {
-      while (this.#followAgain) {
-        this.#followAgain = false;
-        await this.follow();
+      while (this.#pollAgain) {
+        this.#pollAgain = false;
+        await this.pollWatch();
       }
-      this.#following = false;
+      this.#polling = false;
     })();
   }
 
   /** One read of the watch. */
-  async follow(): Promise<void> {
+  async pollWatch(): Promise<void> {
     const began = steadyMs();
     this.#reads.onReadState(began);
-    await this.feedRequest.pass();
+    await this.watchRequest.pass();
     const query = new URLSearchParams({ Since: String(this.cache.revision), BlockMs: '0' });
     const request = { method: 'GET', path: '/follow', query, body: null };
-    const reply = await this.state.handle(request);
+    const reply = await this.store.handle(request);
     if (reply === 'hang') throw new Error('the stand-in answers every watch');
-    await this.feedAnswer.pass();
-    const { Epoch: epoch, News: news } = reply.body as FollowBody;
+    await this.watchResponse.pass();
+    const { Epoch: epoch, News: news } = reply.body as WatchBody;
     const changes = news.map((n) => ({
       key: n.Put ?? n.Drop ?? '',
       revision: n.Stamp,
--- a/test/standins/worker.ts
+++ b/test/standins/worker.ts
@@ -1,6 +1,6 @@
 import type { Command, Heartbeat, ReportedTask } from '../../src/core/model.js';
 
-export interface JobRules {
+export interface JobConstraints {
   readonly team: string;
   readonly tasks: number;
   readonly cpus: number;
@@ -12,40 +12,40 @@
 
 /** What is on which machine in the simulated world; notices every broken rule. */
 export class World {
-  readonly broken: string[] = [];
-  readonly on = new Map<string, Set<string>>();
+  readonly violations: string[] = [];
+  readonly runningOn = new Map<string, Set<string>>();
   readonly cancelledAt = new Map<string, number>();
   readonly completed = new Map<string, Set<number>>();
-  started = 0;
+  starts = 0;
   /** what jobs ask for, if the rules of places and limits are to be watched */
-  readonly jobs = new Map<string, JobRules>();
+  readonly jobs = new Map<string, JobConstraints>();
   readonly zoneOf = new Map<string, string>();
-  readonly limits = new Map<string, number>();
+  readonly quotas = new Map<string, number>();
   /** starts of jobs whose cancellation had been confirmed */
-  startedCancelled = 0;
+  startsAfterCancellation = 0;
   /** starts of tasks that had completed before */
-  startedCompleted = 0;
+  startsAfterCompletion = 0;
 
   constructor(private readonly cancelMs = CANCEL_MS) {}
 
-  begin(task: string, machine: string, now: number): void {
-    this.started += 1;
-    if (this.cancelledAt.has(task.slice(0, task.indexOf('/')))) this.startedCancelled += 1;
+  onTaskStarted(task: string, machine: string, now: number): void {
+    this.starts += 1;
+    if (this.cancelledAt.has(task.slice(0, task.indexOf('/')))) this.startsAfterCancellation += 1;
     const [uid, index] = task.split('/') as [string, string];
-    if (this.completed.get(uid)?.has(Number(index)) ?? false) this.startedCompleted += 1;
-    const others = [...(this.on.get(task) ?? [])].filter((m) => m !== machine);
-    if (others.length > 0) this.broken.push(`ran_twice ${task} on ${machine} and ${others[0]}`);
-    const set = this.on.get(task) ?? new Set();
+    if (this.completed.get(uid)?.has(Number(index)) ?? false) this.startsAfterCompletion += 1;
+    const others = [...(this.runningOn.get(task) ?? [])].filter((m) => m !== machine);
+    if (others.length > 0) this.violations.push(`ran_twice ${task} on ${machine} and ${others[0]}`);
+    const set = this.runningOn.get(task) ?? new Set();
     set.add(machine);
-    this.on.set(task, set);
+    this.runningOn.set(task, set);
     this.checkCancelled(task, now);
     this.#checkPlace(task, machine);
-    this.#checkLimit(task);
+    this.#checkQuota(task);
   }
 
   /** machines on which tasks of the job are */
   #machinesOf(uid: string): string[] {
-    return [...this.on].flatMap(([t, on]) => (t.startsWith(`${uid}/`) ? [...on] : []));
+    return [...this.runningOn].flatMap(([t, on]) => (t.startsWith(`${uid}/`) ? [...on] : []));
   }
 
   #checkPlace(task: string, machine: string): void {
@@ -59,22 +59,22 @@
       (job.zone !== null && job.zone !== zone) ||
       (job.oneZone && here < zones.length) ||
       (job.spread && here > Math.ceil(job.tasks / 2));
-    if (wrong) this.broken.push(`wrong_place ${task} in ${zone}`);
+    if (wrong) this.violations.push(`wrong_place ${task} in ${zone}`);
   }
 
-  #checkLimit(task: string): void {
+  #checkQuota(task: string): void {
     const team = this.jobs.get(task.slice(0, task.indexOf('/')))?.team ?? '';
-    const limit = this.limits.get(team);
+    const limit = this.quotas.get(team);
     if (limit === undefined) return;
     let used = 0;
     for (const [uid, j] of this.jobs) {
       if (j.team === team) used += j.cpus * this.#machinesOf(uid).length;
     }
-    if (used > limit) this.broken.push(`quota ${team}: ${used} of ${limit}`);
+    if (used > limit) this.violations.push(`quota ${team}: ${used} of ${limit}`);
   }
 
   /** A task has completed. The tasks of a gang complete together: when one is done, all of them are. */
-  complete(uid: string, index: number): void {
+  onTaskCompleted(uid: string, index: number): void {
     const done = this.completed.get(uid) ?? new Set();
     const rules = this.jobs.get(uid);
     const gang = rules?.gang ?? false;
@@ -83,45 +83,45 @@
     this.completed.set(uid, done);
   }
 
-  end(task: string, machine: string): void {
-    this.on.get(task)?.delete(machine);
+  onTaskEnded(task: string, machine: string): void {
+    this.runningOn.get(task)?.delete(machine);
   }
 
   checkCancelled(task: string, now: number): void {
     const at = this.cancelledAt.get(task.slice(0, task.indexOf('/')));
-    if (at !== undefined && now - at > this.cancelMs && (this.on.get(task)?.size ?? 0) > 0) {
-      this.broken.push(`ran_cancelled ${task}`);
+    if (at !== undefined && now - at > this.cancelMs && (this.runningOn.get(task)?.size ?? 0) > 0) {
+      this.violations.push(`ran_cancelled ${task}`);
     }
   }
 
-  check(now: number): void {
-    for (const task of this.on.keys()) this.checkCancelled(task, now);
+  checkCancellations(now: number): void {
+    for (const task of this.runningOn.keys()) this.checkCancelled(task, now);
   }
 }
 
 export const CANCEL_MS = 38_000;
 
-interface Running {
+interface WorkerTask {
   uid: string;
   index: number;
   attempt: number;
   state: 'running' | 'exited';
   why: ReportedTask['why'];
   saved: boolean;
-  leftMs: number;
+  remainingMs: number;
 }
 
 /** Stand-in for a worker: tokens, sessions, leases and commands as the protocol says. */
 export class FakeWorker {
   agentEpoch = 1;
   counter = 0;
-  token = 0;
-  noticeS: number | null = null;
+  fencingToken = 0;
+  preemptionNoticeS: number | null = null;
   hung = false;
-  faulty = false;
-  readonly tasks = new Map<string, Running>();
-  #leaseFrom: number;
-  #at: number;
+  failsTasks = false;
+  readonly tasks = new Map<string, WorkerTask>();
+  #leaseStartMs: number;
+  #nowMs: number;
 
   constructor(
     readonly name: string,
@@ -135,8 +135,8 @@
     readonly address = 'none:1',
     readonly spot = false,
   ) {
-    this.#leaseFrom = now;
-    this.#at = now;
+    this.#leaseStartMs = now;
+    this.#nowMs = now;
   }
 
   heartbeat(): Heartbeat {
@@ -149,8 +149,8 @@
       spot: this.spot,
       agentEpoch: this.agentEpoch,
       counter: this.counter,
-      fencingToken: this.token,
-      preemptionNoticeS: this.noticeS,
+      fencingToken: this.fencingToken,
+      preemptionNoticeS: this.preemptionNoticeS,
       tasks: [...this.tasks.values()].map((t) => ({
         uid: t.uid,
         index: t.index,
@@ -163,17 +163,22 @@
   }
 
   /** The answer to the report sent at `sentAt` in the given session. */
-  answered(token: number, commands: readonly Command[], sentAt: number, agentEpoch: number): void {
-    if (agentEpoch !== this.agentEpoch || token < this.token) return;
-    this.token = token;
-    this.#leaseFrom = sentAt;
+  onHeartbeatAnswer(
+    token: number,
+    commands: readonly Command[],
+    sentAt: number,
+    agentEpoch: number,
+  ): void {
+    if (agentEpoch !== this.agentEpoch || token < this.fencingToken) return;
+    this.fencingToken = token;
+    this.#leaseStartMs = sentAt;
     for (const c of commands) this.#execute(c);
   }
 
   /** A direct command; true if executed. */
-  direct(token: number, agentEpoch: number, commands: readonly Command[]): boolean {
-    if (token < this.token || agentEpoch !== this.agentEpoch) return false;
-    this.token = token;
+  executeDirect(token: number, agentEpoch: number, commands: readonly Command[]): boolean {
+    if (token < this.fencingToken || agentEpoch !== this.agentEpoch) return false;
+    this.fencingToken = token;
     for (const c of commands) this.#execute(c);
     return true;
   }
@@ -187,52 +192,52 @@
       const busy = [...this.tasks.values()].some(
         (o) => o.uid === c.uid && o.index === c.index && o.state === 'running',
       );
-      const task: Running = {
+      const task: WorkerTask = {
         uid: c.uid,
         index: c.index,
         attempt: c.attempt,
         state: busy ? 'exited' : 'running',
         why: busy ? 'busy' : null,
         saved: false,
-        leftMs: typeof this.runMs === 'number' ? this.runMs : this.runMs(c.index),
+        remainingMs: typeof this.runMs === 'number' ? this.runMs : this.runMs(c.index),
       };
       this.tasks.set(entry, task);
       if (busy) return;
-      this.world.begin(key, this.name, this.#at);
-      if (this.faulty) this.#exit(task, 'error');
+      this.world.onTaskStarted(key, this.name, this.#nowMs);
+      if (this.failsTasks) this.#exit(task, 'error');
     } else if (c.op === 'stop') {
       if (t !== undefined && t.state === 'running') this.#exit(t, 'stopped');
     } else if (t !== undefined && t.state === 'exited') this.tasks.delete(entry);
   }
 
-  #exit(t: Running, why: ReportedTask['why']): void {
+  #exit(t: WorkerTask, why: ReportedTask['why']): void {
     t.state = 'exited';
     t.why = why;
-    this.world.end(`${t.uid}/${t.index}`, this.name);
+    this.world.onTaskEnded(`${t.uid}/${t.index}`, this.name);
   }
 
   /** Time passes: tasks end, and the lease may. A hanging machine does nothing until it goes on. */
   advance(now: number): void {
-    const passed = now - this.#at;
-    this.#at = now;
+    const passed = now - this.#nowMs;
+    this.#nowMs = now;
     if (this.hung) return;
-    if (now - this.#leaseFrom > this.leaseMs) {
+    if (now - this.#leaseStartMs > this.leaseMs) {
       for (const t of this.tasks.values()) if (t.state === 'running') this.#exit(t, 'stopped');
       this.tasks.clear();
       this.agentEpoch += 1;
-      this.#leaseFrom = now;
+      this.#leaseStartMs = now;
     }
     for (const t of this.tasks.values()) {
       if (t.state !== 'running') continue;
-      t.leftMs -= passed;
-      if (t.leftMs > 0) continue;
-      this.world.complete(t.uid, t.index);
+      t.remainingMs -= passed;
+      if (t.remainingMs > 0) continue;
+      this.world.onTaskCompleted(t.uid, t.index);
       this.#exit(t, 'done');
     }
   }
 
   /** The machine is gone with everything on it. */
-  vanish(): void {
+  terminate(): void {
     for (const t of this.tasks.values()) if (t.state === 'running') this.#exit(t, 'stopped');
     this.tasks.clear();
   }
--- a/test/task-migration.test.ts
+++ b/test/task-migration.test.ts
@@ -7,7 +7,13 @@
   MIGRATION_INTERVAL_MS,
 } from '../src/shards/constants.js';
 import { STORE_RETRY_MS } from '../src/store/constants.js';
-import { changed, ControllerScene, JOB_KEY, noAnswer, settle } from './controller-scene.js';
+import {
+  watchChange,
+  ControllerScene,
+  JOB_KEY,
+  noAnswer,
+  flushStoreCalls,
+} from './controller-scene.js';
 
 /** The job's range once its task has migrated. */
 const MIGRATED = [{ from: 0, to: 1, shard: 0, term: 4 }];
@@ -15,7 +21,7 @@
 /** The task fits nowhere in shard 1 for long enough, and would fit into shard 0. */
 const unschedulable = async (outcome: ControllerScene['outcome']): Promise<ControllerScene> => {
   const scene = new ControllerScene();
-  scene.capacityElsewhere = { shard: 0, tasks: 2 };
+  scene.shardWithFreeCapacity = { shard: 0, tasks: 2 };
   scene.tick();
   scene.outcome = outcome;
   await scene.tickAt(MIGRATION_DELAY_MS + 1);
@@ -25,7 +31,7 @@
 test('an unschedulable task migrates to a shard where it fits', async () => {
   const scene = await unschedulable(() => ({ ok: true, epoch: 50 }));
   assert.deepEqual(scene.ranges(), MIGRATED);
-  scene.watched(50);
+  scene.showChanges(50);
   scene.tick();
   assert.equal(scene.owned(1)?.shard.jobs.size, 0, 'gone from here');
   assert.equal(scene.owned(0)?.shard.waitingTasks(0, 0), 1, 'and waits there');
@@ -33,7 +39,7 @@
 
 test('a task whose migration meets a conflict stays in its shard', async () => {
   const scene = await unschedulable(() => ({ ok: false, failed: [JOB_KEY] }));
-  await settle();
+  await flushStoreCalls();
   scene.tick();
   assert.equal(scene.owned(1)?.shard.waitingTasks(0, 0), 1);
 });
@@ -58,9 +64,9 @@
 
 test('tasks migrate to a shard that is allocated less only after a long wait, and once in a while', async () => {
   const scene = new ControllerScene();
-  scene.lessAllocated = 0;
+  scene.lessAllocatedShard = 0;
   // The preferred node of shard 1 is away, or the shard would fail back meanwhile.
-  scene.watched(21, [changed('nodes/n1/b', undefined, 21)]);
+  scene.showChanges(21, [watchChange('nodes/n1/b', undefined, 21)]);
   scene.tick();
   const migrations = () =>
     scene.written.flat().filter((write) => 'put' in write && write.put === JOB_KEY).length;
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -231,13 +231,18 @@
   assert.equal(job.placements.size, 0);
   const world = new World();
   const worker = new FakeWorker('vm-000001', world, 1000, 18_000, 0);
-  worker.answered(5, [{ op: 'start', uid: 'job-000001', index: 6, attempt: 5 * 2 ** 23 }], 0, 1);
+  worker.onHeartbeatAnswer(
+    5,
+    [{ op: 'start', uid: 'job-000001', index: 6, attempt: 5 * 2 ** 23 }],
+    0,
+    1,
+  );
   for (let now = 0; now < 2000; now += 500) {
     const heartbeat = worker.heartbeat();
     const result = shard.handleHeartbeat(heartbeat, now, true);
-    if (result.kind === 'answer') worker.answered(shard.term, result.commands, now, 1);
+    if (result.kind === 'answer') worker.onHeartbeatAnswer(shard.term, result.commands, now, 1);
   }
   assert.equal(shard.recovered, true);
   assert.equal(job.placements.get(6)?.attempt, 5 * 2 ** 23, "the previous owner's task goes on");
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
 });
--- a/test/user-answers.test.ts
+++ b/test/user-answers.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { setImmediate as turn } from 'node:timers/promises';
-import type { Response } from '../src/transport/http.js';
+import type { CborResponse } from '../src/transport/http.js';
 import { storeKey } from '../src/store/keys.js';
 import { AnswerHistory, type UserCall } from './standins/answer-history.js';
 import { FakeStore } from './standins/store.js';
@@ -46,17 +46,17 @@
 const FIRST = {
   'its write is on the way there': {
     hold: ({ nodes }: Scene) => nodes.a.writeRequest.close(),
-    held: ({ nodes }: Scene) => nodes.a.writeRequest.held,
+    held: ({ nodes }: Scene) => nodes.a.writeRequest.heldCount,
     accepted: false,
   },
   "its write's answer is on the way back": {
-    hold: ({ nodes }: Scene) => nodes.a.writeAnswer.close(),
-    held: ({ nodes }: Scene) => nodes.a.writeAnswer.held,
+    hold: ({ nodes }: Scene) => nodes.a.writeResponse.close(),
+    held: ({ nodes }: Scene) => nodes.a.writeResponse.heldCount,
     accepted: false,
   },
   "the answer of its read's watch is on the way back": {
-    hold: ({ nodes }: Scene) => nodes.a.feedAnswer.close(),
-    held: ({ nodes }: Scene) => nodes.a.feedAnswer.held,
+    hold: ({ nodes }: Scene) => nodes.a.watchResponse.close(),
+    held: ({ nodes }: Scene) => nodes.a.watchResponse.heldCount,
     accepted: true,
   },
 } as const;
@@ -65,15 +65,15 @@
 const BETWEEN = {
   nothing: () => Promise.resolve(),
   accepted: async ({ nodes }: Scene) => {
-    await nodes.b.ask('submit', BODY);
+    await nodes.b.sendUserRequest('submit', BODY);
   },
   cancelled: async ({ nodes }: Scene) => {
-    await nodes.b.ask('submit', BODY);
-    const answer = await nodes.b.ask('withdraw', BODY);
+    await nodes.b.sendUserRequest('submit', BODY);
+    const answer = await nodes.b.sendUserRequest('withdraw', BODY);
     assert.equal(answer?.status, 200);
   },
   done: async ({ nodes, state, history }: Scene) => {
-    await nodes.b.ask('submit', BODY);
+    await nodes.b.sendUserRequest('submit', BODY);
     const active = state.items.get(storeKey.activeJob(BODY.Uid));
     // A cancellation that is sent first may have ended it already.
     if (active !== undefined) {
@@ -86,8 +86,8 @@
       const query = new URLSearchParams();
       await state.handle({ method: 'POST', path: '/multi', query, body: { When, Writes } });
     }
-    await nodes.b.ask('query', BODY);
-    assert.notEqual(history.finalOf(BODY.Uid), null);
+    await nodes.b.sendUserRequest('query', BODY);
+    assert.notEqual(history.reportedFinalState(BODY.Uid), null);
   },
 } as const;
 
@@ -120,33 +120,34 @@
   const { nodes, broken } = scene;
   try {
     if (FIRST[first].accepted) {
-      await nodes.b.ask('submit', BODY);
+      await nodes.b.sendUserRequest('submit', BODY);
       // The repeat that is held must find the job known.
-      await nodes.a.follow();
+      await nodes.a.pollWatch();
     }
     FIRST[first].hold(scene);
-    const earlier = nodes.a.ask('submit', BODY);
+    const earlier = nodes.a.sendUserRequest('submit', BODY);
     await untilTrue(() => FIRST[first].held(scene) > 0);
     const pending = [earlier];
     const send = async () => {
       const before = nodes[at].calls;
       let over = false;
-      const answer = nodes[at].ask(call, BODY).finally(() => (over = true));
+      const answer = nodes[at].sendUserRequest(call, BODY).finally(() => (over = true));
       pending.push(answer);
       await untilTrue(() => over || nodes[at].calls > before);
     };
     if (moment === 'before') await send();
     await BETWEEN[between](scene);
     if (moment === 'after') await send();
-    for (const gate of [nodes.a.writeRequest, nodes.a.writeAnswer, nodes.a.feedAnswer]) gate.open();
+    for (const gate of [nodes.a.writeRequest, nodes.a.writeResponse, nodes.a.watchResponse])
+      gate.open();
     for (const answer of await Promise.all(pending)) {
       const status = answer?.status ?? 0;
       assert.ok(status > 0 && status < 500, 'nothing is out of order that would excuse a refusal');
     }
     for (const name of NAMES) {
-      const answer = await nodes[name].ask('query', BODY);
+      const answer = await nodes[name].sendUserRequest('query', BODY);
       assert.equal(answer?.status, 200, `${name} knows the job in the end`);
-      await nodes[name].ask('submit', BODY);
+      await nodes[name].sendUserRequest('submit', BODY);
     }
     assert.deepEqual(broken, []);
   } finally {
@@ -188,12 +189,12 @@
 /** Node a has accepted the job, its answer from the state service is held, and b's user cancels. */
 const cancelledWhileHeld = async ({
   nodes,
-}: Scene): Promise<{ accepted: Promise<Response | null> }> => {
-  nodes.a.writeAnswer.close();
-  const accepted = nodes.a.ask('submit', BODY);
-  await untilTrue(() => nodes.a.writeAnswer.held > 0);
-  await nodes.b.ask('submit', BODY);
-  await nodes.b.ask('withdraw', BODY);
+}: Scene): Promise<{ accepted: Promise<CborResponse | null> }> => {
+  nodes.a.writeResponse.close();
+  const accepted = nodes.a.sendUserRequest('submit', BODY);
+  await untilTrue(() => nodes.a.writeResponse.heldCount > 0);
+  await nodes.b.sendUserRequest('submit', BODY);
+  await nodes.b.sendUserRequest('withdraw', BODY);
   return { accepted };
 };
 
@@ -202,19 +203,19 @@
     withScene(async (scene) => {
       const { a } = scene.nodes;
       const { accepted } = await cancelledWhileHeld(scene);
-      await a.list();
-      a.writeAnswer.open();
+      await a.relist();
+      a.writeResponse.open();
       await accepted;
       assert.equal(a.cache.tables.activeJobs.size, 0);
-      await a.ask('query', BODY);
+      await a.sendUserRequest('query', BODY);
     }));
 
   test('the end, known by then, is what its user is told', () =>
     withScene(async (scene) => {
       const { a } = scene.nodes;
       const { accepted } = await cancelledWhileHeld(scene);
-      await a.follow();
-      a.writeAnswer.open();
+      await a.pollWatch();
+      a.writeResponse.open();
       const answer = await accepted;
       assert.equal(answer?.status, 200);
       assert.equal((answer.body as { Status: string }).Status, 'cancelled');
@@ -223,7 +224,7 @@
 
 test('a repeat whose own record would not fit a value gets the state of the accepted job', () =>
   withScene(async ({ nodes }) => {
-    await nodes.b.ask('submit', BODY);
-    const answer = await nodes.a.ask('submit', BODY);
+    await nodes.b.sendUserRequest('submit', BODY);
+    const answer = await nodes.a.sendUserRequest('submit', BODY);
     assert.equal(answer?.status, 200);
   }, 100));
--- a/test/watch-cache.test.ts
+++ b/test/watch-cache.test.ts
@@ -7,7 +7,7 @@
  */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
-import { randomFrom } from '../src/random.js';
+import { seededRandomInt } from '../src/random.js';
 import type { Change } from '../src/store/types.js';
 import { CACHED_PREFIXES, storeKey, TABLE_OF_PREFIX } from '../src/store/keys.js';
 import { encodeJob } from '../src/store/codecs/job.js';
@@ -209,7 +209,7 @@
   readonly #knownRemovals = new Map<string, number>();
 
   constructor(seed: number) {
-    this.#random = randomFrom(seed);
+    this.#random = seededRandomInt(seed);
     this.#cache.apply(listingBatch(1, []));
   }
 
--- a/test/wire.test.ts
+++ b/test/wire.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { fromBytes, toBytes, WireError } from '../src/wire/cbor.js';
+import { decodeCbor, encodeCbor, WireError } from '../src/wire/cbor.js';
 import { heartbeatResponseBody, heartbeatSchema } from '../src/wire/workers.js';
 import { watchSchema } from '../src/wire/store.js';
 import { submissionSchema } from '../src/wire/users.js';
@@ -53,8 +53,8 @@
 });
 
 test('CBOR: bytes that are none of the protocol', () => {
-  const good = toBytes(GOOD);
-  assert.deepEqual(fromBytes(good), GOOD);
+  const good = encodeCbor(GOOD);
+  assert.deepEqual(decodeCbor(good), GOOD);
   const cases: [string, Uint8Array][] = [
     ['nothing', new Uint8Array()],
     ['cut short', good.slice(0, -1)],
@@ -63,7 +63,7 @@
     ['undefined', Uint8Array.of(0xf7)],
     ['a key twice', Uint8Array.of(0xa2, 0x61, 0x61, 1, 0x61, 0x61, 2)],
   ];
-  for (const [name, bytes] of cases) assert.throws(() => fromBytes(bytes), WireError, name);
+  for (const [name, bytes] of cases) assert.throws(() => decodeCbor(bytes), WireError, name);
 });
 
 test('reports: the words of the wire become those of the model', () => {
