--- a/packages/leader-election/src/election-policy.ts
+++ b/packages/leader-election/src/election-policy.ts
@@ -100,7 +100,7 @@
     private readonly candidateDelayMs: number,
   ) {}
 
-  /** Returns the steps to take at `now` (steady clock, ms). */
+  /** Returns the steps to take at `now` (monotonic clock, ms). */
   steps(view: ElectionView, now: number): ElectionStep[] {
     if (!allSupportElection(view)) return [];
     const steps = this.roles.map((role) => this.#step(role, view, now));
--- a/packages/leader-election/src/index.ts
+++ b/packages/leader-election/src/index.ts
@@ -9,7 +9,7 @@
  *
  * Typical use:
  *
- *     const lease = new SessionLease(store, registration, timing, steadyMs, log);
+ *     const lease = new SessionLease(store, registration, timing, monotonicMs, log);
  *     void lease.run();                                     // keeps this process a live member
  *     const election = new LeaderElection({ self, roles: ['cleaner'], ... }, { store, view, ... });
  *     setInterval(() => election.tick(), 250);              // acquires vacant roles, transfers on request
--- a/packages/leader-election/src/leader-election.ts
+++ b/packages/leader-election/src/leader-election.ts
@@ -36,8 +36,8 @@
   readonly hasAuthority: () => boolean;
   /** applies a committed transaction to the view before the store's watch delivers it */
   readonly onCommitted: (writes: readonly Write[], epoch: number) => void;
-  /** reads the steady clock */
-  readonly steadyMs: () => number;
+  /** reads the monotonic clock */
+  readonly monotonicMs: () => number;
   /** reads the time of day, which is shown to people and decides nothing */
   readonly wallClockMs: () => number;
   readonly rejections: FencingRejections;
@@ -87,11 +87,11 @@
 
   /** Runs one reconciliation round: starts to acquire vacant roles and to execute transfer requests; awaits no call. */
   tick(): void {
-    const { hasAuthority, view, steadyMs } = this.dependencies;
+    const { hasAuthority, view, monotonicMs } = this.dependencies;
     if (!hasAuthority()) return;
     for (const [role, transfer] of this.#pendingTransfers)
       void this.#commitTransfer(role, transfer);
-    const steps = this.#policy.steps(view(), steadyMs());
+    const steps = this.#policy.steps(view(), monotonicMs());
     for (const step of steps) {
       if (!this.#pendingTransfers.has(step.role)) this.#execute(step);
     }
--- a/packages/leader-election/src/retention.ts
+++ b/packages/leader-election/src/retention.ts
@@ -13,7 +13,7 @@
 
 /** The stored state of the retention clock: the time that leaders have observed, and revisions reached in that time. */
 export interface RetentionRecord {
-  /** time that elapsed on the leaders' steady clocks while they led */
+  /** time that elapsed on the leaders' monotonic clocks while they led */
   readonly observedMs: number;
   /** oldest first */
   readonly marks: readonly RetentionMark[];
@@ -38,12 +38,12 @@
 export interface RetentionOptions {
   /** time for which values are retained */
   readonly retentionMs: number;
-  /** largest fraction by which a steady clock may run fast */
+  /** largest fraction by which a monotonic clock may run fast */
   readonly clockDrift: number;
 }
 
 /**
- * Returns the record with `elapsedMs` added, the time that has passed on the leader's steady clock since the record was
+ * Returns the record with `elapsedMs` added, the time that has passed on the leader's monotonic clock since the record was
  * written. No other time counts, so a jump of the time of day or a period without a leader can make the retention clock
  * late but never early. `revision` must be a revision that the store has already reached.
  */
--- a/packages/leader-election/src/session-lease.ts
+++ b/packages/leader-election/src/session-lease.ts
@@ -34,19 +34,19 @@
     private readonly store: LeaseStore,
     private readonly registration: Registration,
     private readonly timing: SessionLeaseTiming,
-    /** reads the steady clock, ms */
+    /** reads the monotonic clock, ms */
     private readonly now: () => number,
     private readonly log: Log,
   ) {
     this.#validity = new LeaseValidity(timing);
   }
 
-  /** Returns whether the lease is provably alive at `now` (steady ms) and the key is written. */
+  /** Returns whether the lease is provably alive at `now` (monotonic ms) and the key is written. */
   valid(now: number): boolean {
     return this.#validity.valid(now) && this.registeredAt !== Infinity;
   }
 
-  /** Returns the steady ms since which the lease has been valid without interruption. */
+  /** Returns the monotonic ms since which the lease has been valid without interruption. */
   get validSince(): number {
     return this.#validity.validSince;
   }
--- a/src/cloud/cloud-client.ts
+++ b/src/cloud/cloud-client.ts
@@ -61,7 +61,7 @@
   constructor(
     address: string,
     rps: number,
-    /** reads the steady clock, ms */
+    /** reads the monotonic clock, ms */
     private readonly now: () => number,
   ) {
     this.#http = new CborClient(address, MAX_CLOUD_SOCKETS);
--- a/src/commands/store-access.ts
+++ b/src/commands/store-access.ts
@@ -1,7 +1,7 @@
 /** Access to the store for the operator's commands. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import pino from 'pino';
-import { steadyMs } from '../clock.js';
+import { monotonicMs } from '../clock.js';
 import type { PlatformConfig } from '../config/platform.js';
 import { STORE_RETRY_MS } from '../store/constants.js';
 import { StoreClient } from '../store/store-client.js';
@@ -28,7 +28,7 @@
     });
     const limits = { ...scaledLimits({ rps, writeRps }), next: scaledLimits(next) };
     const log = pino({ level: 'silent' });
-    this.client = new StoreClient(config.store, limits, config.storeLimits, steadyMs, log);
+    this.client = new StoreClient(config.store, limits, config.storeLimits, monotonicMs, log);
   }
 
   /**
--- a/src/constants.ts
+++ b/src/constants.ts
@@ -7,7 +7,7 @@
 export const DEBOUNCE_MS = 250;
 
 /**
- * Maximum relative difference in rate between two steady clocks, as a fraction: each drifts by up to 0.05 %, so two of
+ * Maximum relative difference in rate between two monotonic clocks, as a fraction: each drifts by up to 0.05 %, so two of
  * them differ by at most twice that.
  */
 export const MAX_RELATIVE_CLOCK_DRIFT = 0.001;
--- a/src/core/capacity/allocation-ratio.ts
+++ b/src/core/capacity/allocation-ratio.ts
@@ -37,7 +37,7 @@
 /** Whether the machine counts as capacity: it stays, and is either still booting or heard from lately. */
 const countsForRouting = (state: ShardState, machine: MachineState, now: number): boolean => {
   const leaves = isLeaving(machine) || machine.preemptionAt !== null;
-  return !leaves && (!machine.everConfirmed || state.health.isFresh(machine, now));
+  return !leaves && (!machine.hasConfirmedTerm || state.health.isFresh(machine, now));
 };
 
 /**
--- a/src/core/capacity/capacity-planner.ts
+++ b/src/core/capacity/capacity-planner.ts
@@ -153,7 +153,7 @@
     if (shard.heartbeatsLost(machine, now)) return 'heartbeats lost';
     if (shard.commandsLost(machine, now)) return 'commands lost';
     const bootMs = (machine.type?.bootS ?? DEFAULT_BOOT_S) * 1000;
-    const neverUp = !machine.everConfirmed && !machine.record.up;
+    const neverUp = !machine.hasConfirmedTerm && !machine.record.up;
     if (neverUp && now - machine.trackedSince > bootMs * BOOT_TIMEOUT_FACTOR) {
       return 'never came up';
     }
@@ -323,8 +323,8 @@
     if (type === null) return;
     const count = Math.ceil(tasks / Math.max(1, fitCount(spec.demand, type)));
     const zone = zoneForNewMachines(job, type, this.#retained);
-    const expected = spec.spot ? this.#rent(type, true, count, zone) : 0;
-    if (expected < count) this.#rent(type, false, count - expected, zone);
+    const spotCount = spec.spot ? this.#rent(type, true, count, zone) : 0;
+    if (spotCount < count) this.#rent(type, false, count - spotCount, zone);
   }
 }
 
--- a/src/core/capacity/wanted-machines.ts
+++ b/src/core/capacity/wanted-machines.ts
@@ -29,7 +29,7 @@
   readonly reserveSigma: number;
   /** seconds in which the waiting work of other classes should be done */
   readonly drainS: number;
-  /** steady ms */
+  /** monotonic ms */
   readonly now: number;
 }
 
--- a/src/core/reachability/machine-health.ts
+++ b/src/core/reachability/machine-health.ts
@@ -56,14 +56,14 @@
   needsProbe(machine: MachineState): boolean {
     if (machine.terminating) return false;
     if (machine.commandsLostSince !== null) return true;
-    const expected = machine.agentEpoch > 0 || this.mayHoldInheritedTasks(machine);
-    return machine.confirmedSince === null && expected;
+    const hasBooted = machine.agentEpoch > 0 || this.mayHoldInheritedTasks(machine);
+    return machine.confirmedSince === null && hasBooted;
   }
 
   /** Whether the machine has sent no heartbeats for so long that it should be returned to the cloud. */
   heartbeatsLost(machine: MachineState, now: number): boolean {
-    const expected = machine.everConfirmed || this.mayHoldInheritedTasks(machine);
-    if (!expected) return false;
+    const hasBooted = machine.hasConfirmedTerm || this.mayHoldInheritedTasks(machine);
+    if (!hasBooted) return false;
     // A return that the cloud has confirmed proves a replica gone earlier than the end of its lease does. A worker
     // that is still looking for a controller it can reach answers commands meanwhile, which counts here.
     const { lastStatusAt, lastHeartbeatAt, trackedSince } = machine;
--- a/src/core/shard/heartbeat-reconciler.ts
+++ b/src/core/shard/heartbeat-reconciler.ts
@@ -213,7 +213,7 @@
     machine.leaseRenewedAt = Math.max(machine.leaseRenewedAt, now);
     machine.confirmedSince = now;
   }
-  machine.everConfirmed = true;
+  machine.hasConfirmedTerm = true;
 };
 
 /** Records that the machine has received a command. */
--- a/src/core/shard/shard-queries.ts
+++ b/src/core/shard/shard-queries.ts
@@ -71,11 +71,11 @@
  * on this node's side. Answers to direct commands do not count as heartbeats.
  */
 export const allHeartbeatsLost = (state: ShardState, now: number, forMs: number): boolean => {
-  let expected = 0;
+  let silentCount = 0;
   for (const machine of state.machines.values()) {
     if (machine.terminating || !machine.record.up) continue;
     if (now - Math.max(machine.lastHeartbeatAt, machine.trackedSince) < forMs) return false;
-    expected += 1;
+    silentCount += 1;
   }
-  return expected > 0;
+  return silentCount > 0;
 };
--- a/src/core/shard/shard-state.ts
+++ b/src/core/shard/shard-state.ts
@@ -61,7 +61,7 @@
 
   #everyInheritedMachineConfirmed(): boolean {
     for (const machine of this.machines.values()) {
-      if (this.health.mayHoldInheritedTasks(machine) && !machine.everConfirmed) return false;
+      if (this.health.mayHoldInheritedTasks(machine) && !machine.hasConfirmedTerm) return false;
     }
     return true;
   }
--- a/src/core/shard/store-synchronizer.ts
+++ b/src/core/shard/store-synchronizer.ts
@@ -93,7 +93,7 @@
       lastHeartbeatAt: -Infinity,
       leaseRenewedAt: -Infinity,
       confirmedSince: null,
-      everConfirmed: false,
+      hasConfirmedTerm: false,
       commandsLostSince: null,
       consecutiveLostCommands: 0,
       tasks: new Map(),
--- a/src/core/shard/types.ts
+++ b/src/core/shard/types.ts
@@ -127,7 +127,7 @@
    */
   confirmedSince: number | null;
   /** whether the worker has ever confirmed this shard's term, even if its lease has expired since */
-  everConfirmed: boolean;
+  hasConfirmedTerm: boolean;
   /** time since which commands have had no effect although heartbeats arrive; null while commands arrive */
   commandsLostSince: number | null;
   /** commands without effect since the last one that is known to have arrived */
--- a/src/peers/shard-directory.ts
+++ b/src/peers/shard-directory.ts
@@ -202,7 +202,7 @@
     const index = loadIndex(PRIORITY_RANK[spec.priority], spec.spot);
     const referenceLoad = this.#ownLoads.get(reference)?.[index];
     if (referenceLoad === undefined) return null;
-    let least: { shard: number; load: number } | null = null;
+    let leastLoaded: { shard: number; load: number } | null = null;
     for (let shard = 0; shard < this.shardCount; shard++) {
       const loads =
         this.#ownShard(shard) === undefined
@@ -210,12 +210,13 @@
           : this.#ownLoads.get(shard);
       const load = loads?.[index];
       if (shard === reference || load === undefined) continue;
-      if (least === null || load < least.load) least = { shard, load };
+      if (leastLoaded === null || load < leastLoaded.load) leastLoaded = { shard, load };
     }
-    if (least === null) return null;
+    if (leastLoaded === null) return null;
     const worthMigrating =
-      referenceLoad > Math.max(least.load * MIN_LOAD_RATIO, least.load + MIN_LOAD_DIFFERENCE);
-    return worthMigrating ? least.shard : null;
+      referenceLoad >
+      Math.max(leastLoaded.load * MIN_LOAD_RATIO, leastLoaded.load + MIN_LOAD_DIFFERENCE);
+    return worthMigrating ? leastLoaded.shard : null;
   }
 
   /** Returns the number of tasks of each job class, waiting or placed, in all shards but `excluded`. */
--- a/src/rebalancing/move-candidates.ts
+++ b/src/rebalancing/move-candidates.ts
@@ -19,7 +19,7 @@
 };
 
 /**
- * Returns a machine as a candidate for a move at `now` (steady clock, ms). The machine is ready to move only if no
+ * Returns a machine as a candidate for a move at `now` (monotonic clock, ms). The machine is ready to move only if no
  * task is on it and no start of a task can still arrive there.
  */
 export const toCandidate = (shard: Shard, machine: MachineState, now: number): Candidate => {
--- a/src/rebalancing/shard-mover.ts
+++ b/src/rebalancing/shard-mover.ts
@@ -37,7 +37,7 @@
   readonly client: Pick<StoreClient, 'compareAndSwap'>;
   readonly cache: WatchCache;
   readonly shardController: ShardController;
-  /** returns the time of the steady clock, ms */
+  /** returns the time of the monotonic clock, ms */
   readonly now: () => number;
   readonly log: Logger;
 }
@@ -59,7 +59,7 @@
   readonly #writesInFlight = new Set<string>();
   /** whether an earlier round may have left machines cordoned */
   #mayHaveCordoned = false;
-  /** by move id: when this owner last wrote the move, which includes its wait reason; steady clock, ms */
+  /** by move id: when this owner last wrote the move, which includes its wait reason; monotonic clock, ms */
   readonly #lastWriteAt = new Map<string, number>();
 
   constructor(
--- a/src/service/node-context.ts
+++ b/src/service/node-context.ts
@@ -1,6 +1,6 @@
 /** Context shared by all components of a node's process: settings, incarnation, clocks, randomness and log. */
 import type { Logger } from 'pino';
-import { steadyMs, timeOfDayMs } from '../clock.js';
+import { monotonicMs, timeOfDayMs } from '../clock.js';
 import type { OperatorConfig } from '../config/operator.js';
 import type { PlatformConfig } from '../config/platform.js';
 import { seededRandomInt } from '../random.js';
@@ -32,9 +32,9 @@
   operator: OperatorConfig,
   log: Logger,
 ): NodeContext => {
-  const seed = (timeOfDayMs() * 1000 + Math.floor(steadyMs() * 1000) + process.pid) | 0;
+  const seed = (timeOfDayMs() * 1000 + Math.floor(monotonicMs() * 1000) + process.pid) | 0;
   const random = seededRandomInt(seed);
   const startedAt = timeOfDayMs().toString(36);
   const incarnation = `${startedAt}${random(INCARNATION_RANDOM_LIMIT).toString(36)}`;
-  return { config, operator, incarnation, random, now: steadyMs, timeOfDay: timeOfDayMs, log };
+  return { config, operator, incarnation, random, now: monotonicMs, timeOfDay: timeOfDayMs, log };
 };
--- a/src/shards/machine-records/machine-records.ts
+++ b/src/shards/machine-records/machine-records.ts
@@ -31,7 +31,7 @@
   readonly cache: WatchCache;
   /** resolves once the cache shows everything that was committed before the call */
   readonly waitForCurrentCache: () => Promise<unknown>;
-  /** steady ms */
+  /** monotonic ms */
   readonly now: () => number;
   readonly log: Logger;
 }
@@ -44,7 +44,7 @@
   readonly returnedInstances = new ReturnedInstances();
   /** shards with a write of existing groups in flight */
   readonly #writing = new Set<number>();
-  /** by shard: when its last write of existing groups ended, steady ms */
+  /** by shard: when its last write of existing groups ended, monotonic ms */
   readonly #lastWriteAt = new Map<number, number>();
 
   constructor(private readonly dependencies: MachineRecordsDependencies) {}
--- a/src/shards/orphaned-instances.ts
+++ b/src/shards/orphaned-instances.ts
@@ -23,7 +23,7 @@
   readonly shardController: ShardController;
   /** null: orphaned machines are always adopted */
   readonly orphanCollection: OrphanCollection | null;
-  /** steady ms */
+  /** monotonic ms */
   readonly now: () => number;
   readonly log: Logger;
 }
@@ -32,7 +32,7 @@
 export class OrphanedInstances {
   /** by machine, as the list showed them last */
   readonly #addresses = new Map<string, string>();
-  /** by machine: since when the list shows it without a record, steady ms */
+  /** by machine: since when the list shows it without a record, monotonic ms */
   readonly #unrecordedSince = new Map<string, number>();
   /** machines whose adoption is in flight */
   readonly #adopting = new Set<string>();
--- a/src/shards/scale-in.ts
+++ b/src/shards/scale-in.ts
@@ -19,7 +19,7 @@
   readonly shardController: Pick<ShardController, 'owned' | 'machines'>;
   /** write-ahead records of returns; null: returns are sent without being recorded */
   readonly intents: ReturnIntents | null;
-  /** steady ms */
+  /** monotonic ms */
   readonly now: () => number;
   readonly log: Logger;
 }
--- a/src/shards/scale-out/capacity-backoff.ts
+++ b/src/shards/scale-out/capacity-backoff.ts
@@ -4,7 +4,7 @@
 
 /** Keeps by kind of machine until when it is not requested again. */
 export class CapacityBackoff {
-  /** by kind of machine: when its backoff ends, steady ms */
+  /** by kind of machine: when its backoff ends, monotonic ms */
   readonly #until = new Map<string, number>();
 
   /** Starts a backoff of `NO_CAPACITY_BACKOFF_MS`; call it when the cloud has not provided all machines requested. */
--- a/src/shards/scale-out/rental-requests.ts
+++ b/src/shards/scale-out/rental-requests.ts
@@ -31,7 +31,7 @@
   readonly cache: WatchCache;
   readonly machineRecords: Pick<MachineRecords, 'recordRental'>;
   readonly backoff: CapacityBackoff;
-  /** steady ms */
+  /** monotonic ms */
   readonly now: () => number;
   readonly log: Logger;
 }
@@ -41,7 +41,7 @@
   #sequence = 0;
   /** shards whose new rentals are being recorded */
   readonly #recording = new Set<number>();
-  /** by rental name: until when it is not requested again, steady ms; `Infinity` while a request is in flight */
+  /** by rental name: until when it is not requested again, monotonic ms; `Infinity` while a request is in flight */
   readonly #retryAt = new Map<string, number>();
   /** largest number of machines in one rental, whose group must fit one value of the store */
   readonly #maxMachines: number;
--- a/src/shards/scale-out/scale-out.ts
+++ b/src/shards/scale-out/scale-out.ts
@@ -40,7 +40,7 @@
   readonly expectedJobs: () => readonly JobSpec[];
   /** returns the machine types by name; null: not known yet */
   readonly machineTypes: () => ReadonlyMap<string, MachineType> | null;
-  /** steady ms */
+  /** monotonic ms */
   readonly now: () => number;
   /** wall-clock ms */
   readonly timeOfDay: () => number;
--- a/src/singletons/garbage-collector.ts
+++ b/src/singletons/garbage-collector.ts
@@ -37,7 +37,7 @@
   readonly shards: number;
   /** maximum number of writes (puts and deletes) in one transaction */
   readonly transactionOps: number;
-  /** reads the steady clock, ms */
+  /** reads the monotonic clock, ms */
   readonly now: () => number;
   readonly log: Logger;
 }
--- a/src/singletons/retention-clock.ts
+++ b/src/singletons/retention-clock.ts
@@ -17,14 +17,14 @@
 export interface RetentionClockDependencies {
   readonly client: Pick<StoreClient, 'compareAndSwap'>;
   readonly cache: WatchCache;
-  /** reads the steady clock, ms */
+  /** reads the monotonic clock, ms */
   readonly now: () => number;
 }
 
 /** A leadership, and the moment up to which its elapsed time has been added to the stored record. */
 interface Observation {
   readonly fencingToken: number;
-  /** steady ms */
+  /** monotonic ms */
   readonly until: number;
 }
 
@@ -43,8 +43,8 @@
    * due or the write was rejected.
    */
   async advance(authorization: Authorization): Promise<RetentionRecord | null> {
-    const { cache, now: steadyNow } = this.dependencies;
-    const now = steadyNow();
+    const { cache, now: monotonicNow } = this.dependencies;
+    const now = monotonicNow();
     const { fencingToken } = authorization;
     if (this.#observation?.fencingToken !== fencingToken) {
       this.#observation = { fencingToken, until: now };
--- a/src/singletons/singleton-controllers.ts
+++ b/src/singletons/singleton-controllers.ts
@@ -27,7 +27,7 @@
   /** resolves once the cache shows everything that was committed before the call */
   readonly waitUntilCurrent: () => Promise<unknown>;
   readonly fencingRejections: FencingRejections;
-  /** reads the steady clock, ms */
+  /** reads the monotonic clock, ms */
   readonly now: () => number;
   /** reads the time of day, ms */
   readonly timeOfDay: () => number;
--- a/src/singletons/singleton-election.ts
+++ b/src/singletons/singleton-election.ts
@@ -68,7 +68,7 @@
   /** returns whether this node provably owns and leads what the cache shows as its own */
   readonly hasAuthority: () => boolean;
   readonly fencingRejections: FencingRejections;
-  /** reads the steady clock, ms */
+  /** reads the monotonic clock, ms */
   readonly now: () => number;
   /** reads the time of day, ms */
   readonly timeOfDay: () => number;
@@ -116,7 +116,7 @@
         onCommitted: (writes, epoch) => {
           cache.applyOwnWrites(writes, epoch);
         },
-        steadyMs: now,
+        monotonicMs: now,
         wallClockMs: timeOfDay,
         rejections: fencingRejections,
         log,
--- a/src/store/availability.ts
+++ b/src/store/availability.ts
@@ -6,7 +6,7 @@
   #consecutiveFailures = 0;
   #lastSuccessAt = -Infinity;
 
-  /** Steady-clock time in ms of the last answer that shows the store to be working. */
+  /** Monotonic-clock time in ms of the last answer that shows the store to be working. */
   get lastSuccessAt(): number {
     return this.#lastSuccessAt;
   }
--- a/src/store/linearizable-reads.ts
+++ b/src/store/linearizable-reads.ts
@@ -12,7 +12,7 @@
 
 /** A request that waits for the cache. */
 interface Reader {
-  /** steady-clock time of the request in ms */
+  /** monotonic-clock time of the request in ms */
   readonly requestedAt: number;
   /** the store's revision as found by a probe that was sent after the request; null while there is none */
   probedRevision: number | null;
@@ -31,7 +31,7 @@
  */
 export class LinearizableReads {
   #readers: Reader[] = [];
-  /** steady-clock time in ms at which the watch's present read began; null between reads */
+  /** monotonic-clock time in ms at which the watch's present read began; null between reads */
   #watchReadStartedAt: number | null = null;
   #probing = false;
   #timer: NodeJS.Timeout | null = null;
@@ -55,7 +55,7 @@
   }
 
   /**
-   * Resolves as soon as the cache shows everything that was committed before the call. Returns the steady-clock time
+   * Resolves as soon as the cache shows everything that was committed before the call. Returns the monotonic-clock time
    * of the call in ms.
    */
   waitUntilCurrent(): Promise<number> {
--- a/src/store/store-client.ts
+++ b/src/store/store-client.ts
@@ -55,7 +55,7 @@
     this.#transactionLimits = new TransactionLimits(sizeLimits, log);
   }
 
-  /** Steady-clock time in ms of the last answer that shows the store to be working. */
+  /** Monotonic-clock time in ms of the last answer that shows the store to be working. */
   get lastSuccessAt(): number {
     return this.#availability.lastSuccessAt;
   }
--- a/src/store/watch-cache.ts
+++ b/src/store/watch-cache.ts
@@ -84,7 +84,7 @@
   readonly finalStates = new Map<string, FinalState>();
   /** revision up to which the watch has reported all changes */
   revision = -1;
-  /** steady-clock time in ms; the cache shows everything that was committed before then */
+  /** monotonic-clock time in ms; the cache shows everything that was committed before then */
   currentAt = -Infinity;
   /** revision of the latest write of this node that was applied ahead of the watch */
   #lastOwnRevision = -1;
--- a/src/store/watch.ts
+++ b/src/store/watch.ts
@@ -19,7 +19,7 @@
    * listing is consistent only once the changes up to this revision have been applied
    */
   readonly consistentFrom?: number;
-  /** steady-clock time in ms at which the read began; everything committed before then is known with this batch */
+  /** monotonic-clock time in ms at which the read began; everything committed before then is known with this batch */
   readonly readStartedAt?: number;
 }
 
@@ -27,9 +27,9 @@
 export interface WatchOptions {
   /** pause between two reads, in ms */
   readonly pauseMs: number;
-  /** the steady clock, in ms */
+  /** the monotonic clock, in ms */
   readonly now: () => number;
-  /** called with the steady-clock time in ms when a read of changes begins, and with null when it ends */
+  /** called with the monotonic-clock time in ms when a read of changes begins, and with null when it ends */
   readonly onReadState: (startedAt: number | null) => void;
 }
 
--- a/src/transport/token-bucket.ts
+++ b/src/transport/token-bucket.ts
@@ -1,4 +1,4 @@
-/** A token bucket rate limiter. It reads no clock: callers pass the time of the steady clock in ms. */
+/** A token bucket rate limiter. It reads no clock: callers pass the time of the monotonic clock in ms. */
 
 /**
  * A token bucket, refilled at a constant rate up to its capacity. A cost above the capacity requires a full bucket and
--- a/test/capacity.test.ts
+++ b/test/capacity.test.ts
@@ -39,8 +39,7 @@
   const wholeMachine = { demand: { cpus: 8, gpus: 2, memoryGb: 8 } };
   const cases: [string, CapacityInput, string[]][] = [
     ['no work', capacityInput(new Store()), []],
-    // A run of `fleetbench real` once started no task: a second of work needs so small a share of a machine that
-    // none was rented.
+    // A second of work needs so small a share of a machine that none was rented, and its task never started.
     [
       'little work still needs a machine',
       capacityInput(new Store().add(job({ estimateS: 1 }))),
